--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -162,12 +162,14 @@
 // TestShutdownBesideAFullClient: a client that takes nothing of its answer keeps neither the others from theirs nor the process from
 // its end.
 func TestShutdownBesideAFullClient(t *testing.T) {
+	// Built before the request: building 32 MiB can take longer than the request's deadline on a busy machine.
+	answer := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 32<<20, strings.Repeat("x", 32<<20))
 	long := peer(t, answering(func(q *http.Request, c net.Conn) {
 		if q.URL.Path == "/load" {
 			sayLoad(c)
 			return
 		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 32<<20, strings.Repeat("x", 32<<20))
+		c.Write(answer)
 	}))
 	w := start(t, nil, long, "127.0.0.1:1", withDeadline(shortDeadline))
 	full := w.connect(t)
