--- a/balancer.go
+++ b/balancer.go
@@ -82,9 +82,9 @@
 func (e *FailedError) Timeout() bool { return e.Last == outcomes[policy.Timeout] }
 
 var outcomes = map[policy.Status]string{
-	policy.OK: "served", policy.AppError: "answered with an error", policy.Full: "turned away", policy.Timeout: "timed out",
+	policy.OK: "served", policy.AppError: "answered with an error", policy.Overloaded: "turned away", policy.Timeout: "timed out",
 	policy.ConnectFailed: "could not connect", policy.Reset: "was reset or answered with nonsense",
-	policy.Canceled: "was called off", policy.Moot: "was never sent", policy.Rejected: "was rejected as unusable",
+	policy.Canceled: "was called off", policy.NotSent: "was never sent", policy.Rejected: "was rejected as unusable",
 }
 
 // RequestError tells that a request cannot be served as it is: nothing was sent. Asking again will not help.
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -51,11 +51,11 @@
 	s.Balancer.Outcome(now, o, act)
 }
 
-func (s *spy) Withdrawn(now policy.Time, id policy.RequestID, act policy.Actions) {
+func (s *spy) ClientDisconnected(now policy.Time, id policy.RequestID, act policy.Actions) {
 	s.mu.Lock()
 	s.withdrawn++
 	s.mu.Unlock()
-	s.Balancer.Withdrawn(now, id, act)
+	s.Balancer.ClientDisconnected(now, id, act)
 }
 
 func (s *spy) seen() (outcomes []policy.Outcome, withdrawn int) {
--- a/config.go
+++ b/config.go
@@ -205,10 +205,10 @@
 	}
 	p := policy.Config{
 		Ordinal: c.Instance, GroupSize: cmp.Or(c.Instances, 1), Zone: c.Zone,
-		MayProbe: c.Reports != Never, MayCancel: !c.NoCancel, MayDuplicate: !c.NoSecondCopies, HintsRetry: true,
+		MayProbe: c.Reports != Never, MayCancel: !c.NoCancel, MayDuplicate: !c.NoSecondCopies, ClientsHonorRetryAfter: true,
 		MaxAttempts: limits.Attempts, MaxRetryAfter: limits.RetryAfter, DialTimeout: limits.DialTimeout,
-		ConnIdle: limits.IdleTimeout, Tick: tick, InlineReports: c.Reports == InAnswer, AskEvery: askEvery,
-		ColdFrom: cmp.Or(c.Cold.From, 0.3), Ramp: cmp.Or(c.Cold.Ramp, 9*time.Second), ProbeTariff: probeTariff,
+		ConnIdleTimeout: limits.IdleTimeout, Tick: tick, InlineReports: c.Reports == InAnswer, RefreshInterval: askEvery,
+		ColdCapacity: cmp.Or(c.Cold.From, 0.3), Ramp: cmp.Or(c.Cold.Ramp, 9*time.Second), ProbeTariff: probeTariff,
 	}
 	p.Ramp = max(p.Ramp, 0)
 	switch {
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -24,13 +24,13 @@
 func (h *host) Cancel(policy.RequestID, int)           {}
 func (h *host) SetTimer(time.Duration, string)         {}
 func (h *host) Probe(policy.ServerID)                  {}
-func (h *host) HangUp(policy.ServerID)                 {}
+func (h *host) CloseIdle(policy.ServerID)              {}
 func (h *host) Watch(bool)                             {}
 func (h *host) Log(string)                             {}
 
 func config() policy.Config {
 	return policy.Config{
-		GroupSize: 1, MaxAttempts: 2, Ramp: 8 * time.Second, ColdFrom: 0.3, Tick: time.Millisecond,
+		GroupSize: 1, MaxAttempts: 2, Ramp: 8 * time.Second, ColdCapacity: 0.3, Tick: time.Millisecond,
 		Classes: []policy.Class{{Name: "check", Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1}},
 	}
 }
@@ -46,7 +46,7 @@
 	const origin = 1_000_000_250 // the first second begins at 250 ms
 	r := New(b, config(), origin, func(s Second) { told = append(told, s) })
 	h, now := &host{}, policy.Time(time.Hour)
-	r.Members(now, policy.ListFull, []policy.Server{{ID: "old"}, {ID: "new", Started: now - time.Second}}, h)
+	r.UpdateServers(now, policy.ListFull, []policy.Server{{ID: "old"}, {ID: "new", Started: now - time.Second}}, h)
 	ask := func(id policy.RequestID) policy.ServerID {
 		t.Helper()
 		n := len(h.sent)
@@ -58,10 +58,10 @@
 	}
 	s := ask(1)
 	now += 100 * time.Millisecond
-	r.Outcome(now, policy.Outcome{ID: 1, Server: s, Status: policy.OK, Delay: 100 * time.Millisecond, Closed: true}, h)
+	r.Outcome(now, policy.Outcome{ID: 1, Server: s, Status: policy.OK, Delay: 100 * time.Millisecond, Final: true}, h)
 	s = ask(2)
 	now += 400 * time.Millisecond
-	r.Outcome(now, policy.Outcome{ID: 2, Server: s, Status: policy.OK, Delay: 400 * time.Millisecond, Closed: true}, h)
+	r.Outcome(now, policy.Outcome{ID: 2, Server: s, Status: policy.OK, Delay: 400 * time.Millisecond, Final: true}, h)
 	s = ask(3)
 	now += 200 * time.Millisecond
 	r.Outcome(now, policy.Outcome{ID: 3, Server: s, Status: policy.AppError, Delay: 200 * time.Millisecond}, h)
@@ -69,7 +69,7 @@
 		t.Fatalf("%d seconds told within the first", len(told))
 	}
 	s = ask(4) // its answer begins and breaks off
-	r.Outcome(now, policy.Outcome{ID: 4, Server: s, Status: policy.Reset, Closed: true}, h)
+	r.Outcome(now, policy.Outcome{ID: 4, Server: s, Status: policy.Reset, Final: true}, h)
 	if len(r.requests) > 1 { // 3 may be out once more
 		t.Errorf("%d requests are kept", len(r.requests))
 	}
--- a/internal/account/recorder.go
+++ b/internal/account/recorder.go
@@ -172,13 +172,13 @@
 }
 
 // Members is a method of policy.Balancer, as are those below.
-func (r *Recorder) Members(now policy.Time, kind policy.ListKind, list []policy.Server, act policy.Actions) {
+func (r *Recorder) UpdateServers(now policy.Time, kind policy.ListKind, list []policy.Server, act policy.Actions) {
 	r.tick(now)
 	if kind == policy.ListFailed {
 		r.sec.Failures++
 	} else {
 		r.sec.Lists++
-		if kind.Whole() {
+		if kind.Complete() {
 			for _, s := range r.servers {
 				s.State = policy.Gone
 			}
@@ -197,7 +197,7 @@
 			}
 		}
 	}
-	r.Balancer.Members(now, kind, list, actions{act, r, now})
+	r.Balancer.UpdateServers(now, kind, list, actions{act, r, now})
 }
 
 func (r *Recorder) Request(now policy.Time, q policy.Request, act policy.Actions) {
@@ -235,7 +235,7 @@
 		}
 		delete(r.requests, o.ID)
 	}
-	if o.Closed { // also by an answer that had begun and broke off
+	if o.Final { // also by an answer that had begun and broke off
 		delete(r.requests, o.ID)
 	}
 	r.Balancer.Outcome(now, o, actions{act, r, now})
@@ -257,10 +257,10 @@
 	r.Balancer.Probed(now, p, actions{act, r, now})
 }
 
-func (r *Recorder) Withdrawn(now policy.Time, id policy.RequestID, act policy.Actions) {
+func (r *Recorder) ClientDisconnected(now policy.Time, id policy.RequestID, act policy.Actions) {
 	r.tick(now)
 	delete(r.requests, id)
-	r.Balancer.Withdrawn(now, id, actions{act, r, now})
+	r.Balancer.ClientDisconnected(now, id, actions{act, r, now})
 }
 
 func (r *Recorder) StopSending(now policy.Time, id policy.RequestID, act policy.Actions) {
@@ -278,9 +278,9 @@
 	r.Balancer.Timer(now, tok, actions{act, r, now})
 }
 
-func (r *Recorder) Moved(now policy.Time, act policy.Actions) {
+func (r *Recorder) DiscoveryMoved(now policy.Time, act policy.Actions) {
 	r.tick(now)
-	r.Balancer.Moved(now, actions{act, r, now})
+	r.Balancer.DiscoveryMoved(now, actions{act, r, now})
 }
 
 func (r *Recorder) Reconfigure(cfg policy.Config) error {
--- a/internal/daemon/crossing_test.go
+++ b/internal/daemon/crossing_test.go
@@ -62,7 +62,7 @@
 		eventually(t, "the attempt waits for "+s.String(), func() bool { return w.stage(s) })
 		c.Close()
 		next(t, "Withdrawn", m.withdrawn)
-		if o := next(t, "outcome", m.outcomes); o.Status != policy.Canceled || !o.Closed {
+		if o := next(t, "outcome", m.outcomes); o.Status != policy.Canceled || !o.Final {
 			t.Errorf("outcome %+v, want Canceled and Closed", o)
 		}
 		eventually(t, "nothing is left of it", func() bool { return w.engine.Snapshot().Held == 0 })
@@ -219,7 +219,7 @@
 			f, d := newFull(t), newDiscovery(t)
 			w := start(t, nil, f.Addr().String(), d.addr, func(c *config.Config) {
 				c.Settings.Config.MayProbe, c.Settings.Config.MayCancel = false, false
-				c.Settings.Config.AskEvery, c.Settings.Config.DialTimeout = 100*time.Millisecond, time.Minute
+				c.Settings.Config.RefreshInterval, c.Settings.Config.DialTimeout = 100*time.Millisecond, time.Minute
 			})
 			watch := next(t, "watch", d.watches)
 			watch.head()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -165,7 +165,7 @@
 
 // source is where cfg has the list of servers from.
 func source(cfg config.Config) discovery.Client {
-	return discovery.Client{Addr: cfg.Discovery, Pushed: cfg.Settings.Config.Pushed}
+	return discovery.Client{Addr: cfg.Discovery, Pushed: cfg.Settings.Config.ListPushed}
 }
 
 // Run serves until ctx ends, and then drains. It returns once all that was taken is answered. If ctx has ended
--- a/internal/daemon/discovery_test.go
+++ b/internal/daemon/discovery_test.go
@@ -231,7 +231,7 @@
 // that takes a call and says nothing is asked again within the 2 s that a drain leaves once it has it.
 func TestPushedListsAreWatched(t *testing.T) {
 	d := newDiscovery(t)
-	w := start(t, nil, "127.0.0.1:1", d.addr, func(c *config.Config) { c.Settings.Config.Pushed = true })
+	w := start(t, nil, "127.0.0.1:1", d.addr, func(c *config.Config) { c.Settings.Config.ListPushed = true })
 	next(t, "first call", d.watches)
 	for range 5 { // pauses grow with each
 		before := time.Now()
@@ -257,7 +257,7 @@
 	for _, seed := range []uint64{0, 2, 4, 7} { // which draws pauses that are long
 		d := newDiscovery(t)
 		all = append(all, d)
-		start(t, nil, "127.0.0.1:1", d.addr, func(c *config.Config) { c.Settings.Config.AskEvery, c.Seed = 10*time.Second, seed })
+		start(t, nil, "127.0.0.1:1", d.addr, func(c *config.Config) { c.Settings.Config.RefreshInterval, c.Seed = 10*time.Second, seed })
 	}
 	for _, d := range all {
 		c := next(t, "first watch", d.watches)
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -172,8 +172,8 @@
 	}
 	c.write(plainGet)
 	c.read(t)
-	if o := next(t, "outcome", m.outcomes); o.Status != policy.Moot {
-		t.Errorf("outcome %v, want Moot", o.Status)
+	if o := next(t, "outcome", m.outcomes); o.Status != policy.NotSent {
+		t.Errorf("outcome %v, want NotSent", o.Status)
 	}
 }
 
@@ -205,7 +205,7 @@
 			return
 		}
 		say(okAnswer)(n, c)
-	}), "127.0.0.1:1", func(c *config.Config) { c.Settings.Config.ConnIdle = 100 * time.Millisecond })
+	}), "127.0.0.1:1", func(c *config.Config) { c.Settings.Config.ConnIdleTimeout = 100 * time.Millisecond })
 	var clients []*client
 	for range 50 {
 		c := w.connect(t)
--- a/internal/daemon/probe_test.go
+++ b/internal/daemon/probe_test.go
@@ -21,7 +21,7 @@
 		{"report", say("HTTP/1.1 200 OK\nContent-Length: 31\n\nTEXT eps=0.5, queue=2, util=0.1"), policy.OK, load},
 		{"no report", say("HTTP/1.1 200 OK\nContent-Length: 0\n\n"), policy.OK, nil},
 		{"broken report", say("HTTP/1.1 200 OK\nContent-Length: 9\n\n\x00=,queue="), policy.OK, nil},
-		{"turned away", say("HTTP/1.1 503 No\nContent-Length: 0\n\n"), policy.Full, nil},
+		{"turned away", say("HTTP/1.1 503 No\nContent-Length: 0\n\n"), policy.Overloaded, nil},
 		{"not there", say("HTTP/1.1 404 No\nContent-Length: 0\n\n"), policy.AppError, nil},
 		{"break", func(_ int, c net.Conn) { io.ReadFull(c, make([]byte, 20)); c.Close() }, policy.Reset, nil},
 		{"broken HTTP", say("HELLO\n\n"), policy.Reset, nil},
@@ -56,7 +56,7 @@
 	})
 	moot := 0
 	for range 64 + 6 {
-		if p := next(t, "result", m.probed); p.Status == policy.Moot {
+		if p := next(t, "result", m.probed); p.Status == policy.NotSent {
 			moot++
 		}
 	}
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -154,7 +154,7 @@
 			e := next(t, "event", events)
 			got := e.Request
 			got.ID, got.Expires = 0, 0
-			tt.want.Wait = tt.left
+			tt.want.ClientTimeout = tt.left
 			if !reflect.DeepEqual(got, tt.want) {
 				t.Errorf("event %+v, want %+v", got, tt.want)
 			}
--- a/internal/daemon/stream_test.go
+++ b/internal/daemon/stream_test.go
@@ -78,7 +78,7 @@
 					t.Errorf("%d, %d bytes, %v", resp.StatusCode, len(body), resp.Header)
 				}
 				next(t, "begin of the answer", m.streaming)
-				if o := next(t, "outcome", m.outcomes); o.Status != policy.OK || !o.Closed {
+				if o := next(t, "outcome", m.outcomes); o.Status != policy.OK || !o.Final {
 					t.Errorf("outcome %+v", o)
 				}
 			})
@@ -113,7 +113,7 @@
 				if n, err := io.Copy(io.Discard, resp.Body); err == nil {
 					t.Errorf("%d bytes pass for whole", n)
 				}
-				if o := next(t, "outcome", m.outcomes); o.Status != policy.Reset || !o.Closed {
+				if o := next(t, "outcome", m.outcomes); o.Status != policy.Reset || !o.Final {
 					t.Errorf("outcome %+v, want Reset", o)
 				}
 			})
@@ -141,7 +141,7 @@
 	}
 	c.Close()
 	next(t, "end of the upstream's connection", left)
-	if o := next(t, "outcome", m.outcomes); o.Status != policy.OK || !o.Closed {
+	if o := next(t, "outcome", m.outcomes); o.Status != policy.OK || !o.Final {
 		t.Errorf("outcome %+v: what a client does says nothing of the upstream", o)
 	}
 	eventually(t, "all descriptors are back", func() bool { return w.inUse() == 1 }) // that of the next client
@@ -184,7 +184,7 @@
 				if s := next(t, "request", got); s.length != len(tt.want) || s.sum != sha256.Sum256(tt.want) {
 					t.Errorf("%d bytes came of %d, or changed", s.length, len(tt.want))
 				}
-				if o := next(t, "outcome", m.outcomes); o.Status != policy.OK || o.Spent != tt.uploaded {
+				if o := next(t, "outcome", m.outcomes); o.Status != policy.OK || o.NoResend != tt.uploaded {
 					t.Errorf("outcome %+v", o)
 				}
 			}
@@ -266,7 +266,7 @@
 	time.Sleep(300 * time.Millisecond)
 	c.Write(long[1<<19:])
 	c.read(t)
-	if o := next(t, "outcome", m.outcomes); o.Status != policy.Full {
+	if o := next(t, "outcome", m.outcomes); o.Status != policy.Overloaded {
 		t.Errorf("outcome %+v, want that of its answer", o)
 	}
 }
--- a/internal/daemon/upstream_test.go
+++ b/internal/daemon/upstream_test.go
@@ -66,8 +66,8 @@
 		{"served, chunked", serving(say("HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n2\nok\n0\n\n")), plainGet, policy.OK, 200},
 		{"error", serving(say("HTTP/1.1 500 Oh\nContent-Length: 0\n\n")), plainGet, policy.AppError, 502},
 		{"another success is no answer", serving(say("HTTP/1.1 204 No\n\n")), plainGet, policy.AppError, 502},
-		{"turned away", serving(say("HTTP/1.1 503 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.Full, 502},
-		{"over", serving(say("HTTP/1.1 504 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.Full, 502},
+		{"turned away", serving(say("HTTP/1.1 503 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.Overloaded, 502},
+		{"over", serving(say("HTTP/1.1 504 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.Overloaded, 502},
 		{"503 that may have run", serving(say("HTTP/1.1 503 No\nContent-Length: 0\n\n")), plainGet, policy.AppError, 502},
 		{"500 cannot be turned away", serving(say("HTTP/1.1 500 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.AppError, 502},
 		{"connection refused", refused, plainGet, policy.ConnectFailed, 502},
@@ -116,7 +116,7 @@
 			if o.Status != tt.want || resp.StatusCode != tt.code {
 				t.Errorf("outcome %v, answer %d; want %v, %d", o.Status, resp.StatusCode, tt.want, tt.code)
 			}
-			if o.Server != "a" || o.Attempt != 0 || o.Delay <= 0 || o.Closed != (tt.want == policy.OK) {
+			if o.Server != "a" || o.Attempt != 0 || o.Delay <= 0 || o.Final != (tt.want == policy.OK) {
 				t.Errorf("outcome %+v", o)
 			}
 			if n := len(m.outcomes); n > 0 {
@@ -191,7 +191,7 @@
 		if len(conns) != 0 {
 			t.Error("a second connection, with an idle one at hand")
 		}
-		w.act(func(act policy.Actions) { act.HangUp("a") })
+		w.act(func(act policy.Actions) { act.CloseIdle("a") })
 		w.ask(t, plainGet)
 		next(t, "new connection after a hang-up", conns)
 	})
@@ -210,7 +210,7 @@
 	})
 	t.Run("closed in time", func(t *testing.T) {
 		w := start(t, newScript(), addr, "127.0.0.1:1", func(c *config.Config) {
-			c.Settings.Config.ConnIdle = 100 * time.Millisecond
+			c.Settings.Config.ConnIdleTimeout = 100 * time.Millisecond
 		})
 		w.ask(t, plainGet)
 		c := next(t, "connection", conns)
@@ -297,7 +297,7 @@
 		c.Close()
 		id := next(t, "Withdrawn", m.withdrawn)
 		w.act(func(act policy.Actions) { act.Cancel(id, 0) })
-		if o := next(t, "outcome", m.outcomes); o.Status != policy.Canceled || !o.Closed {
+		if o := next(t, "outcome", m.outcomes); o.Status != policy.Canceled || !o.Final {
 			t.Errorf("outcome %+v, want Canceled and Closed", o)
 		}
 		eventually(t, "nothing is left of it", func() bool {
@@ -334,7 +334,7 @@
 	}
 	close(second)
 	for range 2 {
-		if o := next(t, "outcome", m.outcomes); o.Status != policy.OK || !o.Closed {
+		if o := next(t, "outcome", m.outcomes); o.Status != policy.OK || !o.Final {
 			t.Errorf("outcome %+v, want OK and Closed", o)
 		}
 	}
--- a/internal/daemon/world_test.go
+++ b/internal/daemon/world_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func (s *script) Members(_ policy.Time, kind policy.ListKind, l []policy.Server, act policy.Actions) {
+func (s *script) UpdateServers(_ policy.Time, kind policy.ListKind, l []policy.Server, act policy.Actions) {
 	s.members <- membersEvent{kind, l, act}
 }
 
@@ -68,7 +68,7 @@
 func (s *script) Outcome(_ policy.Time, o policy.Outcome, act policy.Actions) {
 	if s.outcome != nil {
 		s.outcome(o, act)
-	} else if !o.Closed {
+	} else if !o.Final {
 		act.Fail(o.ID)
 	}
 	s.outcomes <- o
@@ -76,15 +76,19 @@
 
 func (s *script) Probed(_ policy.Time, p policy.ProbeResult, _ policy.Actions) { s.probed <- p }
 
-func (s *script) Withdrawn(_ policy.Time, id policy.RequestID, _ policy.Actions) { s.withdrawn <- id }
+func (s *script) ClientDisconnected(_ policy.Time, id policy.RequestID, _ policy.Actions) {
+	s.withdrawn <- id
+}
 
-func (s *script) Moved(_ policy.Time, act policy.Actions) { act.Watch(true) }
+func (s *script) DiscoveryMoved(_ policy.Time, act policy.Actions) { act.Watch(true) }
 
-func (s *script) Streaming(_ policy.Time, id policy.RequestID, _ int, _ policy.Actions) {
+func (s *script) ResponseStarted(_ policy.Time, id policy.RequestID, _ int, _ policy.Actions) {
 	s.streaming <- id
 }
 
-func (s *script) Uploaded(_ policy.Time, id policy.RequestID, _ policy.Actions) { s.uploaded <- id }
+func (s *script) UploadComplete(_ policy.Time, id policy.RequestID, _ policy.Actions) {
+	s.uploaded <- id
+}
 
 func (s *script) StopSending(policy.Time, policy.RequestID, policy.Actions) {}
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -36,16 +36,16 @@
 
 // Module is what the engine needs of a policy.Balancer.
 type Module interface {
-	Members(policy.Time, policy.ListKind, []policy.Server, policy.Actions)
-	Moved(policy.Time, policy.Actions)
+	UpdateServers(policy.Time, policy.ListKind, []policy.Server, policy.Actions)
+	DiscoveryMoved(policy.Time, policy.Actions)
 	Request(policy.Time, policy.Request, policy.Actions)
 	Outcome(policy.Time, policy.Outcome, policy.Actions)
 	Probed(policy.Time, policy.ProbeResult, policy.Actions)
-	Withdrawn(policy.Time, policy.RequestID, policy.Actions)
+	ClientDisconnected(policy.Time, policy.RequestID, policy.Actions)
 	Timer(policy.Time, string, policy.Actions)
 	Reconfigure(policy.Config) error
-	Streaming(policy.Time, policy.RequestID, int, policy.Actions)
-	Uploaded(policy.Time, policy.RequestID, policy.Actions)
+	ResponseStarted(policy.Time, policy.RequestID, int, policy.Actions)
+	UploadComplete(policy.Time, policy.RequestID, policy.Actions)
 	StopSending(policy.Time, policy.RequestID, policy.Actions)
 	GiveUp(policy.Time, policy.RequestID, policy.Actions)
 }
@@ -291,8 +291,8 @@
 func (e *Engine) hand(now policy.Time, r *Request, read policy.Time) {
 	e.sites.Tick(now)
 	e.module.Request(now, policy.Request{
-		ID: r.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Cost: r.Cost, Retry: r.Retry, Expires: e.Expires(r, read), Wait: r.Wait, Past: r.Past,
-		Upload: r.Upload,
+		ID: r.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Cost: r.Cost, Retry: r.Retry, Expires: e.Expires(r, read), ClientTimeout: r.Wait, PriorAttempts: r.Past,
+		Uploading: r.Upload,
 	}, e)
 }
 
@@ -315,7 +315,7 @@
 		r.Ended(Result{}, true)
 	}
 	if !r.adopted {
-		e.module.Withdrawn(now, r.id, e)
+		e.module.ClientDisconnected(now, r.id, e)
 	}
 	e.forget(r)
 }
@@ -381,7 +381,7 @@
 	r := a.req
 	a.settled = true
 	if end.Status == policy.Canceled && !r.ended && a.unsent() {
-		end.Status = policy.Moot
+		end.Status = policy.NotSent
 	}
 	r.out--
 	r.last = end.Status
@@ -402,7 +402,7 @@
 	}
 	e.module.Outcome(now, policy.Outcome{
 		ID: r.id, Attempt: a.Number, Server: a.Server, Status: end.Status, Delay: delay,
-		Closed: r.ended, Load: end.Load, Spent: end.Spent,
+		Final: r.ended, Load: end.Load, NoResend: end.Spent,
 	}, e)
 	e.forget(r)
 }
@@ -417,7 +417,7 @@
 			e.end(r)
 			r.callOff(a)
 			e.give(r, Result{Kind: Served, Reply: reply, Server: a.Server, Attempts: len(r.attempts)})
-			e.module.Streaming(now, r.id, a.Number, e)
+			e.module.ResponseStarted(now, r.id, a.Number, e)
 		}
 	})
 	return wanted
@@ -434,7 +434,7 @@
 		deadline, a.sent = time.Now().Add(r.Wait), now
 		a.At(StageAnswer)
 		if !r.ended {
-			e.module.Uploaded(now, r.id, e)
+			e.module.UploadComplete(now, r.id, e)
 		}
 	})
 	return deadline
@@ -455,7 +455,7 @@
 	r.out++
 	to, listed := e.endpoints[server]
 	if r.ended || !listed || timeout <= 0 {
-		e.after = append(e.after, func(now policy.Time) { e.settled(now, a, Ending{Status: policy.Moot}) })
+		e.after = append(e.after, func(now policy.Time) { e.settled(now, a, Ending{Status: policy.NotSent}) })
 		return
 	}
 	e.work.Go(func() {
@@ -479,8 +479,8 @@
 	}
 }
 
-// HangUp is a method of policy.Actions.
-func (e *Engine) HangUp(server policy.ServerID) {
+// CloseIdle is a method of policy.Actions.
+func (e *Engine) CloseIdle(server policy.ServerID) {
 	if to, ok := e.endpoints[server]; ok {
 		e.to.HangUp(to)
 	}
@@ -495,7 +495,7 @@
 	to, listed := e.endpoints[server]
 	if !listed || e.probing >= mostProbes || e.closed {
 		e.after = append(e.after, func(now policy.Time) {
-			e.module.Probed(now, policy.ProbeResult{Server: server, Status: policy.Moot}, e)
+			e.module.Probed(now, policy.ProbeResult{Server: server, Status: policy.NotSent}, e)
 		})
 		return
 	}
--- a/internal/engine/hosting_test.go
+++ b/internal/engine/hosting_test.go
@@ -89,7 +89,7 @@
 func start(t *testing.T, ids ...string) (*Engine, *fake) {
 	t.Helper()
 	cfg := policy.Config{
-		GroupSize: 1, MaxAttempts: 2, MayCancel: true, Tick: time.Millisecond, Pushed: true, DialTimeout: time.Millisecond,
+		GroupSize: 1, MaxAttempts: 2, MayCancel: true, Tick: time.Millisecond, ListPushed: true, DialTimeout: time.Millisecond,
 		Classes: []policy.Class{
 			{Name: "safe", Aim: 9 * time.Second, Deadline: 10 * time.Second, Worth: 1},
 			{Name: "unsafe", Effect: policy.Unsafe, Aim: 9 * time.Second, Deadline: 10 * time.Second, Worth: 1},
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -45,7 +45,7 @@
 
 // listen begins the watch of a list that is pushed, unless it stands: it comes unasked to the module, and asking for it is the engine's.
 func (e *Engine) listen() {
-	if e.config.Pushed && e.stopWatch == nil {
+	if e.config.ListPushed && e.stopWatch == nil {
 		e.Watch(true)
 	}
 }
@@ -82,11 +82,11 @@
 			cancel()
 			e.stopWatch = nil
 			e.log.Warn("watch on discovery ended", "err", err)
-			if e.config.Pushed {
+			if e.config.ListPushed {
 				time.AfterFunc(rewatch, func() { e.event(func(policy.Time) { e.listen() }) })
 				return
 			}
-			e.module.Members(now, policy.ListFailed, nil, e)
+			e.module.UpdateServers(now, policy.ListFailed, nil, e)
 		})
 	})
 }
@@ -95,7 +95,7 @@
 func (e *Engine) Move(s Source) {
 	e.event(func(now policy.Time) {
 		e.source, e.seq = s, UnknownSeq
-		e.module.Moved(now, e)
+		e.module.DiscoveryMoved(now, e)
 	})
 }
 
@@ -103,7 +103,7 @@
 func (e *Engine) Ask() {
 	e.event(func(now policy.Time) {
 		e.seq = UnknownSeq
-		e.module.Moved(now, e)
+		e.module.DiscoveryMoved(now, e)
 	})
 }
 
@@ -127,7 +127,7 @@
 // tell hands entries of the list to the module.
 func (e *Engine) tell(now policy.Time, kind policy.ListKind, entries []Server) {
 	before := e.endpoints // of those that may change: of a whole list all, else what its entries name
-	if kind.Whole() {
+	if kind.Complete() {
 		e.endpoints = make(map[policy.ServerID]Endpoint, len(entries))
 	} else {
 		before = make(map[policy.ServerID]Endpoint, len(entries))
@@ -162,7 +162,7 @@
 			leaving[s.ID] = true
 		}
 	}
-	e.module.Members(now, kind, servers, e)
+	e.module.UpdateServers(now, kind, servers, e)
 	e.recall(leaving)
 	e.sites.Members(now, kind, servers)
 }
--- a/internal/engine/list_bench_test.go
+++ b/internal/engine/list_bench_test.go
@@ -12,14 +12,14 @@
 // idle is a module that does nothing, so that what is measured is the engine's own.
 type idle struct{ Module }
 
-func (idle) Members(policy.Time, policy.ListKind, []policy.Server, policy.Actions) {}
+func (idle) UpdateServers(policy.Time, policy.ListKind, []policy.Server, policy.Actions) {}
 
 // nowhere is a transport that is never used but for HangUp.
 type nowhere struct{ hungUp int }
 
-func (*nowhere) Do(*Attempt, Endpoint) Ending { return Ending{Status: policy.Moot} }
+func (*nowhere) Do(*Attempt, Endpoint) Ending { return Ending{Status: policy.NotSent} }
 func (*nowhere) Probe(context.Context, Endpoint) (policy.Status, *policy.Load) {
-	return policy.Moot, nil
+	return policy.NotSent, nil
 }
 func (n *nowhere) HangUp(Endpoint) { n.hungUp++ }
 
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -12,16 +12,16 @@
 // to the engine.
 type Request struct {
 	Class, Tenant, Key string
-	Cost               time.Duration // rough expected work; zero: unknown
-	Retry              bool          // the client says that it has asked before
-	Name               string        // the client's own name of it, which no two open requests share; empty: none
-	Wait               time.Duration // how long the client waits
-	By                 time.Time     // when it has its answer at the latest, if it has not been uploaded since; zero: with Wait
-	Payload            any           // what the transport sends; the engine never looks at it
-	Release            func()        // called once, when no attempt needs Payload any more; it must not block
-	Upload             bool          // Payload is still coming, and can be sent once; Wait runs from its end
-	Past               []policy.Past // what the module is told of earlier requests under its key
-	Order              any           // what whoever notes its attempts goes by; the engine never looks at it
+	Cost               time.Duration         // rough expected work; zero: unknown
+	Retry              bool                  // the client says that it has asked before
+	Name               string                // the client's own name of it, which no two open requests share; empty: none
+	Wait               time.Duration         // how long the client waits
+	By                 time.Time             // when it has its answer at the latest, if it has not been uploaded since; zero: with Wait
+	Payload            any                   // what the transport sends; the engine never looks at it
+	Release            func()                // called once, when no attempt needs Payload any more; it must not block
+	Upload             bool                  // Payload is still coming, and can be sent once; Wait runs from its end
+	Past               []policy.PriorAttempt // what the module is told of earlier requests under its key
+	Order              any                   // what whoever notes its attempts goes by; the engine never looks at it
 
 	// Ended is called once, under the engine's lock, when the request has its result or was withdrawn. It must not block nor
 	// call the engine.
--- a/internal/engine/roster.go
+++ b/internal/engine/roster.go
@@ -140,7 +140,7 @@
 			e.leaving(s.ID)
 		}
 	}
-	if kind.Whole() && kind != policy.ListCached {
+	if kind.Complete() && kind != policy.ListCached {
 		for _, id := range slices.Sorted(maps.Keys(e.listed)) {
 			if !said[id] && e.listed[id].State == policy.Ready {
 				e.leaving(id)
@@ -200,7 +200,7 @@
 
 // note notes a message about the list, and returns its entries as they count.
 func (e *Engine) note(kind policy.ListKind, l []Server) []Server {
-	if kind.Whole() {
+	if kind.Complete() {
 		clear(e.listed)
 	}
 	entries := make([]Server, len(l))
--- a/internal/engine/rules.go
+++ b/internal/engine/rules.go
@@ -96,7 +96,7 @@
 // learner is a module that can hand on what it has learnt.
 type learner interface {
 	Learned(policy.Time) policy.Learned
-	Learn(policy.Time, policy.Learned)
+	Restore(policy.Time, policy.Learned)
 }
 
 // Learned returns what the module has learnt, if it can tell.
@@ -114,7 +114,7 @@
 func (e *Engine) Learn(l policy.Learned) {
 	e.event(func(now policy.Time) {
 		if m, ok := e.module.(learner); ok {
-			m.Learn(now, l)
+			m.Restore(now, l)
 		}
 	})
 }
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -21,19 +21,19 @@
 	ListSeq  int64         // version of the list; UnknownSeq if none was told
 	Watching bool
 	Servers  []ServerState // in the order of their IDs
-	Beliefs  policy.Beliefs
+	Beliefs  policy.Snapshot
 	Sites    []sites.View // in the order of preference; none where sites are not watched
 }
 
 // ServerState is a listed server with what the module believes of it.
 type ServerState struct {
 	Addr string
-	policy.ServerBelief
+	policy.ServerSnapshot
 }
 
 // believer is a module that can tell what it believes.
 type believer interface {
-	Beliefs(policy.Time) policy.Beliefs
+	Snapshot(policy.Time) policy.Snapshot
 }
 
 // Snapshot returns what the engine holds and believes now. It takes the engine's lock for a time that grows with the
@@ -49,10 +49,10 @@
 		s.LastDue = max(s.LastDue, t.at-e.Now())
 	}
 	if m, ok := e.module.(believer); ok {
-		s.Beliefs = m.Beliefs(e.Now())
+		s.Beliefs = m.Snapshot(e.Now())
 	}
 	s.Sites = e.sites.Views(e.Now())
-	believed := map[policy.ServerID]policy.ServerBelief{}
+	believed := map[policy.ServerID]policy.ServerSnapshot{}
 	for _, b := range s.Beliefs.Servers {
 		believed[b.ID] = b
 	}
--- a/internal/engine/vet_test.go
+++ b/internal/engine/vet_test.go
@@ -52,7 +52,7 @@
 	lists [][]policy.Server
 }
 
-func (m *told) Members(_ policy.Time, _ policy.ListKind, servers []policy.Server, _ policy.Actions) {
+func (m *told) UpdateServers(_ policy.Time, _ policy.ListKind, servers []policy.Server, _ policy.Actions) {
 	m.lists = append(m.lists, servers)
 }
 
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -121,7 +121,7 @@
 		upright(t, w)
 		got := w.Account.Served(8, 16)
 		with += got / float64(len(seeds))
-		slow := replaced(seed, func(c *policy.Config) { c.TipMultiple = 0 })
+		slow := replaced(seed, func(c *policy.Config) { c.ColdOverloadFactor = 0 })
 		kept(t, slow)
 		without += slow.Account.Served(8, 16) / float64(len(seeds))
 		t.Logf("seed %d: %.3f served while they are replaced, orders %.3f, %.3f after; %.3f where they are held for cold; most pressure %.2f of %.1f", seed,
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -78,7 +78,7 @@
 	case v.Errors > 0 && v.world.rng.Float64() < v.Errors:
 		v.world.after(2*ms, func() { done(policy.AppError) })
 	case len(v.queue) >= queuePerCore*v.cores:
-		done(policy.Full)
+		done(policy.Overloaded)
 	default:
 		v.queue = append(v.queue, &job{work, done})
 		v.next()
@@ -191,7 +191,7 @@
 	for _, s := range w.sidecars {
 		if s.watching {
 			s.watching, s.failed = false, true
-			s.module.Members(w.now, policy.ListFailed, nil, s)
+			s.module.UpdateServers(w.now, policy.ListFailed, nil, s)
 		}
 	}
 }
@@ -234,7 +234,7 @@
 		w.after(after, func() {
 			if s.life == life {
 				s.failed = true
-				s.module.Members(w.now, policy.ListFailed, nil, s)
+				s.module.UpdateServers(w.now, policy.ListFailed, nil, s)
 			}
 		})
 	}
--- a/internal/lab/sidecar.go
+++ b/internal/lab/sidecar.go
@@ -69,8 +69,8 @@
 	s.watching, s.asked, s.failed = false, w.now, false
 	cfg := policy.Config{
 		Ordinal: s.ordinal, GroupSize: w.cfg.Sidecars, Zone: s.zone(), Classes: w.classes, MayProbe: true, MayCancel: true, MayDuplicate: true,
-		HintsRetry: true, MaxAttempts: 3, MaxRetryAfter: 1500 * ms, DialTimeout: dialTime, ConnIdle: 5 * sec, Tick: ms, AskEvery: askEvery,
-		AnswerGrace: answerGrace, ColdFrom: coldFrom, Ramp: ramp, TipMultiple: tipMultiple, ProbeTariff: 0.08, HandshakeTariff: 0.08, CrossZoneTariff: 0.03,
+		ClientsHonorRetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 1500 * ms, DialTimeout: dialTime, ConnIdleTimeout: 5 * sec, Tick: ms, RefreshInterval: askEvery,
+		AnswerGrace: answerGrace, ColdCapacity: coldFrom, Ramp: ramp, ColdOverloadFactor: tipMultiple, ProbeTariff: 0.08, HandshakeTariff: 0.08, CrossZoneTariff: 0.03,
 	}
 	if w.cfg.Policy != nil {
 		w.cfg.Policy(&cfg)
@@ -80,7 +80,7 @@
 		panic(err) // by the configuration, which is the test's
 	}
 	s.module = m
-	m.Members(w.now, policy.ListCached, slices.Clone(known), s)
+	m.UpdateServers(w.now, policy.ListCached, slices.Clone(known), s)
 }
 
 // Kill ends the module and starts another with the list as it was known then. What it held is the clients' to try again.
@@ -120,7 +120,7 @@
 				s.told[v.ID] = w.now
 			}
 		}
-		s.module.Members(w.now, policy.ListFull, slices.Clone(list), s)
+		s.module.UpdateServers(w.now, policy.ListFull, slices.Clone(list), s)
 	})
 }
 
@@ -207,7 +207,7 @@
 		t.ended = true
 		s.served(t)
 	}
-	s.module.Outcome(w.now, policy.Outcome{ID: id, Attempt: number, Server: a.server.ID, Status: status, Delay: w.now - a.sent, Closed: t.ended}, s)
+	s.module.Outcome(w.now, policy.Outcome{ID: id, Attempt: number, Server: a.server.ID, Status: status, Delay: w.now - a.sent, Final: t.ended}, s)
 }
 
 func (s *Sidecar) served(t *try) {
@@ -360,7 +360,7 @@
 	result, took := policy.ProbeResult{Server: to}, hop
 	switch {
 	case v == nil:
-		result.Status = policy.Moot
+		result.Status = policy.NotSent
 	case s.Cut || v.dark || v.gone || v.fell:
 		result.Status, took = policy.ConnectFailed, dialTime
 	default:
@@ -387,7 +387,7 @@
 		s.world.after(s.world.cfg.CallTime, func() {
 			if s.life == life {
 				s.failed = true
-				s.module.Members(s.world.now, policy.ListFailed, nil, s)
+				s.module.UpdateServers(s.world.now, policy.ListFailed, nil, s)
 			}
 		})
 		return
@@ -395,8 +395,8 @@
 	s.world.disco.call(s)
 }
 
-// HangUp closes the idle connections to a server.
-func (s *Sidecar) HangUp(to policy.ServerID) { delete(s.idle, to) }
+// CloseIdle closes the idle connections to a server.
+func (s *Sidecar) CloseIdle(to policy.ServerID) { delete(s.idle, to) }
 
 // Log is of no use here.
 func (s *Sidecar) Log(string) {}
--- a/internal/mysql/proxy/transport.go
+++ b/internal/mysql/proxy/transport.go
@@ -517,7 +517,7 @@
 	t.out.Add(a.Server, 1)
 	defer t.out.Add(a.Server, -1)
 	if most := t.cfg.PerServer; most > 0 && t.out.Count(a.Server) > most {
-		return engine.Ending{Status: policy.Full}
+		return engine.Ending{Status: policy.Overloaded}
 	}
 	if j.open {
 		return t.openSession(ctx, a, to)
@@ -583,9 +583,9 @@
 		}
 		return engine.Ending{Status: policy.Canceled}
 	case errors.Is(err, sockets.ErrNone) || t.ctx.Err() != nil:
-		status = policy.Moot
+		status = policy.NotSent
 	case errors.As(err, &sync) && errors.As(err, &answer) && (answer.Code == 1040 || answer.Code == 1203):
-		status = policy.Full
+		status = policy.Overloaded
 	case errors.As(err, &sync):
 		status = policy.ConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -693,9 +693,9 @@
 	case err == nil:
 		return policy.OK, pool.Queue(n)
 	case errors.Is(err, sockets.ErrNone):
-		return policy.Moot, nil
+		return policy.NotSent, nil
 	case errors.As(err, &answer) && (answer.Code == 1040 || answer.Code == 1203):
-		return policy.Full, nil
+		return policy.Overloaded, nil
 	case errors.As(err, &answer) || errors.Is(err, errLoad):
 		t.some.Do(func() { t.log.Warn("load_query", "server", string(to.ID), "err", err) })
 		return policy.AppError, nil
--- a/internal/orders/desk.go
+++ b/internal/orders/desk.go
@@ -475,7 +475,7 @@
 	}
 	e, number, err := o.begin(to)
 	if err != nil {
-		return engine.Ending{Status: policy.Moot}
+		return engine.Ending{Status: policy.NotSent}
 	}
 	end := t.Transport.Do(a, to)
 	o.end(e, number, end)
--- a/internal/orders/desk_test.go
+++ b/internal/orders/desk_test.go
@@ -67,7 +67,7 @@
 func (keep) Close() error { return nil }
 
 func build(t testing.TB, book Book) *world {
-	cfg := policy.Config{GroupSize: 1, Classes: classes, MaxAttempts: 1, MayCancel: true, Pushed: true, HintsRetry: true, MaxRetryAfter: time.Second, DialTimeout: 50 * time.Millisecond, ColdFrom: 1, AskEvery: time.Hour}
+	cfg := policy.Config{GroupSize: 1, Classes: classes, MaxAttempts: 1, MayCancel: true, ListPushed: true, ClientsHonorRetryAfter: true, MaxRetryAfter: time.Second, DialTimeout: 50 * time.Millisecond, ColdCapacity: 1, RefreshInterval: time.Hour}
 	m, err := policy.New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -115,9 +115,9 @@
 func (c *Config) policy() (policy.Config, error) {
 	d := c.WithDefaults()
 	p := policy.Config{
-		GroupSize: 1, Zone: c.Zone, MayProbe: true, MayCancel: true, MayDuplicate: !c.NoCopies, HintsRetry: true,
-		MaxAttempts: d.Attempts, MaxRetryAfter: d.RetryAfter, DialTimeout: d.Dial, ConnIdle: d.Idle,
-		Tick: time.Millisecond, AskEvery: askEvery, ColdFrom: coldFrom, Ramp: d.Ramp, ProbeTariff: probeTariff,
+		GroupSize: 1, Zone: c.Zone, MayProbe: true, MayCancel: true, MayDuplicate: !c.NoCopies, ClientsHonorRetryAfter: true,
+		MaxAttempts: d.Attempts, MaxRetryAfter: d.RetryAfter, DialTimeout: d.Dial, ConnIdleTimeout: d.Idle,
+		Tick: time.Millisecond, RefreshInterval: askEvery, ColdCapacity: coldFrom, Ramp: d.Ramp, ProbeTariff: probeTariff,
 	}
 	switch {
 	case c.Name == "":
@@ -126,7 +126,7 @@
 		return p, fmt.Errorf("attempts: %d is outside 1 to %d", c.Attempts, mostAttempts)
 	case p.DialTimeout < 0:
 		return p, fmt.Errorf("dial: %v is negative", c.Dial)
-	case p.ConnIdle < 0:
+	case p.ConnIdleTimeout < 0:
 		return p, fmt.Errorf("idle: %v is negative", c.Idle)
 	case p.MaxRetryAfter < 0:
 		return p, fmt.Errorf("retry_after: %v is negative", c.RetryAfter)
--- a/internal/services/http.go
+++ b/internal/services/http.go
@@ -287,7 +287,7 @@
 }
 
 func settingsOf(c pool.Config) settings.Settings {
-	return settings.Settings{Config: policy.Config{DialTimeout: c.DialTimeout(), ConnIdle: c.IdleTimeout()}, Fields: c.Fields()}
+	return settings.Settings{Config: policy.Config{DialTimeout: c.DialTimeout(), ConnIdleTimeout: c.IdleTimeout()}, Fields: c.Fields()}
 }
 
 func (w *web) open(c pool.Config) (*webPool, error) {
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -96,7 +96,7 @@
 		return nil
 	}
 	return upstream.New(settings.Settings{
-		Config: policy.Config{DialTimeout: p.DialTimeout(), ConnIdle: p.IdleTimeout()}, Fields: p.Fields(),
+		Config: policy.Config{DialTimeout: p.DialTimeout(), ConnIdleTimeout: p.IdleTimeout()}, Fields: p.Fields(),
 	}, s.budget, s.log)
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -71,14 +71,14 @@
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	cfg := policy.Config{
-		WarmKeys: s.FamilyInfo.WarmKeys,
-		Ordinal:  s.Ordinal, GroupSize: s.GroupSize, Zone: s.Zone, OverShareWorth: s.OverShareWorth,
-		Pushed: s.MembershipMode == "pushed", MayProbe: s.Limits.Probes, MayCancel: s.Limits.Cancelling,
-		MayDuplicate: s.Limits.MayDuplicate, HintsRetry: s.Limits.RetryAfter, MaxAttempts: s.Limits.SendCap,
+		ServersCacheKeys: s.FamilyInfo.WarmKeys,
+		Ordinal:          s.Ordinal, GroupSize: s.GroupSize, Zone: s.Zone, OverAllowanceWorth: s.OverShareWorth,
+		ListPushed: s.MembershipMode == "pushed", MayProbe: s.Limits.Probes, MayCancel: s.Limits.Cancelling,
+		MayDuplicate: s.Limits.MayDuplicate, ClientsHonorRetryAfter: s.Limits.RetryAfter, MaxAttempts: s.Limits.SendCap,
 		MaxRetryAfter: Micros(s.Limits.MaxRetryAfterUs), DialTimeout: Micros(s.Limits.DialTimeoutUs),
-		ConnIdle: Micros(s.Limits.ConnIdleUs), Tick: Micros(s.TickUs), InlineReports: s.Telemetry.Via == "inline",
-		AskEvery: Micros(s.Safety.AskEveryUs), AnswerGrace: Micros(s.Safety.GraceToAnswerUs),
-		ColdFrom: s.Safety.ColdFrom, TipMultiple: s.Safety.TipMultiple, Ramp: Micros(s.Safety.RampTimeUs),
+		ConnIdleTimeout: Micros(s.Limits.ConnIdleUs), Tick: Micros(s.TickUs), InlineReports: s.Telemetry.Via == "inline",
+		RefreshInterval: Micros(s.Safety.AskEveryUs), AnswerGrace: Micros(s.Safety.GraceToAnswerUs),
+		ColdCapacity: s.Safety.ColdFrom, ColdOverloadFactor: s.Safety.TipMultiple, Ramp: Micros(s.Safety.RampTimeUs),
 		ProbeTariff: s.Tariffs.Probe, ConnectionTariff: s.Tariffs.Connection,
 		HandshakeTariff: s.Tariffs.Handshake, CrossZoneTariff: s.Tariffs.CrossZone,
 	}
@@ -89,7 +89,7 @@
 		})
 	}
 	for _, t := range s.Tenants {
-		cfg.Tenants = append(cfg.Tenants, policy.Tenant{Name: t.Name, AllowancePer: t.AllowancePerS})
+		cfg.Tenants = append(cfg.Tenants, policy.Tenant{Name: t.Name, AllowancePerSecond: t.AllowancePerS})
 	}
 	return Settings{Config: cfg, Fields: s.Telemetry.Fields, Peers: s.Limits.Peers}, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,7 +28,7 @@
 func (*idle) Cancel(policy.RequestID, int)                            {}
 func (*idle) SetTimer(time.Duration, string)                          {}
 func (*idle) Probe(policy.ServerID)                                   {}
-func (*idle) HangUp(policy.ServerID)                                  {}
+func (*idle) CloseIdle(policy.ServerID)                               {}
 func (*idle) Watch(bool)                                              {}
 func (*idle) Log(string)                                              {}
 
@@ -66,12 +66,12 @@
 		}
 		act := &idle{}
 		now := policy.Time(time.Hour)
-		b.Members(now, policy.ListFull, []policy.Server{{ID: "s", Zone: "a"}, {ID: "t", Zone: "b", Started: now - time.Second}}, act)
+		b.UpdateServers(now, policy.ListFull, []policy.Server{{ID: "s", Zone: "a"}, {ID: "t", Zone: "b", Started: now - time.Second}}, act)
 		for i := range 20 {
 			now += 50 * time.Millisecond
 			b.Request(now, policy.Request{ID: policy.RequestID(i), Class: "order", Key: fmt.Sprint(i), Cost: time.Millisecond, Expires: now + time.Second}, act)
 			b.Probed(now, policy.ProbeResult{Server: "s", Status: policy.OK, Load: &policy.Load{Queue: 0, Inflight: -1, Latency: -1, ErrorRate: -1}}, act)
-			b.Outcome(now+10*time.Millisecond, policy.Outcome{ID: policy.RequestID(i), Server: "s", Status: policy.OK, Delay: 10 * time.Millisecond, Closed: true}, act)
+			b.Outcome(now+10*time.Millisecond, policy.Outcome{ID: policy.RequestID(i), Server: "s", Status: policy.OK, Delay: 10 * time.Millisecond, Final: true}, act)
 		}
 		if act.sent == 0 {
 			t.Errorf("without %s nothing is sent", key)
--- a/internal/siting/sim_test.go
+++ b/internal/siting/sim_test.go
@@ -144,7 +144,7 @@
 		return
 	}
 	if len(v.queue) >= 64 {
-		done(policy.Full)
+		done(policy.Overloaded)
 		return
 	}
 	v.queue = append(v.queue, func() {
@@ -204,8 +204,8 @@
 func (s *sim) config(ordinal int) policy.Config {
 	return policy.Config{
 		Ordinal: ordinal, GroupSize: len(s.nodes), Classes: s.classes, MayProbe: true, MayCancel: true, MayDuplicate: true, MaxAttempts: 3,
-		HintsRetry: true, MaxRetryAfter: sec, DialTimeout: 250 * ms, Tick: ms, AskEvery: 10 * sec, AnswerGrace: 20 * ms,
-		ColdFrom: coldFrom, Ramp: ramp, ProbeTariff: 0.05, Pushed: true,
+		ClientsHonorRetryAfter: true, MaxRetryAfter: sec, DialTimeout: 250 * ms, Tick: ms, RefreshInterval: 10 * sec, AnswerGrace: 20 * ms,
+		ColdCapacity: coldFrom, Ramp: ramp, ProbeTariff: 0.05, ListPushed: true,
 	}
 }
 
@@ -233,7 +233,7 @@
 }
 
 func (n *simNode) members(kind policy.ListKind, l []policy.Server) {
-	n.module.Members(n.sim.now, kind, l, n)
+	n.module.UpdateServers(n.sim.now, kind, l, n)
 	n.host.Members(n.sim.now, kind, l)
 }
 
@@ -287,7 +287,7 @@
 			r.ended = true
 			s.count(s.served, r.class.Name, r.asked)
 		}
-		n.module.Outcome(s.now, policy.Outcome{ID: id, Attempt: number, Server: to, Status: status, Delay: s.now - sent, Closed: r.ended}, n)
+		n.module.Outcome(s.now, policy.Outcome{ID: id, Attempt: number, Server: to, Status: status, Delay: s.now - sent, Final: r.ended}, n)
 	}
 	s.after(timeout, func() { end(policy.Timeout) })
 	if i < 0 || n.cut {
@@ -304,7 +304,7 @@
 		s.after(0, func() {
 			if n.life == life && r.outs[attempt] {
 				r.outs[attempt] = false
-				n.module.Outcome(s.now, policy.Outcome{ID: id, Attempt: attempt, Status: policy.Canceled, Closed: r.ended}, n)
+				n.module.Outcome(s.now, policy.Outcome{ID: id, Attempt: attempt, Status: policy.Canceled, Final: r.ended}, n)
 			}
 		})
 	}
@@ -365,9 +365,9 @@
 	})
 }
 
-func (n *simNode) HangUp(policy.ServerID) {}
-func (n *simNode) Watch(bool)             {}
-func (n *simNode) Log(string)             {}
+func (n *simNode) CloseIdle(policy.ServerID) {}
+func (n *simNode) Watch(bool)                {}
+func (n *simNode) Log(string)                {}
 
 // newSim returns a sim of two sites, a and b, of four servers each, that takes rate requests a second by so many instances, whose
 // traffic is very unequal.
--- a/internal/siting/siting.go
+++ b/internal/siting/siting.go
@@ -15,8 +15,8 @@
 
 // Module is a module that goes by a plan of sites.
 type Module interface {
-	SetPlan(policy.Plan)
-	SetShares(map[string]float64)
+	SetSitePlan(policy.SitePlan)
+	SetSiteShares(map[string]float64)
 }
 
 // Host hosts a monitor. The zero Host watches nothing until it is given a configuration. It is not safe for concurrent use.
@@ -44,8 +44,8 @@
 	if cfg == nil {
 		if h.monitor != nil {
 			h.monitor = nil
-			h.module.SetPlan(nil)
-			h.module.SetShares(nil)
+			h.module.SetSitePlan(nil)
+			h.module.SetSiteShares(nil)
 		}
 		return nil
 	}
@@ -62,7 +62,7 @@
 		}
 		h.monitor = m
 		h.tell(now)
-		h.module.SetPlan(m)
+		h.module.SetSitePlan(m)
 	}
 	h.share(now)
 	return nil
@@ -78,7 +78,7 @@
 	if kind == policy.ListFailed {
 		return
 	}
-	if kind.Whole() {
+	if kind.Complete() {
 		clear(h.list)
 	}
 	for _, s := range entries {
@@ -107,10 +107,10 @@
 
 // Ended notes how an attempt or a probe has ended, if that says something of the server.
 func (h *Host) Ended(now policy.Time, server policy.ServerID, status policy.Status) {
-	if h.monitor == nil || status == policy.Canceled || status == policy.Moot {
+	if h.monitor == nil || status == policy.Canceled || status == policy.NotSent {
 		return
 	}
-	h.monitor.Outcome(now, string(server), status == policy.OK || status == policy.Full || status == policy.Rejected)
+	h.monitor.Outcome(now, string(server), status == policy.OK || status == policy.Overloaded || status == policy.Rejected)
 	if now-h.shared >= sharesEvery {
 		h.share(now)
 	}
@@ -127,7 +127,7 @@
 // share tells the module what each site may take.
 func (h *Host) share(now policy.Time) {
 	h.shared = now
-	h.module.SetShares(h.monitor.Shares(now))
+	h.module.SetSiteShares(h.monitor.Shares(now))
 }
 
 // Views returns what is held of each site, in the order of preference; none where sites are not watched.
--- a/internal/standin/memory.go
+++ b/internal/standin/memory.go
@@ -47,7 +47,7 @@
 
 // Probe is a method of engine.Transport. There is nothing to probe.
 func (*Attempts) Probe(context.Context, engine.Endpoint) (policy.Status, *policy.Load) {
-	return policy.Moot, nil
+	return policy.NotSent, nil
 }
 
 // HangUp is a method of engine.Transport.
@@ -81,8 +81,8 @@
 	Server policy.ServerID
 }
 
-// Members is the method of engine.Module.
-func (Once) Members(policy.Time, policy.ListKind, []policy.Server, policy.Actions) {}
+// UpdateServers is the method of engine.Module.
+func (Once) UpdateServers(policy.Time, policy.ListKind, []policy.Server, policy.Actions) {}
 
 // Request is the method of engine.Module.
 func (o Once) Request(now policy.Time, q policy.Request, act policy.Actions) {
@@ -91,13 +91,15 @@
 
 // Outcome is the method of engine.Module.
 func (Once) Outcome(_ policy.Time, o policy.Outcome, act policy.Actions) {
-	if !o.Closed {
+	if !o.Final {
 		act.Fail(o.ID)
 	}
 }
 
 // Withdrawn is the method of engine.Module.
-func (Once) Withdrawn(_ policy.Time, id policy.RequestID, act policy.Actions) { act.Cancel(id, 0) }
+func (Once) ClientDisconnected(_ policy.Time, id policy.RequestID, act policy.Actions) {
+	act.Cancel(id, 0)
+}
 
 // StopSending is the method of engine.Module. There is never a further attempt.
 func (Once) StopSending(policy.Time, policy.RequestID, policy.Actions) {}
--- a/internal/stream/transport.go
+++ b/internal/stream/transport.go
@@ -51,14 +51,14 @@
 	}
 	release, err := t.budget.Acquire(ctx)
 	if err != nil {
-		return engine.Ending{Status: t.failed(a, policy.Moot, err)}
+		return engine.Ending{Status: t.failed(a, policy.NotSent, err)}
 	}
 	defer release()
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", to.Addr)
 	if err != nil {
 		status := policy.ConnectFailed
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
-			status = policy.Moot // it says nothing of the server
+			status = policy.NotSent // it says nothing of the server
 		}
 		return engine.Ending{Status: t.failed(a, status, err)}
 	}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -117,8 +117,8 @@
 
 // statuses names how attempts end.
 var statuses = [...]string{
-	policy.OK: "ok", policy.AppError: "error", policy.Full: "turned_away", policy.Timeout: "timeout", policy.ConnectFailed: "connect",
-	policy.Reset: "reset", policy.Canceled: "canceled", policy.Moot: "unsent", policy.Rejected: "rejected",
+	policy.OK: "ok", policy.AppError: "error", policy.Overloaded: "turned_away", policy.Timeout: "timeout", policy.ConnectFailed: "connect",
+	policy.Reset: "reset", policy.Canceled: "canceled", policy.NotSent: "unsent", policy.Rejected: "rejected",
 }
 
 // collector implements prometheus.Collector.
@@ -152,23 +152,23 @@
 	s := c.State()
 	ejected, draining := 0, 0
 	for _, t := range s.Engine.Servers {
-		if t.Ejected > 0 {
+		if t.EjectedFor > 0 {
 			ejected++
 		}
-		if t.ServerBelief.State == policy.Draining {
+		if t.ServerSnapshot.State == policy.Draining {
 			draining++
 		}
 	}
 	for _, t := range s.Engine.Servers[:min(len(s.Engine.Servers), mostServers)] {
 		id := string(t.ID)
-		gauge(serverOut, float64(t.Out), id)
+		gauge(serverOut, float64(t.Outstanding), id)
 		if t.Reported {
 			gauge(serverQueue, t.Queue, id)
 		}
-		gauge(serverDelay, t.Expected.Seconds(), id)
+		gauge(serverDelay, t.ExpectedDelay.Seconds(), id)
 		gauge(serverWarmth, t.Warmth, id)
-		gauge(serverLeft, t.Ejected.Seconds(), id)
-		gauge(serverFails, float64(t.Fails), id)
+		gauge(serverLeft, t.EjectedFor.Seconds(), id)
+		gauge(serverFails, float64(t.ConsecutiveFailures), id)
 	}
 	for _, v := range s.Engine.Sites {
 		gauge(siteShare, v.Share, v.Site)
@@ -237,7 +237,7 @@
 		total(serviceEnded, n.Withdrawn, f.Name, class, "withdrawn")
 	}
 	for _, v := range f.Pool.Servers[:min(len(f.Pool.Servers), mostServers)] {
-		gauge(serviceServer, float64(v.Out), f.Name, string(v.ID))
+		gauge(serviceServer, float64(v.Outstanding), f.Name, string(v.ID))
 	}
 	var g guests.Stats
 	if st := f.Stream; st != nil {
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -70,7 +70,7 @@
 func (t *Transport) Reconfigure(s settings.Settings) {
 	t.load.Store(&loadForm{s.Fields, s.Config.InlineReports})
 	t.pool.dialTimeout.Store(int64(s.Config.DialTimeout))
-	t.pool.idleFor.Store(int64(float64(s.Config.ConnIdle) * idleShare))
+	t.pool.idleFor.Store(int64(float64(s.Config.ConnIdleTimeout) * idleShare))
 }
 
 // HoldHeads has heads of answers of up to n bytes read, from the next connection on.
@@ -158,7 +158,7 @@
 			end.Load = t.report(to, string(f.Value), load.fields)
 		case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 			f.Is("X-Not-Processed") && string(f.Value) == "1":
-			end.Status = policy.Full
+			end.Status = policy.Overloaded
 		}
 		if answer != nil && !c.head.Hop(f) {
 			if answer.Lines == nil {
@@ -251,7 +251,7 @@
 	case a.Canceled():
 		status = policy.Canceled
 	case errors.Is(err, sockets.ErrNone) || errors.As(err, &source): // nothing was wrong with the upstream
-		status = policy.Moot
+		status = policy.NotSent
 	case errors.As(err, &notWritten): // whatever ended it, the upstream never had the whole
 		status = policy.ConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(a.Deadline): // else the answer has stalled
@@ -269,7 +269,7 @@
 		var err error
 		c, err = t.pool.dial(ctx, to, until, func() {})
 		if errors.Is(err, sockets.ErrNone) {
-			return policy.Moot, nil
+			return policy.NotSent, nil
 		}
 		if err != nil {
 			return policy.ConnectFailed, nil
@@ -306,7 +306,7 @@
 	case http.StatusOK:
 		return policy.OK, t.report(to, string(body), t.load.Load().fields)
 	case http.StatusServiceUnavailable:
-		return policy.Full, nil
+		return policy.Overloaded, nil
 	}
 	return policy.AppError, nil
 }
--- a/internal/upstream/whole.go
+++ b/internal/upstream/whole.go
@@ -115,7 +115,7 @@
 	if j.Verdict != routes.Final {
 		end.Avoid = j.Avoid
 		if end.Status = policy.AppError; j.Verdict == routes.NotRun {
-			end.Status = policy.Full
+			end.Status = policy.Overloaded
 		}
 		if x.hold(answer) {
 			m.Terms.Keep(answer, j.Verdict == routes.NotRun)
@@ -327,7 +327,7 @@
 	case a.Canceled():
 		status = policy.Canceled
 	case source != nil: // nothing was wrong with the server
-		status = policy.Moot
+		status = policy.NotSent
 		if x.written.Load() > 0 {
 			status = policy.Canceled
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -110,8 +110,8 @@
 }
 
 var statuses = map[string]policy.Status{
-	"delivered": policy.OK, "app_error": policy.AppError, "shed": policy.Full, "expired": policy.Timeout,
-	"dial_failed": policy.ConnectFailed, "dropped": policy.Reset, "revoked": policy.Canceled, "unused": policy.Moot,
+	"delivered": policy.OK, "app_error": policy.AppError, "shed": policy.Overloaded, "expired": policy.Timeout,
+	"dial_failed": policy.ConnectFailed, "dropped": policy.Reset, "revoked": policy.Canceled, "unused": policy.NotSent,
 }
 
 var states = map[string]policy.ServerState{"on": policy.Ready, "fading": policy.Draining, "off": policy.Gone}
@@ -230,7 +230,7 @@
 			lines = h.pages[e.Page]
 		}
 		inst.sites.Members(now, kind, lines)
-		b.Members(now, kind, lines, inst)
+		b.UpdateServers(now, kind, lines, inst)
 	case "Demand":
 		tenant, _ := e.Project.(string)
 		inst.sites.Tick(now)
@@ -239,7 +239,7 @@
 			Retry: e.IsRetry, Expires: settings.Micros(e.ExpiresUs),
 		}, inst)
 	case "Opened":
-		b.Streaming(now, policy.RequestID(e.Corr), e.Shot, inst)
+		b.ResponseStarted(now, policy.RequestID(e.Corr), e.Shot, inst)
 	case "ReportBack", "HealthResult":
 		status, ok := statuses[e.Disposition]
 		if !ok {
@@ -253,10 +253,10 @@
 		}
 		b.Outcome(now, policy.Outcome{
 			ID: policy.RequestID(e.Corr), Attempt: e.Shot, Server: server, Status: status, Delay: delay,
-			Closed: e.Terminal, Load: load,
+			Final: e.Terminal, Load: load,
 		}, inst)
 	case "Withdrawn":
-		b.Withdrawn(now, policy.RequestID(e.Corr), inst)
+		b.ClientDisconnected(now, policy.RequestID(e.Corr), inst)
 	case "DeadlineHit":
 		b.Timer(now, e.Ctx, inst)
 	}
@@ -319,7 +319,7 @@
 
 func (i *instance) Probe(s policy.ServerID) { i.add(order{Cmd: "Ping", Upstream: s}) }
 
-func (i *instance) HangUp(s policy.ServerID) { i.add(order{Cmd: "HangUp", Upstream: s}) }
+func (i *instance) CloseIdle(s policy.ServerID) { i.add(order{Cmd: "HangUp", Upstream: s}) }
 
 func (i *instance) Watch(on bool) { i.add(order{Cmd: "KeepInformed", Active: &on}) }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -102,7 +102,7 @@
 	i.Cancel(5, 0)
 	i.SetTimer(0, "x")
 	i.Probe("10.0.0.1:80")
-	i.HangUp("10.0.0.1:80")
+	i.CloseIdle("10.0.0.1:80")
 	i.Watch(false)
 	i.Log("hello")
 	text, err := json.Marshal(i.orders)
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -92,7 +92,7 @@
 // Verdict is a judgement.
 type Verdict struct {
 	Kind Kind
-	Past []policy.Past // Again: for the decision module
+	Past []policy.PriorAttempt // Again: for the decision module
 }
 
 // Judge says what follows for a request of class c, with the print of what it asks for, that names the order of which e is
@@ -125,7 +125,7 @@
 		if !known || age >= c.KeyTTL-margin {
 			return Verdict{Kind: Unknown}
 		}
-		v.Past = append(v.Past, policy.Past{Zone: a.Zone, Cell: a.Cell, Age: age})
+		v.Past = append(v.Past, policy.PriorAttempt{Zone: a.Zone, Cell: a.Cell, Age: age})
 	}
 	return v
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -51,8 +51,8 @@
 
 // Tenant describes one tenant's allowance over all sidecars.
 type Tenant struct {
-	Name         string
-	AllowancePer float64 // requests a second
+	Name               string
+	AllowancePerSecond float64 // requests a second
 }
 
 // Config is what a sidecar is told at start.
@@ -61,27 +61,27 @@
 	Zone               string
 	Classes            []Class
 	Tenants            []Tenant
-	OverShareWorth     float64 // worth of traffic beyond a tenant's allowance
-
-	Pushed        bool // the server list arrives unasked
-	MayProbe      bool
-	MayCancel     bool
-	MayDuplicate  bool // a request may have two attempts out at once
-	HintsRetry    bool // clients heed the delay given with a refusal
-	MaxAttempts   int
-	MaxRetryAfter time.Duration
-	DialTimeout   time.Duration
-	ConnIdle      time.Duration
-	Tick          time.Duration // least time between two events
-
-	InlineReports bool // answers carry load reports; otherwise only probes do
-	WarmKeys      bool // a server does less work for a key that it met lately
-
-	AskEvery    time.Duration // without news this long, the list counts as told
-	AnswerGrace time.Duration
-	ColdFrom    float64       // least share of capacity at a server's start
-	Ramp        time.Duration // a server is warm after it
-	TipMultiple float64       // a cold server stands this multiple of its present capacity for a while; 0: not known
+	OverAllowanceWorth float64 // worth of traffic beyond a tenant's allowance
+
+	ListPushed             bool // the server list arrives unasked
+	MayProbe               bool
+	MayCancel              bool
+	MayDuplicate           bool // a request may have two attempts out at once
+	ClientsHonorRetryAfter bool // clients heed the delay given with a refusal
+	MaxAttempts            int
+	MaxRetryAfter          time.Duration
+	DialTimeout            time.Duration
+	ConnIdleTimeout        time.Duration
+	Tick                   time.Duration // least time between two events
+
+	InlineReports    bool // answers carry load reports; otherwise only probes do
+	ServersCacheKeys bool // a server does less work for a key that it met lately
+
+	RefreshInterval    time.Duration // without news this long, the list counts as told
+	AnswerGrace        time.Duration
+	ColdCapacity       float64       // least share of capacity at a server's start
+	Ramp               time.Duration // a server is warm after it
+	ColdOverloadFactor float64       // a cold server stands this multiple of its present capacity for a while; 0: not known
 
 	ProbeTariff, ConnectionTariff, HandshakeTariff, CrossZoneTariff float64
 }
@@ -118,26 +118,26 @@
 	ListEnded                  // changed entries only, and nothing will be told any more
 )
 
-// Whole reports whether servers that a list does not name are gone.
-func (k ListKind) Whole() bool { return k == ListFull || k == ListCached }
+// Complete reports whether servers that a list does not name are gone.
+func (k ListKind) Complete() bool { return k == ListFull || k == ListCached }
 
 // Request is a client's request.
 type Request struct {
-	ID      RequestID
-	Class   string
-	Tenant  string
-	Key     string
-	Cost    time.Duration // rough expected work; zero: unknown
-	Retry   bool
-	Expires Time          // the client gives this try up
-	Wait    time.Duration // what the client gave it, if that is known to be more than is left; zero: that
-	Upload  bool          // it is still coming, can be sent only once, and its time counts from its end: see Uploaded
-	Past    []Past        // attempts under its key by requests before it, that may have run
+	ID            RequestID
+	Class         string
+	Tenant        string
+	Key           string
+	Cost          time.Duration // rough expected work; zero: unknown
+	Retry         bool
+	Expires       Time           // the client gives this try up
+	ClientTimeout time.Duration  // what the client gave it, if that is known to be more than is left; zero: that
+	Uploading     bool           // it is still coming, can be sent only once, and its time counts from its end: see Uploaded
+	PriorAttempts []PriorAttempt // attempts under its key by requests before it, that may have run
 }
 
-// Past is an attempt that was made for an earlier request under the same key and may have run. It bars what an attempt of this
+// PriorAttempt is an attempt that was made for an earlier request under the same key and may have run. It bars what an attempt of this
 // request's own would bar, and counts as none of its attempts.
-type Past struct {
+type PriorAttempt struct {
 	Zone string
 	Cell int
 	Age  time.Duration // since it was sent
@@ -150,17 +150,17 @@
 const (
 	OK Status = iota
 	AppError
-	Full
+	Overloaded
 	Timeout
 	ConnectFailed
 	Reset
 	Canceled
-	Moot
+	NotSent
 	Rejected // the server holds the request itself for unusable, which says nothing of the server's health
 )
 
 // NotRun reports whether s proves that the attempt was never executed.
-func (s Status) NotRun() bool { return s == Full || s == ConnectFailed || s == Moot }
+func (s Status) NotRun() bool { return s == Overloaded || s == ConnectFailed || s == NotSent }
 
 // Load is a server's report; negative fields were not reported.
 type Load struct {
@@ -172,14 +172,14 @@
 
 // Outcome is the end of one attempt.
 type Outcome struct {
-	ID      RequestID
-	Attempt int
-	Server  ServerID
-	Status  Status
-	Delay   time.Duration
-	Closed  bool // the request has ended
-	Spent   bool // the request cannot be sent again, whatever the rules would allow
-	Load    *Load
+	ID       RequestID
+	Attempt  int
+	Server   ServerID
+	Status   Status
+	Delay    time.Duration
+	Final    bool // the request has ended
+	NoResend bool // the request cannot be sent again, whatever the rules would allow
+	Load     *Load
 }
 
 // ProbeResult is the end of one probe.
@@ -190,22 +190,22 @@
 	Load   *Load
 }
 
-// Plan says which sites, which are servers' zones, may take what, by what befalls them. It must give equal answers to equal
+// SitePlan says which sites, which are servers' zones, may take what, by what befalls them. It must give equal answers to equal
 // calls.
-type Plan interface {
-	// Offered notes a request of a client, and whether it has asked before, as far as can be told.
-	Offered(now Time, class, tenant string, again bool)
-	// Sent notes an attempt at a server of a site.
-	Sent(now Time, site string)
-	// Home returns the sites that requests of a class and tenant are meant for, nil for all that are listed, and which part
+type SitePlan interface {
+	// RecordRequest notes a request of a client, and whether it has asked before, as far as can be told.
+	RecordRequest(now Time, class, tenant string, again bool)
+	// RecordAttempt notes an attempt at a server of a site.
+	RecordAttempt(now Time, site string)
+	// HomeSites returns the sites that requests of a class and tenant are meant for, nil for all that are listed, and which part
 	// of them is meant for sites that the list has lost.
-	Home(class, tenant string) (sites []string, lost float64)
+	HomeSites(class, tenant string) (sites []string, lost float64)
 	// Spill returns the site that takes over a request which is meant for the site from, empty for one that the list has lost,
 	// and may not go there. Where none has room to is empty, and after is when one may. weight is what the request is worth
 	// beside the most that any is, 0 to 1.
 	Spill(now Time, class, tenant, from string, weight float64) (to string, after time.Duration)
-	// Added reports whether what has been asked before may go to a site now: it has room for more than its own.
-	Added(now Time, to string, weight float64) bool
+	// HasSpareCapacity reports whether what has been asked before may go to a site now: it has room for more than its own.
+	HasSpareCapacity(now Time, to string, weight float64) bool
 }
 
 // Actions carries out what the Balancer decides. Calls take effect in order.
@@ -222,8 +222,8 @@
 	SetTimer(after time.Duration, token string)
 	// Probe asks a server for a load report.
 	Probe(server ServerID)
-	// HangUp closes the idle connections to a server.
-	HangUp(server ServerID)
+	// CloseIdle closes the idle connections to a server.
+	CloseIdle(server ServerID)
 	// Watch subscribes to the server list.
 	Watch(on bool)
 	// Log adds a line for staff.
--- a/policy/cost_test.go
+++ b/policy/benchmark_test.go
@@ -13,7 +13,7 @@
 func (*nothing) Refuse(RequestID, time.Duration)                 {}
 func (*nothing) Fail(RequestID)                                  {}
 func (*nothing) Cancel(RequestID, int)                           {}
-func (*nothing) HangUp(ServerID)                                 {}
+func (*nothing) CloseIdle(ServerID)                              {}
 func (*nothing) Log(string)                                      {}
 func (*nothing) Probe(ServerID)                                  {}
 func (*nothing) Watch(bool)                                      {}
@@ -28,15 +28,15 @@
 		}
 		start := func(b *testing.B) (*Balancer, *nothing) {
 			m, err := New(Config{
-				GroupSize: 1, MayProbe: true, MayCancel: true, MaxAttempts: 3, DialTimeout: time.Second, ConnIdle: 15 * time.Second, Tick: time.Millisecond,
-				AskEvery: 10 * time.Second, Ramp: 9 * time.Second, ProbeTariff: 0.05, ColdFrom: 0.3,
+				GroupSize: 1, MayProbe: true, MayCancel: true, MaxAttempts: 3, DialTimeout: time.Second, ConnIdleTimeout: 15 * time.Second, Tick: time.Millisecond,
+				RefreshInterval: 10 * time.Second, Ramp: 9 * time.Second, ProbeTariff: 0.05, ColdCapacity: 0.3,
 				Classes: []Class{{Name: "c", Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1}},
 			}, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
 			act := &nothing{}
-			m.Members(time.Hour, ListFull, servers, act)
+			m.UpdateServers(time.Hour, ListFull, servers, act)
 			return m, act
 		}
 		b.Run(fmt.Sprintf("request/servers=%d", n), func(b *testing.B) {
@@ -49,9 +49,9 @@
 				act.server = ""
 				m.Request(now, Request{ID: id, Class: "c", Expires: now + time.Second}, act)
 				if act.server != "" {
-					m.Outcome(now+time.Millisecond, Outcome{ID: id, Server: act.server, Status: OK, Delay: time.Millisecond, Closed: true}, act)
+					m.Outcome(now+time.Millisecond, Outcome{ID: id, Server: act.server, Status: OK, Delay: time.Millisecond, Final: true}, act)
 				} else {
-					m.Withdrawn(now+time.Millisecond, id, act)
+					m.ClientDisconnected(now+time.Millisecond, id, act)
 				}
 			}
 		})
@@ -65,7 +65,7 @@
 				if i%2 == 0 {
 					s.State = Draining
 				}
-				m.Members(now, ListDelta, []Server{s}, act)
+				m.UpdateServers(now, ListDelta, []Server{s}, act)
 			}
 		})
 	}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -18,13 +18,13 @@
 func (printer) Cancel(id policy.RequestID, attempt int)     { fmt.Println("cancel", id, attempt) }
 func (printer) SetTimer(d time.Duration, token string)      {}
 func (printer) Probe(s policy.ServerID)                     { fmt.Println("probe", s) }
-func (printer) HangUp(s policy.ServerID)                    { fmt.Println("hang up", s) }
+func (printer) CloseIdle(s policy.ServerID)                 { fmt.Println("hang up", s) }
 func (printer) Watch(on bool)                               { fmt.Println("watch", on) }
 func (printer) Log(text string)                             { fmt.Println(text) }
 
 func Example() {
 	b, err := policy.New(policy.Config{
-		GroupSize: 1, MaxAttempts: 3, Pushed: true, MayCancel: true, Tick: 5 * time.Millisecond,
+		GroupSize: 1, MaxAttempts: 3, ListPushed: true, MayCancel: true, Tick: 5 * time.Millisecond,
 		Classes: []policy.Class{
 			{Name: "lookup", Aim: 250 * time.Millisecond, Deadline: time.Second, Worth: 1},
 		},
@@ -34,10 +34,10 @@
 		return
 	}
 	now := 10 * time.Second
-	b.Members(now, policy.ListFull, []policy.Server{{ID: "10.0.0.1:80"}}, printer{})
+	b.UpdateServers(now, policy.ListFull, []policy.Server{{ID: "10.0.0.1:80"}}, printer{})
 	b.Request(now, policy.Request{ID: 1, Class: "lookup", Expires: now + time.Second}, printer{})
 	now += 40 * time.Millisecond
-	b.Outcome(now, policy.Outcome{ID: 1, Server: "10.0.0.1:80", Status: policy.OK, Closed: true}, printer{})
+	b.Outcome(now, policy.Outcome{ID: 1, Server: "10.0.0.1:80", Status: policy.OK, Final: true}, printer{})
 	// Output:
 	// send 1 to 10.0.0.1:80 within 245ms
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -13,14 +13,14 @@
 func TestWarmth(t *testing.T) {
 	for multiple, most := range map[float64]float64{0: 1, 1.5: 1, 2: 2, 2.5: 2} {
 		cfg := testConfig()
-		cfg.TipMultiple = multiple
+		cfg.ColdOverloadFactor = multiple
 		b, _ := start(t, cfg, 1)
 		now := time.Minute
 		s := b.servers["s0"]
 		worst := 0.0
 		for age := time.Duration(0); age <= cfg.Ramp; age += 50 * time.Millisecond {
 			s.Started = now - age
-			least := cfg.ColdFrom + (1-cfg.ColdFrom)*float64(age)/float64(cfg.Ramp)
+			least := cfg.ColdCapacity + (1-cfg.ColdCapacity)*float64(age)/float64(cfg.Ramp)
 			w := b.warmth(now, s)
 			worst = max(worst, w/least)
 			if w < least-1e-9 || w > 1 {
@@ -39,7 +39,7 @@
 	const margin = 1.2
 	for _, multiple := range []float64{2, 2.5, 3, 10} {
 		cfg := testConfig()
-		cfg.ColdFrom, cfg.TipMultiple, cfg.Ramp = 0.15, multiple, 9*time.Second
+		cfg.ColdCapacity, cfg.ColdOverloadFactor, cfg.Ramp = 0.15, multiple, 9*time.Second
 		b, _ := start(t, cfg, 4)
 		now := time.Minute
 		large, small := b.servers["s0"], b.servers["s1"]
@@ -50,7 +50,7 @@
 		b.rebuild() // the mean is 5
 		for age := time.Duration(0); age <= cfg.Ramp; age += 50 * time.Millisecond {
 			large.Started, small.Started = now-age, now-age
-			can := cfg.ColdFrom + (1-cfg.ColdFrom)*float64(age)/float64(cfg.Ramp)
+			can := cfg.ColdCapacity + (1-cfg.ColdCapacity)*float64(age)/float64(cfg.Ramp)
 			if w := b.warmth(now, large); w*margin > can*multiple {
 				t.Errorf("multiple %v, age %v: held for %.2f, can do %.2f", multiple, age, w, can)
 			}
@@ -90,7 +90,7 @@
 			if i >= 1000 { // the gap is known by then
 				least, most = min(least, r.limit), max(most, r.limit)
 			}
-			b.Outcome(now, Outcome{ID: id, Server: r.attempts[0].server.ID, Status: OK, Closed: true}, rec)
+			b.Outcome(now, Outcome{ID: id, Server: r.attempts[0].server.ID, Status: OK, Final: true}, rec)
 			rec.take("")
 		}
 		share := func(d time.Duration) float64 { return float64(d) / float64(200*time.Millisecond) }
@@ -120,7 +120,7 @@
 		if len(sent) != 1 || !strings.HasSuffix(sent[0], " s0") {
 			t.Fatalf("request %d: %v", i, sent)
 		}
-		b.Outcome(now, Outcome{ID: RequestID(i + 1), Server: "s0", Status: OK, Delay: 10 * time.Millisecond, Closed: true}, rec)
+		b.Outcome(now, Outcome{ID: RequestID(i + 1), Server: "s0", Status: OK, Delay: 10 * time.Millisecond, Final: true}, rec)
 	}
 }
 
@@ -148,7 +148,7 @@
 					}
 				}
 			}
-			b.Outcome(now, Outcome{ID: RequestID(i + 1), Server: b.requests[RequestID(i+1)].attempts[0].server.ID, Status: OK, Closed: true}, rec)
+			b.Outcome(now, Outcome{ID: RequestID(i + 1), Server: b.requests[RequestID(i+1)].attempts[0].server.ID, Status: OK, Final: true}, rec)
 		}
 		return share
 	}
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -11,18 +11,18 @@
 	Queue, Delay, Variance, Covariance float64       // the line of delay by depth
 	Busy                               float64       // share of probes that found a request waiting
 	Gap                                time.Duration // between requests
-	MostSet                            int
+	MaxReadySet                        int           `json:"MostSet"`
 	Slowness                           map[ServerID]float64
 	Ejected                            map[ServerID]time.Duration // how much longer
-	Usual                              map[string]time.Duration   // the usual time of a try, by class
+	UsualTryTime                       map[string]time.Duration   `json:"Usual"` // the usual time of a try, by class
 }
 
 // Learned returns what b has learnt by now.
 func (b *Balancer) Learned(now Time) Learned {
 	l := Learned{
 		Queue: b.delay.queue, Delay: b.delay.delay, Variance: b.delay.variance, Covariance: b.delay.covariance, Busy: b.busy,
-		Gap: time.Duration(b.gap), MostSet: b.mostSet, Slowness: map[ServerID]float64{}, Ejected: map[ServerID]time.Duration{},
-		Usual: map[string]time.Duration{},
+		Gap: time.Duration(b.gap), MaxReadySet: b.mostSet, Slowness: map[ServerID]float64{}, Ejected: map[ServerID]time.Duration{},
+		UsualTryTime: map[string]time.Duration{},
 	}
 	for id, s := range b.servers {
 		l.Slowness[id] = s.slowness
@@ -32,16 +32,16 @@
 	}
 	for name, c := range b.classes {
 		if c.votes >= minVotes {
-			l.Usual[name] = c.usual
+			l.UsualTryTime[name] = c.usual
 		}
 	}
 	return l
 }
 
-// Learn has b begin with what another one had learnt. It guards against a start in the middle of an overload, where a
+// Restore has b begin with what another one had learnt. It guards against a start in the middle of an overload, where a
 // Balancer that knows of no delay refuses nothing until the first answers are late, and then holds all servers for slow. What
 // cannot be is left out; the rest is put right by what is learnt from then on, as it would be had b learnt it itself.
-func (b *Balancer) Learn(now Time, l Learned) {
+func (b *Balancer) Restore(now Time, l Learned) {
 	sound := func(most float64, figures ...float64) bool {
 		for _, f := range figures {
 			if !(f >= 0 && f <= most) {
@@ -59,7 +59,7 @@
 	if sound(float64(time.Second), float64(l.Gap)) && l.Gap > 0 {
 		b.gap = float64(l.Gap)
 	}
-	b.mostSet = min(max(l.MostSet, usualReadySet), 1000)
+	b.mostSet = min(max(l.MaxReadySet, usualReadySet), 1000)
 	for id, s := range b.servers {
 		if f, ok := l.Slowness[id]; ok && sound(mostSlowness, f) {
 			s.slowness = max(f, 1.0/mostSlowness)
@@ -69,7 +69,7 @@
 		}
 	}
 	for name, c := range b.classes {
-		if usual := l.Usual[name]; usual > 0 && usual <= c.Deadline {
+		if usual := l.UsualTryTime[name]; usual > 0 && usual <= c.Deadline {
 			c.usual, c.votes = usual, minVotes
 		}
 	}
--- a/policy/daily_test.go
+++ b/policy/lifecycle_test.go
@@ -39,8 +39,8 @@
 		return sent, refused
 	}
 	cfg := testConfig()
-	if sent, refused := try(0, 0, time.Second); float64(sent) > cfg.ColdFrom*refusedCold/2*1.2*4000 || float64(sent) < cfg.ColdFrom*refusedCold/2*0.8*4000 || refused == 0 {
-		t.Errorf("%d of 4000 sent, want about %.0f", sent, cfg.ColdFrom*refusedCold/2*4000)
+	if sent, refused := try(0, 0, time.Second); float64(sent) > cfg.ColdCapacity*refusedCold/2*1.2*4000 || float64(sent) < cfg.ColdCapacity*refusedCold/2*0.8*4000 || refused == 0 {
+		t.Errorf("%d of 4000 sent, want about %.0f", sent, cfg.ColdCapacity*refusedCold/2*4000)
 	}
 	if sent, _ := try(1, 0, time.Second); sent > 0 {
 		t.Errorf("%d sent beside one that is out", sent)
@@ -62,7 +62,7 @@
 func TestUploadAndStream(t *testing.T) {
 	b, rec := start(t, testConfig(), 3)
 	now := time.Second
-	b.Request(now, Request{ID: 1, Class: "safe", Expires: now + time.Second, Upload: true}, rec)
+	b.Request(now, Request{ID: 1, Class: "safe", Expires: now + time.Second, Uploading: true}, rec)
 	r := b.requests[1]
 	if len(r.attempts) == 0 { // held for its probes
 		for _, s := range r.probed {
@@ -85,11 +85,11 @@
 		t.Error("a second attempt may be sent beside an upload")
 	}
 	now += 3 * time.Second
-	b.Uploaded(now, 1, rec)
+	b.UploadComplete(now, 1, rec)
 	if s.out != 1 || r.Expires != now+time.Second || r.attempts[0].sent != now {
 		t.Errorf("after its last byte: %d out, expires %v, sent %v", s.out, r.Expires, r.attempts[0].sent)
 	}
-	b.Streaming(now, 1, 0, rec)
+	b.ResponseStarted(now, 1, 0, rec)
 	if s.out != 0 {
 		t.Error("the server works on what it has answered")
 	}
@@ -98,7 +98,7 @@
 	if got := rec.take(""); len(got) > 0 {
 		t.Errorf("an answer that has begun was cut: %v", got)
 	}
-	b.Outcome(now+3*time.Second, Outcome{ID: 1, Server: s.ID, Status: Reset, Closed: true}, rec)
+	b.Outcome(now+3*time.Second, Outcome{ID: 1, Server: s.ID, Status: Reset, Final: true}, rec)
 	if s.out != 0 || len(b.requests) != 0 {
 		t.Errorf("%d out, %d requests kept", s.out, len(b.requests))
 	}
@@ -106,13 +106,13 @@
 
 // TestSpent: what cannot be sent again is refused if it has not run, and has failed if it may have.
 func TestSpent(t *testing.T) {
-	for status, want := range map[Status]string{Full: "refuse 1", AppError: "fail 1"} {
+	for status, want := range map[Status]string{Overloaded: "refuse 1", AppError: "fail 1"} {
 		b, rec := start(t, testConfig(), 3)
 		r := &request{Request: Request{ID: 1, Expires: time.Second}, class: b.classes["unsafe"], most: 3, useful: time.Second, end: time.Second}
 		b.requests[1] = r
 		b.send(0, r, b.set(0, r), rec)
 		rec.take("")
-		b.Outcome(0, Outcome{ID: 1, Server: r.attempts[0].server.ID, Status: status, Spent: true}, rec)
+		b.Outcome(0, Outcome{ID: 1, Server: r.attempts[0].server.ID, Status: status, NoResend: true}, rec)
 		if got := rec.take(""); !slices.Contains(got, want) || slices.ContainsFunc(got, func(l string) bool { return strings.HasPrefix(l, "send") }) {
 			t.Errorf("%v: %v, want %s", status, got, want)
 		}
@@ -160,12 +160,12 @@
 	s := b.servers["s0"]
 	entry := s.Server
 	entry.State = Draining
-	b.Members(0, ListDelta, []Server{entry}, rec)
+	b.UpdateServers(0, ListDelta, []Server{entry}, rec)
 	for range 5 {
 		b.failed(0, s, ConnectFailed)
 	}
 	entry.State = Ready
-	b.Members(time.Millisecond, ListDelta, []Server{entry}, rec)
+	b.UpdateServers(time.Millisecond, ListDelta, []Server{entry}, rec)
 	if !slices.Contains(b.set(time.Millisecond, &request{}), b.servers["s0"]) {
 		t.Error("it is left out")
 	}
@@ -179,15 +179,15 @@
 	a.servers["s1"].slowness, a.servers["s2"].ejected = 2, 3*time.Second
 	a.classes["safe"].usual, a.classes["safe"].votes = 300*time.Millisecond, minVotes
 	b, _ := start(t, testConfig(), 3)
-	b.Learn(time.Minute, a.Learned(time.Second))
+	b.Restore(time.Minute, a.Learned(time.Second))
 	if b.delay != a.delay || b.busy != 0.3 || b.gap != 3e6 || b.mostSet != 20 || b.servers["s1"].slowness != 2 ||
 		b.servers["s2"].ejected != time.Minute+2*time.Second || b.classes["safe"].usual != 300*time.Millisecond {
 		t.Errorf("%+v, busy %v, gap %v, set %d", b.delay, b.busy, b.gap, b.mostSet)
 	}
 	c, _ := start(t, testConfig(), 3)
-	c.Learn(time.Minute, Learned{
-		Queue: math.NaN(), Delay: -1, Busy: math.Inf(1), Gap: -1, MostSet: 1 << 40, Slowness: map[ServerID]float64{"s0": math.Inf(1), "x": 1},
-		Ejected: map[ServerID]time.Duration{"s0": 1 << 60}, Usual: map[string]time.Duration{"safe": 1 << 60},
+	c.Restore(time.Minute, Learned{
+		Queue: math.NaN(), Delay: -1, Busy: math.Inf(1), Gap: -1, MaxReadySet: 1 << 40, Slowness: map[ServerID]float64{"s0": math.Inf(1), "x": 1},
+		Ejected: map[ServerID]time.Duration{"s0": 1 << 60}, UsualTryTime: map[string]time.Duration{"safe": 1 << 60},
 	})
 	if c.delay != (delayModel{}) || c.busy != 1 || c.gap != float64(time.Second) || c.mostSet > 1000 || c.servers["s0"].slowness != 1 ||
 		c.servers["s0"].ejected > time.Minute+c.cfg.Ramp || c.classes["safe"].votes != 0 {
--- a/policy/ended_test.go
+++ b/policy/list_ended_test.go
@@ -16,7 +16,7 @@
 		for i := range 4 {
 			all = append(all, Server{ID: ServerID(fmt.Sprint("s", i)), State: Draining})
 		}
-		b.Members(0, kind, all, rec)
+		b.UpdateServers(0, kind, all, rec)
 	}
 	b.Request(0, Request{ID: 1, Class: "safe", Expires: time.Second}, rec) // waits for a report
 	if b.held == nil {
@@ -49,7 +49,7 @@
 			list = append(list, Server{ID: ServerID(fmt.Sprint("s", i)), Zone: "a", Started: time.Second})
 		}
 		now := time.Second
-		b.Members(now, ListFull, list, rec)
+		b.UpdateServers(now, ListFull, list, rec)
 		waits, sent := 0, 0
 		for id := RequestID(1); id <= 200; id++ {
 			now += 20 * time.Millisecond
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -77,7 +77,7 @@
 
 	delay delayModel // of answers by the depth found
 
-	plan   Plan               // nil: sites mean nothing
+	plan   SitePlan           // nil: sites mean nothing
 	shares map[string]float64 // of sites that take a part of their traffic only
 
 	topWorth   float64 // highest worth of a class for each second of its aim
@@ -132,20 +132,20 @@
 	return nil
 }
 
-// Members takes a message about the server list.
-func (b *Balancer) Members(now Time, kind ListKind, entries []Server, act Actions) {
+// UpdateServers takes a message about the server list.
+func (b *Balancer) UpdateServers(now Time, kind ListKind, entries []Server, act Actions) {
 	if kind == ListFailed {
 		// A failed call is retried after a growing, jittered pause: a thousand sidecars
 		// that ask again at once would swamp the list service for good. The first pause is short, as a
 		// watch that breaks often leaves a list that changes.
 		b.watching = false
 		b.watchFails++
-		pause := b.cfg.AskEvery / 16 << min(b.watchFails, 4)
+		pause := b.cfg.RefreshInterval / 16 << min(b.watchFails, 4)
 		act.SetTimer(pause/2+b.jitter(pause), "watch")
 		return
 	}
 	b.over = b.over || kind == ListEnded
-	if kind.Whole() {
+	if kind.Complete() {
 		for _, s := range b.servers {
 			s.State = Gone
 		}
@@ -167,8 +167,8 @@
 	// Guards against a fleet that keeps being replaced: its records would grow without end.
 	maps.DeleteFunc(b.servers, func(_ ServerID, s *server) bool { return s.State == Gone })
 	b.rebuild()
-	if kind == ListCached && !b.cfg.Pushed && !b.watching {
-		act.SetTimer(b.jitter(b.cfg.AskEvery*6/10), "watch") // spread over most of the time that rules give
+	if kind == ListCached && !b.cfg.ListPushed && !b.watching {
+		act.SetTimer(b.jitter(b.cfg.RefreshInterval*6/10), "watch") // spread over most of the time that rules give
 	} else if b.watching {
 		b.watchFails = 0
 	}
@@ -179,9 +179,9 @@
 	}
 }
 
-// Moved notes that discovery has another address: the list is asked for there at once, whatever pause a failed call has
+// DiscoveryMoved notes that discovery has another address: the list is asked for there at once, whatever pause a failed call has
 // earned the old one, as it counts as told before long. The timer of such a pause then finds a watch that stands.
-func (b *Balancer) Moved(now Time, act Actions) {
+func (b *Balancer) DiscoveryMoved(now Time, act Actions) {
 	b.watching, b.watchFails = true, 0
 	act.Watch(true)
 }
@@ -256,7 +256,7 @@
 		c = &class{Class: Class{Name: q.Class, Effect: Unsafe, Aim: left, Deadline: left}}
 	}
 	r := &request{Request: q, class: c, most: b.cfg.MaxAttempts, taken: now}
-	for _, p := range q.Past {
+	for _, p := range q.PriorAttempts {
 		r.past = append(r.past, attempt{zone: p.Zone, cell: p.Cell, sent: now - p.Age})
 	}
 	b.requests[q.ID] = r
@@ -304,7 +304,7 @@
 		return
 	}
 	r.probed = b.renew(r, set, act)
-	good := func(s *server) bool { return b.hasMark(now, s) && b.inTime(s, r.limit) && !b.cfg.WarmKeys }
+	good := func(s *server) bool { return b.hasMark(now, s) && b.inTime(s, r.limit) && !b.cfg.ServersCacheKeys }
 	if slices.ContainsFunc(set, good) {
 		b.dispatch(now, r, set, act)
 		return
@@ -329,7 +329,7 @@
 func (b *Balancer) renew(r *request, set []*server, act Actions) []*server {
 	set = slices.Clone(set)
 	b.rng.Shuffle(len(set), func(i, j int) { set[i], set[j] = set[j], set[i] })
-	if b.cfg.WarmKeys && r.Key != "" {
+	if b.cfg.ServersCacheKeys && r.Key != "" {
 		byHash(set, hash(ServerID(r.Key), 0))
 	}
 	set = set[:min(probeSample, len(set))]
@@ -438,8 +438,8 @@
 	a.out, a.notRun = false, o.Status.NotRun()
 	r.out--
 	a.works(false)
-	r.ended = r.ended || o.Closed
-	r.spent = r.spent || o.Spent
+	r.ended = r.ended || o.Final
+	r.spent = r.spent || o.NoResend
 	if o.Status == OK || o.Status == Timeout {
 		if at := b.delay.at(a.depth); at > 0 && !math.IsInf(at, 1) {
 			s := a.server
@@ -466,13 +466,13 @@
 func (b *Balancer) failed(now Time, s *server, st Status) {
 	s.marked = false
 	switch st {
-	case Canceled, Moot:
+	case Canceled, NotSent:
 		return
-	case Timeout, Full:
+	case Timeout, Overloaded:
 		s.queue = math.Inf(1) // until it reports again
 	}
 	s.fails, b.busy = s.fails+1, 1
-	if st == Full || st == Timeout && (s.fails < 3 || now-s.lastOK < time.Second) {
+	if st == Overloaded || st == Timeout && (s.fails < 3 || now-s.lastOK < time.Second) {
 		return // may be the load: see set
 	}
 	s.ejected = now + min(firstEject<<min(s.fails-1, 10), max(b.cfg.Ramp, firstEject))
@@ -630,7 +630,7 @@
 func (b *Balancer) start(now Time, r *request, s *server, act Actions) {
 	s.marked = false
 	if b.plan != nil {
-		b.plan.Sent(now, s.Zone)
+		b.plan.RecordAttempt(now, s.Zone)
 	}
 	a := attempt{server: s, zone: s.Zone, cell: s.Cell, sent: now, out: true, depth: b.depth(s)}
 	r.attempts = append(r.attempts, a)
@@ -639,7 +639,7 @@
 		b.earn(1 - refusedShare)
 	}
 	s.used, s.open = now, true
-	r.attempts[len(r.attempts)-1].works(!r.Upload)
+	r.attempts[len(r.attempts)-1].works(!r.Uploading)
 	b.sweep(now, act)
 	act.Send(r.ID, s.ID, r.end-now)
 }
@@ -655,7 +655,7 @@
 	for _, s := range b.ready {
 		if s.open && b.cfg.ConnectionTariff > 0 && now-s.used >= hold {
 			s.open = false
-			act.HangUp(s.ID)
+			act.CloseIdle(s.ID)
 		}
 		left = left || s.open
 	}
@@ -736,8 +736,8 @@
 	return max(q, float64(s.out))
 }
 
-// SetPlan has b go by p, nil for none.
-func (b *Balancer) SetPlan(p Plan) { b.plan = p }
+// SetSitePlan has b go by p, nil for none.
+func (b *Balancer) SetSitePlan(p SitePlan) { b.plan = p }
 
 // place finds the site that r is to go to, and reports whether there is one: that of a place of the ready set, drawn among the sites
 // that r is meant for, or one that takes over from it.
@@ -746,9 +746,9 @@
 		return true
 	}
 	again := r.Retry || r.began < now
-	b.plan.Offered(now, r.Class, r.Tenant, again)
+	b.plan.RecordRequest(now, r.Class, r.Tenant, again)
 	var lost float64
-	r.sites, lost = b.plan.Home(r.Class, r.Tenant)
+	r.sites, lost = b.plan.HomeSites(r.Class, r.Tenant)
 	places := b.places(r)
 	if len(b.ready) == 0 {
 		return true
@@ -763,7 +763,7 @@
 	if r.weight*b.topWorth > b.leastWorth { // trials and first steps are for what is worth least
 		share = math.Pow(share, dearShare)
 	}
-	if partly && b.rng.Float64() >= share || again && !b.plan.Added(now, from, r.weight) {
+	if partly && b.rng.Float64() >= share || again && !b.plan.HasSpareCapacity(now, from, r.weight) {
 		return b.spill(now, r, from)
 	}
 	r.sites = []string{from}
@@ -777,9 +777,9 @@
 	return to != ""
 }
 
-// SetShares has the sites that are named take that part of what is meant for them, from 0 to below 1; all others take theirs
+// SetSiteShares has the sites that are named take that part of what is meant for them, from 0 to below 1; all others take theirs
 // whole. It matters with a Plan only.
-func (b *Balancer) SetShares(shares map[string]float64) {
+func (b *Balancer) SetSiteShares(shares map[string]float64) {
 	b.shares = map[string]float64{}
 	for site, share := range shares {
 		if share < 1 {
@@ -793,14 +793,14 @@
 // replaced at once. Where the list tells weights, one that is smaller than the mean has that much less of a share.
 func (b *Balancer) warmth(now Time, s *server) float64 {
 	faster := 1.0
-	if b.cfg.TipMultiple >= 2 {
-		faster = min(b.cfg.TipMultiple/coldMargin, 2)
+	if b.cfg.ColdOverloadFactor >= 2 {
+		faster = min(b.cfg.ColdOverloadFactor/coldMargin, 2)
 	}
 	age := faster * float64(max(0, now-s.Started))
 	if s.Started == 0 || age >= float64(b.cfg.Ramp) {
 		return 1
 	}
-	w := b.cfg.ColdFrom + (1-b.cfg.ColdFrom)*age/float64(b.cfg.Ramp)
+	w := b.cfg.ColdCapacity + (1-b.cfg.ColdCapacity)*age/float64(b.cfg.Ramp)
 	return w * b.smallness(s)
 }
 
@@ -815,7 +815,7 @@
 
 // maySend is the one judge of whether the rules allow an attempt of r at s.
 func (b *Balancer) maySend(now Time, r *request, s *server) bool {
-	if r.ended || r.stream || r.spent || r.Upload && r.out > 0 || s.State != Ready || !r.mayAt(s) || now >= r.Expires || len(r.attempts) >= r.most ||
+	if r.ended || r.stream || r.spent || r.Uploading && r.out > 0 || s.State != Ready || !r.mayAt(s) || now >= r.Expires || len(r.attempts) >= r.most ||
 		r.out > 0 && !b.cfg.MayDuplicate {
 		return false
 	}
@@ -858,7 +858,7 @@
 // reports are renewed. It guards against refusals that beget retries at once, which are refused alike. It does harm
 // where queues fall faster than by work, as when a fleet grows: its clients then idle for as long.
 func (b *Balancer) comeBack(now Time, r *request) time.Duration {
-	if !b.cfg.HintsRetry {
+	if !b.cfg.ClientsHonorRetryAfter {
 		return 0
 	}
 	wait := time.Hour
@@ -887,8 +887,8 @@
 	}
 }
 
-// Streaming notes that the answer of r has begun: other attempts of it are of no use any more.
-func (b *Balancer) Streaming(now Time, id RequestID, attempt int, act Actions) {
+// ResponseStarted notes that the answer of r has begun: other attempts of it are of no use any more.
+func (b *Balancer) ResponseStarted(now Time, id RequestID, attempt int, act Actions) {
 	if r := b.requests[id]; r != nil {
 		r.stream = true
 		if attempt >= 0 && attempt < len(r.attempts) {
@@ -899,11 +899,11 @@
 	}
 }
 
-// Uploaded notes that the last byte of a request has come which was still coming: its time counts from now, and it
+// UploadComplete notes that the last byte of a request has come which was still coming: its time counts from now, and it
 // cannot be sent again.
-func (b *Balancer) Uploaded(now Time, id RequestID, act Actions) {
-	if r := b.requests[id]; r != nil && r.Upload && !r.ended {
-		r.Upload, r.spent = false, true
+func (b *Balancer) UploadComplete(now Time, id RequestID, act Actions) {
+	if r := b.requests[id]; r != nil && r.Uploading && !r.ended {
+		r.Uploading, r.spent = false, true
 		for i := range r.attempts {
 			if a := &r.attempts[i]; a.out {
 				a.sent, a.depth = now, b.depth(a.server)
@@ -919,8 +919,8 @@
 	}
 }
 
-// Withdrawn notes that the client has left.
-func (b *Balancer) Withdrawn(now Time, id RequestID, act Actions) {
+// ClientDisconnected notes that the client has left.
+func (b *Balancer) ClientDisconnected(now Time, id RequestID, act Actions) {
 	if r := b.requests[id]; r != nil && !r.ended {
 		r.ended = true
 		b.held = slices.DeleteFunc(b.held, func(h *request) bool { return h == r })
@@ -946,7 +946,7 @@
 	id, _ := strconv.ParseUint(tok, 36, 64)
 	r := b.requests[RequestID(id)]
 	switch {
-	case r == nil || r.ended || r.stream || r.Upload && r.out > 0: // the last is for whoever reads it to end
+	case r == nil || r.ended || r.stream || r.Uploading && r.out > 0: // the last is for whoever reads it to end
 	case now >= r.end:
 		b.finish(now, r, false, act)
 	case r.patience > 0 && now >= r.patience:
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -22,7 +22,7 @@
 func (r *recorder) Cancel(id RequestID, attempt int)               { r.note("cancel %d %d", id, attempt) }
 func (r *recorder) SetTimer(d time.Duration, token string)         { r.note("timer %v %s", d, token) }
 func (r *recorder) Probe(s ServerID)                               { r.note("probe %s", s) }
-func (r *recorder) HangUp(s ServerID)                              { r.note("hangup %s", s) }
+func (r *recorder) CloseIdle(s ServerID)                           { r.note("hangup %s", s) }
 func (r *recorder) Watch(on bool)                                  { r.note("watch %v", on) }
 func (r *recorder) Log(text string)                                { r.note("log %s", text) }
 
@@ -37,8 +37,8 @@
 	const s = time.Second
 	return Config{
 		GroupSize: 1, Zone: "a", MayProbe: true, MayCancel: true, MayDuplicate: true, MaxAttempts: 3,
-		DialTimeout: 100 * time.Millisecond, Tick: 5 * time.Millisecond, AskEvery: 10 * time.Second,
-		AnswerGrace: 20 * time.Millisecond, ColdFrom: 0.3, Ramp: 8 * time.Second, ProbeTariff: 0.01,
+		DialTimeout: 100 * time.Millisecond, Tick: 5 * time.Millisecond, RefreshInterval: 10 * time.Second,
+		AnswerGrace: 20 * time.Millisecond, ColdCapacity: 0.3, Ramp: 8 * time.Second, ProbeTariff: 0.01,
 		Classes: []Class{
 			{Name: "safe", Effect: Safe, Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1},
 			{Name: "keyed", Effect: Keyed, KeyTTL: s / 3, Aim: s, Deadline: 2 * s},
@@ -62,7 +62,7 @@
 		list = append(list, Server{ID: id, Zone: string(rune('a' + i%2)), Cell: i / 2})
 	}
 	rec := &recorder{}
-	b.Members(0, ListCached, list, rec)
+	b.UpdateServers(0, ListCached, list, rec)
 	rec.take("")
 	return b, rec
 }
@@ -113,7 +113,7 @@
 		{"keyed", AppError, []ServerID{"s0", "s1", "s2", "s3"}, true},
 		{"zonal", AppError, []ServerID{"s0", "s2"}, false},
 		{"cellular", Reset, []ServerID{"s0", "s1"}, false},
-		{"cellular", Full, []ServerID{"s0", "s1", "s2", "s3"}, true},
+		{"cellular", Overloaded, []ServerID{"s0", "s1", "s2", "s3"}, true},
 		{"unsafe", AppError, nil, false},
 		{"unsafe", ConnectFailed, []ServerID{"s0", "s1", "s2", "s3"}, true},
 		{"unknown", Timeout, nil, false},
@@ -166,8 +166,8 @@
 		allCold bool
 		want    float64 // share of requests that s0 is sent
 	}{
-		{"one of two", false, cfg.ColdFrom / 2},
-		{"both", true, cfg.ColdFrom}, // at most; the rest is refused or goes to the other
+		{"one of two", false, cfg.ColdCapacity / 2},
+		{"both", true, cfg.ColdCapacity}, // at most; the rest is refused or goes to the other
 	}
 	for _, tc := range tests {
 		b, rec := start(t, cfg, 2)
@@ -323,7 +323,7 @@
 		"no group":         func(c *Config) { c.GroupSize = 0 },
 		"ordinal":          func(c *Config) { c.Ordinal = 1 },
 		"attempts":         func(c *Config) { c.MaxAttempts = 0 },
-		"cold share":       func(c *Config) { c.ColdFrom = 1.5 },
+		"cold share":       func(c *Config) { c.ColdCapacity = 1.5 },
 		"negative ramp":    func(c *Config) { c.Ramp = -1 },
 		"negative tick":    func(c *Config) { c.Tick = -1 },
 		"aim":              func(c *Config) { c.Classes[0].Aim = 0 },
@@ -343,7 +343,7 @@
 func TestWarmKeysHaveHomes(t *testing.T) {
 	for _, warm := range []bool{false, true} {
 		cfg := testConfig()
-		cfg.WarmKeys = warm
+		cfg.ServersCacheKeys = warm
 		b, rec := start(t, cfg, 12)
 		probed := map[string]bool{}
 		for id := range RequestID(20) {
@@ -398,7 +398,7 @@
 	fail := func() time.Duration {
 		b.watching = true
 		act.take("")
-		b.Members(1, ListFailed, nil, act)
+		b.UpdateServers(1, ListFailed, nil, act)
 		lines := act.take("timer ")
 		if len(lines) != 1 {
 			t.Fatalf("%d timers", len(lines))
@@ -410,17 +410,17 @@
 		return d
 	}
 	for round := range 20 {
-		if d := fail(); d > cfg.AskEvery/5 {
+		if d := fail(); d > cfg.RefreshInterval/5 {
 			t.Errorf("first pause %v", d)
 		}
 		for range 3 {
 			fail()
 		}
-		if d := fail(); d < cfg.AskEvery/2 || d > 3*cfg.AskEvery/2 {
+		if d := fail(); d < cfg.RefreshInterval/2 || d > 3*cfg.RefreshInterval/2 {
 			t.Errorf("fifth pause %v", d)
 		}
 		b.watching = true
-		b.Members(Time(2+round), ListDelta, nil, act)
+		b.UpdateServers(Time(2+round), ListDelta, nil, act)
 	}
 }
 
@@ -430,15 +430,15 @@
 	b, act := start(t, testConfig(), 0)
 	for i := range 1000 {
 		name := ServerID(fmt.Sprint("n", i))
-		b.Members(Time(i), ListDelta, []Server{{ID: name}}, act)
+		b.UpdateServers(Time(i), ListDelta, []Server{{ID: name}}, act)
 		if i%2 == 0 {
-			b.Members(Time(i), ListDelta, []Server{{ID: name, State: Gone}}, act)
+			b.UpdateServers(Time(i), ListDelta, []Server{{ID: name, State: Gone}}, act)
 		}
 	}
 	if len(b.servers) != 500 {
 		t.Errorf("%d records of 500 servers", len(b.servers))
 	}
-	b.Members(1000, ListFull, []Server{{ID: "only"}}, act)
+	b.UpdateServers(1000, ListFull, []Server{{ID: "only"}}, act)
 	if len(b.servers) != 1 || len(b.ready) != 1 {
 		t.Errorf("%d records and %d ready of one server", len(b.servers), len(b.ready))
 	}
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -19,8 +19,8 @@
 func script(t *testing.T, seed uint64, events int) (marks []string) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	cfg := testConfig()
-	cfg.MayProbe, cfg.MayDuplicate, cfg.HintsRetry = seed%4 != 1, seed%3 != 1, seed%2 == 0
-	cfg.WarmKeys, cfg.MaxRetryAfter = seed%5 == 2, time.Second
+	cfg.MayProbe, cfg.MayDuplicate, cfg.ClientsHonorRetryAfter = seed%4 != 1, seed%3 != 1, seed%2 == 0
+	cfg.ServersCacheKeys, cfg.MaxRetryAfter = seed%5 == 2, time.Second
 	if seed%4 == 2 {
 		cfg.CrossZoneTariff, cfg.ConnectionTariff, cfg.HandshakeTariff = 1, 0.05, 0.01
 	}
@@ -81,7 +81,7 @@
 			q := Request{ID: RequestID(e + 1), Class: classes[rng.IntN(len(classes))], Key: fmt.Sprint(rng.IntN(50)), Retry: rng.IntN(5) == 0,
 				Cost: time.Duration(rng.IntN(9)) * time.Millisecond, Expires: now + time.Duration(50+rng.IntN(900))*time.Millisecond}
 			if rng.IntN(20) == 0 {
-				q.Past = []Past{{Zone: "a", Age: time.Duration(rng.IntN(400)) * time.Millisecond}}
+				q.PriorAttempts = []PriorAttempt{{Zone: "a", Age: time.Duration(rng.IntN(400)) * time.Millisecond}}
 			}
 			b.Request(now, q, rec)
 		case k < 70 && len(out) > 0:
@@ -92,7 +92,7 @@
 			if rng.IntN(4) == 0 {
 				status = Status(rng.IntN(int(Rejected) + 1))
 			}
-			b.Outcome(now, Outcome{ID: o.id, Attempt: o.attempt, Server: o.server, Status: status, Delay: now - o.at, Closed: status == OK, Load: load()}, rec)
+			b.Outcome(now, Outcome{ID: o.id, Attempt: o.attempt, Server: o.server, Status: status, Delay: now - o.at, Final: status == OK, Load: load()}, rec)
 		case k < 90 && len(probes) > 0:
 			p := ProbeResult{Server: probes[0], Delay: time.Millisecond, Load: load()}
 			if rng.IntN(8) == 0 {
@@ -101,15 +101,15 @@
 			probes = probes[1:]
 			b.Probed(now, p, rec)
 		case k < 93:
-			b.Withdrawn(now, RequestID(1+rng.IntN(e+1)), rec)
+			b.ClientDisconnected(now, RequestID(1+rng.IntN(e+1)), rec)
 		case k < 96:
 			s := Server{ID: ServerID(fmt.Sprint("s", rng.IntN(n+3))), State: ServerState(rng.IntN(3)), Zone: string(rune('a' + rng.IntN(2))), Cell: rng.IntN(3)}
 			if rng.IntN(2) == 0 {
 				s.State, s.Started = Ready, now-time.Duration(rng.IntN(9000))*time.Millisecond
 			}
-			b.Members(now, ListDelta, []Server{s}, rec)
+			b.UpdateServers(now, ListDelta, []Server{s}, rec)
 		case k < 97:
-			b.Streaming(now, RequestID(1+rng.IntN(e+1)), 0, rec)
+			b.ResponseStarted(now, RequestID(1+rng.IntN(e+1)), 0, rec)
 		}
 		drain()
 		if e%100 == 99 {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -74,7 +74,7 @@
 		if a.out && !c.cfg.MayDuplicate {
 			c.breach("second copy of %d, which the site forbids", id)
 		}
-		proven := !a.out && (a.status == Full || a.status == ConnectFailed || a.status == Moot)
+		proven := !a.out && (a.status == Overloaded || a.status == ConnectFailed || a.status == NotSent)
 		if proven || r.class.Effect == Safe {
 			continue
 		}
@@ -88,7 +88,7 @@
 			c.breach("keyed request %d sent outside its group", id)
 		}
 	}
-	for _, p := range r.Past {
+	for _, p := range r.PriorAttempts {
 		switch {
 		case r.class.Effect == Unsafe:
 			c.breach("unsafe request %d sent though it may have run before", id)
@@ -121,14 +121,14 @@
 func (c *checker) Refuse(id RequestID, d time.Duration) {
 	c.log = append(c.log, fmt.Sprint("refuse ", id, d))
 	r := c.answer(id)
-	if r != nil && len(r.Past) > 0 {
+	if r != nil && len(r.PriorAttempts) > 0 {
 		c.breach("request %d may have run before and is refused", id)
 	}
 	if r == nil || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll {
 		return
 	}
 	for _, a := range r.attempts {
-		if a.out || a.status != Full && a.status != ConnectFailed && a.status != Moot {
+		if a.out || a.status != Overloaded && a.status != ConnectFailed && a.status != NotSent {
 			c.breach("request %d may have run and is refused", id)
 		}
 	}
@@ -168,7 +168,7 @@
 	c.probes = append(c.probes, s)
 }
 
-func (c *checker) HangUp(s ServerID) {
+func (c *checker) CloseIdle(s ServerID) {
 	c.log = append(c.log, fmt.Sprint("hangup ", s))
 	if _, ok := c.servers[s]; !ok {
 		c.breach("hang-up of the unknown server %s", s)
@@ -213,7 +213,7 @@
 		for _, s := range list {
 			c.servers[s.ID], c.drained[s.ID] = s, s.State != Ready
 		}
-		b.Members(c.now, kind, list, c)
+		b.UpdateServers(c.now, kind, list, c)
 	}
 	draw := func(n int) (list []Server) {
 		for range n {
@@ -243,7 +243,7 @@
 		}
 		b.Outcome(c.now, Outcome{
 			ID: r.ID, Attempt: i, Server: a.server.ID, Status: status, Delay: c.now - a.sent,
-			Closed: r.ended, Load: load(),
+			Final: r.ended, Load: load(),
 		}, c)
 	}
 	update(ListCached, draw(rng.IntN(9)))
@@ -287,7 +287,7 @@
 			patience := time.Duration(1+rng.IntN(900)) * time.Millisecond
 			q := Request{ID: id, Class: name, Expires: c.now + patience}
 			if id%5 == 0 && cl.Effect == Keyed { // some have been sent for an earlier request
-				q.Past = []Past{{Zone: cfg.Zone, Cell: int(id) % 3, Age: cl.KeyTTL * time.Duration(id%7) / 6}}
+				q.PriorAttempts = []PriorAttempt{{Zone: cfg.Zone, Cell: int(id) % 3, Age: cl.KeyTTL * time.Duration(id%7) / 6}}
 			}
 			c.requests[id] = &openRequest{Request: q, class: cl, asked: c.now}
 			ids = append(ids, id)
@@ -296,7 +296,7 @@
 			if len(ids) > 0 {
 				r := c.requests[ids[rng.IntN(len(ids))]]
 				r.ended = true
-				b.Withdrawn(c.now, r.ID, c)
+				b.ClientDisconnected(c.now, r.ID, c)
 			}
 		case 12:
 			if len(ids) > 0 {
@@ -372,16 +372,16 @@
 	b.cfg.MayProbe = false
 	for i := range 5 { // the usual time of a try is known
 		now := Time(i+1) * time.Second
-		b.Request(now, Request{ID: RequestID(i), Class: "safe", Expires: now + 400*time.Millisecond, Wait: 400 * time.Millisecond}, rec)
-		b.Outcome(now, Outcome{ID: RequestID(i), Server: b.requests[RequestID(i)].attempts[0].server.ID, Status: OK, Closed: true}, rec)
+		b.Request(now, Request{ID: RequestID(i), Class: "safe", Expires: now + 400*time.Millisecond, ClientTimeout: 400 * time.Millisecond}, rec)
+		b.Outcome(now, Outcome{ID: RequestID(i), Server: b.requests[RequestID(i)].attempts[0].server.ID, Status: OK, Final: true}, rec)
 	}
 	rec.take("")
 	now := 10 * time.Second
-	b.Request(now, Request{ID: 9, Class: "safe", Expires: now + 300*time.Millisecond, Wait: 400 * time.Millisecond}, rec)
+	b.Request(now, Request{ID: 9, Class: "safe", Expires: now + 300*time.Millisecond, ClientTimeout: 400 * time.Millisecond}, rec)
 	if r := b.requests[9]; r == nil || r.began != now || len(rec.take("send")) != 1 {
 		t.Errorf("a request with 100 ms spent is not sent as a fresh one: %+v", r)
 	}
-	b.Request(now, Request{ID: 10, Class: "safe", Expires: now + 300*time.Millisecond, Wait: 300 * time.Millisecond}, rec)
+	b.Request(now, Request{ID: 10, Class: "safe", Expires: now + 300*time.Millisecond, ClientTimeout: 300 * time.Millisecond}, rec)
 	if r := b.requests[10]; r != nil && r.began == now {
 		t.Error("a last try passes for a fresh one")
 	}
--- a/policy/plan_test.go
+++ b/policy/site_plan_test.go
@@ -17,18 +17,18 @@
 	spilled []string // from where
 }
 
-func (p *stubPlan) Home(string, string) ([]string, float64) { return p.home, p.lost }
+func (p *stubPlan) HomeSites(string, string) ([]string, float64) { return p.home, p.lost }
 
 func (p *stubPlan) Spill(_ Time, _, _, from string, _ float64) (string, time.Duration) {
 	p.spilled = append(p.spilled, from)
 	return p.to, p.after
 }
 
-func (*stubPlan) Offered(Time, string, string, bool) {}
+func (*stubPlan) RecordRequest(Time, string, string, bool) {}
 
-func (*stubPlan) Sent(Time, string) {}
+func (*stubPlan) RecordAttempt(Time, string) {}
 
-func (p *stubPlan) Added(Time, string, float64) bool { return p.added }
+func (p *stubPlan) HasSpareCapacity(Time, string, float64) bool { return p.added }
 
 // planned sends n requests of a class, each of which is served at once by the server that gets it, and returns how many went to
 // servers of each zone, and how many were refused.
@@ -37,8 +37,8 @@
 	cfg := testConfig()
 	cfg.MayProbe = false
 	b, rec := start(t, cfg, 12)
-	b.SetPlan(p)
-	b.SetShares(shares)
+	b.SetSitePlan(p)
+	b.SetSiteShares(shares)
 	now := time.Minute
 	zones = map[string]int{}
 	for i := range n {
@@ -50,7 +50,7 @@
 			case "send":
 				s := b.servers[ServerID(f[2])]
 				zones[s.Zone]++
-				b.Outcome(now, Outcome{ID: id, Server: s.ID, Status: OK, Delay: time.Millisecond, Closed: true}, rec)
+				b.Outcome(now, Outcome{ID: id, Server: s.ID, Status: OK, Delay: time.Millisecond, Final: true}, rec)
 			case "refuse":
 				refused++
 			}
@@ -94,9 +94,9 @@
 // TestPlanTells: a refusal for want of room at other sites says when there may be some.
 func TestPlanTells(t *testing.T) {
 	cfg := testConfig()
-	cfg.HintsRetry, cfg.MaxRetryAfter = true, time.Second
+	cfg.ClientsHonorRetryAfter, cfg.MaxRetryAfter = true, time.Second
 	b, _ := start(t, cfg, 4)
-	b.SetPlan(&stubPlan{lost: 1, after: 700 * time.Millisecond})
+	b.SetSitePlan(&stubPlan{lost: 1, after: 700 * time.Millisecond})
 	var told refusals
 	b.Request(time.Minute, Request{ID: 1, Class: "safe", Expires: time.Minute + time.Second}, &told)
 	if len(told.after) != 1 || told.after[0] != 700*time.Millisecond {
@@ -120,7 +120,7 @@
 		cfg.MayProbe = false
 		b, rec := start(t, cfg, 4)
 		p.home = home
-		b.SetPlan(p)
+		b.SetSitePlan(p)
 		now := time.Minute
 		b.Request(now, Request{ID: 1, Class: class, Key: "k", Expires: now + time.Second}, rec)
 		for attempt := 0; ; attempt++ {
@@ -157,8 +157,8 @@
 // TestPlanAndDrains: a site all of whose servers drain gets nothing, whatever is meant for it.
 func TestPlanAndDrains(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
-	b.SetPlan(&stubPlan{home: []string{"a"}, to: "a"})
-	b.SetShares(map[string]float64{"b": 0.5})
+	b.SetSitePlan(&stubPlan{home: []string{"a"}, to: "a"})
+	b.SetSiteShares(map[string]float64{"b": 0.5})
 	var drained []Server
 	for _, s := range b.ready {
 		if s.Zone == "a" {
@@ -167,7 +167,7 @@
 			drained = append(drained, e)
 		}
 	}
-	b.Members(0, ListDelta, drained, rec)
+	b.UpdateServers(0, ListDelta, drained, rec)
 	rec.take("")
 	for i := range 200 {
 		b.Request(time.Minute, Request{ID: RequestID(i + 1), Class: "safe", Expires: time.Minute + time.Second}, rec)
@@ -188,8 +188,8 @@
 		e.Started = now
 		cold = append(cold, e)
 	}
-	b.Members(now, ListDelta, cold, rec)
-	b.SetPlan(&stubPlan{home: []string{"a"}, after: time.Second})
+	b.UpdateServers(now, ListDelta, cold, rec)
+	b.SetSitePlan(&stubPlan{home: []string{"a"}, after: time.Second})
 	sent, refused := 0, 0
 	for i := range 200 {
 		b.credit = probeSample
--- a/policy/state.go
+++ b/policy/state.go
@@ -18,9 +18,9 @@
 		return fmt.Errorf("policy: ordinal %d outside a group of %d", cfg.Ordinal, cfg.GroupSize)
 	case cfg.MaxAttempts < 1:
 		return errors.New("policy: MaxAttempts below 1")
-	case !(cfg.ColdFrom >= 0 && cfg.ColdFrom <= 1) || cfg.Ramp < 0:
+	case !(cfg.ColdCapacity >= 0 && cfg.ColdCapacity <= 1) || cfg.Ramp < 0:
 		return errors.New("policy: ColdFrom outside 0..1 or negative Ramp")
-	case cfg.Tick < 0 || cfg.AskEvery < 0 || cfg.AnswerGrace < 0 || cfg.DialTimeout < 0:
+	case cfg.Tick < 0 || cfg.RefreshInterval < 0 || cfg.AnswerGrace < 0 || cfg.DialTimeout < 0:
 		return errors.New("policy: negative time in Config")
 	}
 	for _, c := range cfg.Classes {
@@ -48,7 +48,7 @@
 // refused, counts as begun long ago, is refused as late, and so is owed in turn. Requests that carry neither key nor
 // hint are never matched; where hints change from try to try, retries pass for fresh and get more patience than is due.
 func (c *class) began(now Time, q Request, tick time.Duration) Time {
-	left := cmp.Or(q.Wait, q.Expires-now)
+	left := cmp.Or(q.ClientTimeout, q.Expires-now)
 	near := (left - c.usual).Abs() <= 2*tick
 	known := c.votes >= minVotes
 	switch { // the majority vote of Boyer and Moore
--- a/sites/plan.go
+++ b/sites/plan.go
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// Offered notes a request of a client, and whether it has asked before, as far as can be told. It tells how much is normal.
-func (m *Monitor) Offered(now Time, class, tenant string, again bool) {
+// RecordRequest notes a request of a client, and whether it has asked before, as far as can be told. It tells how much is normal.
+func (m *Monitor) RecordRequest(now Time, class, tenant string, again bool) {
 	m.offered.note(now, again)
 	if r := m.rule(class, tenant); r != nil {
 		r.offered.note(now, again)
@@ -158,9 +158,9 @@
 	return m.offered.normal(now) * s.places / max(m.places, 1)
 }
 
-// Home returns the sites that requests of a class and tenant are meant for, nil for all that are listed, and which part of
+// HomeSites returns the sites that requests of a class and tenant are meant for, nil for all that are listed, and which part of
 // them is meant for sites that the list has lost. It must not be changed.
-func (m *Monitor) Home(class, tenant string) (sites []string, lost float64) {
+func (m *Monitor) HomeSites(class, tenant string) (sites []string, lost float64) {
 	var all, gone float64
 	if r := m.rule(class, tenant); r != nil {
 		for _, t := range r.Tiers {
@@ -256,15 +256,15 @@
 	return (1 + m.cfg.Spill) * m.normal(now, s) * m.share(now, s)
 }
 
-// Added reports whether what has been asked before may go to a site now: it has room for more than its own.
-func (m *Monitor) Added(now Time, to string, weight float64) bool {
+// HasSpareCapacity reports whether what has been asked before may go to a site now: it has room for more than its own.
+func (m *Monitor) HasSpareCapacity(now Time, to string, weight float64) bool {
 	s := m.sites[to]
 	return s != nil && s.mayTakeOver() && s.bucket.after(now, m.room(now, s), weight) == 0
 }
 
-// Sent notes an attempt at a server of a site. Every one counts, whatever it was meant for: what a site has of its own beyond what
+// RecordAttempt notes an attempt at a server of a site. Every one counts, whatever it was meant for: what a site has of its own beyond what
 // is normal, by retries of what others turned away, is not free for others.
-func (m *Monitor) Sent(now Time, site string) {
+func (m *Monitor) RecordAttempt(now Time, site string) {
 	if s := m.sites[site]; s != nil {
 		s.bucket.fill(now, m.room(now, s))
 		s.bucket.tokens--
--- a/sites/plan_test.go
+++ b/sites/plan_test.go
@@ -21,7 +21,7 @@
 	dark, tried, failed := false, 0, 0
 	run := func(d time.Duration) {
 		for until := now + d; now < until; now += 10 * time.Second {
-			m.Offered(now, "", "", false)
+			m.RecordRequest(now, "", "", false)
 			site := []string{"a", "b"}[rng.IntN(2)]
 			if rng.Float64() >= m.Share(now, site) {
 				continue
@@ -65,7 +65,7 @@
 	m.Servers(now, list(20, "a", "b"))
 	for range 100 {
 		now += 5 * time.Second
-		m.Offered(now, "", "", false)
+		m.RecordRequest(now, "", "", false)
 		m.Outcome(now, "a-1", false)
 		m.Outcome(now, "b-1", true)
 		m.Tick(now)
@@ -81,14 +81,14 @@
 	w := newWorld(t, Config{Fade: time.Minute, Spill: 0.2})
 	w.run(time.Minute)
 	w.Servers(w.now, append(list(1, "a"), list(4, "b")...))
-	if _, lost := w.Home("", ""); lost != 0 {
+	if _, lost := w.HomeSites("", ""); lost != 0 {
 		t.Errorf("with a server left %.2f is lost", lost)
 	}
 	w.Servers(w.now, list(4, "a", "b"))
 	for left := 3; left >= 0; left-- { // the list drops them one by one
 		w.Servers(w.now, append(list(left, "a"), list(4, "b")...))
 	}
-	if sites, lost := w.Home("", ""); sites != nil || lost < 0.49 || lost > 0.51 {
+	if sites, lost := w.HomeSites("", ""); sites != nil || lost < 0.49 || lost > 0.51 {
 		t.Fatalf("%v, %.2f is lost", sites, lost)
 	}
 	spilled := 0
@@ -97,26 +97,26 @@
 			spilled = 0 // what may come at once is used up
 		}
 		if to, after := w.Spill(w.now, "", "", "", 1); to == "b" {
-			w.Sent(w.now, to)
+			w.RecordAttempt(w.now, to)
 			spilled++
 		} else if after <= 0 || after > time.Second {
 			t.Fatalf("refused for %v", after)
 		}
-		w.Offered(w.now, "", "", false)
+		w.RecordRequest(w.now, "", "", false)
 		if w.now += 10 * ms; w.now/(10*ms)%2 == 0 {
-			w.Sent(w.now, "b") // its own
+			w.RecordAttempt(w.now, "b") // its own
 		}
 	}
 	if spilled < 90 || spilled > 120 {
 		t.Errorf("%d spill in 10 s, 100 may", spilled)
 	}
 	w.run(time.Minute)
-	if _, lost := w.Home("", ""); lost < 0.25 || lost > 0.4 {
+	if _, lost := w.HomeSites("", ""); lost < 0.25 || lost > 0.4 {
 		t.Errorf("after about a half-life %.2f is lost", lost)
 	}
 	w.run(10 * time.Minute)
 	w.Servers(w.now, list(4, "b"))
-	if _, lost := w.Home("", ""); lost != 0 || len(w.sites) != 1 {
+	if _, lost := w.HomeSites("", ""); lost != 0 || len(w.sites) != 1 {
 		t.Errorf("at the end %.2f is lost, and %d sites are kept", lost, len(w.sites))
 	}
 }
@@ -133,16 +133,16 @@
 	for _, tt := range []struct{ class, tenant, home string }{
 		{"order", "north-1", "[a]"}, {"check", "north-1", "[b]"}, {"check", "south", "[gone c]"},
 	} {
-		if sites, lost := w.Home(tt.class, tt.tenant); fmt.Sprint(sites) != tt.home || lost != 0 {
+		if sites, lost := w.HomeSites(tt.class, tt.tenant); fmt.Sprint(sites) != tt.home || lost != 0 {
 			t.Errorf("%s of %s: %v, %.2f lost", tt.class, tt.tenant, sites, lost)
 		}
 	}
 	to := map[string]int{}
 	for range 10_000 { // 100 s at 100 a second, all displaced
-		w.Offered(w.now, "order", "", false)
-		w.Offered(w.now, "check", "x", false) // so that b's and c's own load is no bound
+		w.RecordRequest(w.now, "order", "", false)
+		w.RecordRequest(w.now, "check", "x", false) // so that b's and c's own load is no bound
 		site, _ := w.Spill(w.now, "order", "", "a", 1)
-		w.Sent(w.now, site)
+		w.RecordAttempt(w.now, site)
 		to[site]++
 		w.now += 10 * ms
 	}
@@ -153,12 +153,12 @@
 		t.Errorf("what is for b alone goes to %q", site)
 	}
 	w.Servers(w.now, list(4, "a", "b")) // the list loses c: what is meant for it is lost until that has faded
-	if _, lost := w.Home("check", "south"); lost != 1 {
+	if _, lost := w.HomeSites("check", "south"); lost != 1 {
 		t.Errorf("%.2f of what is meant for c is lost", lost)
 	}
 	w.run(20 * time.Minute)
 	w.Servers(w.now, list(4, "a", "b"))
-	if sites, lost := w.Home("check", "south"); fmt.Sprint(sites) != "[a]" || lost != 0 {
+	if sites, lost := w.HomeSites("check", "south"); fmt.Sprint(sites) != "[a]" || lost != 0 {
 		t.Errorf("later: %v, %.2f lost", sites, lost)
 	}
 }
@@ -172,12 +172,12 @@
 		if i == 1000 {
 			n = 0 // what may come at once is used up
 		}
-		w.Offered(w.now, "", "", false)
+		w.RecordRequest(w.now, "", "", false)
 		if w.now/(10*ms)%2 == 0 {
-			w.Sent(w.now, "b") // its own
+			w.RecordAttempt(w.now, "b") // its own
 		}
-		if w.Added(w.now, "b", 1) {
-			w.Sent(w.now, "b")
+		if w.HasSpareCapacity(w.now, "b", 1) {
+			w.RecordAttempt(w.now, "b")
 			n++
 		}
 		w.now += 10 * ms
@@ -187,7 +187,7 @@
 	}
 	w.up["b"] = is(0)
 	w.run(10 * time.Second)
-	if w.Added(w.now, "b", 1) || w.Added(w.now, "nowhere", 1) {
+	if w.HasSpareCapacity(w.now, "b", 1) || w.HasSpareCapacity(w.now, "nowhere", 1) {
 		t.Error("an attempt is added to a dark site")
 	}
 }
--- a/sites/sites_test.go
+++ b/sites/sites_test.go
@@ -47,7 +47,7 @@
 // run lets d pass, with a request each 10 ms, half of them meant for each site.
 func (w *world) run(d time.Duration) {
 	for end := w.now + d; w.now < end; w.now += 10 * ms {
-		w.Offered(w.now, "", "", false)
+		w.RecordRequest(w.now, "", "", false)
 		site := []string{"a", "b"}[w.rng.IntN(2)]
 		if w.rng.Float64() >= w.Share(w.now, site) {
 			site = map[string]string{"a": "b", "b": "a"}[site]
@@ -252,16 +252,16 @@
 			m.Servers(now, list(4, "a", "b"))
 			gap := func() Time { return Time(rng.ExpFloat64() / rate * float64(time.Second)) }
 			for until := now + 2*time.Minute; now < until; now += gap() {
-				m.Offered(now, "", "", false)
+				m.RecordRequest(now, "", "", false)
 			}
 			normal += rate / 2
 			for until := now + seconds*time.Second; now < until; now += gap() {
-				m.Offered(now, "", "", false)
+				m.RecordRequest(now, "", "", false)
 				if rng.IntN(2) == 0 {
-					m.Sent(now, "b") // it was meant for the other
+					m.RecordAttempt(now, "b") // it was meant for the other
 				} else { // for the site that is dark
 					if to, _ := m.Spill(now, "", "", "a", 1); to != "" {
-						m.Sent(now, to)
+						m.RecordAttempt(now, to)
 						spilled++
 					} else {
 						refused++
@@ -286,18 +286,18 @@
 	now := Time(time.Hour)
 	m.Servers(now, list(4, "a", "b"))
 	for range 60_000 { // 1000 a second
-		m.Offered(now, "", "", false)
+		m.RecordRequest(now, "", "", false)
 		now += ms
 	}
 	spilled := map[float64]int{}
 	for range 20_000 {
-		m.Offered(now, "", "", false)
+		m.RecordRequest(now, "", "", false)
 		w := []float64{0.2, 1}[now/ms%2]
 		if now/ms%2 == 0 {
-			m.Sent(now, "b") // half of the load is its own
+			m.RecordAttempt(now, "b") // half of the load is its own
 		}
 		if to, _ := m.Spill(now, "", "", "a", w); to != "" {
-			m.Sent(now, to)
+			m.RecordAttempt(now, to)
 			spilled[w]++
 		}
 		now += ms
--- a/snapshot.go
+++ b/snapshot.go
@@ -74,7 +74,7 @@
 	for i, t := range e.Servers {
 		s.Servers[i] = ServerSnapshot{
 			ID: string(t.ID), Addr: t.Addr, Zone: t.Zone, Cell: t.Cell, Queue: t.Queue, Marked: t.Marked,
-			InReadySet: t.InSet, Out: t.Out, Failures: t.Fails, Ejected: t.Ejected, Warmth: t.Warmth, Expected: t.Expected,
+			InReadySet: t.InReadySet, Out: t.Outstanding, Failures: t.ConsecutiveFailures, Ejected: t.EjectedFor, Warmth: t.Warmth, Expected: t.ExpectedDelay,
 		}
 		if t.State == policy.Draining {
 			s.Servers[i].State = Draining
