--- a/balancer.go
+++ b/balancer.go
@@ -188,7 +188,7 @@
 		transport = orders.Transport(transport)
 	}
 	engineOptions := engine.Options{
-		Config: p.settings.Config, Module: module, Transport: transport, Source: p.source, Known: p.known, Log: o.log,
+		Config: p.settings.Config, Module: module, Transport: transport, Source: p.source, CachedList: p.known, Log: o.log,
 	}
 	if err := o.watchSites(&engineOptions); err != nil {
 		b.transport.Close()
@@ -202,7 +202,7 @@
 		b.desk = orders.New(orders.Options{Engine: b.engine, Book: book, Codec: httpmsg.Codec{}, Retention: retention, Log: o.log})
 	}
 	if p.move {
-		b.engine.Move(p.source)
+		b.engine.SetSource(p.source)
 	}
 	return b, nil
 }
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -392,7 +392,7 @@
 					if err := <-over; !errors.Is(err, want) {
 						t.Errorf("it ends with %v, want %v", err, want)
 					}
-					eventually(t, "nothing is left of it", func() bool { return b.engine.Snapshot().Held == 0 })
+					eventually(t, "nothing is left of it", func() bool { return b.engine.Snapshot().Retained == 0 })
 					outcomes, withdrawn := m.seen()
 					if int64(len(outcomes)) != sent.Load() || sent.Load() > tt.sent || how == "cancelled" && withdrawn != 1 {
 						t.Errorf("%d sends, %d outcomes, %d withdrawals; want %d sends", sent.Load(), len(outcomes), withdrawn, tt.sent)
@@ -609,8 +609,8 @@
 	if outcomes, _ := m.seen(); len(outcomes) != many || f.Boxes()[0].Counts().Requests != many {
 		t.Errorf("%d outcomes of %d sends", len(outcomes), f.Boxes()[0].Counts().Requests)
 	}
-	if used, _ := b.sockets.InUse(); used != 0 || b.engine.Snapshot().Held != 0 {
-		t.Errorf("%d descriptors and %d requests are left", used, b.engine.Snapshot().Held)
+	if used, _ := b.sockets.InUse(); used != 0 || b.engine.Snapshot().Retained != 0 {
+		t.Errorf("%d descriptors and %d requests are left", used, b.engine.Snapshot().Retained)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/cmd/quillfront/peers_test.go
+++ b/cmd/quillfront/peers_test.go
@@ -30,7 +30,7 @@
 	}
 	defer fleet.Close()
 	var boxes []*standin.Box
-	known := &engine.List{Seq: 1, Whole: true}
+	known := &engine.List{Seq: 1, Full: true}
 	for i := range 4 {
 		b, err := fleet.Start(standin.BoxConfig{ID: fmt.Sprint("box", i)})
 		if err != nil {
--- a/cmd/quillfront/process_bench_test.go
+++ b/cmd/quillfront/process_bench_test.go
@@ -40,7 +40,7 @@
 			path := filepath.Join(b.TempDir(), "config.json")
 			text := standin.Platform{
 				Seed: 1, Pushed: true, NoProbes: true, Sockets: 1024,
-				Known: &engine.List{Seq: 1, Whole: true, Servers: []engine.Server{{ID: "a", Addr: srv.Listener.Addr().String()}}},
+				Known: &engine.List{Seq: 1, Full: true, Servers: []engine.Server{{ID: "a", Addr: srv.Listener.Addr().String()}}},
 				Classes: []policy.Class{{
 					Name: "order", Effect: policy.Keyed, KeyTTL: time.Second, Aim: 9 * time.Second, Deadline: 10 * time.Second, Worth: 1,
 				}},
--- a/config.go
+++ b/config.go
@@ -254,7 +254,7 @@
 		return plan{}, err
 	}
 	return plan{
-		settings: settings.Settings{Config: p, Fields: fields}, limits: limits, source: source, known: known, move: true,
+		settings: settings.Settings{Config: p, LoadFields: fields}, limits: limits, source: source, known: known, move: true,
 	}, nil
 }
 
--- a/http.go
+++ b/http.go
@@ -54,7 +54,7 @@
 	}
 	until, bounded := ctx.Deadline()
 	if bounded { // no attempt outlasts who waits for it by more than that
-		r.Wait = min(r.Wait, max(time.Until(until), 0)+ownEnd)
+		r.Timeout = min(r.Timeout, max(time.Until(until), 0)+ownEnd)
 	}
 	err = context.Cause(ctx) // it may have ended while the body was read
 	if err == nil {
@@ -67,7 +67,7 @@
 			return nil, &RequestError{http.StatusUnprocessableEntity, err.Error()}
 		case errors.Is(err, engine.ErrClosed):
 			return nil, ErrClosed
-		case errors.Is(err, engine.ErrNameOpen):
+		case errors.Is(err, engine.ErrDuplicateID):
 			return nil, &RequestError{http.StatusConflict, "a request with this X-Request-ID is open"}
 		}
 		return nil, err
@@ -112,7 +112,7 @@
 // hand hands a request on.
 func (b *Balancer) hand(r *engine.Request, call *httpcall.Call, m *httpmsg.Message) error {
 	if b.desk == nil || call.IdempotencyKey == "" {
-		return b.engine.Take(r, b.engine.Now())
+		return b.engine.Submit(r, b.engine.Now())
 	}
 	read := b.engine.Now()
 	return b.desk.Take(r, orders.Ask{Key: call.IdempotencyKey, Print: call.Print(m.Body)}, read)
@@ -135,7 +135,7 @@
 	}
 	e := &FailedError{Attempts: r.Attempts, Unknown: r.MayHaveRun}
 	if r.Attempts > 0 {
-		e.Last = outcomes[r.Last]
+		e.Last = outcomes[r.LastStatus]
 	}
 	return nil, e
 }
--- a/internal/conformance/edge.go
+++ b/internal/conformance/edge.go
@@ -209,7 +209,7 @@
 // edge starts a raw server and a form before it.
 func edge(t testing.TB, start StartEdge) (Edge, *rawServer) {
 	s := startRaw(t)
-	known := engine.List{Seq: 1, Whole: true, Servers: []engine.Server{{ID: "raw", Addr: s.ln.Addr().String(), State: policy.Ready, Weight: 1}}}
+	known := engine.List{Seq: 1, Full: true, Servers: []engine.Server{{ID: "raw", Addr: s.ln.Addr().String(), State: policy.Ready, Weight: 1}}}
 	return start(t, standin.Platform{Seed: 1, Known: &known, Classes: Classes(), Pushed: true, NoProbes: true}.JSON()), s
 }
 
--- a/internal/daemon/crossing_test.go
+++ b/internal/daemon/crossing_test.go
@@ -48,8 +48,8 @@
 
 // stage reports whether one attempt is out, and waits for s.
 func (w *world) stage(s engine.Stage) bool {
-	all := w.engine.Waiting(0)
-	return len(all) == 1 && len(all[0].Out) == 1 && all[0].Out[0].Stage == s
+	all := w.engine.PendingRequests(0)
+	return len(all) == 1 && len(all[0].OpenAttempts) == 1 && all[0].OpenAttempts[0].Stage == s
 }
 
 // TestClientLeavesBeforeItIsSent: a request whose client leaves while it waits is not sent on, whatever it waits for, and also where
@@ -65,7 +65,7 @@
 		if o := next(t, "outcome", m.outcomes); o.Status != policy.Canceled || !o.Closed {
 			t.Errorf("outcome %+v, want Canceled and Closed", o)
 		}
-		eventually(t, "nothing is left of it", func() bool { return w.engine.Snapshot().Held == 0 })
+		eventually(t, "nothing is left of it", func() bool { return w.engine.Snapshot().Retained == 0 })
 	}
 	t.Run("a connection", func(t *testing.T) {
 		m, f := newScript(), newFull(t)
@@ -114,7 +114,7 @@
 		}
 		last.Close()
 		eventually(t, "all have ended", func() bool { return w.clients() <= 1 })
-		if n := w.engine.Snapshot().Taken; n != uint64(busy+1) {
+		if n := w.engine.Snapshot().Accepted; n != uint64(busy+1) {
 			t.Errorf("%d requests were taken, want %d", n, busy+1)
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -85,7 +85,7 @@
 			}
 			log.Info("account", "second", second.Text())
 		}
-		s, err := newSidecar(cfg, op, account.New(b, cfg.Settings.Config, engine.Origin().UnixMilli(), tell), log)
+		s, err := newSidecar(cfg, op, account.New(b, cfg.Settings.Config, engine.ClockOrigin().UnixMilli(), tell), log)
 		if err == nil {
 			transport.Store(s.transport)
 		}
@@ -118,7 +118,7 @@
 	}
 	options := engine.Options{
 		Config: cfg.Settings.Config, Module: b, Transport: transport, Source: source(cfg),
-		Known: cfg.Known, Sites: op.Sites, Log: log,
+		CachedList: cfg.Known, Sites: op.Sites, Log: log,
 	}
 	s.engine = engine.New(options)
 	if book != nil {
@@ -146,9 +146,9 @@
 			var l note
 			if s.dir.Noted(&l, noteAge) {
 				s.engine.Learn(l.Policy)
-				s.engine.RecallSites(l.Sites)
+				s.engine.RestoreSites(l.Sites)
 			}
-			s.engine.Ask() // what the older one was told counts as told to this one
+			s.engine.Refresh() // what the older one was told counts as told to this one
 		}
 	}
 	engines := func() []*engine.Engine { return append(s.services.Engines(), s.engine) }
@@ -365,7 +365,7 @@
 	}
 	moved := source(cfg) != source(old)
 	if moved {
-		s.engine.Move(source(cfg))
+		s.engine.SetSource(source(cfg))
 	}
 	s.cfg.Settings, s.cfg.Discovery, s.cfg.Text = cfg.Settings, cfg.Discovery, cfg.Text
 	s.reloads.applied++
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -220,9 +220,9 @@
 	}
 	eventually(t, "all is gone", func() bool {
 		// One place for the connection that the listener waits for.
-		return w.engine.Snapshot().Held == 0 && w.engine.Snapshot().Probing == 0 && w.inUse() <= 1 && w.clients() <= 1
+		return w.engine.Snapshot().Retained == 0 && w.engine.Snapshot().Probing == 0 && w.inUse() <= 1 && w.clients() <= 1
 	})
-	if due := w.engine.Snapshot().LastDue; due > w.engine.Longest() {
+	if due := w.engine.Snapshot().LastDue; due > w.engine.LongestDeadline() {
 		t.Errorf("a timer is due in %v", due)
 	}
 }
--- a/internal/daemon/operate.go
+++ b/internal/daemon/operate.go
@@ -155,7 +155,7 @@
 	if !s.serving.Load() || away {
 		return management.ErrNotReady
 	}
-	if s.took && !s.engine.Told() && time.Since(s.began) < takeoverWait {
+	if s.took && !s.engine.ListReceived() && time.Since(s.began) < takeoverWait {
 		return fmt.Errorf("%w: the list of servers has not come yet", management.ErrNotReady)
 	}
 	return nil
@@ -164,14 +164,14 @@
 // Exclude is a method of management.Operated.
 func (o operated) Exclude(id policy.ServerID) error {
 	return o.update(func(st *handover.State) error {
-		return st.Absences.Exclude(id, o.engine.Listed, time.Now().UnixMilli())
+		return st.Absences.Exclude(id, o.engine.ListEntry, time.Now().UnixMilli())
 	})
 }
 
 // Include is a method of management.Operated.
 func (o operated) Include(id policy.ServerID) error {
 	return o.update(func(st *handover.State) error {
-		return st.Absences.Include(id, o.engine.Listed, time.Now().UnixMilli())
+		return st.Absences.Include(id, o.engine.ListEntry, time.Now().UnixMilli())
 	})
 }
 
@@ -197,8 +197,8 @@
 // Waiting is a method of management.Operated.
 func (o operated) Waiting(d time.Duration) []string {
 	var all []services.Waiting
-	for _, w := range o.engine.Waiting(d) {
-		all = append(all, services.Waiting{Pool: "platform", Waiting: w})
+	for _, w := range o.engine.PendingRequests(d) {
+		all = append(all, services.Waiting{Pool: "platform", PendingRequest: w})
 	}
 	return linesOf(append(all, o.services.Waiting(d)...))
 }
@@ -206,7 +206,7 @@
 // linesOf tells requests that wait, one a line.
 func linesOf(all []services.Waiting) (lines []string) {
 	for _, w := range all {
-		lines = append(lines, fmt.Sprintf("%v pool=%s class=%s attempts=%d %q waits for %s", w.Age.Round(time.Millisecond), w.Pool, w.Class, w.Attempts, w.What, w))
+		lines = append(lines, fmt.Sprintf("%v pool=%s class=%s attempts=%d %q waits for %s", w.Age.Round(time.Millisecond), w.Pool, w.Class, w.Attempts, w.Description, w))
 	}
 	return lines
 }
--- a/internal/daemon/own.go
+++ b/internal/daemon/own.go
@@ -167,7 +167,7 @@
 
 func (o ownOperated) listed(id policy.ServerID) (roster.Entry, bool) {
 	for _, e := range o.services.Engines() {
-		if entry, ok := e.Listed(id); ok {
+		if entry, ok := e.ListEntry(id); ok {
 			return entry, true
 		}
 	}
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -47,7 +47,7 @@
 	if cfg.Hints {
 		on.Hinted = func(server string) {
 			for _, e := range engines() {
-				e.Hint(policy.ServerID(server))
+				e.HintDraining(policy.ServerID(server))
 			}
 		}
 	}
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -417,7 +417,7 @@
 				t.Errorf("answer %d, Retry-After %q; want %d, %q", resp.StatusCode, resp.Header.Get("Retry-After"), tt.want, tt.retry)
 			}
 			eventually(t, "nothing is left of it", func() bool {
-				return w.engine.Snapshot().Held == 0
+				return w.engine.Snapshot().Retained == 0
 			})
 		})
 	}
--- a/internal/daemon/site_reload_test.go
+++ b/internal/daemon/site_reload_test.go
@@ -17,7 +17,7 @@
 // siteSidecar returns a sidecar that watches sites by cfg, with two servers at each of a and b, and has seen a fail.
 func siteSidecar(t *testing.T, cfg *sites.Config) *Sidecar {
 	t.Helper()
-	known := engine.List{Seq: 1, Whole: true}
+	known := engine.List{Seq: 1, Full: true}
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
 		known.Servers = append(known.Servers, engine.Server{ID: policy.ServerID(id), Addr: "127.0.0.1:1", Zone: id[:1], Weight: 1})
 	}
@@ -47,7 +47,7 @@
 // nothing where the new settings cannot be used.
 func TestReloadOfSites(t *testing.T) {
 	s := siteSidecar(t, &sites.Config{Hold: time.Hour})
-	s.engine.RecallSites(sites.Memory{Sites: []sites.SiteMemory{{Site: "a", State: sites.Dark, Climb: time.Minute, Servers: 2}}})
+	s.engine.RestoreSites(sites.Memory{Sites: []sites.SiteMemory{{Site: "a", State: sites.Dark, Climb: time.Minute, Servers: 2}}})
 	if got := views(s); got != "a dark, b healthy" {
 		t.Fatal(got)
 	}
@@ -70,7 +70,7 @@
 // harm.
 func TestHandoverOfSites(t *testing.T) {
 	s := siteSidecar(t, &sites.Config{})
-	s.engine.RecallSites(sites.Memory{Offered: 40, Sites: []sites.SiteMemory{{Site: "a", State: sites.Dark, Climb: time.Minute, Servers: 2}}})
+	s.engine.RestoreSites(sites.Memory{Offered: 40, Sites: []sites.SiteMemory{{Site: "a", State: sites.Dark, Climb: time.Minute, Servers: 2}}})
 	l, _ := s.engine.Learned()
 	text, err := json.Marshal(note{l, s.engine.SiteMemory()})
 	if err != nil {
@@ -81,7 +81,7 @@
 	if err := json.Unmarshal(text, &n); err != nil {
 		t.Fatal(err)
 	}
-	next.engine.RecallSites(n.Sites)
+	next.engine.RestoreSites(n.Sites)
 	if got := views(next); got != "a dark, b healthy" {
 		t.Error(got)
 	}
@@ -94,11 +94,11 @@
 		t.Fatal(err)
 	}
 	next.engine.Learn(n.Policy)
-	next.engine.RecallSites(n.Sites)
+	next.engine.RestoreSites(n.Sites)
 	if got := views(next); got != "a dark, b healthy" {
 		t.Errorf("after an old note: %s", got)
 	}
-	siteSidecar(t, nil).engine.RecallSites(sites.Memory{Offered: 1}) // where none are watched
+	siteSidecar(t, nil).engine.RestoreSites(sites.Memory{Offered: 1}) // where none are watched
 	if s, err := New(s.Config(), config.Operator{Sites: &sites.Config{Spill: -1}}, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "[sites]: spill") {
 		t.Errorf("settings that cannot be used: %v, %v", s, err)
 	}
--- a/internal/daemon/sites_test.go
+++ b/internal/daemon/sites_test.go
@@ -31,7 +31,7 @@
 			var hits [2]atomic.Int64
 			end := make(chan struct{})
 			defer close(end)
-			known := engine.List{Seq: 1, Whole: true}
+			known := engine.List{Seq: 1, Full: true}
 			for i := range 4 {
 				site := i % 2
 				addr := peer(t, answering(func(q *http.Request, c net.Conn) {
--- a/internal/daemon/stream_test.go
+++ b/internal/daemon/stream_test.go
@@ -240,7 +240,7 @@
 			if n := len(sent); n != 1 {
 				t.Errorf("sent %d times", n)
 			}
-			eventually(t, "it is forgotten", func() bool { return w.engine.Snapshot().Held == 0 })
+			eventually(t, "it is forgotten", func() bool { return w.engine.Snapshot().Retained == 0 })
 		})
 	}
 }
@@ -308,7 +308,7 @@
 			if err := next(t, "end at the upstream", ended); err == nil {
 				t.Error("the upstream takes it for whole")
 			}
-			eventually(t, "it is forgotten", func() bool { return w.engine.Snapshot().Held == 0 })
+			eventually(t, "it is forgotten", func() bool { return w.engine.Snapshot().Retained == 0 })
 		})
 	}
 }
--- a/internal/daemon/upstream_test.go
+++ b/internal/daemon/upstream_test.go
@@ -232,9 +232,9 @@
 	id := policy.ServerID("a")
 	m.request = func(now policy.Time, q policy.Request, act policy.Actions) { act.Send(q.ID, id, q.Expires-now) }
 	w := start(t, m, addr, "127.0.0.1:1")
-	for i, e := range []engine.Server{{ID: "a", Addr: addr}, {ID: "b", Addr: addr}, {ID: "b", Addr: addr, BornMs: 5}} {
+	for i, e := range []engine.Server{{ID: "a", Addr: addr}, {ID: "b", Addr: addr}, {ID: "b", Addr: addr, StartedMs: 5}} {
 		id = e.ID
-		w.engine.Move(lists{{Seq: int64(50 + i), Whole: true, Servers: []engine.Server{e}}})
+		w.engine.SetSource(lists{{Seq: int64(50 + i), Full: true, Servers: []engine.Server{e}}})
 		next(t, "list", m.members)
 		for range 2 {
 			if resp, _ := w.ask(t, plainGet); resp.StatusCode != http.StatusOK {
@@ -292,7 +292,7 @@
 		c := w.connect(t)
 		c.write(plainGet)
 		eventually(t, "the request is taken", func() bool {
-			return w.engine.Snapshot().Taken == 1
+			return w.engine.Snapshot().Accepted == 1
 		})
 		c.Close()
 		id := next(t, "Withdrawn", m.withdrawn)
@@ -301,7 +301,7 @@
 			t.Errorf("outcome %+v, want Canceled and Closed", o)
 		}
 		eventually(t, "nothing is left of it", func() bool {
-			return w.engine.Snapshot().Held == 0
+			return w.engine.Snapshot().Retained == 0
 		})
 	})
 }
--- a/internal/daemon/world_test.go
+++ b/internal/daemon/world_test.go
@@ -205,7 +205,7 @@
 
 // act does what the module could.
 func (w *world) act(f func(act policy.Actions)) {
-	w.engine.Within(func(_ policy.Time, act policy.Actions) { f(act) })
+	w.engine.RunAsEvent(func(_ policy.Time, act policy.Actions) { f(act) })
 }
 
 // settled waits until the one idle connection to a server may carry the next request.
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -58,11 +58,11 @@
 	if m.Seq == nil {
 		return engine.List{}, errors.New("server list: no seq")
 	}
-	l := engine.List{Seq: *m.Seq, Whole: m.Whole, Servers: make([]engine.Server, 0, len(m.Hosts))}
+	l := engine.List{Seq: *m.Seq, Full: m.Whole, Servers: make([]engine.Server, 0, len(m.Hosts))}
 	for _, e := range m.Hosts {
 		id := policy.ServerID(e.Host)
 		fault := func(form string, args ...any) {
-			l.Faults = append(l.Faults, engine.Fault{ID: id, Why: fmt.Sprintf(form, args...)})
+			l.EntryErrors = append(l.EntryErrors, engine.EntryError{ID: id, Reason: fmt.Sprintf(form, args...)})
 		}
 		state, ok := states[e.Health]
 		if !ok || e.Host == "" {
@@ -74,7 +74,7 @@
 			e.Dial = ""
 		}
 		l.Servers = append(l.Servers, engine.Server{
-			ID: id, Addr: e.Dial, State: state, Zone: e.Site, Cell: e.Block, Weight: e.Share, BornMs: e.BornMs,
+			ID: id, Addr: e.Dial, State: state, Zone: e.Site, Cell: e.Block, Weight: e.Share, StartedMs: e.BornMs,
 		})
 	}
 	return l, nil
@@ -94,9 +94,9 @@
 
 // Format is the inverse of Parse, for whoever stands in for a discovery.
 func Format(l engine.List) ([]byte, error) {
-	m := message{Seq: &l.Seq, Whole: l.Whole, Hosts: make([]entry, len(l.Servers))}
+	m := message{Seq: &l.Seq, Whole: l.Full, Hosts: make([]entry, len(l.Servers))}
 	for i, s := range l.Servers {
-		m.Hosts[i] = entry{string(s.ID), s.Addr, s.Zone, s.Cell, "", s.Weight, s.BornMs}
+		m.Hosts[i] = entry{string(s.ID), s.Addr, s.Zone, s.Cell, "", s.Weight, s.StartedMs}
 		for name, state := range states {
 			if state == s.State {
 				m.Hosts[i].Health = name
--- a/internal/dnslist/source.go
+++ b/internal/dnslist/source.go
@@ -50,7 +50,7 @@
 			s.Log.Warn("DNS", "name", s.Name, "kept", step.Kept, "err", err)
 		}
 		if step.Changed {
-			l := engine.List{Seq: engine.UnknownSeq, Whole: true}
+			l := engine.List{Seq: engine.UnknownSeq, Full: true}
 			for _, r := range step.List {
 				l.Servers = append(l.Servers, engine.Server{ID: policy.ServerID(r.Addr), Addr: r.Addr, State: policy.Ready, Weight: 1})
 			}
--- a/internal/engine/roster.go
+++ b/internal/engine/availability.go
@@ -9,24 +9,24 @@
 	"quillfront/roster"
 )
 
-// Listed returns what the list says of a server, whether operators have it out or not.
-func (e *Engine) Listed(id policy.ServerID) (roster.Entry, bool) {
+// ListEntry returns what the list says of a server, whether operators have it out or not.
+func (e *Engine) ListEntry(id policy.ServerID) (roster.Entry, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.listed[id]
-	return roster.Entry{ID: s.ID, State: s.State, BornMs: s.BornMs}, ok
+	return roster.Entry{ID: s.ID, State: s.State, BornMs: s.StartedMs}, ok
 }
 
-// Takes reports whether a server is listed and may get anything new, as far as the list and operators tell.
-func (e *Engine) Takes(id policy.ServerID) bool {
+// ServerUsable reports whether a server is listed and may get anything new, as far as the list and operators tell.
+func (e *Engine) ServerUsable(id policy.ServerID) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.listed[id]
 	return ok && e.asCounts(e.absences, s).State == policy.Ready
 }
 
-// Usable reports whether any server is listed that may get something new.
-func (e *Engine) Usable() bool {
+// HasUsableServer reports whether any server is listed that may get something new.
+func (e *Engine) HasUsableServer() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.usable()
@@ -61,22 +61,22 @@
 	})
 }
 
-// Cut returns how many requests have been refused or have failed since Retire.
-func (e *Engine) Cut() uint64 {
+// UnservedSinceRetire returns how many requests have been refused or have failed since Retire.
+func (e *Engine) UnservedSinceRetire() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cut
 }
 
-// Open returns how many requests have no result yet.
-func (e *Engine) Open() int {
+// OpenRequests returns how many requests have no result yet.
+func (e *Engine) OpenRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.open
 }
 
-// Held returns how many requests are kept: open ones, and ended ones with attempts that are still out.
-func (e *Engine) Held() int {
+// RetainedRequests returns how many requests are kept: open ones, and ended ones with attempts that are still out.
+func (e *Engine) RetainedRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.requests)
@@ -103,8 +103,8 @@
 
 // asCounts is s as it counts under a, and as it has asked itself.
 func (e *Engine) asCounts(a roster.Absences, s Server) Server {
-	c := a.Counts(roster.Entry{ID: s.ID, State: s.State, BornMs: s.BornMs})
-	s.State, s.BornMs = c.State, c.BornMs
+	c := a.Counts(roster.Entry{ID: s.ID, State: s.State, BornMs: s.StartedMs})
+	s.State, s.StartedMs = c.State, c.BornMs
 	if s.State == policy.Ready && e.avoided.Has(s.ID) {
 		s.State = policy.Draining
 	}
@@ -114,10 +114,10 @@
 // mostHint is how long a server counts as draining on another's word.
 const mostHint = 10 * time.Second
 
-// Hint takes another process's word that a server drains or is gone. It counts as draining for a while, as if it had asked to be left alone:
+// HintDraining takes another process's word that a server drains or is gone. It counts as draining for a while, as if it had asked to be left alone:
 // that makes this process more careful, and is over soon if its own list does not say so too. At most half of those that could be used are
 // left alone.
-func (e *Engine) Hint(id policy.ServerID) {
+func (e *Engine) HintDraining(id policy.ServerID) {
 	e.event(func(now policy.Time) { e.avoid(now, id, mostHint) })
 }
 
@@ -157,7 +157,7 @@
 	}
 	usable := 0
 	for _, o := range e.listed {
-		if c := e.absences.Counts(roster.Entry{ID: o.ID, State: o.State, BornMs: o.BornMs}); c.State == policy.Ready {
+		if c := e.absences.Counts(roster.Entry{ID: o.ID, State: o.State, BornMs: o.StartedMs}); c.State == policy.Ready {
 			usable++
 		}
 	}
--- a/internal/engine/rules.go
+++ b/internal/engine/classes.go
@@ -43,8 +43,8 @@
 	return false
 }
 
-// Longest is the longest time that a request may wait: the longest deadline of the classes.
-func (e *Engine) Longest() time.Duration { return e.rules.Load().longest }
+// LongestDeadline is the longest time that a request may wait: the longest deadline of the classes.
+func (e *Engine) LongestDeadline() time.Duration { return e.rules.Load().longest }
 
 // Class returns the class of requests of that name.
 func (e *Engine) Class(name string) (c policy.Class, known bool) {
--- a/internal/engine/counts.go
+++ b/internal/engine/counts.go
@@ -10,7 +10,7 @@
 
 // Counts is what has become of the requests of a class since the start.
 type Counts struct {
-	Taken     uint64
+	Accepted  uint64
 	Results   [Dropped + 1]uint64         // by Kind
 	Withdrawn uint64                      // their clients have left
 	Attempts  [policy.Rejected + 1]uint64 // that have ended, by how they did
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -53,11 +53,11 @@
 // Endpoint is where a server is reached, and which one it is: an address may pass from one to another, and a server that
 // has started anew is another one to whoever holds connections to it.
 type Endpoint struct {
-	Addr   string
-	ID     policy.ServerID
-	BornMs int64 // Unix time in milliseconds; 0 is long ago
-	Zone   string
-	Cell   int
+	Addr      string
+	ID        policy.ServerID
+	StartedMs int64 // Unix time in milliseconds; 0 is long ago
+	Zone      string
+	Cell      int
 }
 
 // String returns the address.
@@ -67,31 +67,31 @@
 type Transport interface {
 	// Do carries out one attempt and returns its one ending, by a.Deadline at the latest. It sends at most once: whether
 	// to send again is for the module to say. What it waits for ends when a is called off; see Attempt.OnCancel.
-	Do(a *Attempt, to Endpoint) Ending
+	Do(a *Attempt, to Endpoint) AttemptResult
 	// Probe asks a server for its load. It ends by itself within a fixed time, or when ctx does.
 	Probe(ctx context.Context, to Endpoint) (policy.Status, *policy.Load)
 	// HangUp closes the idle connections to a server. It does not block.
 	HangUp(to Endpoint)
 }
 
-// Ending is how an attempt has ended.
-type Ending struct {
-	Status policy.Status
-	Load   *policy.Load  // nil if none came with the answer
-	Reply  any           // with policy.OK: the answer, for the front that asked, unless it was given by Begin
-	Spent  bool          // the payload cannot be sent again
-	Avoid  time.Duration // the server asks to be left alone for as long; 0: it does not
+// AttemptResult is how an attempt has ended.
+type AttemptResult struct {
+	Status          policy.Status
+	Load            *policy.Load  // nil if none came with the answer
+	Reply           any           // with policy.OK: the answer, for the front that asked, unless it was given by Begin
+	PayloadConsumed bool          // the payload cannot be sent again
+	AvoidFor        time.Duration // the server asks to be left alone for as long; 0: it does not
 }
 
 // Options is what an Engine is made of.
 type Options struct {
-	Config    policy.Config
-	Module    Module
-	Transport Transport
-	Source    Source        // of the list; nil: nothing is ever told
-	Sites     *sites.Config // nil: sites are not watched. It has been checked
-	Known     *List         // the list as it was last known, perhaps out of date
-	Log       *slog.Logger
+	Config     policy.Config
+	Module     Module
+	Transport  Transport
+	Source     Source        // of the list; nil: nothing is ever told
+	Sites      *sites.Config // nil: sites are not watched. It has been checked
+	CachedList *List         // the list as it was last known, perhaps out of date
+	Log        *slog.Logger
 }
 
 // Engine hosts one decision module. Its methods may be called from many goroutines at once.
@@ -142,12 +142,12 @@
 	cut       uint64        // refused or failed since
 }
 
-// Origin is the instant of policy.Time 0 for an engine that starts now.
-func Origin() time.Time { return time.Now().Add(-longAgo) }
+// ClockOrigin is the instant of policy.Time 0 for an engine that starts now.
+func ClockOrigin() time.Time { return time.Now().Add(-longAgo) }
 
 // New returns an engine that runs until Close.
 func New(o Options) *Engine {
-	origin := Origin()
+	origin := ClockOrigin()
 	ctx, stop := context.WithCancel(context.Background())
 	e := &Engine{
 		log: o.Log, ctx: ctx, stop: stop, origin: origin, originMs: origin.UnixMilli(), to: o.Transport,
@@ -166,8 +166,8 @@
 		}
 	}
 	e.event(func(now policy.Time) {
-		if o.Known != nil {
-			e.members(now, policy.ListCached, *o.Known)
+		if o.CachedList != nil {
+			e.members(now, policy.ListCached, *o.CachedList)
 		}
 		e.listen()
 	})
@@ -192,9 +192,9 @@
 	}
 }
 
-// Within runs f as one event of the module's: under the lock, and with the actions that the module could call. Its actions
+// RunAsEvent runs f as one event of the module's: under the lock, and with the actions that the module could call. Its actions
 // must be those of which the module may learn the outcome. It is for whoever scripts a module.
-func (e *Engine) Within(f func(now policy.Time, act policy.Actions)) {
+func (e *Engine) RunAsEvent(f func(now policy.Time, act policy.Actions)) {
 	e.event(func(now policy.Time) { f(now, e) })
 }
 
@@ -204,16 +204,16 @@
 	ErrClosed = errors.New("the balancer is closed")
 	// ErrUnknownClass tells that the configuration has no class of that name.
 	ErrUnknownClass = errors.New("no such class of requests")
-	// ErrNameOpen tells that a request of that name is open.
-	ErrNameOpen = errors.New("a request of this id is open")
+	// ErrDuplicateID tells that a request of that name is open.
+	ErrDuplicateID = errors.New("a request of this id is open")
 )
 
-// Take hands a request to the module. Its time has run since read, a time of Now. With an error nothing was taken, and r
+// Submit hands a request to the module. Its time has run since read, a time of Now. With an error nothing was taken, and r
 // may be used again.
 //
 // It guards against two open requests under one name: servers tell requests by it, so that the answer to one could go to
 // the other. A client that uses a name twice at once on purpose gets but one of them served.
-func (e *Engine) Take(r *Request, read policy.Time) (err error) {
+func (e *Engine) Submit(r *Request, read policy.Time) (err error) {
 	e.event(func(now policy.Time) {
 		if err = e.admit(r); err == nil {
 			e.hand(now, r, read)
@@ -222,9 +222,9 @@
 	return err
 }
 
-// Adopt takes a request of which the module is not told: whoever adopts it gives it its result by Settle, or hands it to the
+// SubmitDeferred takes a request of which the module is not told: whoever adopts it gives it its result by Settle, or hands it to the
 // module after all. In everything else it is as one that was taken.
-func (e *Engine) Adopt(r *Request) (err error) {
+func (e *Engine) SubmitDeferred(r *Request) (err error) {
 	e.event(func(policy.Time) {
 		if err = e.admit(r); err == nil {
 			r.adopted = true
@@ -233,8 +233,8 @@
 	return err
 }
 
-// Settle gives an adopted request its result, unless it has ended.
-func (e *Engine) Settle(r *Request, result Result) {
+// ResolveDeferred gives an adopted request its result, unless it has ended.
+func (e *Engine) ResolveDeferred(r *Request, result Result) {
 	e.event(func(policy.Time) {
 		if r.adopted {
 			e.finish(r, result)
@@ -242,8 +242,8 @@
 	})
 }
 
-// Hand hands an adopted request to the module, unless it has ended; first is run before, under the lock.
-func (e *Engine) Hand(r *Request, read policy.Time, first func()) {
+// DispatchDeferred hands an adopted request to the module, unless it has ended; first is run before, under the lock.
+func (e *Engine) DispatchDeferred(r *Request, read policy.Time, first func()) {
 	e.event(func(now policy.Time) {
 		if !r.adopted || r.ended {
 			return
@@ -266,14 +266,14 @@
 	switch {
 	case e.closing || r.unsendable:
 		return ErrClosed
-	case r.Name != "" && e.names[r.Name] != nil:
-		return ErrNameOpen
-	case r.Name != "":
-		e.names[r.Name] = r
+	case r.ExternalID != "" && e.names[r.ExternalID] != nil:
+		return ErrDuplicateID
+	case r.ExternalID != "":
+		e.names[r.ExternalID] = r
 	}
 	e.lastID++
 	e.open++
-	e.count(r).Taken++
+	e.count(r).Accepted++
 	r.id, r.result, r.since = e.lastID, make(chan Result, 1), e.Now()
 	e.requests[r.id] = r
 	return nil
@@ -281,17 +281,17 @@
 
 // Expires is when nobody waits any more for the answer to r, whose time has run since read.
 func (e *Engine) Expires(r *Request, read policy.Time) policy.Time {
-	if r.By.IsZero() {
-		return read + r.Wait
+	if r.Deadline.IsZero() {
+		return read + r.Timeout
 	}
-	return min(read+r.Wait, r.By.Sub(e.origin))
+	return min(read+r.Timeout, r.Deadline.Sub(e.origin))
 }
 
 // hand tells the module of a request.
 func (e *Engine) hand(now policy.Time, r *Request, read policy.Time) {
 	e.sites.Tick(now)
 	e.module.Request(now, policy.Request{
-		ID: r.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Cost: r.Cost, Retry: r.Retry, Expires: e.Expires(r, read), Wait: r.Wait, Past: r.Past,
+		ID: r.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Cost: r.Cost, Retry: r.Retry, Expires: e.Expires(r, read), Wait: r.Timeout, Past: r.KeyHistory,
 		Upload: r.Upload,
 	}, e)
 }
@@ -311,8 +311,8 @@
 	e.end(r)
 	r.callOff(nil)
 	e.count(r).Withdrawn++
-	if r.Ended != nil {
-		r.Ended(Result{}, true)
+	if r.OnEnd != nil {
+		r.OnEnd(Result{}, true)
 	}
 	if !r.adopted {
 		e.module.Withdrawn(now, r.id, e)
@@ -330,7 +330,7 @@
 	if e.retired {
 		e.cut++
 	}
-	result.Attempts, result.Last, result.NotRun = len(r.attempts), r.last, r.out == 0 && !r.ran
+	result.Attempts, result.LastStatus, result.NotRun = len(r.attempts), r.last, r.out == 0 && !r.ran
 	e.give(r, result)
 	e.after = append(e.after, func(policy.Time) { e.forget(r) })
 }
@@ -339,16 +339,16 @@
 func (e *Engine) give(r *Request, result Result) {
 	r.result <- result
 	e.count(r).Results[result.Kind]++
-	if r.Ended != nil {
-		r.Ended(result, false)
+	if r.OnEnd != nil {
+		r.OnEnd(result, false)
 	}
 }
 
 // end notes that r has ended: its name may be used again.
 func (e *Engine) end(r *Request) {
 	r.ended = true
-	if r.Name != "" {
-		delete(e.names, r.Name)
+	if r.ExternalID != "" {
+		delete(e.names, r.ExternalID)
 	}
 	e.open--
 	e.checkDrained()
@@ -377,7 +377,7 @@
 }
 
 // settled takes the end of an attempt.
-func (e *Engine) settled(now policy.Time, a *Attempt, end Ending) {
+func (e *Engine) settled(now policy.Time, a *Attempt, end AttemptResult) {
 	r := a.req
 	a.settled = true
 	if end.Status == policy.Canceled && !r.ended && a.unsent() {
@@ -388,8 +388,8 @@
 	r.ran = r.ran || !end.Status.NotRun()
 	e.count(r).Attempts[end.Status]++
 	e.sites.Ended(now, a.Server, end.Status)
-	if end.Avoid > 0 {
-		e.avoid(now, a.Server, end.Avoid)
+	if end.AvoidFor > 0 {
+		e.avoid(now, a.Server, end.AvoidFor)
 	}
 	delay := now - a.sent
 	if a.begun != 0 {
@@ -402,14 +402,14 @@
 	}
 	e.module.Outcome(now, policy.Outcome{
 		ID: r.id, Attempt: a.Number, Server: a.Server, Status: end.Status, Delay: delay,
-		Closed: r.ended, Load: end.Load, Spent: end.Spent,
+		Closed: r.ended, Load: end.Load, Spent: end.PayloadConsumed,
 	}, e)
 	e.forget(r)
 }
 
-// Begin gives the request of a its result before the attempt has ended: the answer has begun, and nothing else is sent for it
+// BeginReply gives the request of a its result before the attempt has ended: the answer has begun, and nothing else is sent for it
 // from now on. It reports false if the request has ended already, so that nobody awaits reply.
-func (a *Attempt) Begin(reply any) (wanted bool) {
+func (a *Attempt) BeginReply(reply any) (wanted bool) {
 	e, r := a.engine, a.req
 	e.event(func(now policy.Time) {
 		if wanted = !r.ended; wanted {
@@ -425,14 +425,14 @@
 
 // Uploaded tells that all of a payload that was still coming has come: the time of its request counts from now. It is
 // called before the attempt waits for its answer, by the one that carries it out.
-func (a *Attempt) Uploaded() { a.Deadline = a.UploadedBeside() }
+func (a *Attempt) Uploaded() { a.Deadline = a.UploadedConcurrently() }
 
-// UploadedBeside is Uploaded for one that waits for the answer beside the upload: it leaves a.Deadline alone and returns what it is now.
-func (a *Attempt) UploadedBeside() (deadline time.Time) {
+// UploadedConcurrently is Uploaded for one that waits for the answer beside the upload: it leaves a.Deadline alone and returns what it is now.
+func (a *Attempt) UploadedConcurrently() (deadline time.Time) {
 	e, r := a.engine, a.req
 	e.event(func(now policy.Time) {
-		deadline, a.sent = time.Now().Add(r.Wait), now
-		a.At(StageAnswer)
+		deadline, a.sent = time.Now().Add(r.Timeout), now
+		a.SetStage(StageAnswer)
 		if !r.ended {
 			e.module.Uploaded(now, r.id, e)
 		}
@@ -455,7 +455,7 @@
 	r.out++
 	to, listed := e.endpoints[server]
 	if r.ended || !listed || timeout <= 0 {
-		e.after = append(e.after, func(now policy.Time) { e.settled(now, a, Ending{Status: policy.Moot}) })
+		e.after = append(e.after, func(now policy.Time) { e.settled(now, a, AttemptResult{Status: policy.Moot}) })
 		return
 	}
 	e.work.Go(func() {
@@ -533,7 +533,7 @@
 		e.closing = true
 		for _, r := range maps.Clone(e.requests) {
 			if !r.ended {
-				r.result <- Result{Kind: Dropped, Attempts: len(r.attempts), Last: r.last, NotRun: r.out == 0 && !r.ran}
+				r.result <- Result{Kind: Dropped, Attempts: len(r.attempts), LastStatus: r.last, NotRun: r.out == 0 && !r.ran}
 				e.withdraw(now, r)
 			}
 			for _, a := range r.attempts {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -25,7 +25,7 @@
 		{"senseless", -1 << 62, -time.Duration(1e12) * time.Millisecond, -time.Duration(1e12) * time.Millisecond},
 	}
 	for _, tt := range tests {
-		s := Server{ID: "a", BornMs: tt.ms}
+		s := Server{ID: "a", StartedMs: tt.ms}
 		if got := e.started(e.Now(), s); got < tt.min || got > tt.max || got != e.started(e.Now(), s) {
 			t.Errorf("%s: started(%d) = %v, want %v to %v", tt.name, tt.ms, got, tt.min, tt.max)
 		}
--- a/internal/engine/hosting_test.go
+++ b/internal/engine/hosting_test.go
@@ -22,17 +22,17 @@
 type fake struct {
 	started chan *Attempt
 	mu      sync.Mutex
-	end     map[*Attempt]chan Ending
+	end     map[*Attempt]chan AttemptResult
 	hung    []Endpoint
 	deaf    bool // to cancels
 }
 
 func newFake() *fake {
-	return &fake{started: make(chan *Attempt, 100), end: map[*Attempt]chan Ending{}}
+	return &fake{started: make(chan *Attempt, 100), end: map[*Attempt]chan AttemptResult{}}
 }
 
-func (f *fake) Do(a *Attempt, _ Endpoint) Ending {
-	end, stop := make(chan Ending, 1), make(chan struct{})
+func (f *fake) Do(a *Attempt, _ Endpoint) AttemptResult {
+	end, stop := make(chan AttemptResult, 1), make(chan struct{})
 	f.mu.Lock()
 	f.end[a] = end
 	f.mu.Unlock()
@@ -41,14 +41,14 @@
 			close(stop)
 		}
 	})) {
-		return Ending{Status: policy.Canceled}
+		return AttemptResult{Status: policy.Canceled}
 	}
 	f.started <- a
 	select {
 	case e := <-end:
 		return e
 	case <-stop:
-		return Ending{Status: policy.Canceled}
+		return AttemptResult{Status: policy.Canceled}
 	}
 }
 
@@ -61,7 +61,7 @@
 }
 
 // finish ends an attempt.
-func (f *fake) finish(a *Attempt, e Ending) {
+func (f *fake) finish(a *Attempt, e AttemptResult) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.end[a] <- e
@@ -79,7 +79,7 @@
 }
 
 func list(ids ...string) List {
-	l := List{Seq: 1, Whole: true}
+	l := List{Seq: 1, Full: true}
 	for _, id := range ids {
 		l.Servers = append(l.Servers, Server{ID: policy.ServerID(id), Addr: id + ":1", Weight: 1})
 	}
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	f, l := newFake(), list(ids...)
-	e := New(Options{Config: cfg, Module: m, Transport: f, Known: &l, Log: slog.New(slog.DiscardHandler)})
+	e := New(Options{Config: cfg, Module: m, Transport: f, CachedList: &l, Log: slog.New(slog.DiscardHandler)})
 	t.Cleanup(e.Close)
 	return e, f
 }
@@ -109,8 +109,8 @@
 func take(t *testing.T, e *Engine, class, name string) (r *Request, released chan struct{}) {
 	t.Helper()
 	released = make(chan struct{})
-	r = &Request{Class: class, Name: name, Wait: 10 * time.Second, Payload: "payload", Release: func() { close(released) }}
-	if err := e.Take(r, e.Now()); err != nil {
+	r = &Request{Class: class, ExternalID: name, Timeout: 10 * time.Second, Payload: "payload", Release: func() { close(released) }}
+	if err := e.Submit(r, e.Now()); err != nil {
 		t.Fatal(err)
 	}
 	return r, released
@@ -121,13 +121,13 @@
 	e, f := start(t, "a")
 	r, released := take(t, e, "safe", "n")
 	a := next(t, "attempt", f.started)
-	if a.Payload() != "payload" || a.Server != "a" || a.Number != 0 || a.Name() != "n" {
+	if a.Payload() != "payload" || a.Server != "a" || a.Number != 0 || a.ExternalID() != "n" {
 		t.Errorf("attempt %+v", a)
 	}
-	if err := e.Take(&Request{Class: "safe", Name: "n", Wait: time.Second}, e.Now()); !errors.Is(err, ErrNameOpen) {
+	if err := e.Submit(&Request{Class: "safe", ExternalID: "n", Timeout: time.Second}, e.Now()); !errors.Is(err, ErrDuplicateID) {
 		t.Errorf("the name again: %v", err)
 	}
-	f.finish(a, Ending{Status: policy.OK, Reply: "reply"})
+	f.finish(a, AttemptResult{Status: policy.OK, Reply: "reply"})
 	if got := next(t, "result", r.Result()); got.Kind != Served || got.Reply != "reply" || got.Server != "a" || got.Attempts != 1 {
 		t.Errorf("result %+v", got)
 	}
@@ -135,7 +135,7 @@
 	if e.Withdraw(r) || len(r.Result()) > 0 {
 		t.Error("it is open once more")
 	}
-	if s := e.Snapshot(); s.Open != 0 || s.Held != 0 || s.Taken != 1 {
+	if s := e.Snapshot(); s.Open != 0 || s.Retained != 0 || s.Accepted != 1 {
 		t.Errorf("snapshot %+v", s)
 	}
 }
@@ -145,18 +145,18 @@
 	e, f := start(t, "a", "b")
 	r, _ := take(t, e, "safe", "")
 	first := next(t, "attempt", f.started)
-	f.finish(first, Ending{Status: policy.Reset})
+	f.finish(first, AttemptResult{Status: policy.Reset})
 	second := next(t, "second attempt", f.started)
 	if second.Server == first.Server || second.Number != 1 {
 		t.Errorf("second attempt %d at %s after %s", second.Number, second.Server, first.Server)
 	}
-	f.finish(second, Ending{Status: policy.OK})
+	f.finish(second, AttemptResult{Status: policy.OK})
 	if got := next(t, "result", r.Result()); got.Kind != Served || got.Attempts != 2 {
 		t.Errorf("result %+v", got)
 	}
 	r, _ = take(t, e, "unsafe", "")
-	f.finish(next(t, "attempt", f.started), Ending{Status: policy.Reset})
-	if got := next(t, "result", r.Result()); got.Kind != Failed || got.Attempts != 1 || got.Last != policy.Reset {
+	f.finish(next(t, "attempt", f.started), AttemptResult{Status: policy.Reset})
+	if got := next(t, "result", r.Result()); got.Kind != Failed || got.Attempts != 1 || got.LastStatus != policy.Reset {
 		t.Errorf("result %+v", got)
 	}
 	if len(f.started) > 0 {
@@ -168,19 +168,19 @@
 func TestNotRun(t *testing.T) {
 	e, f := start(t, "a", "b")
 	r, _ := take(t, e, "unsafe", "")
-	f.finish(next(t, "attempt", f.started), Ending{Status: policy.ConnectFailed})
+	f.finish(next(t, "attempt", f.started), AttemptResult{Status: policy.ConnectFailed})
 	second := next(t, "second attempt", f.started)
-	e.Within(func(_ policy.Time, act policy.Actions) { act.Fail(r.id) })
-	if got := next(t, "result", r.Result()); got.NotRun || got.Attempts != 2 || got.Last != policy.ConnectFailed {
+	e.RunAsEvent(func(_ policy.Time, act policy.Actions) { act.Fail(r.id) })
+	if got := next(t, "result", r.Result()); got.NotRun || got.Attempts != 2 || got.LastStatus != policy.ConnectFailed {
 		t.Errorf("with an attempt out: %+v", got)
 	}
-	f.finish(second, Ending{Status: policy.Timeout})
+	f.finish(second, AttemptResult{Status: policy.Timeout})
 	for _, status := range []policy.Status{policy.ConnectFailed, policy.Reset} {
 		r, _ = take(t, e, "unsafe", "")
 		a := next(t, "attempt", f.started)
-		f.finish(a, Ending{Status: status})
+		f.finish(a, AttemptResult{Status: status})
 		if status.NotRun() {
-			f.finish(next(t, "second attempt", f.started), Ending{Status: status})
+			f.finish(next(t, "second attempt", f.started), AttemptResult{Status: status})
 		}
 		if got := next(t, "result", r.Result()); got.NotRun != status.NotRun() {
 			t.Errorf("after %v: %+v", status, got)
@@ -220,7 +220,7 @@
 	if a.Payload() != "payload" {
 		t.Errorf("the payload is %v", a.Payload())
 	}
-	f.finish(a, Ending{Status: policy.OK})
+	f.finish(a, AttemptResult{Status: policy.OK})
 	next(t, "release", released)
 	if len(r.Result()) > 0 {
 		t.Error("a result after the withdrawal")
@@ -230,7 +230,7 @@
 // TestUnlistedServer: what a module sends to a server that has gone was never sent.
 func TestUnlistedServer(t *testing.T) {
 	e, f := start(t, "a")
-	e.Move(once{List{Seq: 2, Whole: true}})
+	e.SetSource(once{List{Seq: 2, Full: true}})
 	for end := time.Now().Add(patience); len(e.Snapshot().Servers) > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the server stays listed")
@@ -242,7 +242,7 @@
 	}
 	f.mu.Unlock()
 	r, _ := take(t, e, "safe", "")
-	e.Within(func(_ policy.Time, act policy.Actions) { act.Send(r.id, "a", time.Second) })
+	e.RunAsEvent(func(_ policy.Time, act policy.Actions) { act.Send(r.id, "a", time.Second) })
 	if len(f.started) > 0 {
 		t.Error("an attempt at a server that is not listed")
 	}
@@ -268,7 +268,7 @@
 	if err := e.Drain(soon); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("Drain with a request open: %v", err)
 	}
-	if err := e.Take(&Request{Class: "safe", Wait: time.Second}, e.Now()); !errors.Is(err, ErrClosed) {
+	if err := e.Submit(&Request{Class: "safe", Timeout: time.Second}, e.Now()); !errors.Is(err, ErrClosed) {
 		t.Errorf("Take while draining: %v", err)
 	}
 	e.Close()
@@ -279,7 +279,7 @@
 	if err := e.Drain(t.Context()); err != nil {
 		t.Errorf("Drain after Close: %v", err)
 	}
-	if s := e.Snapshot(); s.Open != 0 || s.Held != 0 || s.Timers != 0 {
+	if s := e.Snapshot(); s.Open != 0 || s.Retained != 0 || s.Timers != 0 {
 		t.Errorf("snapshot %+v", s)
 	}
 }
@@ -287,10 +287,10 @@
 // TestUnknownClass: nothing is taken.
 func TestUnknownClass(t *testing.T) {
 	e, f := start(t, "a")
-	if err := e.Take(&Request{Class: "novel", Wait: time.Second}, e.Now()); !errors.Is(err, ErrUnknownClass) {
+	if err := e.Submit(&Request{Class: "novel", Timeout: time.Second}, e.Now()); !errors.Is(err, ErrUnknownClass) {
 		t.Errorf("error %v", err)
 	}
-	if len(f.started) > 0 || e.Snapshot().Taken > 0 {
+	if len(f.started) > 0 || e.Snapshot().Accepted > 0 {
 		t.Error("it was taken")
 	}
 }
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -21,22 +21,22 @@
 
 // List is the whole list of servers, or the changes since the one before.
 type List struct {
-	Seq     int64 // its version
-	Whole   bool
-	Servers []Server
-	Faults  []Fault // of entries that are not among Servers, or lack there what could not be read
+	Seq         int64 // its version
+	Full        bool
+	Servers     []Server
+	EntryErrors []EntryError // of entries that are not among Servers, or lack there what could not be read
 }
 
 // Server is an entry of the list. Whoever makes it has checked it: there is an ID, and an address that can be dialled or,
 // with a Fault or if it is gone, none.
 type Server struct {
-	ID     policy.ServerID
-	Addr   string
-	State  policy.ServerState
-	Zone   string
-	Cell   int
-	Weight float64
-	BornMs int64 // when it last started, Unix time in milliseconds; 0 is long ago
+	ID        policy.ServerID
+	Addr      string
+	State     policy.ServerState
+	Zone      string
+	Cell      int
+	Weight    float64
+	StartedMs int64 // when it last started, Unix time in milliseconds; 0 is long ago
 }
 
 // rewatch is the pause before a pushed list is listened to again after a failure. What the source gets counts as told, and the
@@ -66,7 +66,7 @@
 	e.work.Go(func() {
 		err := source.Watch(ctx, since, func(l List) {
 			kind := policy.ListDelta
-			if l.Whole {
+			if l.Full {
 				kind = policy.ListFull
 			}
 			e.event(func(now policy.Time) {
@@ -91,24 +91,24 @@
 	})
 }
 
-// Move makes s the source of the list. Versions are those of the old one: the whole list must be asked for.
-func (e *Engine) Move(s Source) {
+// SetSource makes s the source of the list. Versions are those of the old one: the whole list must be asked for.
+func (e *Engine) SetSource(s Source) {
 	e.event(func(now policy.Time) {
 		e.source, e.seq = s, UnknownSeq
 		e.module.Moved(now, e)
 	})
 }
 
-// Ask asks the source for the whole list at once, rather than when the module would.
-func (e *Engine) Ask() {
+// Refresh asks the source for the whole list at once, rather than when the module would.
+func (e *Engine) Refresh() {
 	e.event(func(now policy.Time) {
 		e.seq = UnknownSeq
 		e.module.Moved(now, e)
 	})
 }
 
-// Told reports whether the source has told the list, beyond what was known at the start.
-func (e *Engine) Told() bool {
+// ListReceived reports whether the source has told the list, beyond what was known at the start.
+func (e *Engine) ListReceived() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.told
@@ -145,10 +145,10 @@
 		if s.State == policy.Gone {
 			delete(e.endpoints, s.ID)
 		} else {
-			e.endpoints[s.ID] = Endpoint{s.Addr, s.ID, s.BornMs, s.Zone, s.Cell}
+			e.endpoints[s.ID] = Endpoint{s.Addr, s.ID, s.StartedMs, s.Zone, s.Cell}
 		}
 	}
-	maps.DeleteFunc(e.early, func(id policy.ServerID, f firstSight) bool { return e.endpoints[id].BornMs != f.bornMs })
+	maps.DeleteFunc(e.early, func(id policy.ServerID, f firstSight) bool { return e.endpoints[id].StartedMs != f.bornMs })
 	leaving := map[policy.ServerID]bool{}
 	// Connections of a server that has gone, moved or started anew are of no use to whoever has its address now.
 	for id, old := range before {
@@ -186,20 +186,20 @@
 // was converted anew by a wall clock that has since been set: equal times stay equal, and only 0 is long ago. It also guards
 // against a start in the future, by a clock that is wrong: the server would be held for cold until then.
 func (e *Engine) started(now policy.Time, s Server) policy.Time {
-	if s.BornMs == 0 {
+	if s.StartedMs == 0 {
 		return 0
 	}
-	if f, ok := e.early[s.ID]; ok && f.bornMs == s.BornMs {
+	if f, ok := e.early[s.ID]; ok && f.bornMs == s.StartedMs {
 		return f.at
 	}
 	const most = int64(1e12) // about 30 years either way: more would overflow, and none is real
-	ms := min(max(s.BornMs-e.originMs, -most), most)
+	ms := min(max(s.StartedMs-e.originMs, -most), most)
 	at := time.Duration(ms) * time.Millisecond
 	switch {
 	case ms == 0:
 		return 1
 	case at > now:
-		e.early[s.ID] = firstSight{s.BornMs, now}
+		e.early[s.ID] = firstSight{s.StartedMs, now}
 		return now
 	}
 	return at
--- a/internal/engine/list_bench_test.go
+++ b/internal/engine/list_bench_test.go
@@ -17,7 +17,7 @@
 // nowhere is a transport that is never used but for HangUp.
 type nowhere struct{ hungUp int }
 
-func (*nowhere) Do(*Attempt, Endpoint) Ending { return Ending{Status: policy.Moot} }
+func (*nowhere) Do(*Attempt, Endpoint) AttemptResult { return AttemptResult{Status: policy.Moot} }
 func (*nowhere) Probe(context.Context, Endpoint) (policy.Status, *policy.Load) {
 	return policy.Moot, nil
 }
@@ -27,12 +27,12 @@
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{128, 1024, 8192, 65_536} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			l := List{Whole: true}
+			l := List{Full: true}
 			for i := range n {
 				l.Servers = append(l.Servers, Server{ID: policy.ServerID(fmt.Sprintf("server-%d", i)), Addr: "127.0.0.1:1", Weight: 1})
 			}
 			to := &nowhere{}
-			e := New(Options{Module: idle{}, Transport: to, Known: &l, Log: slog.New(slog.DiscardHandler)})
+			e := New(Options{Module: idle{}, Transport: to, CachedList: &l, Log: slog.New(slog.DiscardHandler)})
 			defer e.Close()
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/internal/engine/vet_test.go
+++ b/internal/engine/list_validation_test.go
@@ -12,32 +12,32 @@
 )
 
 func TestVet(t *testing.T) {
-	stood := Server{ID: "a", Addr: "a:1", Zone: "z", BornMs: 5}
+	stood := Server{ID: "a", Addr: "a:1", Zone: "z", StartedMs: 5}
 	before := map[policy.ServerID]Server{"a": stood}
 	ready := func(id policy.ServerID, addr string) Server { return Server{ID: id, Addr: addr} }
 	leaving := func(id policy.ServerID, addr string) Server {
 		return Server{ID: id, Addr: addr, State: policy.Draining}
 	}
 	gone := Server{ID: "a", State: policy.Gone}
-	bad := []Fault{{"a", "unread"}}
+	bad := []EntryError{{"a", "unread"}}
 	for _, tt := range []struct {
 		name   string
 		l      List
 		want   []Server
 		faults int
 	}{
-		{"sound", List{Whole: true, Servers: []Server{ready("a", "a:2"), ready("b", "b:1")}}, []Server{ready("a", "a:2"), ready("b", "b:1")}, 0},
-		{"unread, in a whole list: what stood stays", List{Whole: true, Servers: []Server{ready("b", "b:1")}, Faults: bad}, []Server{ready("b", "b:1"), stood}, 1},
-		{"unread, among changes: nothing changes", List{Faults: bad}, []Server{}, 1},
-		{"unread and unknown", List{Whole: true, Faults: []Fault{{"c", "unread"}, {"", "no id"}}}, []Server{}, 2},
-		{"it leaves, and its address cannot be read", List{Servers: []Server{leaving("a", "")}, Faults: bad}, []Server{leaving("a", "a:1")}, 1},
-		{"the same in a whole list", List{Whole: true, Servers: []Server{leaving("a", "")}, Faults: bad}, []Server{leaving("a", "a:1")}, 1},
-		{"a new one without an address", List{Servers: []Server{ready("b", "")}, Faults: []Fault{{"b", "dial"}}}, []Server{}, 1},
+		{"sound", List{Full: true, Servers: []Server{ready("a", "a:2"), ready("b", "b:1")}}, []Server{ready("a", "a:2"), ready("b", "b:1")}, 0},
+		{"unread, in a whole list: what stood stays", List{Full: true, Servers: []Server{ready("b", "b:1")}, EntryErrors: bad}, []Server{ready("b", "b:1"), stood}, 1},
+		{"unread, among changes: nothing changes", List{EntryErrors: bad}, []Server{}, 1},
+		{"unread and unknown", List{Full: true, EntryErrors: []EntryError{{"c", "unread"}, {"", "no id"}}}, []Server{}, 2},
+		{"it leaves, and its address cannot be read", List{Servers: []Server{leaving("a", "")}, EntryErrors: bad}, []Server{leaving("a", "a:1")}, 1},
+		{"the same in a whole list", List{Full: true, Servers: []Server{leaving("a", "")}, EntryErrors: bad}, []Server{leaving("a", "a:1")}, 1},
+		{"a new one without an address", List{Servers: []Server{ready("b", "")}, EntryErrors: []EntryError{{"b", "dial"}}}, []Server{}, 1},
 		{"twice, ready after leaving", List{Servers: []Server{leaving("a", "a:1"), ready("a", "a:1")}}, []Server{leaving("a", "a:1")}, 1},
 		{"twice, leaving after ready", List{Servers: []Server{ready("a", "a:1"), leaving("a", "a:1")}}, []Server{leaving("a", "a:1")}, 1},
 		{"twice, gone first", List{Servers: []Server{gone, ready("a", "a:1")}}, []Server{gone}, 1},
 		{"twice, moved", List{Servers: []Server{ready("a", "a:1"), ready("a", "a:2")}}, []Server{ready("a", "a:2")}, 1},
-		{"begun from now on", List{Servers: []Server{{ID: "a", Addr: "a:1", BornMs: 1001}}}, []Server{{ID: "a", Addr: "a:1", BornMs: 1001}}, 1},
+		{"begun from now on", List{Servers: []Server{{ID: "a", Addr: "a:1", StartedMs: 1001}}}, []Server{{ID: "a", Addr: "a:1", StartedMs: 1001}}, 1},
 	} {
 		got, faults := vet(tt.l, before, 1000)
 		if !reflect.DeepEqual(got, tt.want) || len(faults) != tt.faults {
@@ -64,7 +64,7 @@
 	e := New(Options{Module: m, Transport: newFake(), Log: slog.New(slog.NewTextHandler(&log, nil))})
 	defer e.Close()
 	say := func(bornMs int64) policy.Time {
-		l := List{Seq: 1, Whole: true, Servers: []Server{{ID: "a", Addr: "a:1", BornMs: bornMs}}}
+		l := List{Seq: 1, Full: true, Servers: []Server{{ID: "a", Addr: "a:1", StartedMs: bornMs}}}
 		e.event(func(now policy.Time) { e.members(now, policy.ListFull, l) })
 		return m.lists[len(m.lists)-1][0].Started
 	}
@@ -100,7 +100,7 @@
 // TestListKeepsItsHead: no list crashes the engine or loses what stood, however spoilt.
 func TestListKeepsItsHead(t *testing.T) {
 	e, _ := start(t, "a", "b")
-	e.Move(once{List{Seq: 2, Whole: true, Servers: []Server{{ID: "a", State: policy.Draining}, {ID: "c"}}, Faults: []Fault{{"a", "dial"}, {"b", "health"}, {"c", "dial"}, {"", ""}}}})
+	e.SetSource(once{List{Seq: 2, Full: true, Servers: []Server{{ID: "a", State: policy.Draining}, {ID: "c"}}, EntryErrors: []EntryError{{"a", "dial"}, {"b", "health"}, {"c", "dial"}, {"", ""}}}})
 	for end := time.Now().Add(patience); e.Snapshot().ListSeq != 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the list is not taken")
@@ -108,7 +108,7 @@
 	}
 	got := map[policy.ServerID]policy.ServerState{}
 	for _, s := range e.Snapshot().Servers {
-		l, _ := e.Listed(s.ID)
+		l, _ := e.ListEntry(s.ID)
 		got[s.ID] = l.State
 	}
 	if !reflect.DeepEqual(got, map[policy.ServerID]policy.ServerState{"a": policy.Draining, "b": policy.Ready}) {
--- a/internal/engine/peers_test.go
+++ b/internal/engine/peers_test.go
@@ -42,15 +42,15 @@
 	var left []policy.ServerID
 	e.OnLeaving(func(id policy.ServerID) { left = append(left, id) })
 	for _, id := range []policy.ServerID{"x", "a", "b", "c"} {
-		e.Hint(id)
+		e.HintDraining(id)
 	}
 	for id, takes := range map[policy.ServerID]bool{"x": false, "a": false, "b": false, "c": true, "d": true} {
-		if e.Takes(id) != takes {
+		if e.ServerUsable(id) != takes {
 			t.Errorf("%s takes requests: %v", id, !takes)
 		}
 	}
 	e.event(func(now policy.Time) { e.unavoid(now + mostHint + time.Second) })
-	if !e.Takes("a") || !e.Takes("b") {
+	if !e.ServerUsable("a") || !e.ServerUsable("b") {
 		t.Error("a hint is not over")
 	}
 	next := list("a", "b", "c")
--- a/internal/engine/waiting.go
+++ b/internal/engine/pending.go
@@ -30,40 +30,40 @@
 // String returns the stage in words.
 func (s Stage) String() string { return stages[s] }
 
-// At notes what the attempt waits for from now on. It may be called by the transport at any time.
-func (a *Attempt) At(s Stage) { a.stage.Store(int32(s)) }
+// SetStage notes what the attempt waits for from now on. It may be called by the transport at any time.
+func (a *Attempt) SetStage(s Stage) { a.stage.Store(int32(s)) }
 
-// Waiting is a request without a result, and what it waits for.
-type Waiting struct {
-	What     string // the payload's own word for it, if it has one
-	Class    string
-	Age      time.Duration // since it was taken
-	Attempts int           // made so far
-	Out      []AttemptOut  // attempts that have not ended
-	For      string        // with none out: what keeps it
+// PendingRequest is a request without a result, and what it waits for.
+type PendingRequest struct {
+	Description  string // the payload's own word for it, if it has one
+	Class        string
+	Age          time.Duration // since it was taken
+	Attempts     int           // made so far
+	OpenAttempts []OpenAttempt // attempts that have not ended
+	WaitsFor     string        // with none out: what keeps it
 }
 
-// AttemptOut is an attempt that has not ended.
-type AttemptOut struct {
+// OpenAttempt is an attempt that has not ended.
+type OpenAttempt struct {
 	Server policy.ServerID
 	Age    time.Duration // since it was sent, or the last byte of its request was
 	Stage  Stage
 }
 
 // String says what w waits for, without times.
-func (w Waiting) String() string {
-	if len(w.Out) == 0 {
-		return w.For
+func (w PendingRequest) String() string {
+	if len(w.OpenAttempts) == 0 {
+		return w.WaitsFor
 	}
 	var all []string
-	for _, a := range w.Out {
+	for _, a := range w.OpenAttempts {
 		all = append(all, fmt.Sprintf("%v of %s", a.Stage, a.Server))
 	}
 	return strings.Join(all, ", ")
 }
 
-// Waiting returns the requests that have waited for longer than d, the oldest first.
-func (e *Engine) Waiting(d time.Duration) []Waiting {
+// PendingRequests returns the requests that have waited for longer than d, the oldest first.
+func (e *Engine) PendingRequests(d time.Duration) []PendingRequest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Now()
@@ -74,29 +74,31 @@
 			none += ", in a pool that is taken out"
 		}
 	}
-	var all []Waiting
+	var all []PendingRequest
 	for _, r := range e.requests {
 		if r.ended || now-r.since < d {
 			continue
 		}
-		w := Waiting{Class: r.Class, Age: now - r.since, Attempts: len(r.attempts)}
+		w := PendingRequest{Class: r.Class, Age: now - r.since, Attempts: len(r.attempts)}
 		if s, ok := r.Payload.(fmt.Stringer); ok {
-			w.What = s.String()
+			w.Description = s.String()
 		}
 		for _, a := range r.attempts {
 			if !a.settled {
-				w.Out = append(w.Out, AttemptOut{a.Server, now - a.sent, Stage(a.stage.Load())})
+				w.OpenAttempts = append(w.OpenAttempts, OpenAttempt{a.Server, now - a.sent, Stage(a.stage.Load())})
 			}
 		}
 		switch {
-		case len(w.Out) > 0:
+		case len(w.OpenAttempts) > 0:
 		case r.adopted:
-			w.For = "another request of its order"
+			w.WaitsFor = "another request of its order"
 		default:
-			w.For = none
+			w.WaitsFor = none
 		}
 		all = append(all, w)
 	}
-	slices.SortFunc(all, func(a, b Waiting) int { return cmp.Or(cmp.Compare(b.Age, a.Age), strings.Compare(a.What, b.What)) })
+	slices.SortFunc(all, func(a, b PendingRequest) int {
+		return cmp.Or(cmp.Compare(b.Age, a.Age), strings.Compare(a.Description, b.Description))
+	})
 	return all
 }
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -14,18 +14,18 @@
 	Class, Tenant, Key string
 	Cost               time.Duration // rough expected work; zero: unknown
 	Retry              bool          // the client says that it has asked before
-	Name               string        // the client's own name of it, which no two open requests share; empty: none
-	Wait               time.Duration // how long the client waits
-	By                 time.Time     // when it has its answer at the latest, if it has not been uploaded since; zero: with Wait
+	ExternalID         string        // the client's own name of it, which no two open requests share; empty: none
+	Timeout            time.Duration // how long the client waits
+	Deadline           time.Time     // when it has its answer at the latest, if it has not been uploaded since; zero: with Wait
 	Payload            any           // what the transport sends; the engine never looks at it
 	Release            func()        // called once, when no attempt needs Payload any more; it must not block
 	Upload             bool          // Payload is still coming, and can be sent once; Wait runs from its end
-	Past               []policy.Past // what the module is told of earlier requests under its key
+	KeyHistory         []policy.Past // what the module is told of earlier requests under its key
 	Order              any           // what whoever notes its attempts goes by; the engine never looks at it
 
-	// Ended is called once, under the engine's lock, when the request has its result or was withdrawn. It must not block nor
+	// OnEnd is called once, under the engine's lock, when the request has its result or was withdrawn. It must not block nor
 	// call the engine.
-	Ended func(result Result, withdrawn bool)
+	OnEnd func(result Result, withdrawn bool)
 
 	id         policy.RequestID
 	since      policy.Time // when it was taken
@@ -52,25 +52,25 @@
 // Result returns where the request's one result comes, unless it is withdrawn.
 func (r *Request) Result() <-chan Result { return r.result }
 
-// Kind says how a request ended.
-type Kind int
+// ResultKind says how a request ended.
+type ResultKind int
 
 // The kinds.
 const (
-	Served  Kind = iota // a server has answered it
-	Refused             // a retry is harmless
-	Failed              // nothing is promised: it may have run
-	Dropped             // the engine was closed; nothing is promised
+	Served  ResultKind = iota // a server has answered it
+	Refused                   // a retry is harmless
+	Failed                    // nothing is promised: it may have run
+	Dropped                   // the engine was closed; nothing is promised
 )
 
 // Result is the one result of a request.
 type Result struct {
-	Kind       Kind
+	Kind       ResultKind
 	Reply      any             // Served: the answer, as the transport gave it
 	Server     policy.ServerID // Served: whose it is
 	RetryAfter time.Duration   // Refused: when to come back; zero: not told
 	Attempts   int             // how many attempts were made
-	Last       policy.Status   // not Served: how the attempt that ended last did, if Attempts is above 0
+	LastStatus policy.Status   // not Served: how the attempt that ended last did, if Attempts is above 0
 	Replayed   bool            // Served: the answer was made for an earlier request under the same key
 	NotRun     bool            // not Served: each attempt that was made has ended, and proves that it was never executed
 	MayHaveRun bool            // Failed: an earlier request under the same key may have run, and this one was not sent
@@ -98,8 +98,8 @@
 // Payload is what is to be sent. It stays until the attempt has ended.
 func (a *Attempt) Payload() any { return a.req.Payload }
 
-// Name is the client's own name of the request.
-func (a *Attempt) Name() string { return a.req.Name }
+// ExternalID is the client's own name of the request.
+func (a *Attempt) ExternalID() string { return a.req.ExternalID }
 
 // Order is the request's.
 func (a *Attempt) Order() any { return a.req.Order }
@@ -136,7 +136,7 @@
 
 // Sending is OnCancel where the attempt begins to be sent: from now on the module alone may call it off.
 func (a *Attempt) Sending(stop func()) bool {
-	a.At(StageSend)
+	a.SetStage(StageSend)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.stop, a.sending = stop, true
--- a/internal/engine/shutdown_test.go
+++ b/internal/engine/shutdown_test.go
@@ -31,7 +31,7 @@
 	if len(r.Result()) > 0 {
 		t.Error("answered before its server did")
 	}
-	f.finish(a, Ending{Status: policy.OK, Reply: "reply"})
+	f.finish(a, AttemptResult{Status: policy.OK, Reply: "reply"})
 	if got := next(t, "result", r.Result()); got.Kind != Served {
 		t.Errorf("result %+v", got)
 	}
@@ -44,7 +44,7 @@
 
 // TestGiveUpAnswers: a request whose attempt hangs has its result at once, by the module's word, and only one.
 func TestGiveUpAnswers(t *testing.T) {
-	for class, want := range map[string]Kind{"safe": Refused, "unsafe": Failed} {
+	for class, want := range map[string]ResultKind{"safe": Refused, "unsafe": Failed} {
 		e, f := start(t, "a")
 		r, released := take(t, e, class, "n")
 		a := next(t, "attempt", f.started)
@@ -53,7 +53,7 @@
 		if got := next(t, "result", r.Result()); got.Kind != want || got.NotRun {
 			t.Errorf("%s: result %+v, want %v and no promise that it has not run", class, got, want)
 		}
-		f.finish(a, Ending{Status: policy.OK, Reply: "late"})
+		f.finish(a, AttemptResult{Status: policy.OK, Reply: "late"})
 		next(t, "release", released)
 		if len(r.Result()) > 0 {
 			t.Errorf("%s: a second result", class)
@@ -65,13 +65,13 @@
 func TestShutdownBeforeTake(t *testing.T) {
 	e, f := start(t, "a")
 	for _, stop := range []func(*Request){e.StopSending, e.GiveUp} {
-		r := &Request{Class: "safe", Wait: time.Second}
+		r := &Request{Class: "safe", Timeout: time.Second}
 		stop(r)
-		if err := e.Take(r, e.Now()); !errors.Is(err, ErrClosed) {
+		if err := e.Submit(r, e.Now()); !errors.Is(err, ErrClosed) {
 			t.Errorf("Take: %v, want ErrClosed", err)
 		}
 	}
-	if len(f.started) > 0 || e.Snapshot().Held > 0 {
+	if len(f.started) > 0 || e.Snapshot().Retained > 0 {
 		t.Error("it was taken")
 	}
 }
@@ -81,11 +81,11 @@
 func TestShutdownOfAdopted(t *testing.T) {
 	e, f := start(t, "a")
 	for _, end := range []func(r *Request){
-		func(r *Request) { e.StopSending(r); e.Hand(r, e.Now(), func() { t.Error("handed over") }) },
+		func(r *Request) { e.StopSending(r); e.DispatchDeferred(r, e.Now(), func() { t.Error("handed over") }) },
 		func(r *Request) { e.GiveUp(r) },
 	} {
-		r := &Request{Class: "safe", Wait: time.Second}
-		if err := e.Adopt(r); err != nil {
+		r := &Request{Class: "safe", Timeout: time.Second}
+		if err := e.SubmitDeferred(r); err != nil {
 			t.Fatal(err)
 		}
 		end(r)
@@ -113,5 +113,5 @@
 	if got := next(t, "result", r.Result()); got.Kind != Failed {
 		t.Errorf("result %+v", got)
 	}
-	f.finish(a, Ending{Status: policy.Timeout})
+	f.finish(a, AttemptResult{Status: policy.Timeout})
 }
--- a/internal/engine/sites.go
+++ b/internal/engine/sites.go
@@ -22,7 +22,7 @@
 	return m
 }
 
-// RecallSites has the watch of sites begin with what another engine had learnt.
-func (e *Engine) RecallSites(m sites.Memory) {
+// RestoreSites has the watch of sites begin with what another engine had learnt.
+func (e *Engine) RestoreSites(m sites.Memory) {
 	e.event(func(now policy.Time) { e.sites.Recall(now, m) })
 }
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -13,8 +13,8 @@
 type Snapshot struct {
 	At       policy.Time // when it was taken, by the module's clock
 	Open     int         // requests without a result
-	Held     int         // requests of which something is kept: open ones, and ended ones with attempts out
-	Taken    uint64
+	Retained int         // requests of which something is kept: open ones, and ended ones with attempts out
+	Accepted uint64
 	Probing  int           // probes under way
 	Timers   int           // timers that are not yet due
 	LastDue  time.Duration // until the last of them is
@@ -42,7 +42,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := Snapshot{
-		At: e.Now(), Open: e.open, Held: len(e.requests), Taken: uint64(e.lastID), Probing: e.probing, Timers: len(e.timers),
+		At: e.Now(), Open: e.open, Retained: len(e.requests), Accepted: uint64(e.lastID), Probing: e.probing, Timers: len(e.timers),
 		ListSeq: e.seq, Watching: e.stopWatch != nil,
 	}
 	for _, t := range e.timers {
--- a/internal/filelist/filelist.go
+++ b/internal/filelist/filelist.go
@@ -45,7 +45,7 @@
 
 // List checks a whole list. An error names the entry.
 func List(servers []Server) (engine.List, error) {
-	l := engine.List{Seq: engine.UnknownSeq, Whole: true, Servers: make([]engine.Server, len(servers))}
+	l := engine.List{Seq: engine.UnknownSeq, Full: true, Servers: make([]engine.Server, len(servers))}
 	if len(servers) > MostServers {
 		return l, fmt.Errorf("servers: %d of them, at most %d", len(servers), MostServers)
 	}
@@ -65,7 +65,7 @@
 			e.State = policy.Draining
 		}
 		if !s.Started.IsZero() {
-			e.BornMs = s.Started.UnixMilli()
+			e.StartedMs = s.Started.UnixMilli()
 		}
 		l.Servers[i] = e
 	}
--- a/internal/filelist/filelist_test.go
+++ b/internal/filelist/filelist_test.go
@@ -26,7 +26,7 @@
 			t.Errorf("%s: %v, want %q", tt.text, err, tt.want)
 		}
 	}
-	if l, err := List([]Server{{Addr: "a:1", Drain: true}}); err != nil || l.Servers[0].ID != "a:1" || l.Servers[0].State == 0 || !l.Whole {
+	if l, err := List([]Server{{Addr: "a:1", Drain: true}}); err != nil || l.Servers[0].ID != "a:1" || l.Servers[0].State == 0 || !l.Full {
 		t.Errorf("%+v, %v", l, err)
 	}
 	if _, err := List(make([]Server, MostServers+1)); err == nil {
--- a/internal/httpcall/call.go
+++ b/internal/httpcall/call.go
@@ -132,7 +132,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &engine.Request{Tenant: c.Tenant, Cost: c.Cost, Retry: c.Retried, Name: c.ID}
+	r := &engine.Request{Tenant: c.Tenant, Cost: c.Cost, Retry: c.Retried, ExternalID: c.ID}
 	r.Class, _, _ = strings.Cut(path, "/")
 	if i := strings.LastIndexByte(path, '/'); i >= 0 {
 		r.Key = path[i+1:]
@@ -151,14 +151,14 @@
 		class = classes[i]
 	}
 	r.Class = class.Name
-	r.Wait = class.Deadline
+	r.Timeout = class.Deadline
 	if c.Timeout != "" {
 		ms, err := strconv.ParseUint(c.Timeout, 10, 64)
 		if err != nil || ms == 0 {
 			return nil, bad("X-Timeout-Ms is no positive whole number")
 		}
 		// A client that would wait longer than any class allows must not make timers last for ever.
-		r.Wait = time.Duration(min(ms, uint64(e.Longest().Milliseconds()))) * time.Millisecond
+		r.Timeout = time.Duration(min(ms, uint64(e.LongestDeadline().Milliseconds()))) * time.Millisecond
 	}
 	return r, nil
 }
--- a/internal/httpfront/connection_fuzz_test.go
+++ b/internal/httpfront/connection_fuzz_test.go
@@ -23,11 +23,11 @@
 
 // answering returns a transport that answers each attempt, after some time, with its number.
 func answering() *standin.Attempts {
-	return &standin.Attempts{End: func(n int, a *engine.Attempt, _ engine.Endpoint) engine.Ending {
+	return &standin.Attempts{End: func(n int, a *engine.Attempt, _ engine.Endpoint) engine.AttemptResult {
 		if !standin.Hold(a, 10*time.Millisecond, nil) {
-			return engine.Ending{Status: policy.Canceled}
+			return engine.AttemptResult{Status: policy.Canceled}
 		}
-		return engine.Ending{Status: policy.OK, Reply: &httpmsg.Answer{Body: strconv.AppendInt(nil, int64(n), 10)}}
+		return engine.AttemptResult{Status: policy.OK, Reply: &httpmsg.Answer{Body: strconv.AppendInt(nil, int64(n), 10)}}
 	}}
 }
 
@@ -75,7 +75,7 @@
 	log := slog.New(slog.DiscardHandler)
 	e := engine.New(engine.Options{
 		Config: policy.Config{Classes: classes}, Module: standin.Once{Server: "a"}, Transport: transport, Log: log,
-		Known: &engine.List{Whole: true, Servers: []engine.Server{{ID: "a", Addr: "nowhere", State: policy.Ready}}},
+		CachedList: &engine.List{Full: true, Servers: []engine.Server{{ID: "a", Addr: "nowhere", State: policy.Ready}}},
 	})
 	defer e.Close()
 	s := New(e, nil, NewRoom(24), sockets.New(64), log)
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -257,7 +257,7 @@
 	if !s.schedule.MayForward(time.Now()) {
 		return errEnding
 	}
-	r.By = s.schedule.Answer
+	r.Deadline = s.schedule.Answer
 	c.open = openRequest{e, r}
 	return nil
 }
@@ -462,7 +462,7 @@
 	} else if err = s.mayServe(c, s.engine, r); err == nil {
 		err = s.hand(r, &call, m)
 	}
-	if errors.Is(err, engine.ErrNameOpen) {
+	if errors.Is(err, engine.ErrDuplicateID) {
 		err = httpcall.Rejection{Status: http.StatusConflict, Text: "a request with this X-Request-ID is open"}
 	} else if errors.Is(err, orders.ErrMismatch) {
 		err = httpcall.Rejection{Status: http.StatusUnprocessableEntity, Text: err.Error()}
@@ -488,7 +488,7 @@
 // hand hands a request on.
 func (s *Server) hand(r *engine.Request, call *httpcall.Call, m *httpmsg.Message) error {
 	if s.desk == nil || call.IdempotencyKey == "" {
-		return s.engine.Take(r, s.engine.Now())
+		return s.engine.Submit(r, s.engine.Now())
 	}
 	read := s.engine.Now()
 	return s.desk.Take(r, orders.Ask{Key: call.IdempotencyKey, Print: call.Print(m.Body)}, read)
--- a/internal/httpfront/whole.go
+++ b/internal/httpfront/whole.go
@@ -139,7 +139,7 @@
 	}
 	r = q.Request
 	if err = s.mayServe(c, q.Engine, r); err == nil {
-		err = q.Engine.Take(r, q.Engine.Now())
+		err = q.Engine.Submit(r, q.Engine.Now())
 	}
 	if errors.Is(err, engine.ErrClosed) || errors.Is(err, engine.ErrUnknownClass) {
 		err = refuse(http.StatusServiceUnavailable, err.Error())
@@ -539,7 +539,7 @@
 	switch {
 	case result.Kind == engine.Refused || result.NotRun:
 		a.Status = http.StatusServiceUnavailable
-	case result.Last == policy.Timeout || result.Attempts > 0 && result.Last == policy.OK: // the only one has not ended
+	case result.LastStatus == policy.Timeout || result.Attempts > 0 && result.LastStatus == policy.OK: // the only one has not ended
 		a.Status = http.StatusGatewayTimeout
 	}
 	return a
--- a/internal/mysql/proxy/client.go
+++ b/internal/mysql/proxy/client.go
@@ -178,7 +178,7 @@
 	}
 	f := s.f
 	if x := s.x; x != nil {
-		takes := f.pool.Takes(x.at)
+		takes := f.pool.ServerUsable(x.at)
 		switch {
 		case takes:
 			s.drained = time.Time{}
@@ -440,8 +440,8 @@
 		j.long = p.long
 	}
 	name, wait := s.class(st, st.Hint.Timeout)
-	r := &engine.Request{Class: name, Key: st.Hint.Key, Wait: wait, Payload: j}
-	if err := f.pool.Take(r, f.pool.Now()); err != nil {
+	r := &engine.Request{Class: name, Key: st.Hint.Key, Timeout: wait, Payload: j}
+	if err := f.pool.Submit(r, f.pool.Now()); err != nil {
 		f.statements[refused].Add(1)
 		return s.fail(wire.Refused(0))
 	}
@@ -471,7 +471,7 @@
 	}
 	why := "no server could be reached in time"
 	switch {
-	case result.Attempts > 0 && result.Last == policy.Timeout:
+	case result.Attempts > 0 && result.LastStatus == policy.Timeout:
 		why = "the server did not answer in time"
 	case sent:
 		why = "the server went before it answered"
@@ -572,12 +572,12 @@
 func (s *client) on(st *session.Statement, timeout time.Duration, write func() error, c wire.Command, p *prepared) error {
 	f, x := s.f, s.x
 	name, wait := s.class(st, timeout)
-	r := &engine.Request{Class: name, Wait: wait}
-	if err := f.pool.Adopt(r); err != nil {
+	r := &engine.Request{Class: name, Timeout: wait}
+	if err := f.pool.SubmitDeferred(r); err != nil {
 		f.statements[refused].Add(1)
 		return s.fail(wire.Refused(0))
 	}
-	settle := func(k engine.Kind) { f.pool.Settle(r, engine.Result{Kind: k, Server: x.at}) }
+	settle := func(k engine.ResultKind) { f.pool.ResolveDeferred(r, engine.Result{Kind: k, Server: x.at}) }
 	x.until = time.Now().Add(wait)
 	if !x.quiet() {
 		settle(engine.Failed)
@@ -700,7 +700,7 @@
 	s.bound.Store(keep && (s.forever || s.state.Bound()))
 	if !keep {
 		s.give()
-	} else if !s.forever && !f.pool.Takes(x.at) && !s.state.Bound() {
+	} else if !s.forever && !f.pool.ServerUsable(x.at) && !s.state.Bound() {
 		f.moved.Add(1)
 		s.give()
 	}
@@ -794,8 +794,8 @@
 	f := s.f
 	name, wait := s.class(st, st.Hint.Timeout)
 	if had {
-		r := &engine.Request{Class: name, Wait: wait}
-		if err := f.pool.Adopt(r); err != nil {
+		r := &engine.Request{Class: name, Timeout: wait}
+		if err := f.pool.SubmitDeferred(r); err != nil {
 			return s.fail(wire.Refused(0))
 		}
 		x := s.x
@@ -805,20 +805,20 @@
 			err = s.firstOf(x, wire.StmtPrepare)
 		}
 		if err != nil {
-			f.pool.Settle(r, engine.Result{Kind: engine.Failed, Server: x.at})
+			f.pool.ResolveDeferred(r, engine.Result{Kind: engine.Failed, Server: x.at})
 			s.drop(policy.Reset)
 			if errors.Is(err, errGone) {
 				return errEnd
 			}
 			return s.tell(st, s.state.Lost(st, true, "the server went before it answered"))
 		}
-		f.pool.Settle(r, engine.Result{Kind: engine.Served, Server: x.at})
+		f.pool.ResolveDeferred(r, engine.Result{Kind: engine.Served, Server: x.at})
 	} else {
 		j := &job{
 			command: wire.StmtPrepare, message: b, profile: profile{s.caps & shaping, s.charset}, schema: s.state.Schema(), settings: s.state.Settings(), read: true,
 		}
-		r := &engine.Request{Class: name, Wait: wait, Payload: j}
-		if err := f.pool.Take(r, f.pool.Now()); err != nil {
+		r := &engine.Request{Class: name, Timeout: wait, Payload: j}
+		if err := f.pool.Submit(r, f.pool.Now()); err != nil {
 			f.statements[refused].Add(1)
 			return s.fail(wire.Refused(0))
 		}
--- a/internal/mysql/proxy/entry.go
+++ b/internal/mysql/proxy/entry.go
@@ -171,8 +171,8 @@
 	s.state = session.New("", 45) // for its class
 	name, wait := s.class(st, 0)
 	s.state = nil
-	r := &engine.Request{Class: name, Wait: wait, Payload: &job{open: true, read: true}}
-	if err := f.pool.Take(r, f.pool.Now()); err != nil {
+	r := &engine.Request{Class: name, Timeout: wait, Payload: &job{open: true, read: true}}
+	if err := f.pool.Submit(r, f.pool.Now()); err != nil {
 		s.fail(wire.Closing("the proxy is ending"))
 		return errEnd
 	}
--- a/internal/mysql/proxy/hard_test.go
+++ b/internal/mysql/proxy/hard_test.go
@@ -282,7 +282,7 @@
 	if err := w.pool.Reload(w.cfg); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the new one is known", func() bool { return w.pool.Takes("box2") && !w.pool.Takes("box1") })
+	until(t, "the new one is known", func() bool { return w.pool.ServerUsable("box2") && !w.pool.ServerUsable("box1") })
 	w.servers[0].Close()
 	w.servers[1].Close()
 	run("A3")
@@ -680,7 +680,7 @@
 		if err := w.pool.Reload(w.cfg); err != nil {
 			t.Fatal(err)
 		}
-		until(t, "it is known", func() bool { return w.pool.Takes("bad") })
+		until(t, "it is known", func() bool { return w.pool.ServerUsable("bad") })
 		for range 4 {
 			if v, err := value(t, w.session(""), "SELECT 5"); v != "5" || err != nil {
 				t.Errorf("greeting %q: %q, %v", greeting, v, err)
--- a/internal/mysql/proxy/transport.go
+++ b/internal/mysql/proxy/transport.go
@@ -507,17 +507,17 @@
 }
 
 // Do is a method of engine.Transport.
-func (t *Transport) Do(a *engine.Attempt, to engine.Endpoint) engine.Ending {
+func (t *Transport) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	j := a.Payload().(*job)
 	ctx, cancel := context.WithDeadline(t.ctx, a.Deadline)
 	defer cancel()
 	if !a.OnCancel(cancel) {
-		return engine.Ending{Status: policy.Canceled}
+		return engine.AttemptResult{Status: policy.Canceled}
 	}
 	t.out.Add(a.Server, 1)
 	defer t.out.Add(a.Server, -1)
 	if most := t.cfg.PerServer; most > 0 && t.out.Count(a.Server) > most {
-		return engine.Ending{Status: policy.Full}
+		return engine.AttemptResult{Status: policy.Full}
 	}
 	if j.open {
 		return t.openSession(ctx, a, to)
@@ -539,24 +539,24 @@
 	}
 	if e := reply.Error; e != nil && closing(e.Code) && j.read {
 		s.Close()
-		return engine.Ending{Status: policy.AppError}
+		return engine.AttemptResult{Status: policy.AppError}
 	}
 	return t.hand(a, &exchange{server: s, reply: reply, held: b, at: a.Server})
 }
 
 // hand gives an exchange to whoever awaits it, and waits for its end.
-func (t *Transport) hand(a *engine.Attempt, x *exchange) engine.Ending {
+func (t *Transport) hand(a *engine.Attempt, x *exchange) engine.AttemptResult {
 	x.ended = make(chan policy.Status, 1)
-	if !a.OnCancel(func() {}) || !a.Begin(x) {
+	if !a.OnCancel(func() {}) || !a.BeginReply(x) {
 		x.Close()
 		t.kill(x.to, x.thread)
-		return engine.Ending{Status: policy.Canceled}
+		return engine.AttemptResult{Status: policy.Canceled}
 	}
-	return engine.Ending{Status: <-x.ended, Load: t.own(a.Server)}
+	return engine.AttemptResult{Status: <-x.ended, Load: t.own(a.Server)}
 }
 
 // openSession connects for a client that logs in at the server itself.
-func (t *Transport) openSession(ctx context.Context, a *engine.Attempt, to engine.Endpoint) engine.Ending {
+func (t *Transport) openSession(ctx context.Context, a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	s, g, err := t.dial(ctx, to)
 	if err != nil {
 		return t.failed(a, nil, &job{read: true}, errSync{err})
@@ -569,7 +569,7 @@
 func closing(code uint16) bool { return code == 1053 || code == 3032 || code == 1040 || code == 1203 }
 
 // failed tells how an attempt has ended that has no reply. What is only due to this side's own shortage says nothing of the server.
-func (t *Transport) failed(a *engine.Attempt, s *server, j *job, err error) engine.Ending {
+func (t *Transport) failed(a *engine.Attempt, s *server, j *job, err error) engine.AttemptResult {
 	if s != nil {
 		s.Close()
 	}
@@ -581,7 +581,7 @@
 		if s != nil {
 			t.kill(s.to, s.thread)
 		}
-		return engine.Ending{Status: policy.Canceled}
+		return engine.AttemptResult{Status: policy.Canceled}
 	case errors.Is(err, sockets.ErrNone) || t.ctx.Err() != nil:
 		status = policy.Moot
 	case errors.As(err, &sync) && errors.As(err, &answer) && (answer.Code == 1040 || answer.Code == 1203):
@@ -598,7 +598,7 @@
 		t.some.Do(func() { t.log.Warn("a server's answer cannot be used", "server", string(a.Server), "err", err) })
 	}
 	t.log.Debug("attempt", "server", string(a.Server), "status", status, "err", err)
-	return engine.Ending{Status: status}
+	return engine.AttemptResult{Status: status}
 }
 
 // kill orders the end of a statement that nobody awaits any more: a server that works on it would notice only at its end.
--- a/internal/mysql/proxy/world_test.go
+++ b/internal/mysql/proxy/world_test.go
@@ -160,7 +160,7 @@
 	if err := w.pool.Reload(w.cfg); err != nil {
 		w.t.Fatal(err)
 	}
-	until(w.t, "the drain is known", func() bool { return !w.pool.Takes(w.id(i)) })
+	until(w.t, "the drain is known", func() bool { return !w.pool.ServerUsable(w.id(i)) })
 }
 
 func until(t testing.TB, what string, is func() bool) {
--- a/internal/orders/desk.go
+++ b/internal/orders/desk.go
@@ -127,7 +127,7 @@
 func (d *Desk) Take(r *engine.Request, a Ask, read policy.Time) error {
 	c, known := d.o.Engine.Class(r.Class)
 	if !known || c.Effect == policy.Safe || a.Key == "" {
-		return d.o.Engine.Take(r, read)
+		return d.o.Engine.Submit(r, read)
 	}
 	o := d.hold(r.Class+"\x00"+a.Key, c)
 	release := r.Release
@@ -139,7 +139,7 @@
 	}
 	err := o.take(r, a, read)
 	if err != nil {
-		r.Release, r.Ended = release, nil
+		r.Release, r.OnEnd = release, nil
 		d.let(o)
 	}
 	return err
@@ -187,17 +187,17 @@
 			o.d.count(&o.d.stats.Mismatched)
 			return ErrMismatch
 		}
-		if err := e.Adopt(r); err != nil {
+		if err := e.SubmitDeferred(r); err != nil {
 			return err
 		}
 		if len(o.waiting) >= mostWaiting {
-			e.Settle(r, engine.Result{Kind: engine.Refused, RetryAfter: comeBack})
+			e.ResolveDeferred(r, engine.Result{Kind: engine.Refused, RetryAfter: comeBack})
 			return nil
 		}
 		o.d.count(&o.d.stats.Joined)
 		w := &waiter{r: r, from: read}
 		left := e.Expires(r, read) - e.Now()
-		w.end = time.AfterFunc(max(left-ownEnd, 0), func() { e.Settle(r, engine.Result{Kind: engine.Failed, MayHaveRun: true}) })
+		w.end = time.AfterFunc(max(left-ownEnd, 0), func() { e.ResolveDeferred(r, engine.Result{Kind: engine.Failed, MayHaveRun: true}) })
 		o.waiting = append(o.waiting, w)
 		o.waiters.Add(1)
 		o.answerWaiting() // the leader may have ended before it could know of this one
@@ -216,11 +216,11 @@
 	v := ledger.Judge(o.class, o.entry, print, now, margin, d.retention(o.class.Name))
 	settle := func(result engine.Result) error {
 		if !adopted {
-			if err := e.Adopt(r); err != nil {
+			if err := e.SubmitDeferred(r); err != nil {
 				return err
 			}
 		}
-		e.Settle(r, result)
+		e.ResolveDeferred(r, result)
 		return nil
 	}
 	switch v.Kind {
@@ -251,23 +251,23 @@
 	lead := func() {
 		l := &leader{}
 		o.leader = l
-		r.Past, r.Order = v.Past, o
-		r.Ended = func(result engine.Result, withdrawn bool) { o.over(l, result, withdrawn) }
+		r.KeyHistory, r.Order = v.Past, o
+		r.OnEnd = func(result engine.Result, withdrawn bool) { o.over(l, result, withdrawn) }
 	}
 	if adopted {
-		e.Hand(r, read, lead) // if its client is still there
+		e.DispatchDeferred(r, read, lead) // if its client is still there
 		return nil
 	}
 	lead()
-	if err := e.Take(r, read); err != nil {
-		o.leader, r.Ended, r.Order, r.Past = nil, nil, nil, nil
+	if err := e.Submit(r, read); err != nil {
+		o.leader, r.OnEnd, r.Order, r.KeyHistory = nil, nil, nil, nil
 		return err
 	}
 	return nil
 }
 
 // refusal is how a request ends that cannot be noted: refused, unless one before it may have run.
-func refusal(v ledger.Verdict) engine.Kind {
+func refusal(v ledger.Verdict) engine.ResultKind {
 	if v.Kind == ledger.Again {
 		return engine.Failed
 	}
@@ -278,11 +278,11 @@
 func (o *order) unwritable(r *engine.Request, err error) error {
 	o.d.fail(err)
 	o.d.count(&o.d.stats.Unwritable)
-	if err := o.d.o.Engine.Adopt(r); err != nil {
+	if err := o.d.o.Engine.SubmitDeferred(r); err != nil {
 		return err
 	}
 	// It may have run before: that a retry is harmless holds all the same, as it will be judged by what can then be read.
-	o.d.o.Engine.Settle(r, engine.Result{Kind: engine.Refused, RetryAfter: comeBack})
+	o.d.o.Engine.ResolveDeferred(r, engine.Result{Kind: engine.Refused, RetryAfter: comeBack})
 	return nil
 }
 
@@ -336,11 +336,11 @@
 		if !end.withdrawn && end.result.Kind != engine.Dropped {
 			result := end.result
 			result.Replayed = result.Kind == engine.Served
-			e.Settle(w.r, result)
+			e.ResolveDeferred(w.r, result)
 			continue
 		}
 		if err := o.judge(w.r, o.entry.Print, w.from, true); err != nil {
-			e.Settle(w.r, engine.Result{Kind: engine.Failed, MayHaveRun: true})
+			e.ResolveDeferred(w.r, engine.Result{Kind: engine.Failed, MayHaveRun: true})
 		}
 	}
 }
@@ -360,7 +360,7 @@
 
 // end notes how an attempt has ended. What cannot be written counts as may have run after a restart, which is safe. One whose entry
 // was forgotten for its age while it was out, says nothing of the order that has the key now.
-func (o *order) end(e *ledger.Entry, number int, end engine.Ending) {
+func (o *order) end(e *ledger.Entry, number int, end engine.AttemptResult) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
@@ -468,14 +468,14 @@
 type noting struct{ engine.Transport }
 
 // Do is a method of engine.Transport.
-func (t noting) Do(a *engine.Attempt, to engine.Endpoint) engine.Ending {
+func (t noting) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	o, ok := a.Order().(*order)
 	if !ok {
 		return t.Transport.Do(a, to)
 	}
 	e, number, err := o.begin(to)
 	if err != nil {
-		return engine.Ending{Status: policy.Moot}
+		return engine.AttemptResult{Status: policy.Moot}
 	}
 	end := t.Transport.Do(a, to)
 	o.end(e, number, end)
--- a/internal/orders/desk_test.go
+++ b/internal/orders/desk_test.go
@@ -28,8 +28,8 @@
 }
 
 // lost is the ending of an attempt that may have run.
-func lost(int, *engine.Attempt, engine.Endpoint) engine.Ending {
-	return engine.Ending{Status: policy.Reset}
+func lost(int, *engine.Attempt, engine.Endpoint) engine.AttemptResult {
+	return engine.AttemptResult{Status: policy.Reset}
 }
 
 // texts is a codec of strings.
@@ -78,8 +78,8 @@
 	for i, id := range []policy.ServerID{"a", "b", "c"} {
 		known.Servers = append(known.Servers, engine.Server{ID: id, Addr: string(id), State: policy.Ready, Cell: i, Weight: 1})
 	}
-	known.Whole = true
-	e := engine.New(engine.Options{Config: cfg, Module: m, Transport: Transport(w.servers), Known: &known, Log: log})
+	known.Full = true
+	e := engine.New(engine.Options{Config: cfg, Module: m, Transport: Transport(w.servers), CachedList: &known, Log: log})
 	w.Desk = New(Options{Engine: e, Book: book, Codec: texts{}, Clock: w.now, Retention: func(string) time.Duration { return time.Hour }, Log: log})
 	t.Cleanup(w.end)
 	return w
@@ -92,7 +92,7 @@
 }
 
 func (w *world) take(class, key string, print byte) (*engine.Request, error) {
-	r := &engine.Request{Class: class, Wait: 8 * time.Second}
+	r := &engine.Request{Class: class, Timeout: 8 * time.Second}
 	return r, w.Take(r, Ask{Key: key, Print: [32]byte{print}}, w.o.Engine.Now())
 }
 
@@ -213,12 +213,12 @@
 func TestAtOnce(t *testing.T) {
 	w := build(t, NewMemory(1<<20))
 	begun, answer := make(chan struct{}, 10), make(chan struct{})
-	w.servers.SetEnd(func(n int, a *engine.Attempt, _ engine.Endpoint) engine.Ending {
+	w.servers.SetEnd(func(n int, a *engine.Attempt, _ engine.Endpoint) engine.AttemptResult {
 		begun <- struct{}{}
 		if !standin.Hold(a, 0, answer) {
-			return engine.Ending{Status: policy.Canceled}
+			return engine.AttemptResult{Status: policy.Canceled}
 		}
-		return engine.Ending{Status: policy.OK, Reply: "reply"}
+		return engine.AttemptResult{Status: policy.OK, Reply: "reply"}
 	})
 	start := func(class, key string) (first, second *engine.Request) {
 		first, err := w.take(class, key, 1)
@@ -327,7 +327,7 @@
 		if _, _, err := o.begin(engine.Endpoint{ID: "b"}); err != nil {
 			t.Fatal(err)
 		}
-		o.end(old, number, engine.Ending{Status: status, Reply: "another's"})
+		o.end(old, number, engine.AttemptResult{Status: status, Reply: "another's"})
 		if o.entry.Served || len(o.entry.Attempts) != 1 {
 			t.Errorf("%v: %+v", status, o.entry)
 		}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -183,7 +183,7 @@
 
 // list returns the list that the operator gives, whole.
 func (c *Config) list() (engine.List, error) {
-	l := engine.List{Whole: true}
+	l := engine.List{Full: true}
 	told := 0
 	for _, is := range []bool{len(c.Servers) > 0, c.Discovery != "", c.File != "", c.DNS != nil} {
 		if is {
@@ -351,10 +351,10 @@
 	if o.Source = c.source(o.Log); o.Source == nil {
 		pool.source = &told{changed: make(chan struct{}, 1)}
 		pool.source.set(l)
-		o.Source, o.Known = pool.source, &l
+		o.Source, o.CachedList = pool.source, &l
 	}
 	pool.Engine = engine.New(o)
-	pool.Engine.Ask()
+	pool.Engine.Refresh()
 	return pool, nil
 }
 
@@ -381,7 +381,7 @@
 	case p.source != nil:
 		p.source.set(l)
 	case c.Discovery != p.cfg.Discovery || c.File != p.cfg.File || !reflect.DeepEqual(c.DNS, p.cfg.DNS):
-		p.Engine.Move(c.source(p.log))
+		p.Engine.SetSource(c.source(p.log))
 	}
 	p.cfg = c
 	return nil
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -17,8 +17,8 @@
 // nobody is a transport that reaches nobody.
 type nobody struct{}
 
-func (nobody) Do(*engine.Attempt, engine.Endpoint) engine.Ending {
-	return engine.Ending{Status: policy.ConnectFailed}
+func (nobody) Do(*engine.Attempt, engine.Endpoint) engine.AttemptResult {
+	return engine.AttemptResult{Status: policy.ConnectFailed}
 }
 func (nobody) Probe(context.Context, engine.Endpoint) (policy.Status, *policy.Load) {
 	return policy.ConnectFailed, nil
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	defer p.Close()
-	if !p.Takes("a") || p.Takes("127.0.0.1:2") || p.Takes("c") {
+	if !p.ServerUsable("a") || p.ServerUsable("127.0.0.1:2") || p.ServerUsable("c") {
 		t.Error("the list is not that of the configuration")
 	}
 	if c, ok := p.Class("sql"); !ok || c.Effect != policy.Unsafe {
@@ -53,7 +53,7 @@
 	if err := p.Reload(next); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(20 * time.Second); p.Takes("a") || !p.Takes("127.0.0.1:2"); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); p.ServerUsable("a") || !p.ServerUsable("127.0.0.1:2"); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the list is not taken over")
 		}
@@ -71,7 +71,7 @@
 	if err := p.Reload(far); err == nil {
 		t.Error("a discovery in place of a list is taken without a restart")
 	}
-	if p.Takes("a") || !p.Takes("127.0.0.1:2") {
+	if p.ServerUsable("a") || !p.ServerUsable("127.0.0.1:2") {
 		t.Error("what cannot be used has changed something")
 	}
 }
--- a/internal/reloadplay/play.go
+++ b/internal/reloadplay/play.go
@@ -446,10 +446,10 @@
 		}
 		for _, w := range p.services.Waiting(lookEvery) {
 			p.mu.Lock()
-			m := p.waited[w.What]
+			m := p.waited[w.Description]
 			if m == nil {
 				m = map[string]int{}
-				p.waited[w.What] = m
+				p.waited[w.Description] = m
 			}
 			m[w.String()]++
 			p.mu.Unlock()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -335,7 +335,7 @@
 	answers := found.Answers
 	return &Call{
 		Route: found.Name, Pool: name, Engine: p.Engine, Room: p.Room, Taken: p.leave, Late: p.late,
-		Request: &engine.Request{Class: class, Tenant: tenant, Key: key, Wait: k.Deadline},
+		Request: &engine.Request{Class: class, Tenant: tenant, Key: key, Timeout: k.Deadline},
 		Judge: func(code int, header func(string) []string) routes.Judgment {
 			return answers.Judge(code, header, time.Now())
 		},
@@ -381,7 +381,7 @@
 	if found.Fallback == "" {
 		return s.Pick(now, key, firm, nil), nil
 	}
-	usable := func(name string) bool { return st.pools[name].Engine.Usable() }
+	usable := func(name string) bool { return st.pools[name].Engine.HasUsableServer() }
 	if name := s.Pick(now, key, firm, usable); name != "" {
 		return name, nil
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -128,7 +128,7 @@
 		{asked("POST", "/a", "Idempotency-Key", "k"), "c@300ms+keyed"},
 	} {
 		call, err := r.Route(tt.q)
-		if err != nil || call.Request.Class != tt.class || call.Request.Key != "a" || call.Request.Wait != 300*time.Millisecond {
+		if err != nil || call.Request.Class != tt.class || call.Request.Key != "a" || call.Request.Timeout != 300*time.Millisecond {
 			t.Errorf("%s: %+v, %v", tt.q.Method, call, err)
 			continue
 		}
--- a/internal/services/http.go
+++ b/internal/services/http.go
@@ -86,7 +86,7 @@
 }
 
 // Do is a method of engine.Transport.
-func (t *webTransport) Do(a *engine.Attempt, to engine.Endpoint) engine.Ending {
+func (t *webTransport) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	t.out.Add(a.Server, 1)
 	end := t.Transport.Do(a, to)
 	t.out.Add(a.Server, -1)
@@ -287,7 +287,7 @@
 }
 
 func settingsOf(c pool.Config) settings.Settings {
-	return settings.Settings{Config: policy.Config{DialTimeout: c.DialTimeout(), ConnIdle: c.IdleTimeout()}, Fields: c.Fields()}
+	return settings.Settings{Config: policy.Config{DialTimeout: c.DialTimeout(), ConnIdle: c.IdleTimeout()}, LoadFields: c.Fields()}
 }
 
 func (w *web) open(c pool.Config) (*webPool, error) {
@@ -331,7 +331,7 @@
 // retire ends a pool that no route leads to any more, once its last request has ended: its servers get nothing but what it had taken, for
 // graceTime at most, and open requests end where they began. Called with the lock held.
 func (w *web) retire(p *webPool) {
-	w.log.Info("pool ends", "pool", p.cfg.Name, "held", p.Held())
+	w.log.Info("pool ends", "pool", p.cfg.Name, "held", p.RetainedRequests())
 	w.old = append(w.old, p)
 	through := []<-chan struct{}{p.route.Retire()}
 	for _, f := range p.former {
@@ -347,20 +347,20 @@
 		}
 		until(func() bool {
 			through = slices.DeleteFunc(through, isClosed)
-			return len(through) == 0 && p.Open() == 0 || time.Now().After(over)
+			return len(through) == 0 && p.OpenRequests() == 0 || time.Now().After(over)
 		})
 		p.Retire()
 		p.transport.Close() // what is idle is of no use any more
 		for _, t := range through {
 			wait(w, t)
 		}
-		until(func() bool { return p.Held() == 0 })
+		until(func() bool { return p.RetainedRequests() == 0 })
 		w.end(p)
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.old = slices.DeleteFunc(w.old, func(o *webPool) bool { return o == p })
 		w.ends.Pools++
-		w.ends.Cut += p.Cut()
+		w.ends.Cut += p.UnservedSinceRetire()
 	})
 }
 
@@ -563,7 +563,7 @@
 // waiting returns the requests of all pools that have waited for longer than d.
 func (w *web) waiting(d time.Duration) (all []Waiting) {
 	for _, p := range w.all() {
-		for _, r := range p.Waiting(d) {
+		for _, r := range p.PendingRequests(d) {
 			all = append(all, Waiting{p.name, r})
 		}
 	}
--- a/internal/services/http_leave_test.go
+++ b/internal/services/http_leave_test.go
@@ -55,8 +55,8 @@
 			io.WriteString(c, first)
 			e := s.Engines()[0]
 			until(t, func() bool {
-				all := e.Waiting(0)
-				return len(all) == 1 && len(all[0].Out) == 1 && all[0].Out[0].Stage == engine.StageConnect
+				all := e.PendingRequests(0)
+				return len(all) == 1 && len(all[0].OpenAttempts) == 1 && all[0].OpenAttempts[0].Stage == engine.StageConnect
 			})
 			io.WriteString(c, later)
 			c.Close()
@@ -67,7 +67,7 @@
 				}
 				return n == 1
 			})
-			until(t, func() bool { return e.Snapshot().Held == 0 })
+			until(t, func() bool { return e.Snapshot().Retained == 0 })
 		})
 	}
 }
--- a/internal/services/http_retire_test.go
+++ b/internal/services/http_retire_test.go
@@ -71,7 +71,7 @@
 	if status, body := get(t, webClient(t), addr); status != 200 || body != "new" {
 		t.Errorf("%d %q of the new pool", status, body)
 	}
-	if all := s.Waiting(0); len(all) != 1 || all[0].Pool != "old" || all[0].What != "GET /" || !strings.Contains(all[0].String(), "a list") {
+	if all := s.Waiting(0); len(all) != 1 || all[0].Pool != "old" || all[0].Description != "GET /" || !strings.Contains(all[0].String(), "a list") {
 		t.Errorf("what waits: %+v", all)
 	}
 	if status := <-done; status != http.StatusServiceUnavailable || time.Since(began) > graceTime+3*time.Second {
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -96,7 +96,7 @@
 		return nil
 	}
 	return upstream.New(settings.Settings{
-		Config: policy.Config{DialTimeout: p.DialTimeout(), ConnIdle: p.IdleTimeout()}, Fields: p.Fields(),
+		Config: policy.Config{DialTimeout: p.DialTimeout(), ConnIdle: p.IdleTimeout()}, LoadFields: p.Fields(),
 	}, s.budget, s.log)
 }
 
@@ -335,7 +335,7 @@
 // Waiting is a request that waits at a service or a pool.
 type Waiting struct {
 	Pool string
-	engine.Waiting
+	engine.PendingRequest
 }
 
 // Waiting returns the requests of all services and pools that have waited for longer than d, pools that are being ended among them.
@@ -347,7 +347,7 @@
 		if v.pool == nil {
 			continue
 		}
-		for _, r := range v.pool.Waiting(d) {
+		for _, r := range v.pool.PendingRequests(d) {
 			all = append(all, Waiting{v.poolName, r})
 		}
 	}
--- a/internal/services/services_test.go
+++ b/internal/services/services_test.go
@@ -162,7 +162,7 @@
 	if restart, err := s.Reload(next, nil); restart || err != nil {
 		t.Errorf("%v, %v", restart, err)
 	}
-	for end := time.Now().Add(patience); s.all[1].pool.Takes("l0"); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); s.all[1].pool.ServerUsable("l0"); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the drain is not taken over")
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,9 +13,9 @@
 
 // Settings is what a host needs of the settings object.
 type Settings struct {
-	Config policy.Config
-	Fields []string // names of the values in a load report, in their order
-	Peers  bool     // sidecars may send one another datagrams
+	Config     policy.Config
+	LoadFields []string // names of the values in a load report, in their order
+	Peers      bool     // sidecars may send one another datagrams
 }
 
 // object mirrors the keys that the module uses; others are skipped.
@@ -91,7 +91,7 @@
 	for _, t := range s.Tenants {
 		cfg.Tenants = append(cfg.Tenants, policy.Tenant{Name: t.Name, AllowancePer: t.AllowancePerS})
 	}
-	return Settings{Config: cfg, Fields: s.Telemetry.Fields, Peers: s.Limits.Peers}, nil
+	return Settings{Config: cfg, LoadFields: s.Telemetry.Fields, Peers: s.Limits.Peers}, nil
 }
 
 // validate guards against what the module would reject or misread, by the names that the operators use.
@@ -145,14 +145,14 @@
 	return nil
 }
 
-// NoLoad returns a report in which nothing is reported.
-func NoLoad() policy.Load {
+// EmptyLoad returns a report in which nothing is reported.
+func EmptyLoad() policy.Load {
 	return policy.Load{Queue: -1, Inflight: -1, Latency: -1, ErrorRate: -1}
 }
 
-// Set notes the value that a report gives under a field's name. Fields that the module has no use for are
+// SetLoadField notes the value that a report gives under a field's name. Fields that the module has no use for are
 // skipped.
-func Set(l *policy.Load, field string, value float64) {
+func SetLoadField(l *policy.Load, field string, value float64) {
 	switch field {
 	case "queue":
 		l.Queue = value
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -121,7 +121,7 @@
 }
 
 func (d *Discovery) whole() engine.List {
-	l := engine.List{Seq: d.seq, Whole: true}
+	l := engine.List{Seq: d.seq, Full: true}
 	for _, s := range d.list {
 		l.Servers = append(l.Servers, s)
 	}
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -69,7 +69,7 @@
 		ID: policy.ServerID(b.cfg.ID), Addr: b.Addr(), State: state, Zone: b.cfg.Zone, Cell: b.cfg.Cell, Weight: 1,
 	}
 	if !b.born.IsZero() {
-		s.BornMs = b.born.UnixMilli()
+		s.StartedMs = b.born.UnixMilli()
 	}
 	return s
 }
--- a/internal/standin/memory.go
+++ b/internal/standin/memory.go
@@ -13,14 +13,14 @@
 // Attempts is an engine.Transport without a network: its attempts end as End says, in real time or in a bubble of testing/synctest.
 type Attempts struct {
 	// End returns the ending of the n-th attempt, from 1. Nil: each is served at once, with n as its reply.
-	End func(n int, a *engine.Attempt, to engine.Endpoint) engine.Ending
+	End func(n int, a *engine.Attempt, to engine.Endpoint) engine.AttemptResult
 
 	mu   sync.Mutex
 	sent []policy.ServerID
 }
 
 // SetEnd replaces End while attempts go on.
-func (t *Attempts) SetEnd(end func(n int, a *engine.Attempt, to engine.Endpoint) engine.Ending) {
+func (t *Attempts) SetEnd(end func(n int, a *engine.Attempt, to engine.Endpoint) engine.AttemptResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.End = end
@@ -34,13 +34,13 @@
 }
 
 // Do is a method of engine.Transport.
-func (t *Attempts) Do(a *engine.Attempt, to engine.Endpoint) engine.Ending {
+func (t *Attempts) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	t.mu.Lock()
 	t.sent = append(t.sent, to.ID)
 	n, end := len(t.sent), t.End
 	t.mu.Unlock()
 	if end == nil {
-		return engine.Ending{Status: policy.OK, Reply: n}
+		return engine.AttemptResult{Status: policy.OK, Reply: n}
 	}
 	return end(n, a, to)
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -201,14 +201,14 @@
 	}
 	stop, over := watch(engine.UnknownSeq)
 	l := next("whole list")
-	if !l.Whole || len(l.Servers) != 1 || l.Servers[0].ID != "a" || l.Servers[0].Cell != 3 || l.Servers[0].Addr != b.Addr() {
+	if !l.Full || len(l.Servers) != 1 || l.Servers[0].ID != "a" || l.Servers[0].Cell != 3 || l.Servers[0].Addr != b.Addr() {
 		t.Errorf("list %+v", l)
 	}
 	f.Disco.SetLag(100 * time.Millisecond)
 	at := time.Now()
 	f.Drain(b)
 	d := next("change")
-	if d.Whole || len(d.Servers) != 1 || d.Servers[0].State != policy.Draining || d.Seq != l.Seq+1 {
+	if d.Full || len(d.Servers) != 1 || d.Servers[0].State != policy.Draining || d.Seq != l.Seq+1 {
 		t.Errorf("change %+v", d)
 	}
 	if time.Since(at) < 100*time.Millisecond {
@@ -219,7 +219,7 @@
 	f.Disco.SetLag(0)
 	f.Kill(b)
 	stop, over = watch(d.Seq)
-	if m := next("what was missed"); m.Whole || len(m.Servers) != 1 || m.Servers[0].State != policy.Gone {
+	if m := next("what was missed"); m.Full || len(m.Servers) != 1 || m.Servers[0].State != policy.Gone {
 		t.Errorf("missed %+v", m)
 	}
 	f.Disco.SetDown(true)
@@ -235,7 +235,7 @@
 		f.Disco.Tell(engine.Server{ID: "x", Addr: "127.0.0.1:1"}, nil)
 	}
 	stop, over = watch(d.Seq)
-	if l := next("whole list in place of a history that is gone"); !l.Whole {
+	if l := next("whole list in place of a history that is gone"); !l.Full {
 		t.Errorf("list of %d changes", len(l.Servers))
 	}
 	stop()
--- a/internal/stream/front.go
+++ b/internal/stream/front.go
@@ -92,8 +92,8 @@
 		return
 	}
 	defer release()
-	r := &engine.Request{Class: class.Name, Wait: class.Deadline}
-	if err := f.engine.Take(r, f.engine.Now()); err != nil {
+	r := &engine.Request{Class: class.Name, Timeout: class.Deadline}
+	if err := f.engine.Submit(r, f.engine.Now()); err != nil {
 		refuse(c)
 		return
 	}
@@ -251,7 +251,7 @@
 			id := s.server.server
 			ok, known := takes[id]
 			if !known {
-				ok = f.engine.Takes(id)
+				ok = f.engine.ServerUsable(id)
 				takes[id] = ok
 			}
 			switch {
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -452,7 +452,7 @@
 		t.Fatal(err)
 	}
 	told := time.Now()
-	until(t, "the list is known", func() bool { return !w.pool.Takes("box0") })
+	until(t, "the list is known", func() bool { return !w.pool.ServerUsable("box0") })
 	if time.Since(told) > 2*time.Second {
 		t.Fatal("the list came late")
 	}
--- a/internal/stream/transport.go
+++ b/internal/stream/transport.go
@@ -43,15 +43,15 @@
 func (l *link) end() { l.once.Do(func() { close(l.ended) }) }
 
 // Do is a method of engine.Transport.
-func (t *Transport) Do(a *engine.Attempt, to engine.Endpoint) engine.Ending {
+func (t *Transport) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	ctx, cancel := context.WithDeadline(context.Background(), earlier(a.Deadline, time.Now().Add(t.dial)))
 	defer cancel()
 	if !a.OnCancel(cancel) {
-		return engine.Ending{Status: policy.Canceled}
+		return engine.AttemptResult{Status: policy.Canceled}
 	}
 	release, err := t.budget.Acquire(ctx)
 	if err != nil {
-		return engine.Ending{Status: t.failed(a, policy.Moot, err)}
+		return engine.AttemptResult{Status: t.failed(a, policy.Moot, err)}
 	}
 	defer release()
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", to.Addr)
@@ -60,18 +60,18 @@
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
 			status = policy.Moot // it says nothing of the server
 		}
-		return engine.Ending{Status: t.failed(a, status, err)}
+		return engine.AttemptResult{Status: t.failed(a, status, err)}
 	}
 	l := &link{TCPConn: c.(*net.TCPConn), server: a.Server, ended: make(chan struct{})}
 	t.open.Add(a.Server, 1)
-	if !a.Begin(l) {
+	if !a.BeginReply(l) {
 		l.Close()
 		t.open.Add(a.Server, -1)
-		return engine.Ending{Status: policy.Canceled}
+		return engine.AttemptResult{Status: policy.Canceled}
 	}
 	<-l.ended
 	t.open.Add(a.Server, -1)
-	return engine.Ending{Status: policy.OK, Load: t.own(a.Server)}
+	return engine.AttemptResult{Status: policy.OK, Load: t.own(a.Server)}
 }
 
 func (t *Transport) failed(a *engine.Attempt, status policy.Status, err error) policy.Status {
--- a/internal/upstream/load_test.go
+++ b/internal/upstream/load_test.go
@@ -49,7 +49,7 @@
 // TestFaultsInReports: a server whose reports are all spoilt is named in one line, however many there are.
 func TestFaultsInReports(t *testing.T) {
 	var log bytes.Buffer
-	tr := New(settings.Settings{Fields: []string{"queue"}}, sockets.New(100), slog.New(slog.NewTextHandler(&log, nil)))
+	tr := New(settings.Settings{LoadFields: []string{"queue"}}, sockets.New(100), slog.New(slog.NewTextHandler(&log, nil)))
 	defer tr.Close()
 	for range 1000 {
 		tr.report(engine.Endpoint{ID: "box-7"}, "TEXT queue=-3", []string{"queue"})
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -68,7 +68,7 @@
 
 // Reconfigure makes s what holds for all that begins from now on.
 func (t *Transport) Reconfigure(s settings.Settings) {
-	t.load.Store(&loadForm{s.Fields, s.Config.InlineReports})
+	t.load.Store(&loadForm{s.LoadFields, s.Config.InlineReports})
 	t.pool.dialTimeout.Store(int64(s.Config.DialTimeout))
 	t.pool.idleFor.Store(int64(float64(s.Config.ConnIdle) * idleShare))
 }
@@ -120,7 +120,7 @@
 func (t *Transport) HangUp(to engine.Endpoint) { t.pool.hangUp(to) }
 
 // Do is a method of engine.Transport. What an attempt's end proves follows the protocol's table of outcomes.
-func (t *Transport) Do(a *engine.Attempt, to engine.Endpoint) engine.Ending {
+func (t *Transport) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	c := t.pool.reuse(to, a.Deadline)
 	if c == nil {
 		var err error
@@ -130,7 +130,7 @@
 	}
 	if !a.Sending(c.hangUp) {
 		t.pool.keep(c) // nothing was written to it
-		return engine.Ending{Status: policy.Canceled}
+		return engine.AttemptResult{Status: policy.Canceled}
 	}
 	m, _ := a.Payload().(*httpmsg.Message)
 	if m != nil && m.Terms != nil {
@@ -144,7 +144,7 @@
 		c.Close()
 		return t.broken(a, err)
 	}
-	end := engine.Ending{Status: policy.OK}
+	end := engine.AttemptResult{Status: policy.OK}
 	var answer *httpmsg.Answer
 	if code == http.StatusOK {
 		answer = &httpmsg.Answer{}
@@ -192,13 +192,13 @@
 		answer.Body = body
 		end.Reply = answer
 	}
-	end.Spent = spent(a)
+	end.PayloadConsumed = spent(a)
 	return end
 }
 
 // passOn hands a long answer on as it comes, and waits for its end. end is the ending if it comes whole; last reports then whether the
 // connection can carry no further exchange.
-func (t *Transport) passOn(a *engine.Attempt, c *conn, answer *httpmsg.Answer, end engine.Ending, last func() bool) engine.Ending {
+func (t *Transport) passOn(a *engine.Attempt, c *conn, answer *httpmsg.Answer, end engine.AttemptResult, last func() bool) engine.AttemptResult {
 	rest := &long{c: c, done: make(chan struct{}), settle: func(err error) {
 		if a.OnCancel(nil) && err == io.EOF && !last() {
 			t.pool.keep(c)
@@ -214,9 +214,9 @@
 		c.hangUp()
 		rest.end(net.ErrClosed, func(error) {})
 	}
-	if !a.OnCancel(hangUp) || !a.Begin(answer) {
+	if !a.OnCancel(hangUp) || !a.BeginReply(answer) {
 		c.Close()
-		return engine.Ending{Status: policy.Canceled}
+		return engine.AttemptResult{Status: policy.Canceled}
 	}
 	<-rest.done
 	if rest.err == io.EOF || rest.err == nil { // closed by whoever read it, which says nothing of the upstream
@@ -238,12 +238,12 @@
 	if !a.OnCancel(cancel) {
 		return nil, context.Canceled
 	}
-	a.At(engine.StageDescriptor)
-	return t.pool.dial(ctx, to, a.Deadline, func() { a.At(engine.StageConnect) })
+	a.SetStage(engine.StageDescriptor)
+	return t.pool.dial(ctx, to, a.Deadline, func() { a.SetStage(engine.StageConnect) })
 }
 
 // broken is the ending of an attempt that got no whole answer.
-func (t *Transport) broken(a *engine.Attempt, err error) engine.Ending {
+func (t *Transport) broken(a *engine.Attempt, err error) engine.AttemptResult {
 	status := policy.Reset
 	var notWritten errNotWritten
 	var source errSource
@@ -257,8 +257,8 @@
 	case errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(a.Deadline): // else the answer has stalled
 		status = policy.Timeout
 	}
-	t.log.Debug("attempt", "request", a.Name(), "upstream", a.Server, "status", status, "err", err)
-	return engine.Ending{Status: status, Spent: spent(a)}
+	t.log.Debug("attempt", "request", a.ExternalID(), "upstream", a.Server, "status", status, "err", err)
+	return engine.AttemptResult{Status: status, PayloadConsumed: spent(a)}
 }
 
 // Probe is a method of engine.Transport. It takes up to 400 ms.
@@ -327,7 +327,7 @@
 	if format, rest, ok := strings.Cut(text, " "); ok && !strings.ContainsAny(format, "=,") {
 		text = rest
 	}
-	load, found := settings.NoLoad(), false
+	load, found := settings.EmptyLoad(), false
 	var fault error
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(part, "=")
@@ -341,7 +341,7 @@
 			}
 			continue
 		}
-		settings.Set(&load, name, v)
+		settings.SetLoadField(&load, name, v)
 		found = true
 	}
 	if !found {
--- a/internal/upstream/whole.go
+++ b/internal/upstream/whole.go
@@ -43,18 +43,18 @@
 
 // whole carries out one attempt of a message with Terms on c. What its end proves follows RFC 9110: a request of which a part was
 // written may have run.
-func (t *Transport) whole(a *engine.Attempt, c *conn, m *httpmsg.Message) engine.Ending {
+func (t *Transport) whole(a *engine.Attempt, c *conn, m *httpmsg.Message) engine.AttemptResult {
 	x := &exchange{conn: c, m: m, deadline: a.Deadline}
 	if m.Rest != nil {
 		x.goOn = make(chan struct{})
 	}
 	end := t.carryOut(a, x)
 	x.end()
-	end.Spent = spent(a) // from here on nothing more of the body is read for this attempt
+	end.PayloadConsumed = spent(a) // from here on nothing more of the body is read for this attempt
 	return end
 }
 
-func (t *Transport) carryOut(a *engine.Attempt, x *exchange) engine.Ending {
+func (t *Transport) carryOut(a *engine.Attempt, x *exchange) engine.AttemptResult {
 	c, m := x.conn, x.m
 	if m.Rest != nil {
 		x.deadline = time.Time{}
@@ -70,7 +70,7 @@
 		c.SetReadDeadline(x.deadline)
 	}
 	if m.Rest == nil {
-		a.At(engine.StageAnswer)
+		a.SetStage(engine.StageAnswer)
 	}
 	code, minor, err := x.answer()
 	if err != nil {
@@ -111,9 +111,9 @@
 		trailer = c.body.Trailer()
 		return !last && x.wasSent()
 	}
-	end := engine.Ending{Status: policy.OK}
+	end := engine.AttemptResult{Status: policy.OK}
 	if j.Verdict != routes.Final {
-		end.Avoid = j.Avoid
+		end.AvoidFor = j.Avoid
 		if end.Status = policy.AppError; j.Verdict == routes.NotRun {
 			end.Status = policy.Full
 		}
@@ -239,7 +239,7 @@
 		err = x.pieces()
 	}
 	if err == nil {
-		deadline := a.UploadedBeside()
+		deadline := a.UploadedConcurrently()
 		x.mu.Lock()
 		defer x.mu.Unlock()
 		if x.sent, x.deadline = true, deadline; !x.begun && !x.over {
@@ -317,7 +317,7 @@
 }
 
 // ending is the ending of an attempt that err broke.
-func (t *Transport) ending(a *engine.Attempt, x *exchange, err error) engine.Ending {
+func (t *Transport) ending(a *engine.Attempt, x *exchange, err error) engine.AttemptResult {
 	x.mu.Lock()
 	source, deadline := x.source, x.deadline
 	x.mu.Unlock()
@@ -336,6 +336,6 @@
 	case errors.Is(err, os.ErrDeadlineExceeded) && !deadline.IsZero() && !time.Now().Before(deadline) && x.wasSent():
 		status = policy.Timeout
 	}
-	t.log.Debug("attempt", "request", a.Name(), "upstream", a.Server, "status", status, "err", err)
-	return engine.Ending{Status: status}
+	t.log.Debug("attempt", "request", a.ExternalID(), "upstream", a.Server, "status", status, "err", err)
+	return engine.AttemptResult{Status: status}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		return nil, err
 	}
-	inst := &instance{balancer: b, sites: siting.New(b, slog.New(slog.DiscardHandler)), fields: s.Fields}
+	inst := &instance{balancer: b, sites: siting.New(b, slog.New(slog.DiscardHandler)), fields: s.LoadFields}
 	if err := inst.sites.Watch(now, watch, s.Config); err != nil {
 		return nil, err
 	}
@@ -287,9 +287,9 @@
 	if len(row) == 0 {
 		return nil
 	}
-	l := settings.NoLoad()
+	l := settings.EmptyLoad()
 	for k, v := range row[:min(len(row), len(i.fields))] {
-		settings.Set(&l, i.fields[k], v)
+		settings.SetLoadField(&l, i.fields[k], v)
 	}
 	return &l
 }
--- a/leave_test.go
+++ b/leave_test.go
@@ -54,9 +54,9 @@
 			t.Errorf("%s: %v, want the context's end", name, err)
 		}
 	}
-	taken := b.engine.Snapshot().Taken
+	taken := b.engine.Snapshot().Accepted
 	for _, e := range p.web.Engines() {
-		taken += e.Snapshot().Taken
+		taken += e.Snapshot().Accepted
 	}
 	if n := hits.Load(); n > 0 || taken > 0 {
 		t.Errorf("%d requests were taken, %d sent on", taken, n)
--- a/path_bench_test.go
+++ b/path_bench_test.go
@@ -44,7 +44,7 @@
 	addr := srv.Listener.Addr().String()
 	text := standin.Platform{
 		Seed: 1, Pushed: true, NoProbes: true, Sockets: 1024,
-		Known: &engine.List{Seq: 1, Whole: true, Servers: []engine.Server{{ID: "a", Addr: addr}}},
+		Known: &engine.List{Seq: 1, Full: true, Servers: []engine.Server{{ID: "a", Addr: addr}}},
 		Classes: []policy.Class{{
 			Name: "order", Effect: policy.Keyed, KeyTTL: time.Second, Aim: 9 * time.Second, Deadline: 10 * time.Second, Worth: 1,
 		}},
--- a/pools.go
+++ b/pools.go
@@ -264,7 +264,7 @@
 			done = false
 			return nil, err
 		}
-		if err := call.Engine.Take(r, call.Engine.Now()); err != nil {
+		if err := call.Engine.Submit(r, call.Engine.Now()); err != nil {
 			done = false
 			return nil, poolsError(err)
 		}
@@ -279,7 +279,7 @@
 		}
 		fallthrough
 	default:
-		if err := call.Engine.Take(r, call.Engine.Now()); err != nil {
+		if err := call.Engine.Submit(r, call.Engine.Now()); err != nil {
 			return nil, poolsError(err)
 		}
 	}
@@ -333,7 +333,7 @@
 	}
 	e := &FailedError{Attempts: r.Attempts}
 	if r.Attempts > 0 {
-		e.Last = outcomes[r.Last]
+		e.Last = outcomes[r.LastStatus]
 	}
 	return nil, e
 }
--- a/snapshot.go
+++ b/snapshot.go
@@ -54,7 +54,7 @@
 	e := b.engine.Snapshot()
 	used, _ := b.sockets.InUse()
 	s := Snapshot{
-		Open: e.Open, Taken: e.Taken, Probing: e.Probing, Waiting: e.Beliefs.Held, Connections: used,
+		Open: e.Open, Taken: e.Accepted, Probing: e.Probing, Waiting: e.Beliefs.Held, Connections: used,
 		Watching: e.Watching, Threshold: e.Beliefs.Threshold, ReadySet: e.Beliefs.ReadySet,
 		Servers: make([]ServerSnapshot, len(e.Servers)), Sites: siteSnapshots(e),
 	}
--- a/source.go
+++ b/source.go
@@ -43,7 +43,7 @@
 
 // checkServers converts a whole list. An error names the entry.
 func checkServers(field string, servers []Server) (engine.List, error) {
-	l := engine.List{Whole: true, Servers: make([]engine.Server, len(servers))}
+	l := engine.List{Full: true, Servers: make([]engine.Server, len(servers))}
 	if len(servers) > mostServers {
 		return l, wrong(field, "%d servers, over %d", len(servers), mostServers)
 	}
@@ -70,7 +70,7 @@
 			return l, wrong(entry+".State", "%d is neither Ready nor Draining", s.State)
 		}
 		if !s.Started.IsZero() {
-			e.BornMs = s.Started.UnixMilli()
+			e.StartedMs = s.Started.UnixMilli()
 		}
 		l.Servers[i] = e
 	}
