--- a/cmd/quillfront/main.go
+++ b/cmd/quillfront/main.go
@@ -21,7 +21,7 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	ctx, forget := shutdown.WithMoment(ctx)
+	ctx, forget := shutdown.WithEndTime(ctx)
 	defer forget()
 	if err := root().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "quillfront:", err)
--- a/cmd/quillfront/routes.go
+++ b/cmd/quillfront/routes.go
@@ -59,7 +59,7 @@
 		}
 		h.Add(strings.TrimSpace(name), strings.TrimSpace(value))
 	}
-	if _, err := httpcall.PathOf(u.RequestURI()); err != nil {
+	if _, err := httpcall.DecodePath(u.RequestURI()); err != nil {
 		_, err := fmt.Fprintf(w, "400: %v\n", err)
 		return err
 	}
--- a/http.go
+++ b/http.go
@@ -115,7 +115,7 @@
 		return b.engine.Take(r, b.engine.Now())
 	}
 	read := b.engine.Now()
-	return b.desk.Take(r, orders.Ask{Key: call.IdempotencyKey, Print: call.Print(m.Body)}, read)
+	return b.desk.Take(r, orders.Ask{Key: call.IdempotencyKey, Print: call.Fingerprint(m.Body)}, read)
 }
 
 // result is what the caller gets of an engine's result.
@@ -371,7 +371,7 @@
 		return
 	}
 	err := requestError(call.AddHeader(q.Header))
-	call.Host, call.HostMayLack = q.Host, !q.ProtoAtLeast(1, 1)
+	call.Host, call.HostOptional = q.Host, !q.ProtoAtLeast(1, 1)
 	var a *httpmsg.Answer
 	body := &wireBody{ReadCloser: q.Body}
 	if err == nil {
--- a/internal/config/services.go
+++ b/internal/config/services.go
@@ -36,8 +36,8 @@
 // HTTP is an address at which plain HTTP is served by routes.
 type HTTP struct {
 	Name, Listen string
-	Patience     time.Duration   // at the end of the process
-	Whole        httpfront.Whole // without a Router
+	Patience     time.Duration         // at the end of the process
+	Whole        httpfront.ProxyConfig // without a Router
 }
 
 const (
@@ -78,10 +78,10 @@
 		hold := int64(1 << 20)
 		t.Hold = &hold
 	}
-	c := HTTP{Name: t.Name, Listen: t.Listen, Patience: or(&t.Patience, 10*time.Second), Whole: httpfront.Whole{
-		Name: t.Via, Health: t.Health, MostHead: t.MostHead, HeadTime: or(&t.HeadTime, 10*time.Second), Idle: or(&t.Idle, time.Minute),
-		Stall: or(&t.Stall, 30*time.Second), Rate: t.Rate, Hold: *t.Hold, MostBody: t.MostBody, Expect: or(&t.Expect, time.Second),
-		Forwarded: t.Forwarded, Trace: t.Trace,
+	c := HTTP{Name: t.Name, Listen: t.Listen, Patience: or(&t.Patience, 10*time.Second), Whole: httpfront.ProxyConfig{
+		Pseudonym: t.Via, HealthPath: t.Health, MaxHead: t.MostHead, HeadTimeout: or(&t.HeadTime, 10*time.Second), IdleTimeout: or(&t.Idle, time.Minute),
+		StallTimeout: or(&t.Stall, 30*time.Second), MinBodyRate: t.Rate, MaxBufferedBody: *t.Hold, MaxBody: t.MostBody, ExpectTimeout: or(&t.Expect, time.Second),
+		AddForwardedFor: t.Forwarded, AddTraceparent: t.Trace,
 	}}
 	_, port, err := net.SplitHostPort(t.Listen)
 	if _, perr := strconv.ParseUint(port, 10, 16); err != nil || perr != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -108,7 +108,7 @@
 			return nil, fmt.Errorf("[store]: %w", err)
 		}
 	}
-	s := &Sidecar{cfg: cfg, op: op, log: log, sockets: sockets.New(cfg.Sockets), room: httpfront.NewRoom(cfg.MemoryMB), began: time.Now()}
+	s := &Sidecar{cfg: cfg, op: op, log: log, sockets: sockets.New(cfg.Sockets), room: httpfront.NewBodyBudget(cfg.MemoryMB), began: time.Now()}
 	s.deadlines.set(cfg.Settings.Config, s.began)
 	setMemory(cfg.MemoryMB, 1)
 	s.transport = upstream.New(cfg.Settings, s.sockets, log)
@@ -243,7 +243,7 @@
 	case <-ctx.Done():
 	}
 	s.serving.Store(false)
-	schedule := s.beginShutdown(shutdown.Moment(ctx))
+	schedule := s.beginShutdown(shutdown.EndTime(ctx))
 	s.log.Info("draining", "load", s.engine.String(), "exit", time.Until(schedule.Exit).Round(time.Millisecond))
 	if s.succeeded() {
 		ln.Close() // what waits in the socket's queue is the other process's
@@ -285,7 +285,7 @@
 	if s.told.IsZero() {
 		return shutdown.Schedule{}
 	}
-	schedule := shutdown.ForPlatform(s.told, s.deadlines.agreed(s.told))
+	schedule := shutdown.ForTermination(s.told, s.deadlines.agreed(s.told))
 	s.server.Drain(schedule)
 	return schedule
 }
--- a/internal/daemon/deadlines.go
+++ b/internal/daemon/deadlines.go
@@ -35,7 +35,7 @@
 		d.now = max(d.now, c.Deadline)
 	}
 	if d.now == 0 { // no class, so no bound
-		d.now = shutdown.LongestAwaited
+		d.now = shutdown.MaxAwaitedDeadline
 	}
 	d.former = slices.DeleteFunc(d.former, func(f formerDeadline) bool { return f.until.Before(at) })
 }
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -130,7 +130,7 @@
 // keep clients out. The one that has been silent longest goes, and no other.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
 	w := start(t, newScript(), peer(t, say(okAnswer)), "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.LeastSockets })
-	quiet := func() int { return w.server.Stats().Quiet }
+	quiet := func() int { return w.server.Stats().Idle }
 	var silent []*client
 	begun := w.connect(t) // a head that is slow to come is not silence
 	begun.write(plainGet[:20])
--- a/internal/daemon/operate_test.go
+++ b/internal/daemon/operate_test.go
@@ -83,7 +83,7 @@
 		}
 	}
 	busy.write("GET /read/k HTTP/1.1\nHost: s\n") // a request that has come in part
-	eventually(t, "part of a request is read", func() bool { return w.server.Stats().Quiet == 1 })
+	eventually(t, "part of a request is read", func() bool { return w.server.Stats().Idle == 1 })
 	if err := o.Evacuate(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -87,7 +87,7 @@
 		w.ending.Lock()
 		told := w.told
 		w.ending.Unlock()
-		s = shutdown.ForPlatform(told, w.deadlines.agreed(told))
+		s = shutdown.ForTermination(told, w.deadlines.agreed(told))
 		return !told.IsZero()
 	})
 	return s
@@ -109,7 +109,7 @@
 		fmt.Fprintf(c, half, c.id)
 		clients = append(clients, c)
 	}
-	eventually(t, "their heads have come in part", func() bool { s := w.server.Stats(); return s.Open-s.Quiet == len(clients) })
+	eventually(t, "their heads have come in part", func() bool { s := w.server.Stats(); return s.Open-s.Idle == len(clients) })
 	w.term()
 	s := w.schedule(t)
 	var all sync.WaitGroup
@@ -283,7 +283,7 @@
 				t.Fatal(err)
 			}
 			w.ending.Lock()
-			want := shutdown.ForPlatform(w.told, shortDeadline)
+			want := shutdown.ForTermination(w.told, shortDeadline)
 			w.ending.Unlock()
 			if resp, _ := c.read(t); resp.StatusCode/100 != 5 {
 				t.Errorf("answer %d", resp.StatusCode)
@@ -327,7 +327,7 @@
 	want(time.Hour+time.Second+changeTime+time.Millisecond, 5*time.Second)
 	want(2*time.Hour, 6*time.Second)
 	d.set(settings(), at(3*time.Hour))
-	want(4*time.Hour, shutdown.LongestAwaited)
+	want(4*time.Hour, shutdown.MaxAwaitedDeadline)
 	if len(d.former) > 1 {
 		t.Errorf("%d former ones are kept", len(d.former))
 	}
--- a/internal/httpcall/call.go
+++ b/internal/httpcall/call.go
@@ -20,8 +20,8 @@
 	"quillfront/policy"
 )
 
-// MostName bounds an id, a key or a tenant, in bytes: they are kept while a request is open.
-const MostName = 256
+// MaxIdentifierLength bounds an id, a key or a tenant, in bytes: they are kept while a request is open.
+const MaxIdentifierLength = 256
 
 // Rejection is why a request is turned away before anything is sent for it.
 type Rejection struct {
@@ -41,7 +41,7 @@
 	Host   string
 	Length int64 // of the body; negative: not told
 
-	HostMayLack bool // as it may with HTTP/1.0
+	HostOptional bool // as it may with HTTP/1.0
 
 	ID, IdempotencyKey, Tenant, Timeout string
 	Cost                                time.Duration
@@ -94,7 +94,7 @@
 		if c.seen[i] {
 			return nil
 		}
-	} else if c.seen[i] || len(value) > MostName {
+	} else if c.seen[i] || len(value) > MaxIdentifierLength {
 		// Of two values each reader might take another one.
 		return bad(names[i] + " is given more than once or too long")
 	}
@@ -125,10 +125,10 @@
 	if c.ID == "" {
 		return nil, bad("no X-Request-ID")
 	}
-	if !ValidHost(c.Host) && !(c.Host == "" && c.HostMayLack) {
+	if !ValidHost(c.Host) && !(c.Host == "" && c.HostOptional) {
 		return nil, bad("no Host, or not one that can be read")
 	}
-	path, err := PathOf(c.Target)
+	path, err := DecodePath(c.Target)
 	if err != nil {
 		return nil, err
 	}
@@ -178,9 +178,9 @@
 	return nil
 }
 
-// Print tells what c asks for, with that body and for its tenant, from anything else that could be asked for under its
+// Fingerprint tells what c asks for, with that body and for its tenant, from anything else that could be asked for under its
 // Idempotency-Key. It guards against a tenant that is given another's answer because it knows, or hits upon, the key.
-func (c *Call) Print(body []byte) (sum [sha256.Size]byte) {
+func (c *Call) Fingerprint(body []byte) (sum [sha256.Size]byte) {
 	h := sha256.New()
 	for _, part := range []string{c.Method, c.Target, c.Tenant} {
 		h.Write(binary.AppendUvarint(nil, uint64(len(part))))
--- a/internal/httpcall/target.go
+++ b/internal/httpcall/target.go
@@ -8,14 +8,14 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// PathOf returns the path of a request target without its first slash and as clients mean it, that is with its escapes
+// DecodePath returns the path of a request target without its first slash and as clients mean it, that is with its escapes
 // undone, or why the target cannot be served. The first part of the path names the class.
 //
 // It guards against a path that is of one class here and of another at a server, which may resolve dot segments, undo
 // escapes before it splits the path, or take a backslash for a slash (RFC 3986, sections 5.2.4, 6.2.2 and 7.3). Dot segments
 // are rejected wherever they stand and however they are spelt, also before a path parameter; an encoded slash, a
 // backslash and a control are rejected up to the end of the class. Behind it they are a part of the key, and pass.
-func PathOf(target string) (string, error) {
+func DecodePath(target string) (string, error) {
 	if !strings.HasPrefix(target, "/") {
 		return "", bad("no path: the target must begin with a slash")
 	}
--- a/internal/httpcall/target_test.go
+++ b/internal/httpcall/target_test.go
@@ -9,7 +9,7 @@
 		"/read/a%2Fb": "read/a/b", "/read/a%5cb%00": "read/a\\b\x00", "/read/...": "read/...", "/read/a.b/..c": "read/a.b/..c",
 		"/read/k;v=1": "read/k;v=1", "/read/%252e%252e/k": "read/%2e%2e/k", "/": "", "//read/k": "/read/k",
 	} {
-		if got, err := PathOf(target); err != nil || got != want {
+		if got, err := DecodePath(target); err != nil || got != want {
 			t.Errorf("%s: %q, %v; want %q", target, got, err, want)
 		}
 	}
@@ -20,7 +20,7 @@
 		"/read%2Fk", "/read%5ck", "/read\\k", "/read/%", "/read/%2", "/read/%zz", "/read/k#x", "/read/k?a#x", "/read/a b", "/read/a\tb",
 		"/read/k?a b", "/read/\r\nX: y", "/read/\x7f", "/read/%+1",
 	} {
-		if got, err := PathOf(target); err == nil {
+		if got, err := DecodePath(target); err == nil {
 			t.Errorf("%q is taken as %q", target, got)
 		}
 	}
@@ -50,12 +50,12 @@
 	seen := map[[32]byte]Call{}
 	for _, c := range []Call{{}, {Method: "a"}, {Target: "a"}, {Tenant: "a"}, {Method: "a", Target: "b"}, {Method: "ab"}, {Target: "ab"}, {Target: "a", Tenant: "b"}} {
 		for _, body := range []string{"", "a", "ab"} {
-			p := c.Print([]byte(body))
+			p := c.Fingerprint([]byte(body))
 			if other, ok := seen[p]; ok {
 				t.Errorf("%+v with %q is as %+v", c, body, other)
 			}
 			seen[p] = c
-			if p != c.Print([]byte(body)) {
+			if p != c.Fingerprint([]byte(body)) {
 				t.Error("it is not the same twice")
 			}
 		}
--- a/internal/httpfront/connection_fuzz_test.go
+++ b/internal/httpfront/connection_fuzz_test.go
@@ -78,7 +78,7 @@
 		Known: &engine.List{Whole: true, Servers: []engine.Server{{ID: "a", Addr: "nowhere", State: policy.Ready}}},
 	})
 	defer e.Close()
-	s := New(e, nil, NewRoom(24), sockets.New(64), log)
+	s := New(e, nil, NewBodyBudget(24), sockets.New(64), log)
 	near, far := net.Pipe()
 	s.take(far, func() {})
 	var client sync.WaitGroup
--- a/internal/httpfront/idle_test.go
+++ b/internal/httpfront/idle_test.go
@@ -24,7 +24,7 @@
 	log := slog.New(slog.DiscardHandler)
 	e := engine.New(engine.Options{Config: policy.Config{}, Module: standin.Once{}, Transport: answering(), Log: log})
 	defer e.Close()
-	s := New(e, nil, NewRoom(24), sockets.New(64), log)
+	s := New(e, nil, NewBodyBudget(24), sockets.New(64), log)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 // TestDrainClosesWhatIsQuiet: a drain closes connections that have been quiet for a while, and neither such as were just used, whose next
 // request would cross the close, nor such on which one has come.
 func TestDrainClosesWhatIsQuiet(t *testing.T) {
-	s := New(nil, nil, NewRoom(24), sockets.New(64), slog.New(slog.DiscardHandler))
+	s := New(nil, nil, NewBodyBudget(24), sockets.New(64), slog.New(slog.DiscardHandler))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/httpfront/whole.go
+++ b/internal/httpfront/proxy.go
@@ -23,32 +23,32 @@
 	"quillfront/policy"
 )
 
-// Whole is how a server serves plain HTTP, whatever its requests and answers are, by routes.
-type Whole struct {
-	Router *router.Router
-	Name   string // pseudonym of this instance in Via
-	Health string // a path at which the server itself tells whether it is ready; empty: none
+// ProxyConfig is how a server serves plain HTTP, whatever its requests and answers are, by routes.
+type ProxyConfig struct {
+	Router     *router.Router
+	Pseudonym  string // pseudonym of this instance in Via
+	HealthPath string // a path at which the server itself tells whether it is ready; empty: none
 
-	MostHead int           // of a request, in bytes
-	HeadTime time.Duration // for a request's head to come
-	Idle     time.Duration // a connection may stand idle
-	Stall    time.Duration // a peer may bring or take nothing of a body
-	Rate     int64         // bytes a second that a body must bring in the mean
-	Hold     int64         // the longest body that is held, so that it can be sent again
-	MostBody int64         // the longest body; 0: no bound
-	Expect   time.Duration // for a server to say whether it wants a body that its client asks about
+	MaxHead         int           // of a request, in bytes
+	HeadTimeout     time.Duration // for a request's head to come
+	IdleTimeout     time.Duration // a connection may stand idle
+	StallTimeout    time.Duration // a peer may bring or take nothing of a body
+	MinBodyRate     int64         // bytes a second that a body must bring in the mean
+	MaxBufferedBody int64         // the longest body that is held, so that it can be sent again
+	MaxBody         int64         // the longest body; 0: no bound
+	ExpectTimeout   time.Duration // for a server to say whether it wants a body that its client asks about
 
-	Forwarded bool // X-Forwarded-For goes on with the client's address added
-	Trace     bool // a traceparent is made where there is none
+	AddForwardedFor bool // X-Forwarded-For goes on with the client's address added
+	AddTraceparent  bool // a traceparent is made where there is none
 }
 
-// NewWhole returns a server of w that takes its descriptors from b.
-func NewWhole(w Whole, b *sockets.Budget, log *slog.Logger) *Server {
+// NewProxy returns a server of w that takes its descriptors from b.
+func NewProxy(w ProxyConfig, b *sockets.Budget, log *slog.Logger) *Server {
 	s := newServer(b, log)
 	s.whole = &w
 	s.limits = limits{
-		head: w.MostHead, headTime: w.HeadTime, idle: w.Idle, bodyStall: w.Stall, bodyRate: max(w.Rate, 1), stream: w.Stall,
-		keepAlive: fmt.Sprintf("Keep-Alive: timeout=%d\r\n", max(1, int(w.Idle/time.Second)-1)), // less than it is: see keepAlive
+		head: w.MaxHead, headTime: w.HeadTimeout, idle: w.IdleTimeout, bodyStall: w.StallTimeout, bodyRate: max(w.MinBodyRate, 1), stream: w.StallTimeout,
+		keepAlive: fmt.Sprintf("Keep-Alive: timeout=%d\r\n", max(1, int(w.IdleTimeout/time.Second)-1)), // less than it is: see keepAlive
 	}
 	return s
 }
@@ -108,7 +108,7 @@
 	if err := s.address(&asked, minor); err != nil {
 		return nil, last, err
 	}
-	if s.whole.Health != "" && asked.Target == s.whole.Health && q.method == http.MethodGet && q.length == 0 {
+	if s.whole.HealthPath != "" && asked.Target == s.whole.HealthPath && q.method == http.MethodGet && q.length == 0 {
 		c.head.Discard(c.r)
 		if !s.enter(c, serving) {
 			return nil, last, errGone
@@ -124,7 +124,7 @@
 		r.Retry = retried[0] == "1"
 	}
 	q.m = &httpmsg.Message{Method: q.method, Target: asked.Target, Host: asked.Host, Lines: s.lines(c, q, minor)}
-	q.m.Terms = &httpmsg.Terms{Judge: q.Judge, Stall: s.whole.Stall, Interim: func(code int, lines []byte) { s.interim(c, q, code, lines) }}
+	q.m.Terms = &httpmsg.Terms{Judge: q.Judge, Stall: s.whole.StallTimeout, Interim: func(code int, lines []byte) { s.interim(c, q, code, lines) }}
 	r.Payload = q.m
 	c.head.Discard(c.r)
 	if err := s.wholeBody(c, q); err != nil {
@@ -183,7 +183,7 @@
 	if !httpcall.ValidHost(a.Host) && !(a.Host == "" && minor == 0) {
 		return refuse(http.StatusBadRequest, "no Host, or not one that can be read")
 	}
-	return router.CheckLoop(a.Header("Via"), s.whole.Name)
+	return router.CheckLoop(a.Header("Via"), s.whole.Pseudonym)
 }
 
 func cutPrefixFold(s, prefix string) (rest string, ok bool) {
@@ -225,7 +225,7 @@
 			if !c.head.Chunked || !f.Is("Trailer") {
 				continue
 			}
-		case s.whole.Forwarded && f.Is("X-Forwarded-For"):
+		case s.whole.AddForwardedFor && f.Is("X-Forwarded-For"):
 			if forwarded != "" {
 				forwarded += ", "
 			}
@@ -239,7 +239,7 @@
 	if trailers {
 		b = append(b, "Te: trailers\r\n"...)
 	}
-	if s.whole.Forwarded {
+	if s.whole.AddForwardedFor {
 		if host, _, err := net.SplitHostPort(c.RemoteAddr().String()); err == nil {
 			if forwarded != "" {
 				forwarded += ", "
@@ -248,7 +248,7 @@
 		}
 	}
 	var random [24]byte
-	if !id || s.whole.Trace && !trace {
+	if !id || s.whole.AddTraceparent && !trace {
 		for i := 0; i < len(random); i += 8 {
 			v := rand.Uint64()
 			for j := range 8 {
@@ -261,7 +261,7 @@
 		b = hex.AppendEncode(b, random[:8])
 		b = append(b, "\r\n"...)
 	}
-	if s.whole.Trace && !trace { // W3C Trace Context: version, trace, parent, flags: nobody is known to record it
+	if s.whole.AddTraceparent && !trace { // W3C Trace Context: version, trace, parent, flags: nobody is known to record it
 		random[0] |= 1 // neither may be all zeros
 		random[16] |= 1
 		b = append(b, "traceparent: 00-"...)
@@ -270,7 +270,7 @@
 		b = hex.AppendEncode(b, random[16:])
 		b = append(b, "-00\r\n"...)
 	}
-	return router.AppendVia(b, minor, s.whole.Name)
+	return router.AppendVia(b, minor, s.whole.Pseudonym)
 }
 
 // wholeBody reads the body, if it may be held, or has it read as it is sent on.
@@ -279,8 +279,8 @@
 		return nil
 	}
 	most := int64(math.MaxInt64)
-	if s.whole.MostBody > 0 {
-		most = s.whole.MostBody
+	if s.whole.MaxBody > 0 {
+		most = s.whole.MaxBody
 	}
 	if q.length > most {
 		return refuse(http.StatusRequestEntityTooLarge, httpmsg.ErrBodyTooLong.Error())
@@ -289,7 +289,7 @@
 	c.body.ResetTo(c.r, q.length, chunked, most)
 	src := &paced{c: c, from: time.Now(), lim: &s.limits}
 	there := chunked && c.endThere()
-	if q.expects = q.expects && c.r.Buffered() == 0; !q.expects && (there || !chunked && q.length <= s.whole.Hold) {
+	if q.expects = q.expects && c.r.Buffered() == 0; !q.expects && (there || !chunked && q.length <= s.whole.MaxBufferedBody) {
 		n := q.length
 		if chunked {
 			n = int64(c.r.Buffered())
@@ -317,7 +317,7 @@
 		}
 	}
 	if q.expects {
-		q.m.Terms.Expect = s.whole.Expect
+		q.m.Terms.Expect = s.whole.ExpectTimeout
 		src.first = func() { s.writeInterim(c, q, "HTTP/1.1 100 Continue\r\n\r\n") }
 	}
 	q.m.Rest, q.m.Length, q.Request.Upload = httpmsg.NewUpload(src), q.length, true
@@ -486,7 +486,7 @@
 		b = time.Now().UTC().AppendFormat(b, http.TimeFormat)
 		b = append(b, "\r\n"...)
 	}
-	b = router.AppendVia(b, 1, s.whole.Name)
+	b = router.AppendVia(b, 1, s.whole.Pseudonym)
 	b = append(b, "\r\n"...)
 	if a.Rest != nil {
 		defer c.watch(a.Rest)()
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -75,9 +75,9 @@
 	mostScratch = 4 << 10
 )
 
-// NewRoom returns the room for the bodies of requests, in bytes. A body's whole length is reserved before it is read:
+// NewBodyBudget returns the room for the bodies of requests, in bytes. A body's whole length is reserved before it is read:
 // however many clients write at once, their bodies hold a fixed part of the memory, and others wait in the kernel.
-func NewRoom(memoryMB int) *semaphore.Weighted {
+func NewBodyBudget(memoryMB int) *semaphore.Weighted {
 	return semaphore.NewWeighted(max(int64(memoryMB)<<20/bodyShare, httpmsg.MaxWhole))
 }
 
@@ -86,7 +86,7 @@
 type Server struct {
 	engine  *engine.Engine
 	room    *semaphore.Weighted
-	whole   *Whole // nil: it serves the platform's protocol
+	whole   *ProxyConfig // nil: it serves the platform's protocol
 	limits  limits
 	sockets *sockets.Budget
 	log     *slog.Logger
@@ -436,7 +436,7 @@
 		}
 		lines += len(f.Name) + len(f.Value) + len(": \r\n")
 	}
-	call.HostMayLack = minor == 0
+	call.HostOptional = minor == 0
 	r, err := call.Request(s.engine)
 	if err != nil {
 		return nil, last, nil, err
@@ -491,7 +491,7 @@
 		return s.engine.Take(r, s.engine.Now())
 	}
 	read := s.engine.Now()
-	return s.desk.Take(r, orders.Ask{Key: call.IdempotencyKey, Print: call.Print(m.Body)}, read)
+	return s.desk.Take(r, orders.Ask{Key: call.IdempotencyKey, Print: call.Fingerprint(m.Body)}, read)
 }
 
 // methodName is the method's name, without allocating for those that the protocol has.
@@ -895,8 +895,8 @@
 
 // Stats counts a server's connections.
 type Stats struct {
-	Open  int // in all
-	Quiet int // of them, those on which no request is open nor has come in part
+	Open int // in all
+	Idle int // of them, those on which no request is open nor has come in part
 }
 
 // Stats returns the present counts.
@@ -906,7 +906,7 @@
 	st := Stats{Open: len(s.conns)}
 	for c := range s.conns {
 		if c.phase == fresh || c.phase == idle {
-			st.Quiet++
+			st.Idle++
 		}
 	}
 	return st
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -254,7 +254,7 @@
 
 // Route says what becomes of a request. An error is a *Rejection or an httpcall.Rejection.
 func (r *Router) Route(q *Asked) (*Call, error) {
-	if _, err := httpcall.PathOf(q.Target); err != nil {
+	if _, err := httpcall.DecodePath(q.Target); err != nil {
 		return nil, err
 	}
 	for {
@@ -303,7 +303,7 @@
 		return nil, reject(http.StatusBadRequest, err.Error())
 	}
 	idem := q.Header("Idempotency-Key")
-	if len(idem) > 1 || len(idem) == 1 && len(idem[0]) > httpcall.MostName { // of two keys each reader might take another one
+	if len(idem) > 1 || len(idem) == 1 && len(idem[0]) > httpcall.MaxIdentifierLength { // of two keys each reader might take another one
 		return nil, reject(http.StatusBadRequest, "Idempotency-Key is given more than once or too long")
 	}
 	keyed := len(idem) == 1 && idem[0] != ""
@@ -312,7 +312,7 @@
 		effect = policy.Unsafe
 	}
 	key, tenant := found.RequestKey(), found.RequestTenant()
-	if len(key) > httpcall.MostName || len(tenant) > httpcall.MostName {
+	if len(key) > httpcall.MaxIdentifierLength || len(tenant) > httpcall.MaxIdentifierLength {
 		return nil, reject(http.StatusBadRequest, "what the request is about, or whose it is, is told by too many bytes")
 	}
 	name, err := st.pick(&found, q, effect, key, idem)
--- a/internal/services/http.go
+++ b/internal/services/http.go
@@ -504,7 +504,7 @@
 func (s *Services) http(c config.HTTP) {
 	whole := c.Whole
 	whole.Router = s.web.router
-	f := &webFront{Server: httpfront.NewWhole(whole, s.budget, s.log.With("http", c.Name)), patience: c.Patience}
+	f := &webFront{Server: httpfront.NewProxy(whole, s.budget, s.log.With("http", c.Name)), patience: c.Patience}
 	s.all = append(s.all, &service{
 		kind: "http", name: c.Name, listen: c.Listen, front: f, makeRoom: func() bool { return s.web.makeRoom(nil) }, close: func() {},
 		clients: f.Server,
--- a/internal/shutdown/moment.go
+++ b/internal/shutdown/end_time.go
@@ -9,8 +9,8 @@
 // momentKey is the key of a moment among a context's values.
 type momentKey struct{}
 
-// WithMoment returns ctx with a note of when it ends; see Moment. stop ends the watch for it.
-func WithMoment(ctx context.Context) (noted context.Context, stop func() bool) {
+// WithEndTime returns ctx with a note of when it ends; see Moment. stop ends the watch for it.
+func WithEndTime(ctx context.Context) (noted context.Context, stop func() bool) {
 	moment := &atomic.Pointer[time.Time]{}
 	stop = context.AfterFunc(ctx, func() {
 		now := time.Now()
@@ -19,8 +19,8 @@
 	return context.WithValue(ctx, momentKey{}, moment), stop
 }
 
-// Moment returns when ctx ended, as far as it was noted. Else it is now: nobody knows better.
-func Moment(ctx context.Context) time.Time {
+// EndTime returns when ctx ended, as far as it was noted. Else it is now: nobody knows better.
+func EndTime(ctx context.Context) time.Time {
 	if moment, ok := ctx.Value(momentKey{}).(*atomic.Pointer[time.Time]); ok {
 		if at := moment.Load(); at != nil {
 			return *at
--- a/internal/shutdown/schedule.go
+++ b/internal/shutdown/schedule.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// LongestAwaited is how much of the longest deadline of the classes the platform waits for before it kills a
+	// MaxAwaitedDeadline is how much of the longest deadline of the classes the platform waits for before it kills a
 	// process that was told to end, and KillGrace what it waits beyond that (PROTOCOL, "Figures").
-	LongestAwaited = 3 * time.Second
-	KillGrace      = 700 * time.Millisecond
+	MaxAwaitedDeadline = 3 * time.Second
+	KillGrace          = 700 * time.Millisecond
 
-	// HeldUp is how long a process may be held up between an event, or a look at its clock, and what it does then.
-	HeldUp = 150 * time.Millisecond
+	// MaxStall is how long a process may be held up between an event, or a look at its clock, and what it does then.
+	MaxStall = 150 * time.Millisecond
 	// exitTime is left for the last writes and for the end of the process itself.
 	exitTime = 50 * time.Millisecond
 	// answerLead is how long before the last answers the last requests are forwarded: with less, hardly a server
@@ -28,7 +28,7 @@
 	// says 0.2 to 0.4 s.
 	connectWindow = 500 * time.Millisecond
 
-	// marginParts bounds HeldUp, and twice that answerLead, to a part of a patience that is short.
+	// marginParts bounds MaxStall, and twice that answerLead, to a part of a patience that is short.
 	marginParts = 4
 )
 
@@ -41,20 +41,20 @@
 	Exit    time.Time // by then all connections are closed
 }
 
-// ForPlatform returns the schedule of a process that the platform has told to end, as noticed at signal. longest is the
+// ForTermination returns the schedule of a process that the platform has told to end, as noticed at signal. longest is the
 // longest deadline of the classes.
 //
-// SIGKILL comes no sooner than min(longest, LongestAwaited) + KillGrace after the signal was sent, which may have been
-// HeldUp before it was noticed. So that a process which is held up once more at its last answers still writes them in
-// time, HeldUp lies between the last answers and the exit, too.
-func ForPlatform(signal time.Time, longest time.Duration) Schedule {
-	kill := signal.Add(min(longest, LongestAwaited) + KillGrace)
-	return newSchedule(signal, kill.Add(-HeldUp-exitTime), HeldUp, answerLead)
+// SIGKILL comes no sooner than min(longest, MaxAwaitedDeadline) + KillGrace after the signal was sent, which may have been
+// MaxStall before it was noticed. So that a process which is held up once more at its last answers still writes them in
+// time, MaxStall lies between the last answers and the exit, too.
+func ForTermination(signal time.Time, longest time.Duration) Schedule {
+	kill := signal.Add(min(longest, MaxAwaitedDeadline) + KillGrace)
+	return newSchedule(signal, kill.Add(-MaxStall-exitTime), MaxStall, answerLead)
 }
 
 // Within returns the schedule of a process, or a front, that has a patience from begin on until it is over.
 func Within(begin time.Time, patience time.Duration) Schedule {
-	return newSchedule(begin, begin.Add(patience), min(HeldUp, patience/marginParts), min(answerLead, patience/(2*marginParts)))
+	return newSchedule(begin, begin.Add(patience), min(MaxStall, patience/marginParts), min(answerLead, patience/(2*marginParts)))
 }
 
 // WithinContext is Within from now on for a patience that ctx may cut short by its deadline.
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -17,11 +17,11 @@
 		time.Millisecond, 50 * time.Millisecond, 400 * time.Millisecond, 3 * time.Second, 8 * time.Second, time.Hour,
 	} {
 		kill := signal.Add(min(longest, 3*time.Second) + 700*time.Millisecond)
-		s := ForPlatform(signal.Add(HeldUp), longest)
+		s := ForTermination(signal.Add(MaxStall), longest)
 		if !s.Exit.Before(kill) {
 			t.Errorf("longest %v: exit %v after the kill", longest, s.Exit.Sub(kill))
 		}
-		if held := s.Answer.Add(HeldUp); held.After(s.Exit) {
+		if held := s.Answer.Add(MaxStall); held.After(s.Exit) {
 			t.Errorf("longest %v: the last answers may come %v after the exit", longest, held.Sub(s.Exit))
 		}
 		if !s.Forward.Before(s.Answer) || !s.Answer.Before(s.Exit) || s.Accept.After(s.Exit) {
@@ -179,17 +179,17 @@
 func TestMoment(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		noted, stop := WithMoment(ctx)
+		noted, stop := WithEndTime(ctx)
 		defer stop()
 		time.Sleep(time.Second)
 		want := time.Now()
 		cancel()
 		synctest.Wait()
 		time.Sleep(time.Second)
-		if got := Moment(noted); !got.Equal(want) {
+		if got := EndTime(noted); !got.Equal(want) {
 			t.Errorf("%v after it ended", got.Sub(want))
 		}
-		if got := Moment(ctx); !got.Equal(time.Now()) {
+		if got := EndTime(ctx); !got.Equal(time.Now()) {
 			t.Errorf("without a note: %v, want now", got)
 		}
 	})
