--- a/balancer.go
+++ b/balancer.go
@@ -170,12 +170,12 @@
 		module = m
 	}
 	b := &Balancer{
-		sockets: sockets.New(p.limits.Connections + sockets.Spare),
+		sockets: sockets.New(p.limits.Connections + sockets.Reserved),
 		room:    semaphore.NewWeighted(p.limits.BodyBytes), places: semaphore.NewWeighted(int64(p.limits.Requests)),
 		log: o.log,
 	}
 	b.transport = upstream.New(p.settings, b.sockets, o.log)
-	b.sockets.OnShortage(b.transport.MakeRoom, nil)
+	b.sockets.OnShortage(b.transport.EvictIdle, nil)
 	var transport engine.Transport = b.transport
 	var book orders.Book
 	var retention func(string) time.Duration
--- a/config.go
+++ b/config.go
@@ -271,7 +271,7 @@
 		}
 	}
 	p.limits, err = Limits{
-		Attempts: min(c.Settings.Config.MaxAttempts, mostAttempts), Connections: c.Sockets - sockets.Spare,
+		Attempts: min(c.Settings.Config.MaxAttempts, mostAttempts), Connections: c.Sockets - sockets.Reserved,
 		BodyBytes: int64(c.MemoryMB) << 20 / 8,
 	}.withDefaults()
 	return p, err
--- a/internal/door/door.go
+++ b/internal/acceptor/acceptor.go
@@ -1,6 +1,6 @@
 // Package door lets clients in at a listener: who may, until when, and how all who are in are waited for at the end. What is done with one is
 // the front's.
-package door
+package acceptor
 
 import (
 	"context"
@@ -10,15 +10,15 @@
 	"sync"
 	"time"
 
-	"quillfront/internal/guests"
+	"quillfront/internal/connlimit"
 )
 
 // acceptPause is waited for where no connection can be taken: the descriptors may have run out.
 const acceptPause = 10 * time.Millisecond
 
-// Door takes the clients of one listener. Its methods may be called from many goroutines at once.
-type Door struct {
-	guests *guests.Book
+// Acceptor takes the clients of one listener. Its methods may be called from many goroutines at once.
+type Acceptor struct {
+	guests *connlimit.Limiter
 	log    *slog.Logger
 	ctx    context.Context // ends with Close
 	stop   context.CancelFunc
@@ -30,20 +30,20 @@
 }
 
 // New returns a Door through which as many may come as l says.
-func New(l guests.Limits, log *slog.Logger) *Door {
-	d := &Door{guests: guests.New(l), log: log}
+func New(l connlimit.Limits, log *slog.Logger) *Acceptor {
+	d := &Acceptor{guests: connlimit.New(l), log: log}
 	d.ctx, d.stop = context.WithCancel(context.Background())
 	return d
 }
 
 // Context ends once the door is closed for good, and with it all that is behind it.
-func (d *Door) Context() context.Context { return d.ctx }
+func (d *Acceptor) Context() context.Context { return d.ctx }
 
 // Stats counts who is in.
-func (d *Door) Stats() guests.Stats { return d.guests.Stats() }
+func (d *Acceptor) Stats() connlimit.Stats { return d.guests.Stats() }
 
-// Ending returns since when nobody new is let in; zero: somebody may be.
-func (d *Door) Ending() time.Time {
+// DrainingSince returns since when nobody new is let in; zero: somebody may be.
+func (d *Acceptor) DrainingSince() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ending
@@ -51,7 +51,7 @@
 
 // Serve lets clients in from ln until the door is shut, and runs each in take, whose connection it does not close; one that may not come
 // in is turnAway's, which must not wait for it. beside runs as long as the door is not closed. Serve closes ln.
-func (d *Door) Serve(ln net.Listener, beside func(), turnAway func(net.Conn, guests.Reason), take func(net.Conn, *guests.Guest)) error {
+func (d *Acceptor) Serve(ln net.Listener, beside func(), turnAway func(net.Conn, connlimit.Reason), take func(net.Conn, *connlimit.Slot)) error {
 	d.mu.Lock()
 	if !d.ending.IsZero() {
 		d.mu.Unlock()
@@ -76,20 +76,20 @@
 			}
 		}
 		host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-		g, why := d.guests.Enter(host)
-		if why != guests.Welcome {
+		g, why := d.guests.Acquire(host)
+		if why != connlimit.Admitted {
 			turnAway(c, why)
 			continue
 		}
 		d.work.Go(func() {
-			defer g.Leave()
+			defer g.Release()
 			take(c, g)
 		})
 	}
 }
 
-// Shut lets nobody new in from now on.
-func (d *Door) Shut() {
+// StopAccepting lets nobody new in from now on.
+func (d *Acceptor) StopAccepting() {
 	d.guests.Close()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,12 +101,12 @@
 	}
 }
 
-// Wait shuts the door, and waits until all have left or ctx has ended, whose error it returns.
-func (d *Door) Wait(ctx context.Context) error {
-	d.Shut()
+// Drain shuts the door, and waits until all have left or ctx has ended, whose error it returns.
+func (d *Acceptor) Drain(ctx context.Context) error {
+	d.StopAccepting()
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	for d.guests.Stats().Now > 0 {
+	for d.guests.Stats().Current > 0 {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -117,10 +117,10 @@
 }
 
 // Close shuts the door and has cut cut off all who are in, again and again, as one may be about to begin. It returns once nothing runs.
-func (d *Door) Close(cut func()) {
-	d.Shut()
+func (d *Acceptor) Close(cut func()) {
+	d.StopAccepting()
 	d.stop()
-	for d.guests.Stats().Now > 0 {
+	for d.guests.Stats().Current > 0 {
 		cut()
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/config/services.go
+++ b/internal/config/services.go
@@ -16,7 +16,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"quillfront/internal/guests"
+	"quillfront/internal/connlimit"
 	"quillfront/internal/httpfront"
 	"quillfront/internal/mysql/proxy"
 	"quillfront/internal/mysql/wire"
@@ -234,7 +234,7 @@
 	c := stream.Config{
 		Name: t.Name, Listen: t.Listen, Pool: t.Pool, Class: t.Class, Idle: time.Duration(t.Idle), Stall: time.Duration(t.Stall), Total: time.Duration(t.Total),
 		Drain: time.Duration(t.Drain), Half: time.Duration(t.Half), Patience: time.Duration(t.Patience), Splice: t.Splice,
-		Guests: guests.Limits{Most: t.Most, PerAddress: t.PerAddr},
+		Guests: connlimit.Limits{Total: t.Most, PerAddress: t.PerAddr},
 	}
 	s := Services{Pools: pools}
 	p := s.Pool(t.Pool)
@@ -305,7 +305,7 @@
 		Name: t.Name, Listen: t.Listen, Pool: t.Pool, Plugin: t.Plugin, Default: t.Class, Hints: t.Hints, MostStatement: t.Statement, Memory: t.Memory,
 		Stall: time.Duration(t.Stall), Idle: time.Duration(t.Idle), Login: time.Duration(t.Login), Hold: time.Duration(t.Hold),
 		Drain: time.Duration(t.Drain), Patience: time.Duration(t.Patience), IdlePool: t.IdlePool, PerServer: t.PerServer, LoadQuery: t.LoadQuery,
-		Guests: guests.Limits{Most: t.Most, PerAddress: t.PerAddress, PerUser: t.PerUser},
+		Guests: connlimit.Limits{Total: t.Most, PerAddress: t.PerAddress, PerUser: t.PerUser},
 	}
 	s := Services{Pools: pools}
 	p := s.Pool(t.Pool)
--- a/internal/guests/guests.go
+++ b/internal/connlimit/connlimit.go
@@ -1,6 +1,6 @@
 // Package guests decides who may connect to a front, and counts who is there: in all, from one address, and by one user. It does
 // no I/O. What it keeps ends with those that it counts.
-package guests
+package connlimit
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 // Limits bounds who may be connected at once. A zero bounds nothing.
 type Limits struct {
-	Most       int // in all
+	Total      int // in all
 	PerAddress int // from one address
 	PerUser    int // by one user
 }
@@ -19,7 +19,7 @@
 	for _, v := range []struct {
 		key string
 		n   int
-	}{{"most", l.Most}, {"most_per_address", l.PerAddress}, {"most_per_user", l.PerUser}} {
+	}{{"most", l.Total}, {"most_per_address", l.PerAddress}, {"most_per_user", l.PerUser}} {
 		if v.n < 0 {
 			return fmt.Errorf("%s: %d is below 0", v.key, v.n)
 		}
@@ -32,10 +32,10 @@
 
 // The reasons.
 const (
-	Welcome Reason = iota
-	Full
-	FullForAddress
-	FullForUser
+	Admitted Reason = iota
+	TotalLimit
+	AddressLimit
+	UserLimit
 	Closed
 )
 
@@ -44,8 +44,8 @@
 	return [...]string{"welcome", "too many connections", "too many connections from this address", "too many connections of this user", "closing"}[r]
 }
 
-// Book counts who is connected. It may be used from many goroutines at once.
-type Book struct {
+// Limiter counts who is connected. It may be used from many goroutines at once.
+type Limiter struct {
 	limits Limits
 
 	mu      sync.Mutex
@@ -58,61 +58,61 @@
 }
 
 // New returns a Book without anybody.
-func New(l Limits) *Book {
-	return &Book{limits: l, by: map[string]int{}, users: map[string]int{}}
+func New(l Limits) *Limiter {
+	return &Limiter{limits: l, by: map[string]int{}, users: map[string]int{}}
 }
 
-// Guest is one that was let in.
-type Guest struct {
-	book *Book
+// Slot is one that was let in.
+type Slot struct {
+	book *Limiter
 	addr string
 	user string
 	gone bool
 }
 
-// Enter counts one from addr in, or tells why not.
-func (b *Book) Enter(addr string) (*Guest, Reason) {
+// Acquire counts one from addr in, or tells why not.
+func (b *Limiter) Acquire(addr string) (*Slot, Reason) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	why := Welcome
+	why := Admitted
 	switch l := b.limits; {
 	case b.closed:
 		why = Closed
-	case l.Most > 0 && b.all >= l.Most:
-		why = Full
+	case l.Total > 0 && b.all >= l.Total:
+		why = TotalLimit
 	case l.PerAddress > 0 && b.by[addr] >= l.PerAddress:
-		why = FullForAddress
+		why = AddressLimit
 	}
-	if why != Welcome {
+	if why != Admitted {
 		b.turned[why]++
 		return nil, why
 	}
 	b.all++
 	b.by[addr]++
 	b.welcome++
-	return &Guest{book: b, addr: addr}, Welcome
+	return &Slot{book: b, addr: addr}, Admitted
 }
 
-// Name counts a guest as a user's from now on, and no longer as that of the one before, or tells why not; it then stays
+// SetUser counts a guest as a user's from now on, and no longer as that of the one before, or tells why not; it then stays
 // what it was.
-func (g *Guest) Name(user string) Reason {
+func (g *Slot) SetUser(user string) Reason {
 	b := g.book
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if g.gone || g.user == user {
-		return Welcome
+		return Admitted
 	}
 	if l := b.limits.PerUser; l > 0 && b.users[user] >= l {
-		b.turned[FullForUser]++
-		return FullForUser
+		b.turned[UserLimit]++
+		return UserLimit
 	}
 	b.leaveUser(g)
 	g.user = user
 	b.users[user]++
-	return Welcome
+	return Admitted
 }
 
-func (b *Book) leaveUser(g *Guest) {
+func (b *Limiter) leaveUser(g *Slot) {
 	if g.user == "" {
 		return
 	}
@@ -121,8 +121,8 @@
 	}
 }
 
-// Leave counts a guest out. To do so twice is as to do so once.
-func (g *Guest) Leave() {
+// Release counts a guest out. To do so twice is as to do so once.
+func (g *Slot) Release() {
 	b := g.book
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -138,7 +138,7 @@
 }
 
 // Close lets nobody in from now on.
-func (b *Book) Close() {
+func (b *Limiter) Close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closed = true
@@ -146,19 +146,19 @@
 
 // Stats counts guests.
 type Stats struct {
-	Now    int
-	Came   uint64            // were let in
-	Turned map[string]uint64 // away, by reason
+	Current  int
+	Admitted uint64            // were let in
+	Rejected map[string]uint64 // away, by reason
 }
 
 // Stats returns the present counts.
-func (b *Book) Stats() Stats {
+func (b *Limiter) Stats() Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := Stats{Now: b.all, Came: b.welcome, Turned: map[string]uint64{}}
+	s := Stats{Current: b.all, Admitted: b.welcome, Rejected: map[string]uint64{}}
 	for r, n := range b.turned {
 		if n > 0 {
-			s.Turned[Reason(r).String()] = n
+			s.Rejected[Reason(r).String()] = n
 		}
 	}
 	return s
--- a/internal/guests/guests_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -1,4 +1,4 @@
-package guests
+package connlimit
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 // TestBook: whatever comes and goes, no bound is passed, and nothing is kept of those that have left.
 func TestBook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limits{Most: rapid.IntRange(0, 6).Draw(t, "most"), PerAddress: rapid.IntRange(0, 3).Draw(t, "address"), PerUser: rapid.IntRange(0, 2).Draw(t, "user")}
+		l := Limits{Total: rapid.IntRange(0, 6).Draw(t, "most"), PerAddress: rapid.IntRange(0, 3).Draw(t, "address"), PerUser: rapid.IntRange(0, 2).Draw(t, "user")}
 		b := New(l)
-		var in []*Guest
+		var in []*Slot
 		name := rapid.SampledFrom([]string{"a", "b", "c"})
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
@@ -24,12 +24,12 @@
 						by++
 					}
 				}
-				g, why := b.Enter(addr)
-				full := l.Most > 0 && all >= l.Most || l.PerAddress > 0 && by >= l.PerAddress
-				if full == (why == Welcome) {
+				g, why := b.Acquire(addr)
+				full := l.Total > 0 && all >= l.Total || l.PerAddress > 0 && by >= l.PerAddress
+				if full == (why == Admitted) {
 					t.Fatalf("with %d in, %d of them from %s: %v", all, by, addr, why)
 				}
-				if why == Welcome {
+				if why == Admitted {
 					in = append(in, g)
 				}
 			case 1:
@@ -42,24 +42,24 @@
 						}
 					}
 					full := l.PerUser > 0 && same >= l.PerUser && before != user
-					if why := g.Name(user); full == (why == Welcome) || full && g.user != before {
+					if why := g.SetUser(user); full == (why == Admitted) || full && g.user != before {
 						t.Fatalf("%d are %s already: %v", same, user, why)
 					}
 				}
 			default:
 				if len(in) > 0 {
 					i := rapid.IntRange(0, len(in)-1).Draw(t, "leaver")
-					in[i].Leave()
-					in[i].Leave()
+					in[i].Release()
+					in[i].Release()
 					in = append(in[:i], in[i+1:]...)
 				}
 			}
-			if s := b.Stats(); s.Now != len(in) {
-				t.Fatalf("%d are counted, %d are in", s.Now, len(in))
+			if s := b.Stats(); s.Current != len(in) {
+				t.Fatalf("%d are counted, %d are in", s.Current, len(in))
 			}
 		}
 		for _, g := range in {
-			g.Leave()
+			g.Release()
 		}
 		if len(b.by)+len(b.users) > 0 {
 			t.Fatalf("kept of those that left: %v %v", b.by, b.users)
@@ -70,7 +70,7 @@
 func TestClosed(t *testing.T) {
 	b := New(Limits{})
 	b.Close()
-	if _, why := b.Enter("a"); why != Closed || fmt.Sprint(b.Stats().Turned) != "map[closing:1]" {
+	if _, why := b.Acquire("a"); why != Closed || fmt.Sprint(b.Stats().Rejected) != "map[closing:1]" {
 		t.Errorf("%v, %v", why, b.Stats())
 	}
 	if err := (Limits{PerUser: -1}).Check(); err == nil || err.Error() != "most_per_user: -1 is below 0" {
--- a/internal/daemon/crossing_test.go
+++ b/internal/daemon/crossing_test.go
@@ -203,7 +203,7 @@
 		}
 		if i == 0 {
 			close(again)
-			eventually(t, "the second answer is there", func() bool { s := w.transport.Stats(); return s.Stale == 1 && s.Rests == 0 })
+			eventually(t, "the second answer is there", func() bool { s := w.transport.Stats(); return s.Stale == 1 && s.Settling == 0 })
 		}
 	}
 	if a, b := next(t, "connection", conns), next(t, "connection", conns); a != 0 || b != 1 {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -129,7 +129,7 @@
 		s.close()
 		return nil, err
 	}
-	s.sockets.OnShortage(func() bool { return s.transport.MakeRoom() || s.services.MakeRoom() }, func() bool { return s.server.Evict() || s.services.Evict() })
+	s.sockets.OnShortage(func() bool { return s.transport.EvictIdle() || s.services.MakeRoom() }, func() bool { return s.server.Evict() || s.services.Evict() })
 	if cfg.Shared != "" {
 		if s.dir, err = handover.Open(cfg.Shared); err != nil {
 			s.close()
@@ -165,7 +165,7 @@
 
 // source is where cfg has the list of servers from.
 func source(cfg config.Config) discovery.Client {
-	return discovery.Client{Addr: cfg.Discovery, Pushed: cfg.Settings.Config.Pushed}
+	return discovery.Client{Addr: cfg.Discovery, LocalAgent: cfg.Settings.Config.Pushed}
 }
 
 // Run serves until ctx ends, and then drains. It returns once all that was taken is answered. If ctx has ended
@@ -226,7 +226,7 @@
 		ln.Close()
 		return err
 	}
-	backlog := sockets.NewBacklog(ln)
+	backlog := sockets.NewDrainableListener(ln)
 	served := make(chan error, 1)
 	go func() { served <- s.server.Serve(backlog) }()
 	helpers.Go(func() {
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -120,7 +120,7 @@
 		if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
 			t.Fatalf("answer %d", resp.StatusCode)
 		}
-		if n := w.inUse(); n > config.LeastSockets-sockets.Spare {
+		if n := w.inUse(); n > config.LeastSockets-sockets.Reserved {
 			t.Fatalf("%d descriptors in use", n)
 		}
 	}
--- a/internal/daemon/operate.go
+++ b/internal/daemon/operate.go
@@ -126,7 +126,7 @@
 func (s *Sidecar) beside(o handover.Others) {
 	parts := 1 + o.Older + o.Newer
 	s.newer.Store(int32(o.Newer))
-	s.sockets.Share(1 / float64(parts))
+	s.sockets.SetFraction(1 / float64(parts))
 	setMemory(s.cfg.MemoryMB, parts)
 	if parts > 1 {
 		s.log.Info("not alone", "older", o.Older, "newer", o.Newer)
--- a/internal/daemon/world_test.go
+++ b/internal/daemon/world_test.go
@@ -211,7 +211,7 @@
 // settled waits until the one idle connection to a server may carry the next request.
 func (w *world) settled(t *testing.T) {
 	t.Helper()
-	eventually(t, "an idle connection that has rested", func() bool { s := w.transport.Stats(); return s.Idle == 1 && s.Rests == 0 })
+	eventually(t, "an idle connection that has rested", func() bool { s := w.transport.Stats(); return s.Idle == 1 && s.Settling == 0 })
 }
 
 // inUse and clients tell how many descriptors are taken, places and clientPlaces how many there are.
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -127,8 +127,8 @@
 
 // Client watches the discovery at one address. It implements engine.Source.
 type Client struct {
-	Addr   string // host:port
-	Pushed bool   // an agent of the sidecar's own is there, which answers at once
+	Addr       string // host:port
+	LocalAgent bool   // an agent of the sidecar's own is there, which answers at once
 }
 
 // Watch is a method of engine.Source.
@@ -145,7 +145,7 @@
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
 	wait := callTime
-	if d.Pushed {
+	if d.LocalAgent {
 		wait = agentTime
 	}
 	c.SetDeadline(time.Now().Add(wait))
--- a/internal/httpfront/drain.go
+++ b/internal/httpfront/drain.go
@@ -73,7 +73,7 @@
 func (s *Server) closeQuiet(used, unused time.Duration) {
 	for c := range s.conns {
 		quiet := time.Since(c.since)
-		if (c.phase == idle && quiet >= used || c.phase == fresh && quiet >= unused) && !c.heard.Load() && c.peek.NothingCame() {
+		if (c.phase == idle && quiet >= used || c.phase == fresh && quiet >= unused) && !c.heard.Load() && c.peek.Empty() {
 			s.drop(c)
 		}
 	}
--- a/internal/httpfront/idle_test.go
+++ b/internal/httpfront/idle_test.go
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 		c := &clientConn{Conn: far, release: func() {}, peek: sockets.NewPeeker(far), since: time.Now().Add(-time.Minute), more: make(chan error, 1)}
-		for text != "" && c.peek.NothingCame() {
+		for text != "" && c.peek.Empty() {
 			time.Sleep(time.Millisecond)
 		}
 		c.r = bufio.NewReaderSize(c, mostClientHead)
@@ -108,7 +108,7 @@
 		defer far.Close()
 		io.WriteString(near, tt.says)
 		c := &clientConn{Conn: far, release: func() {}, peek: sockets.NewPeeker(far), phase: tt.phase, since: time.Now().Add(-tt.quiet)}
-		for tt.says != "" && c.peek.NothingCame() {
+		for tt.says != "" && c.peek.Empty() {
 			time.Sleep(time.Millisecond)
 		}
 		s.mu.Lock()
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -251,7 +251,7 @@
 func (s *Server) mayServe(c *clientConn, e *engine.Engine, r *engine.Request) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.enterLocked(c, serving) || c.peek.Ended() {
+	if !s.enterLocked(c, serving) || c.peek.PeerClosed() {
 		return errGone
 	}
 	if !s.schedule.MayForward(time.Now()) {
@@ -308,7 +308,7 @@
 	for c := range s.conns {
 		r := rank(c)
 		if r > best || r == best && r > 0 && c.since.Before(victim.since) {
-			if r != 2 || c.peek.NothingCame() {
+			if r != 2 || c.peek.Empty() {
 				victim, best = c, r
 			}
 		}
@@ -372,7 +372,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return c.peek.SomethingCame()
+	return c.peek.HasData()
 }
 
 // ready is the answer to a probe of readiness.
@@ -482,7 +482,7 @@
 func (s *Server) left(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return c.peek.Ended()
+	return c.peek.PeerClosed()
 }
 
 // hand hands a request on.
--- a/internal/mysql/proxy/client.go
+++ b/internal/mysql/proxy/client.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
+	"quillfront/internal/connlimit"
 	"quillfront/internal/engine"
-	"quillfront/internal/guests"
 	"quillfront/internal/mysql/session"
 	"quillfront/internal/mysql/wire"
 	"quillfront/internal/pool"
@@ -36,7 +36,7 @@
 type client struct {
 	f       *Front
 	id      uint32
-	guest   *guests.Guest
+	guest   *connlimit.Slot
 	raw     net.Conn // the socket
 	conn    net.Conn // raw, or TLS on it
 	wire    wire.Conn
@@ -61,7 +61,7 @@
 	forever bool                       // x is the session's for its whole life
 }
 
-func newClient(f *Front, id uint32, c net.Conn, g *guests.Guest) *client {
+func newClient(f *Front, id uint32, c net.Conn, g *connlimit.Slot) *client {
 	s := &client{f: f, id: id, guest: g, raw: c, conn: c, statements: map[uint32]*prepared{}, rested: time.Now()}
 	s.wire.R = bufio.NewReaderSize(c, clientRead)
 	return s
@@ -206,7 +206,7 @@
 	}
 	s.bound.Store(s.x != nil && (s.forever || s.state.Bound()))
 	switch {
-	case !f.door.Ending().IsZero() && (!s.bound.Load() || f.ending().MustAnswer(now)):
+	case !f.door.DrainingSince().IsZero() && (!s.bound.Load() || f.ending().MustAnswer(now)):
 		s.shut(wire.Closing("the proxy is ending"))
 	case now.Sub(s.rested) >= f.cfg.Idle:
 		s.shut(&wire.Error{Code: 4031, State: "HY000", Message: "The client was disconnected because of inactivity"})
--- a/internal/mysql/proxy/config.go
+++ b/internal/mysql/proxy/config.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"time"
 
-	"quillfront/internal/guests"
+	"quillfront/internal/connlimit"
 	"quillfront/internal/mysql/wire"
 )
 
@@ -58,7 +58,7 @@
 	// are.
 	LoadQuery string
 
-	Guests guests.Limits
+	Guests connlimit.Limits
 }
 
 // Account is how servers are reached with Users.
--- a/internal/mysql/proxy/entry.go
+++ b/internal/mysql/proxy/entry.go
@@ -4,8 +4,8 @@
 	"crypto/tls"
 	"errors"
 
+	"quillfront/internal/connlimit"
 	"quillfront/internal/engine"
-	"quillfront/internal/guests"
 	"quillfront/internal/mysql/session"
 	"quillfront/internal/mysql/wire"
 	"quillfront/policy"
@@ -109,7 +109,7 @@
 			return err
 		}
 	}
-	if why := s.guest.Name(name); why != guests.Welcome {
+	if why := s.guest.SetUser(name); why != connlimit.Admitted {
 		s.fail(&wire.Error{Code: 1203, State: "42000", Message: why.String()})
 		return errEnd
 	}
@@ -216,7 +216,7 @@
 	}
 	l.Capabilities &= g.Capabilities
 	s.caps, s.charset = l.Capabilities, l.Charset
-	if why := s.guest.Name(l.User); why != guests.Welcome {
+	if why := s.guest.SetUser(l.User); why != connlimit.Admitted {
 		s.fail(&wire.Error{Code: 1203, State: "42000", Message: why.String()})
 		return errEnd
 	}
@@ -298,7 +298,7 @@
 
 // passChange passes a change of user on to the session's server.
 func (s *client) passChange(b []byte, u wire.UserChange) error {
-	if why := s.guest.Name(u.User); why != guests.Welcome {
+	if why := s.guest.SetUser(u.User); why != connlimit.Admitted {
 		s.fail(&wire.Error{Code: 1203, State: "42000", Message: why.String()})
 		return errEnd
 	}
--- a/internal/mysql/proxy/front.go
+++ b/internal/mysql/proxy/front.go
@@ -12,8 +12,8 @@
 
 	"golang.org/x/sync/semaphore"
 
-	"quillfront/internal/door"
-	"quillfront/internal/guests"
+	"quillfront/internal/acceptor"
+	"quillfront/internal/connlimit"
 	"quillfront/internal/mysql/wire"
 	"quillfront/internal/pool"
 	"quillfront/internal/shutdown"
@@ -33,7 +33,7 @@
 	transport *Transport
 	budget    *sockets.Budget
 	users     *directory
-	door      *door.Door
+	door      *acceptor.Acceptor
 	room      *semaphore.Weighted // for the bytes of statements
 	log       *slog.Logger
 	schedule  atomic.Pointer[shutdown.Schedule] // of the end; nil: it is not to end
@@ -65,7 +65,7 @@
 	c = c.WithDefaults()
 	log = log.With("mysql", c.Name)
 	return &Front{
-		cfg: c, pool: p, transport: t, budget: b, users: newDirectory(c.Users), door: door.New(c.Guests, log), room: semaphore.NewWeighted(c.Memory), log: log,
+		cfg: c, pool: p, transport: t, budget: b, users: newDirectory(c.Users), door: acceptor.New(c.Guests, log), room: semaphore.NewWeighted(c.Memory), log: log,
 		sessions: map[uint32]*client{},
 	}
 }
@@ -77,9 +77,9 @@
 func (f *Front) Serve(ln net.Listener) error { return f.door.Serve(ln, f.look, turnAway, f.take) }
 
 // turnAway tells a client that it may not connect. It waits for nobody.
-func turnAway(c net.Conn, why guests.Reason) {
+func turnAway(c net.Conn, why connlimit.Reason) {
 	e := wire.TooMany(why.String())
-	if why == guests.Closed {
+	if why == connlimit.Closed {
 		e = wire.Closing("the proxy is ending")
 	}
 	b := e.Append(make([]byte, 4))
@@ -91,13 +91,13 @@
 }
 
 // take serves one client until it leaves.
-func (f *Front) take(c net.Conn, g *guests.Guest) {
+func (f *Front) take(c net.Conn, g *connlimit.Slot) {
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(f.door.Context(), f.cfg.Login)
 	release, err := f.budget.AcquireClient(ctx)
 	cancel()
 	if err != nil {
-		turnAway(c, guests.Full)
+		turnAway(c, connlimit.TotalLimit)
 		return
 	}
 	defer release()
@@ -156,7 +156,7 @@
 	f.schedule.Store(&schedule)
 	ctx, cancel := context.WithDeadline(ctx, schedule.Exit)
 	defer cancel()
-	err := f.door.Wait(ctx)
+	err := f.door.Drain(ctx)
 	f.Close()
 	return err
 }
@@ -180,7 +180,7 @@
 
 // Stats counts what a front does.
 type Stats struct {
-	Guests     guests.Stats
+	Guests     connlimit.Stats
 	Sessions   int
 	Bound      int               // of them, in a transaction or otherwise bound to their server
 	Statements map[string]uint64 // by answer
--- a/internal/mysql/proxy/hard_test.go
+++ b/internal/mysql/proxy/hard_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"quillfront/internal/guests"
+	"quillfront/internal/connlimit"
 	"quillfront/internal/mysql/session"
 	"quillfront/internal/mysql/standin"
 	"quillfront/internal/mysql/wire"
@@ -517,7 +517,7 @@
 
 // TestBounds: per address, per user, in all, and of descriptors.
 func TestBounds(t *testing.T) {
-	w := open(t, options{proxy: Config{Guests: guests.Limits{Most: 6, PerUser: 2}}})
+	w := open(t, options{proxy: Config{Guests: connlimit.Limits{Total: 6, PerUser: 2}}})
 	a, b := w.session(""), w.session("")
 	if err := w.client("").Ping(); code(err) != 1203 {
 		t.Errorf("a third of the user: %v", err)
@@ -542,12 +542,12 @@
 		silent = append(silent, c)
 	}
 	until(t, "the places are taken", func() bool {
-		return w.Stats().Guests.Now == 6 && w.Stats().Guests.Turned["too many connections"] >= 290
+		return w.Stats().Guests.Current == 6 && w.Stats().Guests.Rejected["too many connections"] >= 290
 	})
 	for _, c := range silent {
 		c.Close()
 	}
-	until(t, "they are free again", func() bool { return w.Stats().Guests.Now < 6 })
+	until(t, "they are free again", func() bool { return w.Stats().Guests.Current < 6 })
 }
 
 // TestPerServer: one more connection in use than a server may have goes to another, and is refused as not run where there is none.
@@ -568,7 +568,7 @@
 
 // TestSilentClients: those who do not log in are cut off in time, and hold up nobody.
 func TestSilentClients(t *testing.T) {
-	w := open(t, options{descriptors: sockets.Spare + 600, proxy: Config{Login: 500 * time.Millisecond}})
+	w := open(t, options{descriptors: sockets.Reserved + 600, proxy: Config{Login: 500 * time.Millisecond}})
 	for range 300 {
 		c, err := net.Dial("tcp", w.addr)
 		if err != nil {
@@ -577,7 +577,7 @@
 		defer c.Close()
 	}
 	until(t, "somebody is served", func() bool { v, err := value(t, w.client(""), "SELECT 5"); return v == "5" && err == nil })
-	until(t, "they are cut off", func() bool { return w.Stats().Guests.Now <= 3 })
+	until(t, "they are cut off", func() bool { return w.Stats().Guests.Current <= 3 })
 }
 
 // TestBadClients: whatever a client sends, it is told or cut off, and others are served.
--- a/internal/mysql/proxy/login.go
+++ b/internal/mysql/proxy/login.go
@@ -117,7 +117,7 @@
 }
 
 // quiet reports whether the server has said nothing that is still to be read, nor closed.
-func (s *server) quiet() bool { return s.wire.R.Buffered() == 0 && s.peek.NothingCame() }
+func (s *server) quiet() bool { return s.wire.R.Buffered() == 0 && s.peek.Empty() }
 
 // dial connects to a server; the caller logs in.
 func (t *Transport) dial(ctx context.Context, to engine.Endpoint) (*server, wire.Greeting, error) {
--- a/internal/mysql/proxy/transport.go
+++ b/internal/mysql/proxy/transport.go
@@ -582,7 +582,7 @@
 			t.kill(s.to, s.thread)
 		}
 		return engine.Ending{Status: policy.Canceled}
-	case errors.Is(err, sockets.ErrNone) || t.ctx.Err() != nil:
+	case errors.Is(err, sockets.ErrNoDescriptor) || t.ctx.Err() != nil:
 		status = policy.Moot
 	case errors.As(err, &sync) && errors.As(err, &answer) && (answer.Code == 1040 || answer.Code == 1203):
 		status = policy.Full
@@ -692,7 +692,7 @@
 	switch {
 	case err == nil:
 		return policy.OK, pool.Queue(n)
-	case errors.Is(err, sockets.ErrNone):
+	case errors.Is(err, sockets.ErrNoDescriptor):
 		return policy.Moot, nil
 	case errors.As(err, &answer) && (answer.Code == 1040 || answer.Code == 1203):
 		return policy.Full, nil
--- a/internal/services/http.go
+++ b/internal/services/http.go
@@ -41,8 +41,8 @@
 type web struct {
 	log    *slog.Logger
 	budget *sockets.Budget
-	conns  *sockets.Shares // descriptors for servers
-	bodies *sockets.Shares // memory
+	conns  *sockets.Quota // descriptors for servers
+	bodies *sockets.Quota // memory
 	router *router.Router
 	ctx    context.Context // ends with close
 	stop   context.CancelFunc
@@ -66,8 +66,8 @@
 	name      string
 	cfg       pool.Config // as it was taken over last
 	transport *webTransport
-	conns     *sockets.Part
-	room      *sockets.Part
+	conns     *sockets.Share
+	room      *sockets.Share
 	route     *router.Pool
 	former    []former // under which requests may still be on their way to the engine
 }
@@ -109,7 +109,7 @@
 // newWeb returns the pools that the routes lead to; none where there is no [[http]].
 func newWeb(cfg config.Services, list []routes.Route, memory int64, b *sockets.Budget, log *slog.Logger) (*web, error) {
 	w := &web{
-		log: log, budget: b, conns: b.ServerShares(), bodies: sockets.NewShares(max(memory, 1<<20)), pools: map[string]*webPool{},
+		log: log, budget: b, conns: b.ServerQuota(), bodies: sockets.NewQuota(max(memory, 1<<20)), pools: map[string]*webPool{},
 	}
 	w.ctx, w.stop = context.WithCancel(context.Background())
 	var err error
@@ -198,7 +198,7 @@
 			w.replace(p, before)
 		}
 	}
-	places, bytes := map[*sockets.Part]int64{}, map[*sockets.Part]int64{}
+	places, bytes := map[*sockets.Share]int64{}, map[*sockets.Share]int64{}
 	for name, p := range w.pools {
 		if next[name] != p { // else those that come and those that go would be promised all there is, and nobody could borrow
 			places[p.conns], bytes[p.room] = 0, 0
@@ -210,8 +210,8 @@
 		places[p.conns] = or(int64(c.Descriptors), w.conns.Total()/2/int64(len(wanted)))
 		bytes[p.room] = or(c.Memory, w.bodies.Total()/2/int64(len(wanted)))
 	}
-	w.conns.Promise(places)
-	w.bodies.Promise(bytes)
+	w.conns.SetGuarantees(places)
+	w.bodies.SetGuarantees(bytes)
 	w.pools = next
 	return fresh, nil
 }
@@ -292,10 +292,10 @@
 
 func (w *web) open(c pool.Config) (*webPool, error) {
 	log := w.log.With("pool", c.Name)
-	p := &webPool{name: c.Name, cfg: c, conns: w.conns.Part(), room: w.bodies.Part()}
-	lender := w.budget.Lend(p.conns, w.makeRoomFor(p))
+	p := &webPool{name: c.Name, cfg: c, conns: w.conns.NewShare(), room: w.bodies.NewShare()}
+	lender := w.budget.ForPool(p.conns, w.makeRoomFor(p))
 	p.transport = &webTransport{Transport: upstream.New(settingsOf(c), lender, log)}
-	p.transport.HoldHeads(config.ServerHead)
+	p.transport.SetMaxHeaderBytes(config.ServerHead)
 	p.transport.cfg.Store(&c)
 	var err error
 	if p.Pool, err = c.Open(p.transport, log); err != nil {
@@ -321,7 +321,7 @@
 		if used, promised := p.conns.Used(); but != nil && (p == but || used <= promised) {
 			continue
 		}
-		if p.transport.MakeRoom() {
+		if p.transport.EvictIdle() {
 			return true
 		}
 	}
@@ -449,13 +449,13 @@
 	patience time.Duration
 
 	mu    sync.Mutex
-	ln    *sockets.Backlog // nil: it has not begun
+	ln    *sockets.DrainableListener // nil: it has not begun
 	ended bool
 }
 
 // Serve is a method of front.
 func (f *webFront) Serve(ln net.Listener) error {
-	b := sockets.NewBacklog(ln.(*net.TCPListener))
+	b := sockets.NewDrainableListener(ln.(*net.TCPListener))
 	f.mu.Lock()
 	f.ln = b
 	ended := f.ended
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -142,7 +142,7 @@
 }
 
 func roomOf(beside *upstream.Transport, other func() bool) func() bool {
-	return func() bool { return other != nil && other() || beside != nil && beside.MakeRoom() }
+	return func() bool { return other != nil && other() || beside != nil && beside.EvictIdle() }
 }
 
 func closing(beside *upstream.Transport, other func()) func() {
--- a/internal/sockets/budget.go
+++ b/internal/sockets/budget.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// Spare descriptors are not counted: the listener, discovery, the log, the runtime's poller.
-	Spare = 16
+	// Reserved descriptors are not counted: the listener, discovery, the log, the runtime's poller.
+	Reserved = 16
 	// clientShare is the part of the descriptors that clients may hold. The rest is always left for servers, so that
 	// requests which were taken can be answered.
 	clientShare = 0.6
@@ -23,8 +23,8 @@
 	retry = 10 * time.Millisecond
 )
 
-// ErrNone tells that no descriptor is free, which says nothing of the peer that one was wanted for.
-var ErrNone = errors.New("no free descriptor")
+// ErrNoDescriptor tells that no descriptor is free, which says nothing of the peer that one was wanted for.
+var ErrNoDescriptor = errors.New("no free descriptor")
 
 // Budget counts the descriptors of connections. Near the limit idle connections make room: those to servers first, then
 // those of clients. Beyond it work waits.
@@ -42,7 +42,7 @@
 
 // New returns the budget of a process that may hold limit descriptors, which must be over Spare.
 func New(limit int) *Budget {
-	n := limit - Spare
+	n := limit - Reserved
 	never := func() bool { return false }
 	return &Budget{
 		all: make(chan struct{}, n), clients: make(chan struct{}, max(1, int(float64(n)*clientShare))),
@@ -52,7 +52,7 @@
 
 // NewForServers returns the budget of limit descriptors for connections to servers alone.
 func NewForServers(limit int) *Budget {
-	b := New(limit + Spare)
+	b := New(limit + Reserved)
 	b.clients = make(chan struct{})
 	return b
 }
@@ -119,7 +119,7 @@
 			return nil
 		case <-ctx.Done():
 			again.Stop()
-			return fmt.Errorf("%w: %w", ErrNone, ctx.Err())
+			return fmt.Errorf("%w: %w", ErrNoDescriptor, ctx.Err())
 		case <-again.C:
 		}
 	}
@@ -130,9 +130,9 @@
 	return s.waiting.Load() > 0 && len(s.all) > int(scarceShare*float64(cap(s.all))) || len(s.all) == cap(s.all)
 }
 
-// Share leaves this process a part of its places, above 0 and at most 1, as long as another one of the same sidecar lives. What
+// SetFraction leaves this process a part of its places, above 0 and at most 1, as long as another one of the same sidecar lives. What
 // it has in use beyond that it gives up as it becomes free, idle connections first; meanwhile nothing new is opened.
-func (s *Budget) Share(part float64) {
+func (s *Budget) SetFraction(part float64) {
 	s.sharing.Lock()
 	defer s.sharing.Unlock()
 	if s.stop != nil {
--- a/internal/sockets/budget_test.go
+++ b/internal/sockets/budget_test.go
@@ -10,7 +10,7 @@
 // TestBudget: clients never take the part that is left for servers, idle connections make room, and who finds none in
 // time is told so.
 func TestBudget(t *testing.T) {
-	b := New(Spare + 10)
+	b := New(Reserved + 10)
 	evicted := 0
 	var idle []func()
 	b.OnShortage(func() bool {
@@ -28,7 +28,7 @@
 	for {
 		release, err := b.AcquireClient(gone)
 		if err != nil {
-			if !errors.Is(err, ErrNone) || !errors.Is(err, context.Canceled) {
+			if !errors.Is(err, ErrNoDescriptor) || !errors.Is(err, context.Canceled) {
 				t.Errorf("error %v", err)
 			}
 			break
--- a/internal/sockets/gone_linux.go
+++ b/internal/sockets/closed_linux.go
@@ -9,8 +9,8 @@
 // ended it. One that its peer alone has ended is in another.
 const closedState = 7
 
-// Gone reports whether a connection is over on both sides. Of one whose peer has only ended its sending it is false.
-func Gone(c *net.TCPConn) bool {
+// IsClosed reports whether a connection is over on both sides. Of one whose peer has only ended its sending it is false.
+func IsClosed(c *net.TCPConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return true
--- a/internal/sockets/backlog.go
+++ b/internal/sockets/drainable_listener.go
@@ -11,19 +11,21 @@
 // backlogQuiet is how long no connection may come before the backlog counts as empty.
 const backlogQuiet = 50 * time.Millisecond
 
-// Backlog is a listener that can be drained: it goes on accepting until a time, and then until no more connections wait. Closing it at once
+// DrainableListener is a listener that can be drained: it goes on accepting until a time, and then until no more connections wait. Closing it at once
 // would reset those that the kernel has accepted, and what was written to them.
-type Backlog struct {
+type DrainableListener struct {
 	*net.TCPListener
 	mu    sync.Mutex
 	until time.Time // zero: not draining
 }
 
-// NewBacklog returns a Backlog of ln.
-func NewBacklog(ln *net.TCPListener) *Backlog { return &Backlog{TCPListener: ln} }
+// NewDrainableListener returns a Backlog of ln.
+func NewDrainableListener(ln *net.TCPListener) *DrainableListener {
+	return &DrainableListener{TCPListener: ln}
+}
 
 // Drain starts the draining; Accept fails with net.ErrClosed once the backlog is empty after until.
-func (b *Backlog) Drain(until time.Time) {
+func (b *DrainableListener) Drain(until time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.until = until
@@ -31,7 +33,7 @@
 }
 
 // Accept is the method of net.Listener.
-func (b *Backlog) Accept() (net.Conn, error) {
+func (b *DrainableListener) Accept() (net.Conn, error) {
 	b.mu.Lock()
 	if now := time.Now(); !b.until.IsZero() && now.After(b.until) {
 		b.SetDeadline(now.Add(backlogQuiet))
--- a/internal/sockets/peek.go
+++ b/internal/sockets/peek.go
@@ -33,8 +33,8 @@
 	return p
 }
 
-// NothingCame reports whether the kernel has nothing that is still to be read, neither bytes nor the end.
-func (p *Peeker) NothingCame() bool {
+// Empty reports whether the kernel has nothing that is still to be read, neither bytes nor the end.
+func (p *Peeker) Empty() bool {
 	if p.raw == nil {
 		return false
 	}
@@ -42,8 +42,8 @@
 	return p.raw.Control(p.look) == nil && p.nothing
 }
 
-// SomethingCame reports whether the kernel has bytes that are still to be read.
-func (p *Peeker) SomethingCame() bool {
+// HasData reports whether the kernel has bytes that are still to be read.
+func (p *Peeker) HasData() bool {
 	if p.raw == nil {
 		return false
 	}
@@ -51,8 +51,8 @@
 	return p.raw.Control(p.look) == nil && p.bytes
 }
 
-// Ended reports whether the peer has ended its sending, or the connection is broken, also behind bytes that are still to be read.
-func (p *Peeker) Ended() bool {
+// PeerClosed reports whether the peer has ended its sending, or the connection is broken, also behind bytes that are still to be read.
+func (p *Peeker) PeerClosed() bool {
 	if p.raw == nil {
 		return false
 	}
--- a/internal/sockets/shares.go
+++ b/internal/sockets/quota.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Shares divides a number of places, of descriptors or of bytes, among parts that each have some guaranteed and may borrow what no other
+// Quota divides a number of places, of descriptors or of bytes, among parts that each have some guaranteed and may borrow what no other
 // part's guarantee stands on. A part that takes all it can get leaves every other one what it was promised. Its methods, and those of its
 // parts, may be called from many goroutines at once.
-type Shares struct {
+type Quota struct {
 	mu    sync.Mutex
 	total int64
 	used  int64
-	parts map[*Part]struct{}
+	parts map[*Share]struct{}
 	waits int           // how many wait for places
 	freed chan struct{} // closed, and replaced, when places have been given back to somebody who waits
 }
 
-// Part is what one of those who share may take.
-type Part struct {
-	of        *Shares
+// Share is what one of those who share may take.
+type Share struct {
+	of        *Quota
 	guarantee int64
 	used      int64
 	waited    Waits
@@ -28,30 +28,30 @@
 
 // Waits counts those who found no place free.
 type Waits struct {
-	Got  uint64 // one in the end
-	None uint64 // within their time, or within mostWait
+	Acquired uint64 // one in the end
+	TimedOut uint64 // within their time, or within mostWait
 }
 
-// NewShares returns shares of total places.
-func NewShares(total int64) *Shares {
-	return &Shares{total: total, parts: map[*Part]struct{}{}, freed: make(chan struct{})}
+// NewQuota returns shares of total places.
+func NewQuota(total int64) *Quota {
+	return &Quota{total: total, parts: map[*Share]struct{}{}, freed: make(chan struct{})}
 }
 
 // Total is how many places there are.
-func (s *Shares) Total() int64 { return s.total }
+func (s *Quota) Total() int64 { return s.total }
 
-// Part adds a part, which is guaranteed nothing.
-func (s *Shares) Part() *Part {
+// NewShare adds a part, which is guaranteed nothing.
+func (s *Quota) NewShare() *Share {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := &Part{of: s}
+	p := &Share{of: s}
 	s.parts[p] = struct{}{}
 	return p
 }
 
-// Promise changes what parts are guaranteed, all at once: whatever order they come in, one that gives up its guarantee leaves it to the
+// SetGuarantees changes what parts are guaranteed, all at once: whatever order they come in, one that gives up its guarantee leaves it to the
 // others. The rest of the parts keep theirs. Where more is wanted than there is, each gets its part of that.
-func (s *Shares) Promise(wanted map[*Part]int64) {
+func (s *Quota) SetGuarantees(wanted map[*Share]int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	left, sum := s.total, int64(0)
@@ -73,7 +73,7 @@
 }
 
 // Close takes p out of the shares: what it still has in use is given back place by place.
-func (p *Part) Close() {
+func (p *Share) Close() {
 	p.of.mu.Lock()
 	defer p.of.mu.Unlock()
 	p.guarantee = 0
@@ -83,7 +83,7 @@
 
 // may reports whether p may take n more. Within its guarantee it may whatever the others have, as none of them could take that; beyond
 // it, it leaves all that others have been promised and do not use.
-func (s *Shares) may(p *Part, n int64) bool {
+func (s *Quota) may(p *Share, n int64) bool {
 	reserved := int64(0)
 	for o := range s.parts {
 		if o != p {
@@ -94,14 +94,14 @@
 }
 
 // TryAcquire takes n places if p may have them now.
-func (p *Part) TryAcquire(n int64) bool {
+func (p *Share) TryAcquire(n int64) bool {
 	p.of.mu.Lock()
 	defer p.of.mu.Unlock()
 	return p.take(n)
 }
 
 // take takes n places if p may have them. Called with the lock held.
-func (p *Part) take(n int64) bool {
+func (p *Share) take(n int64) bool {
 	if !p.of.may(p, n) {
 		return false
 	}
@@ -111,7 +111,7 @@
 }
 
 // Acquire waits until p may have n places and takes them, or until ctx ends.
-func (p *Part) Acquire(ctx context.Context, n int64) error {
+func (p *Share) Acquire(ctx context.Context, n int64) error {
 	for {
 		p.of.mu.Lock()
 		if p.take(n) {
@@ -137,7 +137,7 @@
 }
 
 // Release gives n places back.
-func (p *Part) Release(n int64) {
+func (p *Share) Release(n int64) {
 	p.of.mu.Lock()
 	defer p.of.mu.Unlock()
 	p.used -= n
@@ -146,7 +146,7 @@
 }
 
 // wake has all who wait look again. Called with the lock held.
-func (s *Shares) wake() {
+func (s *Quota) wake() {
 	if s.waits == 0 {
 		return
 	}
@@ -155,90 +155,92 @@
 }
 
 // Used returns how many places p has, and how many it is guaranteed.
-func (p *Part) Used() (used, guarantee int64) {
+func (p *Share) Used() (used, guarantee int64) {
 	p.of.mu.Lock()
 	defer p.of.mu.Unlock()
 	return p.used, p.guarantee
 }
 
 // Waits returns how many have waited for places of p.
-func (p *Part) Waits() Waits {
+func (p *Share) Waits() Waits {
 	p.of.mu.Lock()
 	defer p.of.mu.Unlock()
 	return p.waited
 }
 
-// Lender is a part of the descriptors for servers of a budget. Where another part's idle connections hold what this one is to have,
+// PoolBudget is a part of the descriptors for servers of a budget. Where another part's idle connections hold what this one is to have,
 // makeRoom is asked to close them.
-type Lender struct {
+type PoolBudget struct {
 	*Budget
-	*Part
+	*Share
 	makeRoom func() bool
 }
 
-// ServerShares returns the descriptors that are left for servers however many clients there are, to be divided.
-func (s *Budget) ServerShares() *Shares { return NewShares(int64(cap(s.all) - cap(s.clients))) }
+// ServerQuota returns the descriptors that are left for servers however many clients there are, to be divided.
+func (s *Budget) ServerQuota() *Quota { return NewQuota(int64(cap(s.all) - cap(s.clients))) }
 
-// Lend returns what the connections of one pool take their descriptors from.
-func (s *Budget) Lend(p *Part, makeRoom func() bool) *Lender { return &Lender{s, p, makeRoom} }
+// ForPool returns what the connections of one pool take their descriptors from.
+func (s *Budget) ForPool(p *Share, makeRoom func() bool) *PoolBudget {
+	return &PoolBudget{s, p, makeRoom}
+}
 
 // mostWait is how long one may wait for a descriptor, whatever time there is to connect: it may be that nobody gives one back, and another
 // server, to which a connection is idle, may have the request.
 const mostWait = 500 * time.Millisecond
 
 // Acquire takes a descriptor, and returns the function that gives it back. It waits for mostWait at most.
-func (l *Lender) Acquire(ctx context.Context) (release func(), err error) {
+func (l *PoolBudget) Acquire(ctx context.Context) (release func(), err error) {
 	ctx, cancel := context.WithTimeout(ctx, mostWait)
 	defer cancel()
-	waits := !l.Part.TryAcquire(1)
+	waits := !l.Share.TryAcquire(1)
 	if waits {
 		err = l.wait(ctx)
 	}
 	var give func()
 	if err == nil {
 		if give, err = l.Budget.Acquire(ctx); err != nil {
-			l.Part.Release(1)
+			l.Share.Release(1)
 		}
 	}
 	l.of.mu.Lock()
 	defer l.of.mu.Unlock()
 	switch {
 	case err != nil:
-		l.waited.None++
+		l.waited.TimedOut++
 		return nil, err
 	case waits:
-		l.waited.Got++
+		l.waited.Acquired++
 	}
-	return sync.OnceFunc(func() { give(); l.Part.Release(1) }), nil
+	return sync.OnceFunc(func() { give(); l.Share.Release(1) }), nil
 }
 
 // wait waits for a place.
-func (l *Lender) wait(ctx context.Context) error {
-	for !l.Part.TryAcquire(1) {
+func (l *PoolBudget) wait(ctx context.Context) error {
+	for !l.Share.TryAcquire(1) {
 		if l.makeRoom() {
 			continue
 		}
 		again, cancel := context.WithTimeout(ctx, retry)
-		err := l.Part.Acquire(again, 1)
+		err := l.Share.Acquire(again, 1)
 		cancel()
 		if err == nil {
 			return nil
 		}
 		if ctx.Err() != nil {
-			return ErrNone
+			return ErrNoDescriptor
 		}
 	}
 	return nil
 }
 
 // Scarce reports whether idle connections should not be kept.
-func (l *Lender) Scarce() bool {
+func (l *PoolBudget) Scarce() bool {
 	used, guarantee := l.Used()
 	return used > guarantee && !l.mayOne() || l.Budget.Scarce()
 }
 
-func (l *Lender) mayOne() bool {
+func (l *PoolBudget) mayOne() bool {
 	l.of.mu.Lock()
 	defer l.of.mu.Unlock()
-	return l.of.may(l.Part, 1)
+	return l.of.may(l.Share, 1)
 }
--- a/internal/sockets/shares_test.go
+++ b/internal/sockets/quota_test.go
@@ -13,14 +13,14 @@
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(1, 50).Draw(t, "total")
-		s := NewShares(total)
-		var parts []*Part
-		wanted := map[*Part]int64{}
+		s := NewQuota(total)
+		var parts []*Share
+		wanted := map[*Share]int64{}
 		for i := range rapid.IntRange(1, 5).Draw(t, "parts") {
-			parts = append(parts, s.Part())
+			parts = append(parts, s.NewShare())
 			wanted[parts[i]] = rapid.Int64Range(0, 30).Draw(t, string(rune('a'+i)))
 		}
-		s.Promise(wanted)
+		s.SetGuarantees(wanted)
 		used := make([]int64, len(parts))
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(parts)-1).Draw(t, "part")
@@ -51,9 +51,9 @@
 			}
 		}
 	})
-	s := NewShares(2)
-	a, b := s.Part(), s.Part()
-	s.Promise(map[*Part]int64{a: 1, b: 1})
+	s := NewQuota(2)
+	a, b := s.NewShare(), s.NewShare()
+	s.SetGuarantees(map[*Share]int64{a: 1, b: 1})
 	if !a.TryAcquire(1) || a.TryAcquire(1) {
 		t.Error("a part takes what the other was promised")
 	}
@@ -62,13 +62,13 @@
 		t.Error("what a part that is gone was promised is not lent")
 	}
 	// One that gives up its promise leaves it to another that comes for it in the same step, in whatever order they stand.
-	c := s.Part()
+	c := s.NewShare()
 	for range 9 {
-		s.Promise(map[*Part]int64{a: 0, c: 2})
+		s.SetGuarantees(map[*Share]int64{a: 0, c: 2})
 		if _, promised := c.Used(); promised != 2 {
 			t.Fatalf("%d promised of the 2 that were given up", promised)
 		}
-		s.Promise(map[*Part]int64{a: 3, c: 1})
+		s.SetGuarantees(map[*Share]int64{a: 3, c: 1})
 		if _, promised := a.Used(); promised != 1 { // three quarters of two
 			t.Fatalf("%d promised of 2 where 3 and 1 are wanted", promised)
 		}
@@ -90,16 +90,16 @@
 
 // TestNobodyGivesBack: who waits for a descriptor that nobody gives back hears so long before the time it has, and is counted.
 func TestNobodyGivesBack(t *testing.T) {
-	b := New(Spare + 4)
-	s := b.ServerShares()
-	one, other := s.Part(), s.Part()
+	b := New(Reserved + 4)
+	s := b.ServerQuota()
+	one, other := s.NewShare(), s.NewShare()
 	if !one.TryAcquire(s.Total()) {
 		t.Fatal("not all places can be had")
 	}
-	l := b.Lend(other, func() bool { return false })
+	l := b.ForPool(other, func() bool { return false })
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	if _, err := l.Acquire(ctx); !errors.Is(err, ErrNone) || ctx.Err() != nil {
+	if _, err := l.Acquire(ctx); !errors.Is(err, ErrNoDescriptor) || ctx.Err() != nil {
 		t.Errorf("%v, %v", err, ctx.Err())
 	}
 	time.AfterFunc(20*time.Millisecond, func() { one.Release(1) })
@@ -114,13 +114,13 @@
 			t.Fatal("not all descriptors can be had")
 		}
 	}
-	if _, err := l.Acquire(ctx); !errors.Is(err, ErrNone) || ctx.Err() != nil {
+	if _, err := l.Acquire(ctx); !errors.Is(err, ErrNoDescriptor) || ctx.Err() != nil {
 		t.Errorf("%v, %v", err, ctx.Err())
 	}
 	if used, _ := other.Used(); used != 0 {
 		t.Errorf("%d places are kept for what was not had", used)
 	}
-	if w := other.Waits(); w != (Waits{Got: 1, None: 2}) {
+	if w := other.Waits(); w != (Waits{Acquired: 1, TimedOut: 2}) {
 		t.Errorf("%+v", w)
 	}
 }
--- a/internal/stream/front.go
+++ b/internal/stream/front.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
-	"quillfront/internal/door"
+	"quillfront/internal/acceptor"
+	"quillfront/internal/connlimit"
 	"quillfront/internal/engine"
-	"quillfront/internal/guests"
 	"quillfront/internal/sockets"
 	"quillfront/policy"
 )
@@ -30,7 +30,7 @@
 	cfg    Config
 	engine *engine.Engine
 	budget *sockets.Budget
-	door   *door.Door
+	door   *acceptor.Acceptor
 
 	mu      sync.Mutex
 	streams map[*stream]struct{}
@@ -61,12 +61,12 @@
 // New returns a front of e, which takes descriptors from b. c must have been checked.
 func New(c Config, e *engine.Engine, b *sockets.Budget, log *slog.Logger) *Front {
 	c = c.WithDefaults()
-	return &Front{cfg: c, engine: e, budget: b, door: door.New(c.Guests, log.With("stream", c.Name)), streams: map[*stream]struct{}{}}
+	return &Front{cfg: c, engine: e, budget: b, door: acceptor.New(c.Guests, log.With("stream", c.Name)), streams: map[*stream]struct{}{}}
 }
 
 // Serve takes connections from ln, which must be one of TCP, until Shutdown or Close. It closes ln.
 func (f *Front) Serve(ln net.Listener) error {
-	return f.door.Serve(ln, f.look, func(c net.Conn, _ guests.Reason) { refuse(c) }, func(c net.Conn, _ *guests.Guest) { f.take(c.(*net.TCPConn)) })
+	return f.door.Serve(ln, f.look, func(c net.Conn, _ connlimit.Reason) { refuse(c) }, func(c net.Conn, _ *connlimit.Slot) { f.take(c.(*net.TCPConn)) })
 }
 
 // refuse turns a client away that has had no byte: a reset cannot be taken for an empty answer.
@@ -176,7 +176,7 @@
 // may have had it, so that the read sees a mere end. Guards against a stream that broke off and ends as a whole one. On a connection that is gone
 // a write returns at once, so that this waits for no longer than one takes.
 func (s *stream) wasReset(direction int, from *net.TCPConn) bool {
-	if !sockets.Gone(from) {
+	if !sockets.IsClosed(from) {
 		return false
 	}
 	other := 1 - direction
@@ -239,7 +239,7 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		ending := f.door.Ending()
+		ending := f.door.DrainingSince()
 		f.mu.Lock()
 		all := make([]*stream, 0, len(f.streams))
 		for s := range f.streams {
@@ -277,7 +277,7 @@
 // Shutdown takes nothing new, and waits until all streams have ended; those that go on beyond the patience are told to end. If ctx
 // ends before, they are cut off.
 func (f *Front) Shutdown(ctx context.Context) error {
-	err := f.door.Wait(ctx)
+	err := f.door.Drain(ctx)
 	f.Close()
 	return err
 }
@@ -295,7 +295,7 @@
 
 // Stats counts a front's streams.
 type Stats struct {
-	Guests  guests.Stats
+	Guests  connlimit.Stats
 	Open    int
 	Ended   map[string]uint64 // by reason
 	Refused uint64            // not opened: a server would have been too busy
--- a/internal/stream/life.go
+++ b/internal/stream/life.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"quillfront/internal/guests"
+	"quillfront/internal/connlimit"
 )
 
 // Config is a service whose connections are passed on as they are. Zero times take their defaults.
@@ -25,7 +25,7 @@
 	Patience time.Duration // 10 s
 	Splice   bool          // large transfers stay in the kernel; two more descriptors for each while it lasts
 
-	Guests guests.Limits
+	Guests connlimit.Limits
 }
 
 // WithDefaults returns c with its defaults.
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -20,7 +20,7 @@
 
 	"go.uber.org/goleak"
 
-	"quillfront/internal/guests"
+	"quillfront/internal/connlimit"
 	"quillfront/internal/pool"
 	"quillfront/internal/sockets"
 )
@@ -521,7 +521,7 @@
 
 // TestBounds: one more than may be is reset before any byte, and a place that is left is free again.
 func TestBounds(t *testing.T) {
-	w := open(t, Config{Guests: guests.Limits{PerAddress: 2}}, 0, newBox(t, echo))
+	w := open(t, Config{Guests: connlimit.Limits{PerAddress: 2}}, 0, newBox(t, echo))
 	works := func(c *net.TCPConn) bool {
 		if c == nil {
 			return false
@@ -540,7 +540,7 @@
 	first.Close()
 	until(t, "its place is free", func() bool { return w.Stats().Open == 1 })
 	until(t, "a new one works", func() bool { return works(w.dial()) })
-	if w.Stats().Guests.Turned["too many connections from this address"] == 0 {
+	if w.Stats().Guests.Rejected["too many connections from this address"] == 0 {
 		t.Errorf("%+v", w.Stats().Guests)
 	}
 }
@@ -562,7 +562,7 @@
 
 // TestDescriptors: streams beyond the budget wait for a place, and harm none of those that are open.
 func TestDescriptors(t *testing.T) {
-	w := open(t, Config{}, sockets.Spare+20, newBox(t, echo))
+	w := open(t, Config{}, sockets.Reserved+20, newBox(t, echo))
 	var work sync.WaitGroup
 	for range 60 {
 		work.Go(func() {
@@ -592,7 +592,7 @@
 	for want, change := range map[string]func(*Config){
 		"name": func(c *Config) { c.Name = "" }, "listen": func(c *Config) { c.Listen = "" }, "class": func(c *Config) { c.Class = "" },
 		"idle": func(c *Config) { c.Idle = -1 }, "stall": func(c *Config) { c.Stall = -1 }, "drain": func(c *Config) { c.Drain = -1 },
-		"most": func(c *Config) { c.Guests.Most = -1 },
+		"most": func(c *Config) { c.Guests.Total = -1 },
 	} {
 		c := good
 		change(&c)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -9,8 +9,8 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
+	"quillfront/internal/connlimit"
 	"quillfront/internal/engine"
-	"quillfront/internal/guests"
 	"quillfront/internal/orders"
 	"quillfront/internal/peering"
 	"quillfront/internal/services"
@@ -239,7 +239,7 @@
 	for _, v := range f.Pool.Servers[:min(len(f.Pool.Servers), mostServers)] {
 		gauge(serviceServer, float64(v.Out), f.Name, string(v.ID))
 	}
-	var g guests.Stats
+	var g connlimit.Stats
 	if st := f.Stream; st != nil {
 		g = st.Guests
 		gauge(streamsOpen, float64(st.Open), f.Name)
@@ -267,11 +267,11 @@
 		if f.Kind == "pool" {
 			gauge(poolPlaces, float64(st.Descriptors), f.Name)
 			gauge(poolBodies, float64(st.Bodies), f.Name)
-			total(poolWaits, st.Waits.Got, f.Name, "got")
-			total(poolWaits, st.Waits.None, f.Name, "none")
+			total(poolWaits, st.Waits.Acquired, f.Name, "got")
+			total(poolWaits, st.Waits.TimedOut, f.Name, "none")
 			return
 		}
-		g.Now = st.Clients.Open
+		g.Current = st.Clients.Open
 		total(poolsEnded, st.Ends.Pools, f.Name)
 		total(poolsCut, st.Ends.Cut, f.Name)
 		for route, n := range st.Routes {
@@ -280,8 +280,8 @@
 			total(routeEarly, uint64(n.Early), f.Name, route)
 		}
 	}
-	gauge(serviceGuests, float64(g.Now), f.Name)
-	for why, n := range g.Turned {
+	gauge(serviceGuests, float64(g.Current), f.Name)
+	for why, n := range g.Rejected {
 		total(serviceAway, n, f.Name, why)
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -157,7 +157,7 @@
 
 // heed notes whether more has come on c than was asked for. Its end alone is not.
 func (p *pool) heed(c *conn) {
-	if c.r.Buffered() > 0 || c.peek.SomethingCame() {
+	if c.r.Buffered() > 0 || c.peek.HasData() {
 		p.unasked.Store(time.Now().UnixNano())
 	}
 }
@@ -170,7 +170,7 @@
 }
 
 // quiet reports whether nothing is there to be read, neither bytes nor the end.
-func (c *conn) quiet() bool { return c.r.Buffered() == 0 && c.peek.NothingCame() }
+func (c *conn) quiet() bool { return c.r.Buffered() == 0 && c.peek.Empty() }
 
 // keep makes c idle.
 func (p *pool) keep(c *conn) {
@@ -323,7 +323,7 @@
 // answers. Every write has sendTime; how long the body takes to come is for its source to bound.
 func (c *conn) upload(m *httpmsg.Message, uploaded func()) error {
 	c.framing(m)
-	if err := c.sendBody(m, sendTime, c.peek.SomethingCame); err != nil {
+	if err := c.sendBody(m, sendTime, c.peek.HasData); err != nil {
 		return err
 	}
 	uploaded()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -66,7 +66,7 @@
 	near, far := pair()
 	io.WriteString(far, "HTTP/1.1 200 OK\r\n\r\n")
 	c := newConn(near, to, func() {}, connBuffer)
-	for !c.peek.SomethingCame() {
+	for !c.peek.HasData() {
 		time.Sleep(time.Millisecond)
 	}
 	p.keep(c)
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -73,8 +73,8 @@
 	t.pool.idleFor.Store(int64(float64(s.Config.ConnIdle) * idleShare))
 }
 
-// HoldHeads has heads of answers of up to n bytes read, from the next connection on.
-func (t *Transport) HoldHeads(n int) { t.pool.buffer = n }
+// SetMaxHeaderBytes has heads of answers of up to n bytes read, from the next connection on.
+func (t *Transport) SetMaxHeaderBytes(n int) { t.pool.buffer = n }
 
 // Close closes the idle connections, and keeps none from now on. Attempts that are out go on to their ends.
 func (t *Transport) Close() {
@@ -83,17 +83,17 @@
 	t.pool.close()
 }
 
-// MakeRoom closes one idle connection, and reports whether there was one.
-func (t *Transport) MakeRoom() bool { return t.pool.closeIdle(0, 1) > 0 }
+// EvictIdle closes one idle connection, and reports whether there was one.
+func (t *Transport) EvictIdle() bool { return t.pool.closeIdle(0, 1) > 0 }
 
 // Dials returns how many connects have been begun.
 func (t *Transport) Dials() int64 { return t.pool.dials.Load() }
 
 // Stats counts a transport's idle connections.
 type Stats struct {
-	Idle  int // in all
-	Stale int // of them, those on which the server has closed or said something unasked
-	Rests int // of them, those that carry no request yet: see settleTime
+	Idle     int // in all
+	Stale    int // of them, those on which the server has closed or said something unasked
+	Settling int // of them, those that carry no request yet: see settleTime
 }
 
 // Stats returns the present counts.
@@ -109,7 +109,7 @@
 				s.Stale++
 			}
 			if c.since.After(settled) {
-				s.Rests++
+				s.Settling++
 			}
 		}
 	}
@@ -250,7 +250,7 @@
 	switch {
 	case a.Canceled():
 		status = policy.Canceled
-	case errors.Is(err, sockets.ErrNone) || errors.As(err, &source): // nothing was wrong with the upstream
+	case errors.Is(err, sockets.ErrNoDescriptor) || errors.As(err, &source): // nothing was wrong with the upstream
 		status = policy.Moot
 	case errors.As(err, &notWritten): // whatever ended it, the upstream never had the whole
 		status = policy.ConnectFailed
@@ -268,7 +268,7 @@
 	if c == nil {
 		var err error
 		c, err = t.pool.dial(ctx, to, until, func() {})
-		if errors.Is(err, sockets.ErrNone) {
+		if errors.Is(err, sockets.ErrNoDescriptor) {
 			return policy.Moot, nil
 		}
 		if err != nil {
--- a/services.go
+++ b/services.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("quillfront: %w", err)
 	}
-	budget := sockets.New(connections + sockets.Spare)
+	budget := sockets.New(connections + sockets.Reserved)
 	all, err := services.New(op.Services, op.Routes, bodies, budget, o.log)
 	if err != nil {
 		return nil, fmt.Errorf("quillfront: %w", err)
