--- a/cmd/quillfront/config.go
+++ b/cmd/quillfront/config.go
@@ -50,7 +50,7 @@
 		fmt.Fprintf(w, "sites: watched, by %d rules\n", len(o.Sites.Rules))
 	}
 	if m := o.Members; m != nil {
-		fmt.Fprintf(w, "members: of %s at %s, a pause of up to %v is borne\n", m.Peers.Node.Cluster, m.Peers.Listen, m.Peers.Node.MostPause())
+		fmt.Fprintf(w, "members: of %s at %s, a pause of up to %v is borne\n", m.Peers.Node.Cluster, m.Peers.Listen, m.Peers.Node.MaxPause())
 	}
 	if n := len(o.Routes); n > 0 {
 		fmt.Fprintf(w, "routes: %d\n", n)
--- a/cmd/quillfront/members.go
+++ b/cmd/quillfront/members.go
@@ -51,13 +51,13 @@
 	if v.Isolated {
 		notes += ", nobody answers it"
 	}
-	if v.Out {
+	if v.Displaced {
 		notes += ", it has given way to a later process of its name"
 	}
 	if v.Group > 0 {
 		notes += fmt.Sprintf(", shares by %d", v.Group)
 	}
-	fmt.Fprintf(w, "%s: view %s, %d living%s\n", v.Self, v.View, v.Living, notes)
+	fmt.Fprintf(w, "%s: view %s, %d living%s\n", v.Self, v.Digest, v.Live, notes)
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "NAME\tSTATE\tADDRESS\tZONE\tEPOCH\tINCARNATION\tSINCE")
 	for _, m := range v.Members {
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -20,7 +20,7 @@
 	Peers peering.Config // without the process's name
 	// Share has the number of those who live take the place of a fixed one, as Sharing says, which lacks only the number by the settings.
 	Share   bool
-	Sharing members.Sharing
+	Sharing members.GroupEstimator
 	// Platform has the addresses be those that the platform gives.
 	Platform bool
 	Hints    bool // what other processes' lists say makes this one more careful, and they are told of what its own says
@@ -86,12 +86,12 @@
 // members reads the table, and fills its defaults in. The error names the key.
 func (t *membersTable) members(dir string) (*Members, error) {
 	t.Bolder, t.Fall = cmp.Or(t.Bolder, 2), cmp.Or(t.Fall, duration(time.Minute))
-	m := &Members{Share: t.Share, Hints: t.Hints, Sharing: members.Sharing{Bolder: t.Bolder, Fall: time.Duration(t.Fall)}}
+	m := &Members{Share: t.Share, Hints: t.Hints, Sharing: members.GroupEstimator{MaxShareFactor: t.Bolder, HalfLife: time.Duration(t.Fall)}}
 	m.Peers = peering.Config{
-		Listen: t.Listen, MostBytes: t.MostBytes,
+		Listen: t.Listen, MaxSendRate: t.MostBytes,
 		Node: members.Config{
-			Name: "unnamed", Cluster: t.Cluster, Zone: t.Zone, Observed: t.Observed, Period: time.Duration(t.Period), Retry: time.Duration(t.Retry),
-			Silence: time.Duration(t.Silence), Linger: time.Duration(t.Linger), Forget: time.Duration(t.Forget), Most: t.Most, Datagram: t.Datagram,
+			Name: "unnamed", Cluster: t.Cluster, Zone: t.Zone, ObserverCount: t.Observed, Period: time.Duration(t.Period), Retry: time.Duration(t.Retry),
+			Silence: time.Duration(t.Silence), Linger: time.Duration(t.Linger), Forget: time.Duration(t.Forget), MaxMembers: t.Most, DatagramSize: t.Datagram,
 		},
 	}
 	var err error
@@ -118,7 +118,7 @@
 		if !filepath.IsAbs(path) {
 			path = filepath.Join(dir, path)
 		}
-		m.Peers.Source = filelist.Source{Path: path, MayBeNone: true, Log: log}
+		m.Peers.SeedSource = filelist.Source{Path: path, MayBeNone: true, Log: log}
 	case t.SeedsDNS != nil:
 		d := t.SeedsDNS
 		s := dnslist.Source{
@@ -134,7 +134,7 @@
 		if err := s.Check(); err != nil {
 			return nil, fmt.Errorf("seeds_dns: %w", err)
 		}
-		m.Peers.Source = s
+		m.Peers.SeedSource = s
 	}
 	switch {
 	case t.Bolder < 1 || t.Bolder > 100:
@@ -143,7 +143,7 @@
 		return nil, fmt.Errorf("fall: %v is below 1s", time.Duration(t.Fall))
 	}
 	if m.Platform = t.Platform; m.Platform {
-		if t.Listen != "" || t.Advertise != "" || len(t.Seeds) > 0 || m.Peers.Source != nil {
+		if t.Listen != "" || t.Advertise != "" || len(t.Seeds) > 0 || m.Peers.SeedSource != nil {
 			return nil, errors.New("platform: listen, advertise and seeds are the platform's then")
 		}
 		m.Peers.Listen = "127.0.0.1:1" // until the platform's is known
@@ -157,7 +157,7 @@
 	} else {
 		t.Advertise = n.Address.String()
 	}
-	t.Observed, t.Most, t.Datagram, t.MostBytes = n.Observed, n.Most, n.Datagram, m.Peers.MostBytes
+	t.Observed, t.Most, t.Datagram, t.MostBytes = n.ObserverCount, n.MaxMembers, n.DatagramSize, m.Peers.MaxSendRate
 	t.Period, t.Retry, t.Silence, t.Linger, t.Forget = duration(n.Period), duration(n.Retry), duration(n.Silence), duration(n.Linger), duration(n.Forget)
 	return m, nil
 }
--- a/internal/config/members_test.go
+++ b/internal/config/members_test.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := o.Members.Peers.Node; n.Silence != 2*time.Second || n.Address.String() != "127.0.0.1:7946" || len(o.Members.Peers.Seeds) != 1 || o.Members.Sharing.Bolder != 2 {
+	if n := o.Members.Peers.Node; n.Silence != 2*time.Second || n.Address.String() != "127.0.0.1:7946" || len(o.Members.Peers.Seeds) != 1 || o.Members.Sharing.MaxShareFactor != 2 {
 		t.Errorf("%+v", o.Members)
 	}
 	for want, line := range map[string]string{
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -17,7 +17,7 @@
 
 // peers is a process among others, and what it does with what they tell.
 type peers struct {
-	*peering.Peers
+	*peering.Host
 	cfg     config.Members
 	patient bool
 	log     *slog.Logger
@@ -33,9 +33,9 @@
 	var on peering.Hooks
 	if cfg.Share {
 		sharing := cfg.Sharing
-		sharing.Group = base
-		on.Sharing = &sharing
-		on.Group = func(group int) {
+		sharing.Configured = base
+		on.Estimator = &sharing
+		on.GroupChanged = func(group int) {
 			for _, e := range engines() {
 				if err := e.Regroup(group); err != nil {
 					log.Error("members: the number of processes", "group", group, "err", err)
@@ -45,7 +45,7 @@
 		}
 	}
 	if cfg.Hints {
-		on.Hinted = func(server string) {
+		on.HintReceived = func(server string) {
 			for _, e := range engines() {
 				e.Hint(policy.ServerID(server))
 			}
@@ -54,7 +54,7 @@
 	c := cfg.Peers
 	c.Node.Name = name
 	var err error
-	if p.Peers, err = peering.New(c, on, log); err != nil {
+	if p.Host, err = peering.New(c, on, log); err != nil {
 		return nil, err
 	}
 	p.heed(engines())
@@ -108,14 +108,14 @@
 	if p == nil {
 		return nil
 	}
-	return p.Peers
+	return p.Host
 }
 
 // figures are nil if there are no others.
-func (p *peers) figures() *peering.Figures {
+func (p *peers) figures() *peering.Metrics {
 	if p == nil {
 		return nil
 	}
-	f := p.Figures()
+	f := p.Metrics()
 	return &f
 }
--- a/internal/engine/rules.go
+++ b/internal/engine/rules.go
@@ -78,7 +78,7 @@
 func (e *Engine) reconfigure(now policy.Time, given policy.Config, group int) error {
 	cfg := given
 	if group > 0 {
-		cfg.Ordinal, cfg.GroupSize = members.Number(given.Ordinal, given.GroupSize, group), group
+		cfg.Ordinal, cfg.GroupSize = members.ScaleOrdinal(given.Ordinal, given.GroupSize, group), group
 	}
 	if err := e.module.Reconfigure(cfg); err != nil {
 		return err
--- a/internal/peering/peering.go
+++ b/internal/peering/peering.go
@@ -36,8 +36,8 @@
 	Listen string         // UDP, host:port
 	Seeds  []netip.AddrPort
 	// Source tells of seeds besides, such as a file or DNS: the addresses of its lists. It may be nil.
-	Source    engine.Source
-	MostBytes int // sent a second, at least 4 KiB; 0: 32 KiB
+	SeedSource  engine.Source
+	MaxSendRate int // sent a second, at least 4 KiB; 0: 32 KiB
 }
 
 // WithDefaults returns c with its zero values filled in, and what is wrong with it.
@@ -50,28 +50,28 @@
 		c.Node.Address = at
 	}
 	c.Node.Epoch = max(c.Node.Epoch, 1)
-	c.MostBytes = cmp.Or(c.MostBytes, usualBytes)
-	if c.MostBytes < leastBytes {
-		return c, fmt.Errorf("most_bytes: %d is below %d", c.MostBytes, leastBytes)
+	c.MaxSendRate = cmp.Or(c.MaxSendRate, usualBytes)
+	if c.MaxSendRate < leastBytes {
+		return c, fmt.Errorf("most_bytes: %d is below %d", c.MaxSendRate, leastBytes)
 	}
 	c.Node, err = c.Node.WithDefaults()
 	return c, err
 }
 
 // Figures are what is told of a Peers for Prometheus.
-type Figures struct {
-	States              map[string]int // members by state, this process included
-	Living, Group       int
-	View                uint64
-	Stats               members.Stats
-	Isolated, Out       bool
-	SentBytes, GotBytes uint64
-	Over                uint64 // datagrams not sent as they were over the bound
-	Crowded             uint64 // datagrams not read as their source sent too many
+type Metrics struct {
+	States                   map[string]int // members by state, this process included
+	Live, Group              int
+	ViewDigest               uint64
+	Stats                    members.Stats
+	Isolated, Displaced      bool
+	SentBytes, ReceivedBytes uint64
+	SendLimited              uint64 // datagrams not sent as they were over the bound
+	ReceiveLimited           uint64 // datagrams not read as their source sent too many
 }
 
 // Peers is a process among others.
-type Peers struct {
+type Host struct {
 	cfg   Config
 	log   *slog.Logger
 	began time.Time
@@ -84,8 +84,8 @@
 	strange *rate.Limiter
 	sources map[netip.AddrPort]int // datagrams read in this second
 	second  int64
-	figures Figures
-	sharing *members.Sharing
+	figures Metrics
+	sharing *members.GroupEstimator
 	group   int
 
 	telling sync.Mutex // held while Hooks.Group is called
@@ -94,14 +94,14 @@
 // Hooks are what a Peers calls, from goroutines of its own. Each may be nil.
 type Hooks struct {
 	// Group is told by how many processes that is divided which all may do together, when that changes. Sharing says how.
-	Group   func(int)
-	Sharing *members.Sharing
+	GroupChanged func(int)
+	Estimator    *members.GroupEstimator
 	// Hinted is told that another process's list says that a server drains or is gone.
-	Hinted func(server string)
+	HintReceived func(server string)
 }
 
 // New returns a Peers that knows nobody. cfg is checked.
-func New(cfg Config, on Hooks, log *slog.Logger) (*Peers, error) {
+func New(cfg Config, on Hooks, log *slog.Logger) (*Host, error) {
 	cfg, err := cfg.WithDefaults()
 	if err != nil {
 		return nil, err
@@ -116,23 +116,23 @@
 		return nil, err
 	}
 	node.SetSeeds(cfg.Seeds)
-	p := &Peers{
+	p := &Host{
 		cfg: cfg, log: log, began: began, on: on, node: node, sources: map[netip.AddrPort]int{},
-		all:     rate.NewLimiter(rate.Limit(cfg.MostBytes), cfg.MostBytes),
-		strange: rate.NewLimiter(rate.Limit(cfg.MostBytes/4), max(cfg.MostBytes/4, members.MostDatagram)),
+		all:     rate.NewLimiter(rate.Limit(cfg.MaxSendRate), cfg.MaxSendRate),
+		strange: rate.NewLimiter(rate.Limit(cfg.MaxSendRate/4), max(cfg.MaxSendRate/4, members.MaxDatagramSize)),
 	}
-	if on.Sharing != nil {
-		s := *on.Sharing
-		p.sharing, p.group = &s, s.Group
+	if on.Estimator != nil {
+		s := *on.Estimator
+		p.sharing, p.group = &s, s.Configured
 	}
 	return p, nil
 }
 
 // now is the node's time. It is monotonic: that of the wall may be set.
-func (p *Peers) now() time.Duration { return time.Since(p.began) }
+func (p *Host) now() time.Duration { return time.Since(p.began) }
 
 // Listen opens the address.
-func (p *Peers) Listen() error {
+func (p *Host) Listen() error {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(p.cfg.Listen)))
 	if err != nil {
 		return fmt.Errorf("[members] listen: %w", err)
@@ -146,7 +146,7 @@
 
 // Run takes part until ctx ends, says goodbye and answers for a little longer. Where Listen was not called, or could not open the address,
 // it waits for that: another process of the same sidecar may have it, as in a change of versions.
-func (p *Peers) Run(ctx context.Context) {
+func (p *Host) Run(ctx context.Context) {
 	for told := false; p.conn == nil; {
 		err := p.Listen()
 		if err != nil && !told {
@@ -165,7 +165,7 @@
 	var work sync.WaitGroup
 	work.Go(func() { p.read(conn) })
 	work.Go(func() { p.tick(beside) })
-	if p.cfg.Source != nil {
+	if p.cfg.SeedSource != nil {
 		work.Go(func() { p.watch(ctx) })
 	}
 	<-ctx.Done()
@@ -180,7 +180,7 @@
 }
 
 // do has the node take something, and carries out what follows.
-func (p *Peers) do(f func(now time.Duration)) {
+func (p *Host) do(f func(now time.Duration)) {
 	p.mu.Lock()
 	f(p.now())
 	sends, events := p.node.Ready()
@@ -192,21 +192,21 @@
 	for _, e := range events {
 		p.tell(e)
 	}
-	if regrouped && p.on.Group != nil {
+	if regrouped && p.on.GroupChanged != nil {
 		p.telling.Lock() // of two changes at once the later one counts
 		defer p.telling.Unlock()
 		p.mu.Lock()
 		group := p.group
 		p.mu.Unlock()
-		p.on.Group(group)
+		p.on.GroupChanged(group)
 	}
 }
 
 // send sends within the bounds. Called with the lock held.
-func (p *Peers) send(d members.Datagram) {
+func (p *Host) send(d members.Datagram) {
 	now := time.Now()
-	if p.conn == nil || !d.Known && !p.strange.AllowN(now, len(d.Data)) || !p.all.AllowN(now, len(d.Data)) {
-		p.figures.Over++
+	if p.conn == nil || !d.ToMember && !p.strange.AllowN(now, len(d.Data)) || !p.all.AllowN(now, len(d.Data)) {
+		p.figures.SendLimited++
 		return
 	}
 	if _, err := p.conn.WriteToUDPAddrPort(d.Data, d.To); err == nil {
@@ -216,21 +216,21 @@
 
 // regroup renews the number of processes to divide by, and reports whether it has changed by enough to be worth telling. Called with the
 // lock held.
-func (p *Peers) regroup() bool {
+func (p *Host) regroup() bool {
 	if p.sharing == nil {
 		return false
 	}
-	g := p.sharing.Next(p.now(), p.node.Living())
+	g := p.sharing.Update(p.now(), p.node.LiveCount())
 	// Growth counts at once, as the others are careful for no longer; a fall in steps, as each costs a new order of the servers.
-	if g > p.group || g < p.group-p.group/20 || g < p.group && g == p.node.Living() {
+	if g > p.group || g < p.group-p.group/20 || g < p.group && g == p.node.LiveCount() {
 		p.group = g
 		return true
 	}
 	return false
 }
 
-func (p *Peers) read(conn *net.UDPConn) {
-	buf := make([]byte, members.MostDatagram+1)
+func (p *Host) read(conn *net.UDPConn) {
+	buf := make([]byte, members.MaxDatagramSize+1)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -248,24 +248,24 @@
 }
 
 // crowded counts a datagram, and reports whether its source has sent too many in this second.
-func (p *Peers) crowded(from netip.AddrPort, n int) bool {
+func (p *Host) crowded(from netip.AddrPort, n int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.figures.GotBytes += uint64(n)
+	p.figures.ReceivedBytes += uint64(n)
 	if s := int64(p.now() / time.Second); s != p.second {
 		p.second = s
 		clear(p.sources)
 	}
 	k, known := p.sources[from]
 	if k >= perSource || !known && len(p.sources) >= mostSources {
-		p.figures.Crowded++
+		p.figures.ReceiveLimited++
 		return true
 	}
 	p.sources[from] = k + 1
 	return false
 }
 
-func (p *Peers) tick(ctx context.Context) {
+func (p *Host) tick(ctx context.Context) {
 	t := time.NewTicker(p.cfg.Node.Retry / 5)
 	defer t.Stop()
 	for {
@@ -279,9 +279,9 @@
 }
 
 // watch takes seeds from the source, beside those that are fixed.
-func (p *Peers) watch(ctx context.Context) {
+func (p *Host) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := p.cfg.Source.Watch(ctx, engine.UnknownSeq, func(l engine.List) {
+		err := p.cfg.SeedSource.Watch(ctx, engine.UnknownSeq, func(l engine.List) {
 			seeds := append([]netip.AddrPort(nil), p.cfg.Seeds...)
 			for _, s := range l.Servers {
 				if at, err := netip.ParseAddrPort(s.Addr); err == nil {
@@ -301,25 +301,25 @@
 }
 
 // Hint tells the others that a server drains or is gone.
-func (p *Peers) Hint(server string) {
+func (p *Host) Hint(server string) {
 	p.do(func(now time.Duration) { p.node.Hint(now, server) })
 }
 
 // tell logs an event, a line each, and hands hints on.
-func (p *Peers) tell(e members.Event) {
+func (p *Host) tell(e members.Event) {
 	m := e.Member
 	switch e.Kind {
 	case members.Hinted:
-		if p.on.Hinted != nil {
-			p.on.Hinted(e.Server)
+		if p.on.HintReceived != nil {
+			p.on.HintReceived(e.Server)
 		}
 	case members.Stalled:
-		p.log.Warn("members", "event", e.Kind.String(), "for", e.For.Round(time.Millisecond))
-	case members.Suspected, members.Condemned:
+		p.log.Warn("members", "event", e.Kind.String(), "for", e.Duration.Round(time.Millisecond))
+	case members.Suspected, members.DeclaredGone:
 		p.log.Warn("members", "event", e.Kind.String(), "name", m.Name, "epoch", m.Epoch, "incarnation", m.Incarnation, "witnesses", e.Witnesses)
 	case members.Displaced:
 		p.log.Error("members: a later process has this one's name: this one takes no part any more", "event", e.Kind.String(), "name", m.Name)
-	case members.Rival:
+	case members.NameConflict:
 		p.log.Error("members: an earlier process has this one's name, and gives way", "event", e.Kind.String(), "name", m.Name, "at", m.Address.String())
 	default:
 		p.log.Info("members", "event", e.Kind.String(), "name", m.Name, "epoch", m.Epoch, "incarnation", m.Incarnation)
@@ -339,25 +339,25 @@
 
 // View is what a process holds of all, as GET /api/members tells it.
 type View struct {
-	Self     string   `json:"self"`
-	Epoch    uint64   `json:"epoch"`
-	View     string   `json:"view"` // equal where processes know just the same members
-	Living   int      `json:"living"`
-	Group    int      `json:"group,omitempty"`
-	Isolated bool     `json:"isolated"`
-	Out      bool     `json:"out"` // it has given way to a later process of its name
-	Health   float64  `json:"health"`
-	Members  []Member `json:"members"`
+	Self      string   `json:"self"`
+	Epoch     uint64   `json:"epoch"`
+	Digest    string   `json:"view"` // equal where processes know just the same members
+	Live      int      `json:"living"`
+	Group     int      `json:"group,omitempty"`
+	Isolated  bool     `json:"isolated"`
+	Displaced bool     `json:"out"` // it has given way to a later process of its name
+	Health    float64  `json:"health"`
+	Members   []Member `json:"members"`
 }
 
 // View returns what this process holds of all.
-func (p *Peers) View() View {
+func (p *Host) View() View {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	v := View{
-		Self: p.node.Self().Name, Epoch: p.node.Self().Epoch, View: fmt.Sprintf("%016x", p.node.View()), Living: p.node.Living(), Group: p.group,
-		Isolated: p.node.Isolated(), Out: p.node.Out(), Health: p.node.Stats().Health,
+		Self: p.node.Self().Name, Epoch: p.node.Self().Epoch, Digest: fmt.Sprintf("%016x", p.node.ViewDigest()), Live: p.node.LiveCount(), Group: p.group,
+		Isolated: p.node.Isolated(), Displaced: p.node.Displaced(), Health: p.node.Stats().Health,
 	}
 	for _, m := range p.node.Members() {
 		v.Members = append(v.Members, Member{m.Name, m.Address.String(), m.Zone, m.State.String(), m.Epoch, m.Incarnation, (now - m.Since).Milliseconds()})
@@ -366,13 +366,13 @@
 }
 
 // ServeHTTP answers with the View as JSON.
-func (p *Peers) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (p *Host) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(p.View())
 }
 
 // Figures returns what is counted.
-func (p *Peers) Figures() Figures {
+func (p *Host) Metrics() Metrics {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f := p.figures
@@ -380,7 +380,7 @@
 	for _, m := range p.node.Members() {
 		f.States[m.State.String()]++
 	}
-	f.Living, f.Group, f.View, f.Stats = p.node.Living(), p.group, p.node.View(), p.node.Stats()
-	f.Isolated, f.Out = p.node.Isolated(), p.node.Out()
+	f.Live, f.Group, f.ViewDigest, f.Stats = p.node.LiveCount(), p.group, p.node.ViewDigest(), p.node.Stats()
+	f.Isolated, f.Displaced = p.node.Isolated(), p.node.Displaced()
 	return f
 }
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -43,7 +43,7 @@
 }
 
 // run starts a Peers, and returns what ends it.
-func run(t *testing.T, c Config, on Hooks) (*Peers, func()) {
+func run(t *testing.T, c Config, on Hooks) (*Host, func()) {
 	t.Helper()
 	p, err := New(c, on, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -78,18 +78,18 @@
 	var groups []int
 	hinted := make(chan string, 8)
 	a, _ := run(t, config("a", at[0]), Hooks{
-		Sharing: &members.Sharing{Group: 2, Bolder: 2, Fall: time.Hour}, Group: func(g int) { mu.Lock(); groups = append(groups, g); mu.Unlock() },
-		Hinted: func(server string) { hinted <- server },
+		Estimator: &members.GroupEstimator{Configured: 2, MaxShareFactor: 2, HalfLife: time.Hour}, GroupChanged: func(g int) { mu.Lock(); groups = append(groups, g); mu.Unlock() },
+		HintReceived: func(server string) { hinted <- server },
 	})
 	_, endB := run(t, config("b", at[1], at[0]), Hooks{})
 	c := config("c", at[2])
-	c.Source = filelist.Source{Path: file, Every: 10 * time.Millisecond, Log: slog.New(slog.DiscardHandler)}
+	c.SeedSource = filelist.Source{Path: file, Every: 10 * time.Millisecond, Log: slog.New(slog.DiscardHandler)}
 	pc, _ := run(t, c, Hooks{})
-	await(t, "two", func() bool { return a.View().Living == 2 })
+	await(t, "two", func() bool { return a.View().Live == 2 })
 	if err := os.WriteFile(file, []byte(fmt.Sprintf(`{"servers":[{"id":"s","addr":%q}]}`, at[1])), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "three", func() bool { return a.View().Living == 3 && a.View().View == pc.View().View })
+	await(t, "three", func() bool { return a.View().Live == 3 && a.View().Digest == pc.View().Digest })
 	mu.Lock()
 	if !slices.Equal(groups, []int{3}) {
 		t.Errorf("told of %v", groups)
@@ -114,8 +114,8 @@
 		}
 		return v.Members[1].State
 	}
-	await(t, "a goodbye", func() bool { return state() == "left" && pc.View().Living == 2 })
-	if f := a.Figures(); f.States["left"] != 1 || f.Living != 2 || f.Group != 3 || f.SentBytes == 0 || f.GotBytes == 0 {
+	await(t, "a goodbye", func() bool { return state() == "left" && pc.View().Live == 2 })
+	if f := a.Metrics(); f.States["left"] != 1 || f.Live != 2 || f.Group != 3 || f.SentBytes == 0 || f.ReceivedBytes == 0 {
 		t.Errorf("%+v", f)
 	}
 	if _, err := New(Config{Listen: "x"}, Hooks{}, slog.Default()); err == nil {
@@ -131,7 +131,7 @@
 func TestBounds(t *testing.T) {
 	at := free(t)
 	c := config("a", at)
-	c.MostBytes = leastBytes
+	c.MaxSendRate = leastBytes
 	p, _ := run(t, c, Hooks{})
 	s, err := net.Dial("udp", at)
 	if err != nil {
@@ -150,10 +150,10 @@
 		s.Write(sends[0].Data)
 		time.Sleep(20 * time.Microsecond)
 	}
-	await(t, "the flood", func() bool { return p.Figures().Crowded > 0 })
-	f := p.Figures()
+	await(t, "the flood", func() bool { return p.Metrics().ReceiveLimited > 0 })
+	f := p.Metrics()
 	took := p.now().Seconds()
-	if f.Over == 0 || float64(f.SentBytes) > leastBytes/4*(took+2) {
-		t.Errorf("%d bytes in %.1f s, %d over", f.SentBytes, took, f.Over)
+	if f.SendLimited == 0 || float64(f.SentBytes) > leastBytes/4*(took+2) {
+		t.Errorf("%d bytes in %.1f s, %d over", f.SentBytes, took, f.SendLimited)
 	}
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -33,7 +33,7 @@
 	Places            [2]int        // descriptors that may be taken, in all and by clients
 	Orders            *orders.Stats // nil: nothing is noted of orders
 	Services          []services.Figures
-	Peers             *peering.Figures // nil: there are no other processes
+	Peers             *peering.Metrics // nil: there are no other processes
 }
 
 const prefix = "svc_"
@@ -211,17 +211,17 @@
 		for state, n := range f.States {
 			gauge(membersKnown, float64(n), state)
 		}
-		gauge(membersLiving, float64(f.Living))
+		gauge(membersLiving, float64(f.Live))
 		gauge(membersGroup, float64(f.Group))
 		gauge(membersHealth, f.Stats.Health)
-		gauge(membersApart, truth(f.Isolated || f.Out))
+		gauge(membersApart, truth(f.Isolated || f.Displaced))
 		total(membersEvents, f.Stats.Verdicts, "condemned")
-		total(membersEvents, f.Stats.Returns, "returned")
+		total(membersEvents, f.Stats.Refutations, "returned")
 		total(membersEvents, f.Stats.Stalls, "stalled")
 		total(membersBytes, f.SentBytes, "sent")
-		total(membersBytes, f.GotBytes, "received")
-		total(membersLost, f.Over, "over_bound")
-		total(membersLost, f.Crowded, "crowded")
+		total(membersBytes, f.ReceivedBytes, "received")
+		total(membersLost, f.SendLimited, "over_bound")
+		total(membersLost, f.ReceiveLimited, "crowded")
 		for why, n := range f.Stats.Dropped {
 			total(membersLost, n, why)
 		}
--- a/internal/trial/play.go
+++ b/internal/trial/play.go
@@ -304,7 +304,7 @@
 		v, err := p.view(ctx, r.client)
 		mu.Lock()
 		defer mu.Unlock()
-		if err == nil && v.Out {
+		if err == nil && v.Displaced {
 			return
 		}
 		asked++
@@ -312,7 +312,7 @@
 		views = append(views, v)
 	})
 	for _, v := range views {
-		ok = ok && v.View == views[0].View && v.Living == asked
+		ok = ok && v.Digest == views[0].Digest && v.Live == asked
 	}
 	return ok && asked > 0
 }
--- a/members/detect.go
+++ b/members/detect.go
@@ -134,7 +134,7 @@
 		clear(w.says)
 	}
 	if gap > n.cfg.Period {
-		n.events = append(n.events, Event{Kind: Stalled, Member: n.self.told(), For: gap})
+		n.events = append(n.events, Event{Kind: Stalled, Member: n.self.told(), Duration: gap})
 	}
 }
 
@@ -254,13 +254,13 @@
 		if all++; !w.doubtful {
 			sound++
 		}
-		return sound < n.cfg.Observed && all < mostSkipped*n.cfg.Observed
+		return sound < n.cfg.ObserverCount && all < mostSkipped*n.cfg.ObserverCount
 	})
 }
 
 // period is the time between two pings to one member: less where there are few, who then find one another silent sooner at no more cost.
 func (n *Node) period() time.Duration {
-	return max(n.cfg.Period*time.Duration(min(n.living, n.cfg.Observed))/time.Duration(n.cfg.Observed), n.cfg.Period/2)
+	return max(n.cfg.Period*time.Duration(min(n.living, n.cfg.ObserverCount))/time.Duration(n.cfg.ObserverCount), n.cfg.Period/2)
 }
 
 // retry is the time until a ping is sent again: longer where answers take long, as a ping that is under way is not lost.
@@ -354,7 +354,7 @@
 				all = append(all, o)
 			}
 		}
-		return len(all) < n.cfg.Observed
+		return len(all) < n.cfg.ObserverCount
 	})
 	return all
 }
@@ -566,7 +566,7 @@
 			}
 		}
 	}
-	state, kind := Gone, Condemned
+	state, kind := Gone, DeclaredGone
 	if 2*left > w.downs {
 		state, kind = Left, Departed
 	}
@@ -577,7 +577,7 @@
 // end takes a member out of the view.
 func (n *Node) end(m *member, s State, kind EventKind, witnesses int) {
 	n.set(m, func() { m.state = s })
-	if kind == Condemned {
+	if kind == DeclaredGone {
 		n.stats.Verdicts++
 	}
 	n.tell(kind, m, witnesses)
@@ -635,7 +635,7 @@
 	if len(gone) > 0 {
 		n.ping(gone[n.rng.IntN(len(gone))], false)
 	}
-	if n.living > n.cfg.Observed { // otherwise all are observed anyway
+	if n.living > n.cfg.ObserverCount { // otherwise all are observed anyway
 		for range 8 {
 			if m := n.table[n.rng.IntN(len(n.table))]; m.there() {
 				n.ping(m, true)
--- a/members/sharing_test.go
+++ b/members/group_test.go
@@ -10,20 +10,20 @@
 // TestSharing: whatever comes and goes, nobody is bolder than stated, more of them count at once, and fewer slowly.
 func TestSharing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Sharing{Group: rapid.IntRange(1, 500).Draw(t, "group"), Bolder: rapid.Float64Range(1, 8).Draw(t, "bolder"), Fall: time.Minute}
-		now, last := time.Duration(0), s.Group
+		s := GroupEstimator{Configured: rapid.IntRange(1, 500).Draw(t, "group"), MaxShareFactor: rapid.Float64Range(1, 8).Draw(t, "bolder"), HalfLife: time.Minute}
+		now, last := time.Duration(0), s.Configured
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			d := time.Duration(rapid.Int64Range(0, int64(10*time.Minute)).Draw(t, "d"))
 			now += d
 			living := rapid.IntRange(1, 1000).Draw(t, "living")
-			v := s.Next(now, living)
-			if v < living || float64(s.Group)/float64(v) > s.Bolder+1e-9 {
-				t.Fatalf("%d of %d that live, %d by the settings", v, living, s.Group)
+			v := s.Update(now, living)
+			if v < living || float64(s.Configured)/float64(v) > s.MaxShareFactor+1e-9 {
+				t.Fatalf("%d of %d that live, %d by the settings", v, living, s.Configured)
 			}
 			if d < time.Minute && 2*v < last-1 {
 				t.Fatalf("from %d to %d in %v", last, v, d)
 			}
-			if n := Number(s.Group-1, s.Group, v); n < 0 || n >= v && n >= s.Group {
+			if n := ScaleOrdinal(s.Configured-1, s.Configured, v); n < 0 || n >= v && n >= s.Configured {
 				t.Fatalf("number %d of %d", n, v)
 			}
 			last = v
@@ -48,10 +48,10 @@
 			t.Errorf("%d heard it %d times", of, k)
 		}
 	}
-	for i := range 2 * MostHints {
+	for i := range 2 * MaxHints {
 		w.all[3].n.Hint(w.now, string(rune('a'+i%26))+string(rune('a'+i/26)))
 	}
-	if n := len(w.all[3].n.hintsOf); n != MostHints {
+	if n := len(w.all[3].n.hintsOf); n != MaxHints {
 		t.Errorf("%d hints are held", n)
 	}
 	t.Logf("heard by all after %v", d)
--- a/members/hint.go
+++ b/members/hint.go
@@ -29,10 +29,10 @@
 
 // learn takes a hint over, and reports whether it is new.
 func (n *Node) learn(h serverHint) bool {
-	if h.server == "" || len(h.server) > MostServer || h.age >= hintAge || n.hintsOf[h.server] != nil {
+	if h.server == "" || len(h.server) > MaxServerIDLen || h.age >= hintAge || n.hintsOf[h.server] != nil {
 		return false
 	}
-	if len(n.hintsOf) >= MostHints {
+	if len(n.hintsOf) >= MaxHints {
 		n.stats.Refused++
 		return false
 	}
--- a/members/members.go
+++ b/members/members.go
@@ -22,12 +22,12 @@
 
 // The bounds of a Node's configuration and state.
 const (
-	// LeastDatagram and MostDatagram bound Config.Datagram: 256 bytes is what the platform lets pass.
-	LeastDatagram, MostDatagram = 256, 1200
-	// MostName and MostZone bound texts, in bytes.
-	MostName, MostZone = 48, 24
-	// MostServer bounds the id of a server, in bytes, and MostHints those of whom is told at one time.
-	MostServer, MostHints = 64, 64
+	// MinDatagramSize and MaxDatagramSize bound Config.DatagramSize. The platform passes 256 bytes.
+	MinDatagramSize, MaxDatagramSize = 256, 1200
+	// MaxNameLen and MaxZoneLen bound texts, in bytes.
+	MaxNameLen, MaxZoneLen = 48, 24
+	// MaxServerIDLen bounds a server id, in bytes. MaxHints bounds the hints held at one time.
+	MaxServerIDLen, MaxHints = 64, 64
 	// mostCandidates bounds those of whom others have told and who have not answered yet.
 	mostCandidates = 1024
 	// mostAsked bounds the watches that others' questions have begun.
@@ -92,18 +92,18 @@
 	Epoch      uint64         // of this start: higher than those before, such as milliseconds since 1970
 	Seed       uint64         // of all that is drawn
 
-	Observed int           // whom each process observes: 8, of 3 to 16
-	Period   time.Duration // between two pings to one member: 800 ms
-	Retry    time.Duration // until a ping is sent again: 200 ms
-	Silence  time.Duration // until an observer says that a member is silent: 2 s
-	Linger   time.Duration // how long one that leaves says so: 1 s
-	Forget   time.Duration // how long those who are gone are remembered, and tried: 10 min
-	Most     int           // members: 10,000
-	Datagram int           // bytes: 256
+	ObserverCount int           // whom each process observes: 8, of 3 to 16
+	Period        time.Duration // between two pings to one member: 800 ms
+	Retry         time.Duration // until a ping is sent again: 200 ms
+	Silence       time.Duration // until an observer says that a member is silent: 2 s
+	Linger        time.Duration // how long one that leaves says so: 1 s
+	Forget        time.Duration // how long those who are gone are remembered, and tried: 10 min
+	MaxMembers    int           // members: 10,000
+	DatagramSize  int           // bytes: 256
 }
 
-// MostPause is how long a process may stand still without being held for gone by anybody, whatever else befalls it.
-func (c Config) MostPause() time.Duration { return c.Silence }
+// MaxPause is how long a process may stand still without being held for gone by anybody, whatever else befalls it.
+func (c Config) MaxPause() time.Duration { return c.Silence }
 
 // WithDefaults returns c with its zero values filled in, and what is wrong with it.
 func (c Config) WithDefaults() (Config, error) {
@@ -117,36 +117,36 @@
 	fill(&c.Silence, 2*time.Second)
 	fill(&c.Linger, time.Second)
 	fill(&c.Forget, 10*time.Minute)
-	if c.Observed == 0 {
-		c.Observed = 8
+	if c.ObserverCount == 0 {
+		c.ObserverCount = 8
 	}
-	if c.Most == 0 {
-		c.Most = 10_000
+	if c.MaxMembers == 0 {
+		c.MaxMembers = 10_000
 	}
-	if c.Datagram == 0 {
-		c.Datagram = LeastDatagram
+	if c.DatagramSize == 0 {
+		c.DatagramSize = MinDatagramSize
 	}
 	switch {
-	case c.Name == "" || len(c.Name) > MostName:
-		return c, fmt.Errorf("name: %.60q has to have 1 to %d bytes", c.Name, MostName)
-	case len(c.Zone) > MostZone:
-		return c, fmt.Errorf("zone: %.60q has more than %d bytes", c.Zone, MostZone)
+	case c.Name == "" || len(c.Name) > MaxNameLen:
+		return c, fmt.Errorf("name: %.60q has to have 1 to %d bytes", c.Name, MaxNameLen)
+	case len(c.Zone) > MaxZoneLen:
+		return c, fmt.Errorf("zone: %.60q has more than %d bytes", c.Zone, MaxZoneLen)
 	case c.Cluster == "":
 		return c, errors.New("cluster: not set")
 	case !c.Address.IsValid() || c.Address.Port() == 0 || c.Address.Addr().IsUnspecified():
 		return c, fmt.Errorf("address: %v cannot be reached by others", c.Address)
 	case c.Epoch == 0 || c.Epoch >= mostEpoch:
 		return c, fmt.Errorf("epoch: %d is outside 1 to %d", c.Epoch, uint64(mostEpoch-1))
-	case c.Observed < 3 || c.Observed > 16:
-		return c, fmt.Errorf("observed: %d is outside 3 to 16", c.Observed)
+	case c.ObserverCount < 3 || c.ObserverCount > 16:
+		return c, fmt.Errorf("observed: %d is outside 3 to 16", c.ObserverCount)
 	case c.Retry < 10*time.Millisecond || c.Period < 2*c.Retry || c.Silence < 2*c.Period || c.Silence > time.Minute:
 		return c, fmt.Errorf("retry %v, period %v, silence %v: a period is at least 2 retries of at least 10ms, silence 2 periods and at most 1m", c.Retry, c.Period, c.Silence)
 	case c.Linger < 0 || c.Forget < 10*c.Silence:
 		return c, fmt.Errorf("linger %v, forget %v: forget is at least 10 times silence", c.Linger, c.Forget)
-	case c.Most < 2 || c.Most > 100_000:
-		return c, fmt.Errorf("most: %d is outside 2 to 100000", c.Most)
-	case c.Datagram < LeastDatagram || c.Datagram > MostDatagram:
-		return c, fmt.Errorf("datagram: %d is outside %d to %d", c.Datagram, LeastDatagram, MostDatagram)
+	case c.MaxMembers < 2 || c.MaxMembers > 100_000:
+		return c, fmt.Errorf("most: %d is outside 2 to 100000", c.MaxMembers)
+	case c.DatagramSize < MinDatagramSize || c.DatagramSize > MaxDatagramSize:
+		return c, fmt.Errorf("datagram: %d is outside %d to %d", c.DatagramSize, MinDatagramSize, MaxDatagramSize)
 	}
 	return c, nil
 }
@@ -166,18 +166,18 @@
 
 // The kinds of events.
 const (
-	Joined    EventKind = iota // a member came, or came back
-	Suspected                  // several find it silent
-	Cleared                    // it has answered after that
-	Condemned                  // it is gone, by the verdict of its observers
-	Departed                   // it has left by its own word
-	Stalled                    // this process stood still for Event.For, and mistrusts what it thought before
-	Isolated                   // nobody answers this process
-	Reached                    // somebody does again
-	Returned                   // others held this process for gone: it has a new incarnation
-	Displaced                  // another process has this one's name and began later: this one gives way
-	Hinted                     // somebody says that the server of Event.Server drains or is gone
-	Rival                      // another process had this one's name and gives way
+	Joined       EventKind = iota // a member came, or came back
+	Suspected                     // several find it silent
+	Cleared                       // it has answered after that
+	DeclaredGone                  // it is gone, by the verdict of its observers
+	Departed                      // it has left by its own word
+	Stalled                       // this process stood still for Event.For, and mistrusts what it thought before
+	Isolated                      // nobody answers this process
+	Reconnected                   // somebody does again
+	Refuted                       // others held this process for gone: it has a new incarnation
+	Displaced                     // another process has this one's name and began later: this one gives way
+	Hinted                        // somebody says that the server of Event.Server drains or is gone
+	NameConflict                  // another process had this one's name and gives way
 )
 
 var eventNames = [...]string{"joined", "suspected", "cleared", "condemned", "departed", "stalled", "isolated", "reached", "returned", "displaced", "hinted", "rival"}
@@ -190,7 +190,7 @@
 	Kind      EventKind
 	Member    Member        // whom it concerns; this process's own from Stalled on
 	Witnesses int           // with Suspected and Condemned
-	For       time.Duration // with Stalled
+	Duration  time.Duration // with Stalled
 	Server    string        // with Hinted
 }
 
@@ -199,20 +199,20 @@
 	To   netip.AddrPort
 	Data []byte
 	// Known tells that it goes to a member, so that it comes before what strangers cause.
-	Known bool
+	ToMember bool
 }
 
 // Stats counts what a Node has done since its start.
 type Stats struct {
-	Dropped    map[string]uint64 // datagrams, by why
-	Refused    uint64            // hints and questions for which there was no room
-	Verdicts   uint64
-	Returns    uint64
-	Stalls     uint64
-	Sent       uint64
-	Health     float64 // part of first pings that are answered
-	Candidates int
-	Tombstones int
+	Dropped     map[string]uint64 // datagrams, by why
+	Refused     uint64            // hints and questions for which there was no room
+	Verdicts    uint64
+	Refutations uint64
+	Stalls      uint64
+	Sent        uint64
+	Health      float64 // part of first pings that are answered
+	Candidates  int
+	Tombstones  int
 }
 
 // member is what is held of one. A process of 5,000 holds as many.
@@ -313,16 +313,16 @@
 func (n *Node) Self() Member { return n.self.told() }
 
 // Out reports whether this process has given way to a later one of its name.
-func (n *Node) Out() bool { return n.out }
+func (n *Node) Displaced() bool { return n.out }
 
 // Living is how many count as there, this process included. Those that are suspect count: they may be there.
-func (n *Node) Living() int { return n.living + 1 }
+func (n *Node) LiveCount() int { return n.living + 1 }
 
 // Isolated reports whether nobody answers though there were others.
 func (n *Node) Isolated() bool { return n.isolated }
 
 // View is a number that two processes have in common when they know the same members.
-func (n *Node) View() uint64 { return n.digest }
+func (n *Node) ViewDigest() uint64 { return n.digest }
 
 // Members returns all that are known, this process included, by name.
 func (n *Node) Members() []Member {
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -44,7 +44,7 @@
 			at, found := w.now, time.Duration(0)
 			w.kill(w.rng.IntN(n))
 			w.onEvent = func(_ int, e Event) {
-				if e.Kind == Condemned && found == 0 {
+				if e.Kind == DeclaredGone && found == 0 {
 					found = w.now - at
 				}
 			}
@@ -124,7 +124,7 @@
 					if who(i) {
 						paused++
 						w.freeze(i, d)
-						w.fault[i] = d > w.all[i].n.cfg.MostPause()
+						w.fault[i] = d > w.all[i].n.cfg.MaxPause()
 					}
 				}
 				w.run(d)
@@ -139,10 +139,10 @@
 				}
 				for i, p := range w.all {
 					s := p.n.Stats()
-					if who(i) && (s.Verdicts > 0 || s.Returns > 1) {
-						t.Errorf("%s for %v, seed %d: one that stood still condemned %d and came back %d times", name, d, seed, s.Verdicts, s.Returns)
+					if who(i) && (s.Verdicts > 0 || s.Refutations > 1) {
+						t.Errorf("%s for %v, seed %d: one that stood still condemned %d and came back %d times", name, d, seed, s.Verdicts, s.Refutations)
 					}
-					if who(i) && s.Stalls == 0 || d == 30*sec && name == "one" && who(i) && s.Returns != 1 {
+					if who(i) && s.Stalls == 0 || d == 30*sec && name == "one" && who(i) && s.Refutations != 1 {
 						t.Errorf("%s for %v: %+v", name, d, s)
 					}
 				}
@@ -199,8 +199,8 @@
 					t.Errorf("%d in %d: healed after %v", n, parts, d)
 				}
 				for _, p := range w.all {
-					if p.n.Stats().Returns > 1 {
-						t.Errorf("%d in %d: one came back %d times", n, parts, p.n.Stats().Returns)
+					if p.n.Stats().Refutations > 1 {
+						t.Errorf("%d in %d: one came back %d times", n, parts, p.n.Stats().Refutations)
 					}
 				}
 			}
@@ -236,9 +236,9 @@
 	}
 	w.all = append(w.all, &process{})
 	w.start(9, func(c *Config) { c.Name = "p6" })
-	w.until(10*sec, func() bool { return w.all[6].n.Out() && w.agreed(nil) })
+	w.until(10*sec, func() bool { return w.all[6].n.Displaced() && w.agreed(nil) })
 	w.run(2 * sec)
-	if w.all[9].n.Out() || !told(w.all[6], Displaced) || !told(w.all[9], Rival) {
+	if w.all[9].n.Displaced() || !told(w.all[6], Displaced) || !told(w.all[9], NameConflict) {
 		t.Errorf("two under one name: %v, %v", w.all[6].events, w.all[9].events)
 	}
 }
@@ -275,7 +275,7 @@
 	w.until(5*sec, func() bool { return w.agreed(nil) })
 	for i, p := range w.all {
 		m, _ := p.n.find(IDOf("p7"))
-		if i != 7 && (m == nil || m.state != Left || told(p, Condemned)) {
+		if i != 7 && (m == nil || m.state != Left || told(p, DeclaredGone)) {
 			t.Errorf("%d holds it for %v", i, m)
 		}
 	}
@@ -346,8 +346,8 @@
 		t.Errorf("%d false verdicts; %s", w.false_, w)
 	}
 	for i, p := range w.all[:11] {
-		if p.n.Out() || p.n.Living() != 12 || len(p.n.cands) > mostCandidates {
-			t.Errorf("%d: %v %d", i, p.n.Out(), p.n.Living())
+		if p.n.Displaced() || p.n.LiveCount() != 12 || len(p.n.cands) > mostCandidates {
+			t.Errorf("%d: %v %d", i, p.n.Displaced(), p.n.LiveCount())
 		}
 	}
 	t.Logf("%d datagrams in 20 s of quiet, %d with %d lies", quiet, lied, lies)
@@ -438,7 +438,7 @@
 	w.onEvent = func(of int, e Event) {
 		key := fmt.Sprint(of, " ", w.all[of].start, " ", e.Member.Name)
 		switch e.Kind {
-		case Condemned, Departed:
+		case DeclaredGone, Departed:
 			gone[key] = stamp{e.Member.Epoch, e.Member.Incarnation}
 		case Joined:
 			if s, ok := gone[key]; ok && (e.Member.Epoch < s.epoch || e.Member.Epoch == s.epoch && e.Member.Incarnation <= s.inc) {
@@ -529,7 +529,7 @@
 		w.kill(n / 2)
 		first := time.Duration(0)
 		w.onEvent = func(_ int, e Event) {
-			if e.Kind == Condemned && first == 0 {
+			if e.Kind == DeclaredGone && first == 0 {
 				first = w.now - at
 			}
 		}
@@ -549,16 +549,16 @@
 func TestConfig(t *testing.T) {
 	good := Config{Name: "a", Cluster: "c", Address: addrOf(1), Epoch: 1}
 	for want, change := range map[string]func(*Config){
-		"name":     func(c *Config) { c.Name = strings.Repeat("x", MostName+1) },
-		"zone":     func(c *Config) { c.Zone = strings.Repeat("x", MostZone+1) },
+		"name":     func(c *Config) { c.Name = strings.Repeat("x", MaxNameLen+1) },
+		"zone":     func(c *Config) { c.Zone = strings.Repeat("x", MaxZoneLen+1) },
 		"cluster":  func(c *Config) { c.Cluster = "" },
 		"address":  func(c *Config) { c.Address = netip.AddrPort{} },
 		"epoch":    func(c *Config) { c.Epoch = mostEpoch },
-		"observed": func(c *Config) { c.Observed = 2 },
+		"observed": func(c *Config) { c.ObserverCount = 2 },
 		"silence":  func(c *Config) { c.Silence = time.Second },
 		"forget":   func(c *Config) { c.Forget = time.Second },
-		"most":     func(c *Config) { c.Most = 1 },
-		"datagram": func(c *Config) { c.Datagram = 255 },
+		"most":     func(c *Config) { c.MaxMembers = 1 },
+		"datagram": func(c *Config) { c.DatagramSize = 255 },
 	} {
 		c := good
 		change(&c)
--- a/members/talk.go
+++ b/members/protocol.go
@@ -83,7 +83,7 @@
 			m.span = r.span()
 		case itemHint:
 			age := time.Duration(binary.BigEndian.Uint16(r.take(2))) * 100 * time.Millisecond
-			m.servers = append(m.servers, serverHint{r.text(MostServer), age})
+			m.servers = append(m.servers, serverHint{r.text(MaxServerIDLen), age})
 		default:
 			r.err = errShort
 		}
@@ -186,7 +186,7 @@
 		}
 		if !n.rivals[h.epoch] && len(n.rivals) < mostRivals {
 			n.rivals[h.epoch] = true
-			n.events = append(n.events, Event{Kind: Rival, Member: rec.told()})
+			n.events = append(n.events, Event{Kind: NameConflict, Member: rec.told()})
 		}
 	}
 	w := n.begin(ack, 0, h.nonce)
@@ -238,7 +238,7 @@
 	n.took(n.now - q.sent)
 	if n.isolated {
 		n.isolated = false
-		n.tell(Reached, &n.self, 0)
+		n.tell(Reconnected, &n.self, 0)
 	}
 	if q.tells || q.late {
 		n.answered += (1 - n.answered) / healthOf
@@ -270,7 +270,7 @@
 		if rec == nil || left {
 			return nil
 		}
-		if len(n.table)+1 >= n.cfg.Most {
+		if len(n.table)+1 >= n.cfg.MaxMembers {
 			n.stats.Refused++
 			return nil
 		}
@@ -395,8 +395,8 @@
 			return
 		}
 		n.set(&n.self, func() { n.self.inc++ })
-		n.stats.Returns++
-		n.tell(Returned, &n.self, 0)
+		n.stats.Refutations++
+		n.tell(Refuted, &n.self, 0)
 		n.spread(n.self.id)
 	}
 }
@@ -585,7 +585,7 @@
 	}
 	n.set(&n.self, func() { n.self.state = Left })
 	tellTo := n.observers(&n.self)
-	for range min(len(n.table), n.cfg.Observed) {
+	for range min(len(n.table), n.cfg.ObserverCount) {
 		tellTo = append(tellTo, n.table[n.rng.IntN(len(n.table))])
 	}
 	for _, m := range tellTo {
--- a/members/sim_test.go
+++ b/members/sim_test.go
@@ -177,7 +177,7 @@
 		if w.onEvent != nil {
 			w.onEvent(i, e)
 		}
-		if e.Kind == Condemned {
+		if e.Kind == DeclaredGone {
 			w.flaps[fmt.Sprint(i, e.Member.Name)]++
 			var of int
 			fmt.Sscanf(e.Member.Name, "p%d", &of)
@@ -188,7 +188,7 @@
 	}
 	for _, d := range sends {
 		p.bytes += len(d.Data)
-		if len(d.Data) > p.n.cfg.Datagram {
+		if len(d.Data) > p.n.cfg.DatagramSize {
 			w.t.Fatalf("a datagram of %d bytes", len(d.Data))
 		}
 		to, ok := w.at[d.To]
@@ -238,7 +238,7 @@
 		if p.up && (part == nil || part(i)) && p.n.self.there() && !p.n.out {
 			want += mark(&p.n.self)
 			count++
-			views = append(views, p.n.View())
+			views = append(views, p.n.ViewDigest())
 		}
 	}
 	for _, v := range views {
@@ -270,7 +270,7 @@
 		if i == 12 {
 			return text + "..."
 		}
-		text += fmt.Sprintf("[%d up=%v living=%d out=%v] ", i, p.up, p.n.Living(), p.n.out)
+		text += fmt.Sprintf("[%d up=%v living=%d out=%v] ", i, p.up, p.n.LiveCount(), p.n.out)
 	}
 	return text
 }
--- a/members/swim_test.go
+++ b/members/swim_test.go
@@ -126,7 +126,7 @@
 		return
 	}
 	if state == Gone && m.state != Gone {
-		s.events = append(s.events, Event{Kind: Condemned, Member: Member{Name: fmt.Sprintf("p%d", i)}})
+		s.events = append(s.events, Event{Kind: DeclaredGone, Member: Member{Name: fmt.Sprintf("p%d", i)}})
 	}
 	m.state, m.inc, m.since = state, inc, s.now
 	s.spread(i)
@@ -168,7 +168,7 @@
 		w.run(20 * sec)
 		rng := rand.New(rand.NewPCG(seed, 11))
 		w.onEvent = func(_ int, e Event) {
-			if e.Kind == Condemned {
+			if e.Kind == DeclaredGone {
 				verdicts++
 			}
 		}
--- a/members/wire.go
+++ b/members/wire.go
@@ -64,7 +64,7 @@
 }
 
 func (n *Node) begin(kind, flags byte, nonce uint32) *writer {
-	w := &writer{b: make([]byte, 0, n.cfg.Datagram), most: n.cfg.Datagram - sumLen}
+	w := &writer{b: make([]byte, 0, n.cfg.DatagramSize), most: n.cfg.DatagramSize - sumLen}
 	w.b = append(w.b, magic, version, kind, flags)
 	w.b = binary.BigEndian.AppendUint32(w.b, n.cluster)
 	w.b = binary.BigEndian.AppendUint64(w.b, uint64(n.self.id))
@@ -91,7 +91,7 @@
 func (n *Node) send(w *writer, to netip.AddrPort, known bool) {
 	w.b = binary.BigEndian.AppendUint32(w.b, crc32.Checksum(w.b, castagnoli))
 	n.stats.Sent++
-	n.sends = append(n.sends, Datagram{To: to, Data: w.b, Known: known})
+	n.sends = append(n.sends, Datagram{To: to, Data: w.b, ToMember: known})
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -191,7 +191,7 @@
 	}
 	a, _ := netip.AddrFromSlice(r.take(n))
 	m.addr = netip.AddrPortFrom(a, binary.BigEndian.Uint16(r.take(2)))
-	m.name, m.zone = r.text(MostName), r.text(MostZone)
+	m.name, m.zone = r.text(MaxNameLen), r.text(MaxZoneLen)
 	m.id = IDOf(m.name)
 	if r.err == nil && (m.name == "" || m.addr.Port() == 0 || a.IsUnspecified() || a.IsMulticast()) {
 		r.err = errors.New("no address")
@@ -201,7 +201,7 @@
 
 // open checks a datagram and returns its head and the rest. why is empty, or names why it is not for this node.
 func (n *Node) open(b []byte) (h head, r reader, why string) {
-	if len(b) < headLen+sumLen || len(b) > MostDatagram {
+	if len(b) < headLen+sumLen || len(b) > MaxDatagramSize {
 		return h, r, "length"
 	}
 	switch {
--- a/members/wire_test.go
+++ b/members/wire_test.go
@@ -71,8 +71,8 @@
 		n := w.all[0].n
 		n.Receive(w.now, b)
 		n.Receive(w.now, sealed(b))
-		if n.Living() != 3 || len(n.cands) > 32 || len(n.watches) > 8 {
-			t.Errorf("%d live, %d candidates, %d watched", n.Living(), len(n.cands), len(n.watches))
+		if n.LiveCount() != 3 || len(n.cands) > 32 || len(n.watches) > 8 {
+			t.Errorf("%d live, %d candidates, %d watched", n.LiveCount(), len(n.cands), len(n.watches))
 		}
 		sends, _ := n.Ready()
 		total := 0
