--- a/roster/avoided.go
+++ b/exclusion/avoided.go
@@ -1,4 +1,4 @@
-package roster
+package exclusion
 
 import "quillfront/policy"
 
@@ -7,9 +7,9 @@
 // none.
 type Avoided struct{ until map[policy.ServerID]int64 }
 
-// Avoid notes that a server asks to be left alone for forMs, at nowMs, where usable servers could be used if none were. It reports whether
+// Add notes that a server asks to be left alone for forMs, at nowMs, where usable servers could be used if none were. It reports whether
 // it is left alone. A later end replaces an earlier one.
-func (a *Avoided) Avoid(id policy.ServerID, nowMs, forMs int64, usable int) bool {
+func (a *Avoided) Add(id policy.ServerID, nowMs, forMs int64, usable int) bool {
 	until, is := a.until[id]
 	if !is && 2*(len(a.until)+1) > usable {
 		return false
@@ -27,9 +27,9 @@
 	return is
 }
 
-// End takes those out whose time is over at nowMs, or for which gone is true, and returns them, with the time until the next one's is; 0:
+// Expire takes those out whose time is over at nowMs, or for which gone is true, and returns them, with the time until the next one's is; 0:
 // there is none.
-func (a *Avoided) End(nowMs int64, gone func(policy.ServerID) bool) (back []policy.ServerID, nextMs int64) {
+func (a *Avoided) Expire(nowMs int64, gone func(policy.ServerID) bool) (back []policy.ServerID, nextMs int64) {
 	for id, until := range a.until {
 		if until <= nowMs || gone(id) {
 			back = append(back, id)
--- a/roster/roster_test.go
+++ b/exclusion/exclusion_test.go
@@ -1,4 +1,4 @@
-package roster
+package exclusion
 
 import (
 	"encoding/json"
@@ -15,16 +15,16 @@
 func (l list) listed(id policy.ServerID) (Entry, bool) { e, ok := l[id]; return e, ok }
 
 func (l list) set(id policy.ServerID, state policy.ServerState, bornMs int64) {
-	l[id] = Entry{ID: id, State: state, BornMs: bornMs}
+	l[id] = Entry{ID: id, State: state, StartedMs: bornMs}
 }
 
 // TestOutAndBack follows a server that is taken out twice, restarted, and put back once, while the list runs behind.
 func TestOutAndBack(t *testing.T) {
-	l, a := list{}, Absences{}
+	l, a := list{}, State{}
 	l.set("a", policy.Ready, 5)
 	count := func(want Entry) {
 		t.Helper()
-		if got := a.Counts(l["a"]); got != want {
+		if got := a.Effective(l["a"]); got != want {
 			t.Errorf("it counts as %+v, want %+v", got, want)
 		}
 	}
@@ -54,7 +54,7 @@
 
 // TestUnlisted: a server that leaves the list while it is out is out when it comes back, and can be put back before.
 func TestUnlisted(t *testing.T) {
-	l, a := list{}, Absences{}
+	l, a := list{}, State{}
 	for _, f := range []func(policy.ServerID, func(policy.ServerID) (Entry, bool), int64) error{a.Exclude, a.Include} {
 		if err := f("a", l.listed, 1); !errors.Is(err, ErrUnknown) {
 			t.Errorf("an unknown id: %v", err)
@@ -68,47 +68,47 @@
 	if err := a.Exclude("a", l.listed, 2); err != nil {
 		t.Errorf("once more: %v", err)
 	}
-	if e := a.Counts(Entry{"a", policy.Ready, 9}); e.State != policy.Draining {
+	if e := a.Effective(Entry{"a", policy.Ready, 9}); e.State != policy.Draining {
 		t.Errorf("listed again: %+v", e)
 	}
 	if err := a.Include("a", l.listed, 3); err != nil {
 		t.Error(err)
 	}
-	if e := a.Counts(Entry{"a", policy.Ready, 9}); e != (Entry{"a", policy.Ready, 9}) {
+	if e := a.Effective(Entry{"a", policy.Ready, 9}); e != (Entry{"a", policy.Ready, 9}) {
 		t.Errorf("back: %+v", e)
 	}
 }
 
 // TestBounds: no more than MostOut are out, those that are gone give way, and those put back are forgotten in time.
 func TestBounds(t *testing.T) {
-	l, a := list{}, Absences{}
+	l, a := list{}, State{}
 	id := func(i int) policy.ServerID { return policy.ServerID(fmt.Sprintf("s%04d", i)) }
-	for i := range MostOut + 1 {
+	for i := range MaxExcluded + 1 {
 		l.set(id(i), policy.Ready, 0)
 	}
-	for i := range MostOut {
+	for i := range MaxExcluded {
 		if err := a.Exclude(id(i), l.listed, 0); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := a.Exclude(id(MostOut), l.listed, 0); !errors.Is(err, ErrTooMany) {
+	if err := a.Exclude(id(MaxExcluded), l.listed, 0); !errors.Is(err, ErrTooMany) {
 		t.Errorf("one too many: %v", err)
 	}
 	delete(l, id(7))
-	if err := a.Exclude(id(MostOut), l.listed, 0); err != nil || len(a.Out) != MostOut {
-		t.Errorf("%v, %d out", err, len(a.Out))
+	if err := a.Exclude(id(MaxExcluded), l.listed, 0); err != nil || len(a.Excluded) != MaxExcluded {
+		t.Errorf("%v, %d out", err, len(a.Excluded))
 	}
-	for i := range MostOut + 1 {
+	for i := range MaxExcluded + 1 {
 		a.Include(id(i), l.listed, int64(i)*1000)
 	}
-	if len(a.Back) > backMs/1000+1 {
-		t.Errorf("%d that were put back are remembered", len(a.Back))
+	if len(a.Restored) > backMs/1000+1 {
+		t.Errorf("%d that were put back are remembered", len(a.Restored))
 	}
 }
 
 // TestShared: what another process reads says the same, and a copy shares nothing.
 func TestShared(t *testing.T) {
-	l, a := list{}, Absences{}
+	l, a := list{}, State{}
 	l.set("a", policy.Ready, 5)
 	l.set("b", policy.Ready, 6)
 	a.Exclude("a", l.listed, 1)
@@ -118,7 +118,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var b Absences
+	var b State
 	if err := json.Unmarshal(text, &b); err != nil || !a.Equal(&b) {
 		t.Errorf("%s is read as %+v, %v", text, b, err)
 	}
@@ -133,19 +133,19 @@
 func TestAvoided(t *testing.T) {
 	var a Avoided
 	none := func(policy.ServerID) bool { return false }
-	if a.Avoid("a", 0, 100, 1) || a.Has("a") {
+	if a.Add("a", 0, 100, 1) || a.Has("a") {
 		t.Error("the only server is left alone")
 	}
-	if !a.Avoid("a", 0, 100, 4) || !a.Avoid("b", 10, 500, 4) || a.Avoid("c", 20, 100, 4) || !a.Avoid("a", 30, 20, 4) {
+	if !a.Add("a", 0, 100, 4) || !a.Add("b", 10, 500, 4) || a.Add("c", 20, 100, 4) || !a.Add("a", 30, 20, 4) {
 		t.Error("two of four may be left alone")
 	}
-	if back, next := a.End(60, none); len(back) != 0 || next != 40 { // the earlier end of the second asking does not count
+	if back, next := a.Expire(60, none); len(back) != 0 || next != 40 { // the earlier end of the second asking does not count
 		t.Errorf("%v, %d", back, next)
 	}
-	if back, next := a.End(100, none); len(back) != 1 || back[0] != "a" || next != 410 || a.Has("a") || !a.Has("b") {
+	if back, next := a.Expire(100, none); len(back) != 1 || back[0] != "a" || next != 410 || a.Has("a") || !a.Has("b") {
 		t.Errorf("%v, %d", back, next)
 	}
-	if back, next := a.End(101, func(id policy.ServerID) bool { return id == "b" }); len(back) != 1 || next != 0 || a.Has("b") {
+	if back, next := a.Expire(101, func(id policy.ServerID) bool { return id == "b" }); len(back) != 1 || next != 0 || a.Has("b") {
 		t.Errorf("%v, %d", back, next)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,7 +14,7 @@
 	"quillfront/internal/discovery"
 	"quillfront/internal/engine"
 	"quillfront/internal/settings"
-	"quillfront/retune"
+	"quillfront/reconfig"
 )
 
 // Config is what one sidecar is told at its start.
@@ -65,7 +65,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	if err := retune.Whole(before, c.Text); err != nil {
+	if err := reconfig.CheckComplete(before, c.Text); err != nil {
 		return Config{}, fmt.Errorf("GW_CONFIG: %w", err)
 	}
 	return c, nil
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -29,7 +29,7 @@
 	"quillfront/internal/sockets"
 	"quillfront/internal/upstream"
 	"quillfront/policy"
-	"quillfront/retune"
+	"quillfront/reconfig"
 )
 
 const (
@@ -321,8 +321,8 @@
 	}
 	retuned := !reflect.DeepEqual(cfg.Settings, old.Settings)
 	if retuned {
-		change := retune.Between(old.Settings.Config, cfg.Settings.Config)
-		if err := s.engine.Reconfigure(change.Now); err != nil {
+		change := reconfig.NewChange(old.Settings.Config, cfg.Settings.Config)
+		if err := s.engine.Reconfigure(change.Interim); err != nil {
 			return err
 		}
 		s.transport.Reconfigure(cfg.Settings)
@@ -332,14 +332,14 @@
 			s.settle.Stop()
 		}
 		s.changes++
-		if n := s.changes; change.Moved {
+		if n := s.changes; change.HasInterim {
 			s.settle = time.AfterFunc(changeTime, func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				if s.changes != n { // it fired as another change came: that one holds
 					return
 				}
-				if err := s.engine.Reconfigure(change.Then); err != nil {
+				if err := s.engine.Reconfigure(change.Final); err != nil {
 					s.log.Error("reload", "err", err)
 				}
 			})
--- a/internal/daemon/operate.go
+++ b/internal/daemon/operate.go
@@ -56,7 +56,7 @@
 // note is what a process leaves for the one that takes over.
 type note struct {
 	Policy policy.Learned
-	Sites  sites.Memory
+	Sites  sites.Learned
 }
 
 // note leaves what was learnt for the process that takes over, until there is one or ctx ends.
@@ -226,7 +226,7 @@
 	s.Services = o.services.Figures()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	s.Out, s.Evacuated = len(o.state.Absences.Out), o.state.Evacuated
+	s.Out, s.Evacuated = len(o.state.Absences.Excluded), o.state.Evacuated
 	s.Applied, s.Rejected = o.reloads.applied, o.reloads.rejected
 	return s
 }
--- a/internal/daemon/operate_test.go
+++ b/internal/daemon/operate_test.go
@@ -12,11 +12,11 @@
 	"sync"
 	"testing"
 
+	"quillfront/exclusion"
 	"quillfront/internal/config"
 	"quillfront/internal/handover"
 	"quillfront/internal/management"
 	"quillfront/policy"
-	"quillfront/roster"
 )
 
 // TestExclude: a server that operators have out counts as draining whatever discovery lists meanwhile, and as one that has
@@ -25,7 +25,7 @@
 	m := newScript()
 	w := start(t, m, "127.0.0.1:1", "127.0.0.1:1")
 	o := operated{w.Sidecar}
-	if err := o.Exclude("b"); !errors.Is(err, roster.ErrUnknown) {
+	if err := o.Exclude("b"); !errors.Is(err, exclusion.ErrUnknown) {
 		t.Errorf("an unknown server: %v", err)
 	}
 	told := func(want policy.ServerState) policy.Server {
@@ -130,7 +130,7 @@
 	out := func(w *world) bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		_, ok := w.state.Absences.Out["a"]
+		_, ok := w.state.Absences.Excluded["a"]
 		return ok && w.state.Evacuated
 	}
 	eventually(t, "both do what either was told", func() bool { return out(older) && out(newer) })
@@ -155,12 +155,12 @@
 		calls.Go(func() {
 			w.update(func(s *handover.State) error {
 				runtime.Gosched()
-				return s.Absences.Exclude(policy.ServerID(fmt.Sprint(i)), func(id policy.ServerID) (roster.Entry, bool) { return roster.Entry{ID: id}, true }, 1)
+				return s.Absences.Exclude(policy.ServerID(fmt.Sprint(i)), func(id policy.ServerID) (exclusion.Entry, bool) { return exclusion.Entry{ID: id}, true }, 1)
 			})
 		})
 	}
 	calls.Wait()
-	if n := len(w.state.Absences.Out); n != 100 {
+	if n := len(w.state.Absences.Excluded); n != 100 {
 		t.Errorf("%d of 100 are kept", n)
 	}
 }
--- a/internal/daemon/own.go
+++ b/internal/daemon/own.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"quillfront/exclusion"
 	"quillfront/internal/config"
 	"quillfront/internal/engine"
 	"quillfront/internal/management"
@@ -16,7 +17,6 @@
 	"quillfront/internal/sockets"
 	"quillfront/internal/telemetry"
 	"quillfront/policy"
-	"quillfront/roster"
 )
 
 // Own is a process that runs by the operator's file alone: the services there, and no front of the platform's.
@@ -29,7 +29,7 @@
 	serving  atomic.Bool
 
 	mu                sync.Mutex
-	absences          roster.Absences // what operators have taken out of the lists
+	absences          exclusion.State // what operators have taken out of the lists
 	away              bool            // they have it drained
 	applied, rejected int             // files
 }
@@ -145,15 +145,15 @@
 
 // Exclude is a method of management.Operated. A server is out of all pools that list it.
 func (o ownOperated) Exclude(id policy.ServerID) error {
-	return o.change(func(a *roster.Absences) error { return a.Exclude(id, o.listed, time.Now().UnixMilli()) })
+	return o.change(func(a *exclusion.State) error { return a.Exclude(id, o.listed, time.Now().UnixMilli()) })
 }
 
 // Include is a method of management.Operated.
 func (o ownOperated) Include(id policy.ServerID) error {
-	return o.change(func(a *roster.Absences) error { return a.Include(id, o.listed, time.Now().UnixMilli()) })
+	return o.change(func(a *exclusion.State) error { return a.Include(id, o.listed, time.Now().UnixMilli()) })
 }
 
-func (o ownOperated) change(f func(*roster.Absences) error) error {
+func (o ownOperated) change(f func(*exclusion.State) error) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	a := o.absences.Clone()
@@ -165,13 +165,13 @@
 	return nil
 }
 
-func (o ownOperated) listed(id policy.ServerID) (roster.Entry, bool) {
+func (o ownOperated) listed(id policy.ServerID) (exclusion.Entry, bool) {
 	for _, e := range o.services.Engines() {
 		if entry, ok := e.ListEntry(id); ok {
 			return entry, true
 		}
 	}
-	return roster.Entry{}, false
+	return exclusion.Entry{}, false
 }
 
 // Evacuate is a method of management.Operated.
@@ -207,6 +207,6 @@
 	s.Places[0], s.Places[1] = o.sockets.Limits()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	s.Out, s.Evacuated, s.Applied, s.Rejected = len(o.absences.Out), o.away, o.applied, o.rejected
+	s.Out, s.Evacuated, s.Applied, s.Rejected = len(o.absences.Excluded), o.away, o.applied, o.rejected
 	return s
 }
--- a/internal/daemon/site_reload_test.go
+++ b/internal/daemon/site_reload_test.go
@@ -46,16 +46,16 @@
 // TestReloadOfSites: SIGHUP takes over how sites are watched with what is known of them, turns the watch off and on, and changes
 // nothing where the new settings cannot be used.
 func TestReloadOfSites(t *testing.T) {
-	s := siteSidecar(t, &sites.Config{Hold: time.Hour})
-	s.engine.RestoreSites(sites.Memory{Sites: []sites.SiteMemory{{Site: "a", State: sites.Dark, Climb: time.Minute, Servers: 2}}})
+	s := siteSidecar(t, &sites.Config{HoldTime: time.Hour})
+	s.engine.RestoreSites(sites.Learned{Sites: []sites.LearnedSite{{Site: "a", State: sites.Down, RecoveryTime: time.Minute, EffectiveServers: 2}}})
 	if got := views(s); got != "a dark, b healthy" {
 		t.Fatal(got)
 	}
 	reload := func(c *sites.Config) error { return s.Reload(s.Config(), config.Operator{Sites: c}) }
-	if err := reload(&sites.Config{Hold: time.Hour, Prefer: []string{"b"}}); err != nil || views(s) != "b healthy, a dark" {
+	if err := reload(&sites.Config{HoldTime: time.Hour, Prefer: []string{"b"}}); err != nil || views(s) != "b healthy, a dark" {
 		t.Errorf("%v, %s", err, views(s))
 	}
-	if err := reload(&sites.Config{Spill: -1}); err == nil || !strings.Contains(err.Error(), "[sites]: spill") || views(s) != "b healthy, a dark" {
+	if err := reload(&sites.Config{MaxSpill: -1}); err == nil || !strings.Contains(err.Error(), "[sites]: spill") || views(s) != "b healthy, a dark" {
 		t.Errorf("%v, %s", err, views(s))
 	}
 	if err := reload(nil); err != nil || views(s) != "" {
@@ -70,7 +70,7 @@
 // harm.
 func TestHandoverOfSites(t *testing.T) {
 	s := siteSidecar(t, &sites.Config{})
-	s.engine.RestoreSites(sites.Memory{Offered: 40, Sites: []sites.SiteMemory{{Site: "a", State: sites.Dark, Climb: time.Minute, Servers: 2}}})
+	s.engine.RestoreSites(sites.Learned{RequestRate: 40, Sites: []sites.LearnedSite{{Site: "a", State: sites.Down, RecoveryTime: time.Minute, EffectiveServers: 2}}})
 	l, _ := s.engine.Learned()
 	text, err := json.Marshal(note{l, s.engine.SiteMemory()})
 	if err != nil {
@@ -98,8 +98,8 @@
 	if got := views(next); got != "a dark, b healthy" {
 		t.Errorf("after an old note: %s", got)
 	}
-	siteSidecar(t, nil).engine.RestoreSites(sites.Memory{Offered: 1}) // where none are watched
-	if s, err := New(s.Config(), config.Operator{Sites: &sites.Config{Spill: -1}}, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "[sites]: spill") {
+	siteSidecar(t, nil).engine.RestoreSites(sites.Learned{RequestRate: 1}) // where none are watched
+	if s, err := New(s.Config(), config.Operator{Sites: &sites.Config{MaxSpill: -1}}, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "[sites]: spill") {
 		t.Errorf("settings that cannot be used: %v, %v", s, err)
 	}
 }
--- a/internal/daemon/sites_test.go
+++ b/internal/daemon/sites_test.go
@@ -70,7 +70,7 @@
 			}
 			cfg.Known = &known
 			s, err := New(cfg, config.Operator{Sites: &sites.Config{
-				Memory: 300 * time.Millisecond, Hold: 200 * time.Millisecond, Climb: 2 * time.Second, MostClimb: time.Minute, Spill: spill,
+				EvidenceHalfLife: 300 * time.Millisecond, HoldTime: 200 * time.Millisecond, RecoveryTime: 2 * time.Second, MaxRecoveryTime: time.Minute, MaxSpill: spill,
 			}}, slog.New(slog.DiscardHandler))
 			if err != nil {
 				t.Fatal(err)
@@ -102,17 +102,17 @@
 					}
 				}()
 			}
-			view := func() sites.View {
+			view := func() sites.SiteSnapshot {
 				for _, v := range w.engine.Snapshot().Sites {
 					if v.Site == "b" {
 						return v
 					}
 				}
-				return sites.View{}
+				return sites.SiteSnapshot{}
 			}
 			eventually(t, "both sites are used", func() bool { return hits[0].Load() > 50 && hits[1].Load() > 50 })
 			down.Store(true)
-			eventually(t, "the site is dark", func() bool { return view().State == sites.Dark })
+			eventually(t, "the site is dark", func() bool { return view().State == sites.Down })
 			time.Sleep(500 * time.Millisecond) // what was under way is over
 			a, b, n, ok := hits[0].Load(), hits[1].Load(), asked.Load(), served.Load()
 			eventually(t, "500 requests in the dark", func() bool { return asked.Load() > n+500 })
@@ -125,7 +125,7 @@
 				t.Errorf("%d of %d served", ok, n)
 			}
 			down.Store(false)
-			eventually(t, "the site returns", func() bool { return view().State == sites.Returning })
+			eventually(t, "the site returns", func() bool { return view().State == sites.Recovering })
 			if share := view().Share; share > 0.5 {
 				t.Errorf("it returns with a share of %.2f", share)
 			}
--- a/internal/engine/availability.go
+++ b/internal/engine/availability.go
@@ -5,16 +5,16 @@
 	"slices"
 	"time"
 
+	"quillfront/exclusion"
 	"quillfront/policy"
-	"quillfront/roster"
 )
 
 // ListEntry returns what the list says of a server, whether operators have it out or not.
-func (e *Engine) ListEntry(id policy.ServerID) (roster.Entry, bool) {
+func (e *Engine) ListEntry(id policy.ServerID) (exclusion.Entry, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.listed[id]
-	return roster.Entry{ID: s.ID, State: s.State, BornMs: s.StartedMs}, ok
+	return exclusion.Entry{ID: s.ID, State: s.State, StartedMs: s.StartedMs}, ok
 }
 
 // ServerUsable reports whether a server is listed and may get anything new, as far as the list and operators tell.
@@ -84,7 +84,7 @@
 
 // SetAbsences makes a what operators have taken out and put back. The module is told of each server that counts as
 // something else from now on. a must not be changed afterwards.
-func (e *Engine) SetAbsences(a roster.Absences) {
+func (e *Engine) SetAbsences(a exclusion.State) {
 	e.event(func(now policy.Time) {
 		before := e.absences
 		e.absences = a
@@ -102,9 +102,9 @@
 }
 
 // asCounts is s as it counts under a, and as it has asked itself.
-func (e *Engine) asCounts(a roster.Absences, s Server) Server {
-	c := a.Counts(roster.Entry{ID: s.ID, State: s.State, BornMs: s.StartedMs})
-	s.State, s.StartedMs = c.State, c.BornMs
+func (e *Engine) asCounts(a exclusion.State, s Server) Server {
+	c := a.Effective(exclusion.Entry{ID: s.ID, State: s.State, StartedMs: s.StartedMs})
+	s.State, s.StartedMs = c.State, c.StartedMs
 	if s.State == policy.Ready && e.avoided.Has(s.ID) {
 		s.State = policy.Draining
 	}
@@ -157,12 +157,12 @@
 	}
 	usable := 0
 	for _, o := range e.listed {
-		if c := e.absences.Counts(roster.Entry{ID: o.ID, State: o.State, BornMs: o.StartedMs}); c.State == policy.Ready {
+		if c := e.absences.Effective(exclusion.Entry{ID: o.ID, State: o.State, StartedMs: o.StartedMs}); c.State == policy.Ready {
 			usable++
 		}
 	}
 	before := e.asCounts(e.absences, s)
-	if !e.avoided.Avoid(id, now.Milliseconds(), max(d.Milliseconds(), 1), usable) {
+	if !e.avoided.Add(id, now.Milliseconds(), max(d.Milliseconds(), 1), usable) {
 		return
 	}
 	if is := e.asCounts(e.absences, s); is != before {
@@ -173,7 +173,7 @@
 
 // unavoid ends what is over of avoid, and comes again when the next is.
 func (e *Engine) unavoid(now policy.Time) {
-	back, next := e.avoided.End(now.Milliseconds(), func(id policy.ServerID) bool { _, listed := e.listed[id]; return !listed })
+	back, next := e.avoided.Expire(now.Milliseconds(), func(id policy.ServerID) bool { _, listed := e.listed[id]; return !listed })
 	var changed []Server
 	slices.Sort(back)
 	for _, id := range back {
--- a/internal/engine/classes.go
+++ b/internal/engine/classes.go
@@ -6,7 +6,7 @@
 
 	"quillfront/members"
 	"quillfront/policy"
-	"quillfront/retune"
+	"quillfront/reconfig"
 )
 
 // rules are the classes that requests may be of. They are replaced whole.
@@ -18,7 +18,7 @@
 func newRules(cfg policy.Config) *rules {
 	r := &rules{classes: map[string][]policy.Class{}}
 	for _, c := range cfg.Classes {
-		name, before := strings.CutSuffix(c.Name, retune.Before)
+		name, before := strings.CutSuffix(c.Name, reconfig.PreviousSuffix)
 		if before {
 			r.classes[name] = append(r.classes[name], c)
 		} else {
@@ -34,7 +34,7 @@
 
 // known reports whether requests may be of the class of that name, which is the module's.
 func (r *rules) known(name string) bool {
-	public, _ := strings.CutSuffix(name, retune.Before)
+	public, _ := strings.CutSuffix(name, reconfig.PreviousSuffix)
 	for _, c := range r.classes[public] {
 		if c.Name == name {
 			return true
@@ -88,7 +88,7 @@
 	e.config, e.given, e.group = cfg, given, group
 	e.listen()
 	if regrouped && e.watched != nil {
-		return e.sites.Watch(now, e.watched, cfg)
+		return e.sites.Configure(now, e.watched, cfg)
 	}
 	return nil
 }
--- a/internal/engine/counts.go
+++ b/internal/engine/counts.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	"quillfront/policy"
-	"quillfront/retune"
+	"quillfront/reconfig"
 )
 
 // Counts is what has become of the requests of a class since the start.
@@ -18,7 +18,7 @@
 
 // count returns the counts of r's class. There are as many as there were classes; beyond mostCounted the rest is one.
 func (e *Engine) count(r *Request) *Counts {
-	name, _ := strings.CutSuffix(r.Class, retune.Before)
+	name, _ := strings.CutSuffix(r.Class, reconfig.PreviousSuffix)
 	c := e.counts[name]
 	if c == nil {
 		if len(e.counts) >= mostCounted {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -18,9 +18,9 @@
 
 	"golang.org/x/time/rate"
 
-	"quillfront/internal/siting"
+	"quillfront/exclusion"
+	"quillfront/internal/sitewatch"
 	"quillfront/policy"
-	"quillfront/roster"
 	"quillfront/sites"
 )
 
@@ -115,7 +115,7 @@
 	endpoints map[policy.ServerID]Endpoint // of the servers that are listed
 	listed    map[policy.ServerID]Server   // the list as it was told
 	counts    map[string]*Counts           // by class
-	sites     *siting.Host                 // watches them if it is told to
+	sites     *sitewatch.Watcher           // watches them if it is told to
 	config    policy.Config                // by which the module goes
 	given     policy.Config                // the same, as it was given
 	group     int                          // in place of its GroupSize; 0: that counts
@@ -124,9 +124,9 @@
 	told      bool                           // by the source
 	early     map[policy.ServerID]firstSight // of listed servers that began after they were told of
 	faults    complaints
-	absences  roster.Absences // what operators have taken out of it
-	avoided   roster.Avoided  // what has asked to be left alone
-	unavoids  *time.Timer     // ends that; nil: nothing has asked yet
+	absences  exclusion.State   // what operators have taken out of it
+	avoided   exclusion.Avoided // what has asked to be left alone
+	unavoids  *time.Timer       // ends that; nil: nothing has asked yet
 	source    Source
 	seq       int64              // of the last list of that source
 	stopWatch context.CancelFunc // nil while there is no watch
@@ -154,7 +154,7 @@
 		module: o.Module, requests: map[policy.RequestID]*Request{},
 		names: map[string]*Request{}, endpoints: map[policy.ServerID]Endpoint{}, source: o.Source, seq: UnknownSeq,
 		drained: make(chan struct{}), listed: map[policy.ServerID]Server{}, counts: map[string]*Counts{},
-		sites: siting.New(o.Module, o.Log), config: o.Config, given: o.Config, early: map[policy.ServerID]firstSight{},
+		sites: sitewatch.New(o.Module, o.Log), config: o.Config, given: o.Config, early: map[policy.ServerID]firstSight{},
 		faults: complaints{some: rate.Sometimes{First: 1, Interval: faultEvery}},
 	}
 	e.rules.Store(newRules(o.Config))
@@ -387,7 +387,7 @@
 	r.last = end.Status
 	r.ran = r.ran || !end.Status.NotRun()
 	e.count(r).Attempts[end.Status]++
-	e.sites.Ended(now, a.Server, end.Status)
+	e.sites.RecordOutcome(now, a.Server, end.Status)
 	if end.AvoidFor > 0 {
 		e.avoid(now, a.Server, end.AvoidFor)
 	}
@@ -504,7 +504,7 @@
 		status, load := e.to.Probe(e.ctx, to)
 		e.event(func(now policy.Time) {
 			e.probing--
-			e.sites.Ended(now, server, status)
+			e.sites.RecordOutcome(now, server, status)
 			if !e.closed {
 				e.module.Probed(now, policy.ProbeResult{Server: server, Status: status, Delay: now - sent, Load: load}, e)
 			}
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -164,7 +164,7 @@
 	}
 	e.module.UpdateServers(now, kind, servers, e)
 	e.recall(leaving)
-	e.sites.Members(now, kind, servers)
+	e.sites.UpdateServers(now, kind, servers)
 }
 
 // recall calls off what waits to be sent to servers that leave, so that the module decides anew. It guards against sends that begin long
--- a/internal/engine/sites.go
+++ b/internal/engine/sites.go
@@ -9,7 +9,7 @@
 // error names the field of cfg at fault; nothing has changed then.
 func (e *Engine) WatchSites(cfg *sites.Config) (err error) {
 	e.event(func(now policy.Time) {
-		if err = e.sites.Watch(now, cfg, e.config); err == nil {
+		if err = e.sites.Configure(now, cfg, e.config); err == nil {
 			e.watched = cfg
 		}
 	})
@@ -17,12 +17,12 @@
 }
 
 // SiteMemory returns what was learnt of sites, for whoever takes over.
-func (e *Engine) SiteMemory() (m sites.Memory) {
-	e.event(func(now policy.Time) { m = e.sites.Memory(now) })
+func (e *Engine) SiteMemory() (m sites.Learned) {
+	e.event(func(now policy.Time) { m = e.sites.Learned(now) })
 	return m
 }
 
 // RestoreSites has the watch of sites begin with what another engine had learnt.
-func (e *Engine) RestoreSites(m sites.Memory) {
-	e.event(func(now policy.Time) { e.sites.Recall(now, m) })
+func (e *Engine) RestoreSites(m sites.Learned) {
+	e.event(func(now policy.Time) { e.sites.Restore(now, m) })
 }
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -22,7 +22,7 @@
 	Watching bool
 	Servers  []ServerState // in the order of their IDs
 	Beliefs  policy.Snapshot
-	Sites    []sites.View // in the order of preference; none where sites are not watched
+	Sites    []sites.SiteSnapshot // in the order of preference; none where sites are not watched
 }
 
 // ServerState is a listed server with what the module believes of it.
@@ -51,7 +51,7 @@
 	if m, ok := e.module.(believer); ok {
 		s.Beliefs = m.Snapshot(e.Now())
 	}
-	s.Sites = e.sites.Views(e.Now())
+	s.Sites = e.sites.Snapshot(e.Now())
 	believed := map[policy.ServerID]policy.ServerSnapshot{}
 	for _, b := range s.Beliefs.Servers {
 		believed[b.ID] = b
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"quillfront/roster"
+	"quillfront/exclusion"
 )
 
 const (
@@ -33,7 +33,7 @@
 
 // State is what operators have asked for, and what outlasts a process of the sidecar.
 type State struct {
-	Absences  roster.Absences `json:"absences"`
+	Absences  exclusion.State `json:"absences"`
 	Evacuated bool            `json:"evacuated,omitempty"`
 }
 
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
+	"quillfront/exclusion"
 	"quillfront/policy"
-	"quillfront/roster"
 )
 
 func open(t *testing.T, path string) *Dir {
@@ -24,7 +24,7 @@
 	return d
 }
 
-func anyServer(id policy.ServerID) (roster.Entry, bool) { return roster.Entry{ID: id}, true }
+func anyServer(id policy.ServerID) (exclusion.Entry, bool) { return exclusion.Entry{ID: id}, true }
 
 // TestUpdate: changes by two processes at once are both kept, and each follows the other.
 func TestUpdate(t *testing.T) {
@@ -48,8 +48,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	followed := make(chan State, 100)
 	work.Go(func() { older.Follow(ctx, func(s State) { followed <- s }, func(Others) {}) })
-	if s := <-followed; len(s.Absences.Out) != 2*each {
-		t.Errorf("%d of %d changes are kept", len(s.Absences.Out), 2*each)
+	if s := <-followed; len(s.Absences.Excluded) != 2*each {
+		t.Errorf("%d of %d changes are kept", len(s.Absences.Excluded), 2*each)
 	}
 	wrong := errors.New("no")
 	if _, err := newer.Update(func(s *State) error { s.Evacuated = true; return wrong }); !errors.Is(err, wrong) || newer.State().Evacuated {
--- a/internal/management/server.go
+++ b/internal/management/server.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
+	"quillfront/exclusion"
 	"quillfront/policy"
-	"quillfront/roster"
 )
 
 const (
@@ -36,8 +36,8 @@
 // Operated is what can be operated on.
 type Operated interface {
 	Ready() error                     // ErrNotReady, or nil
-	Exclude(id policy.ServerID) error // roster.ErrUnknown, roster.ErrTooMany
-	Include(id policy.ServerID) error // roster.ErrUnknown
+	Exclude(id policy.ServerID) error // exclusion.ErrUnknown, exclusion.ErrTooMany
+	Include(id policy.ServerID) error // exclusion.ErrUnknown
 	Evacuate() error                  // begins the drain
 	Rejoin() error                    // ends it
 	Metrics() http.Handler            // nil: there are none
@@ -111,9 +111,9 @@
 // statusOf is the status of a no.
 func statusOf(err error) int {
 	switch {
-	case errors.Is(err, roster.ErrUnknown):
+	case errors.Is(err, exclusion.ErrUnknown):
 		return http.StatusNotFound
-	case errors.Is(err, roster.ErrTooMany):
+	case errors.Is(err, exclusion.ErrTooMany):
 		return http.StatusInsufficientStorage
 	case errors.Is(err, ErrNotReady):
 		return http.StatusServiceUnavailable
--- a/internal/management/server_test.go
+++ b/internal/management/server_test.go
@@ -18,8 +18,8 @@
 
 	"go.uber.org/goleak"
 
+	"quillfront/exclusion"
 	"quillfront/policy"
-	"quillfront/roster"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -94,8 +94,8 @@
 		{"GET", "/api/ready", "", ErrNotReady, "ready", 503},
 		{"POST", "/api/exclude/s-1", "", nil, "exclude s-1", 200},
 		{"POST", "/api/exclude/s%2F1", "{}", nil, "exclude s/1", 200},
-		{"POST", "/api/exclude/s-1", "", fmt.Errorf("x: %w", roster.ErrUnknown), "exclude s-1", 404},
-		{"POST", "/api/exclude/s-1", "", roster.ErrTooMany, "exclude s-1", 507},
+		{"POST", "/api/exclude/s-1", "", fmt.Errorf("x: %w", exclusion.ErrUnknown), "exclude s-1", 404},
+		{"POST", "/api/exclude/s-1", "", exclusion.ErrTooMany, "exclude s-1", 507},
 		{"POST", "/api/exclude/s-1", "", io.ErrShortWrite, "exclude s-1", 500},
 		{"POST", "/api/include/s-1", strings.Repeat("x", 1000), nil, "include s-1", 200},
 		{"POST", "/api/evacuate", "", nil, "evacuate", 200},
--- a/internal/siting/sim_test.go
+++ b/internal/sitewatch/sim_test.go
@@ -1,4 +1,4 @@
-package siting
+package sitewatch
 
 import (
 	"container/heap"
@@ -185,7 +185,7 @@
 	cut     bool // nothing reaches anybody
 	life    int  // restarts
 	module  *policy.Balancer
-	host    *Host
+	host    *Watcher
 	last    policy.RequestID
 	open    map[policy.RequestID]*simRequest
 	closing bool
@@ -219,7 +219,7 @@
 		panic(err)
 	}
 	n.module, n.host = m, New(m, slog.New(counter{s: s}))
-	if err := n.host.Watch(s.now, s.cfg, s.config(n.ordinal)); err != nil {
+	if err := n.host.Configure(s.now, s.cfg, s.config(n.ordinal)); err != nil {
 		panic(err)
 	}
 	n.members(policy.ListFull, s.list())
@@ -234,7 +234,7 @@
 
 func (n *simNode) members(kind policy.ListKind, l []policy.Server) {
 	n.module.UpdateServers(n.sim.now, kind, l, n)
-	n.host.Members(n.sim.now, kind, l)
+	n.host.UpdateServers(n.sim.now, kind, l)
 }
 
 // tell has all instances hear the list as it stands now, each after the lag and a little more.
@@ -281,7 +281,7 @@
 			return
 		}
 		r.outs[number] = false
-		n.host.Ended(s.now, to, status)
+		n.host.RecordOutcome(s.now, to, status)
 		served := status == policy.OK && !r.ended
 		if served {
 			r.ended = true
@@ -359,7 +359,7 @@
 	result.Delay = took
 	s.after(took, func() {
 		if n.life == life {
-			n.host.Ended(s.now, to, result.Status)
+			n.host.RecordOutcome(s.now, to, result.Status)
 			n.module.Probed(s.now, result, n)
 		}
 	})
--- a/internal/siting/siting.go
+++ b/internal/sitewatch/watcher.go
@@ -1,6 +1,6 @@
-// Package siting hosts a monitor of sites beside a decision module: it tells the monitor what the module is told, and the
+// Package sitewatch hosts a monitor of sites beside a decision module: it tells the monitor what the module is told, and the
 // module what the monitor makes of it. The engine and the simulator's adapter both go through it.
-package siting
+package sitewatch
 
 import (
 	"log/slog"
@@ -19,8 +19,8 @@
 	SetSiteShares(map[string]float64)
 }
 
-// Host hosts a monitor. The zero Host watches nothing until it is given a configuration. It is not safe for concurrent use.
-type Host struct {
+// Watcher hosts a monitor. The zero Watcher watches nothing until it is given a configuration. It is not safe for concurrent use.
+type Watcher struct {
 	module  Module
 	log     *slog.Logger
 	monitor *sites.Monitor // nil: sites are not watched
@@ -29,15 +29,15 @@
 }
 
 // New returns a Host that watches nothing. A module that does not go by plans is left alone.
-func New(module any, log *slog.Logger) *Host {
-	h := &Host{log: log, list: map[policy.ServerID]policy.Server{}}
+func New(module any, log *slog.Logger) *Watcher {
+	h := &Watcher{log: log, list: map[policy.ServerID]policy.Server{}}
 	h.module, _ = module.(Module)
 	return h
 }
 
-// Watch has sites be watched by cfg from now on, with the instance's number taken from p; nil ends it. What is known of sites
+// Configure has sites be watched by cfg from now on, with the instance's number taken from p; nil ends it. What is known of sites
 // stays where they are watched already. The error names the field of cfg at fault; nothing has changed then.
-func (h *Host) Watch(now policy.Time, cfg *sites.Config, p policy.Config) error {
+func (h *Watcher) Configure(now policy.Time, cfg *sites.Config, p policy.Config) error {
 	if h.module == nil {
 		return nil
 	}
@@ -69,12 +69,12 @@
 }
 
 // note logs a transition with its evidence.
-func (h *Host) note(t sites.Transition) {
-	h.log.Warn("site", "site", t.Site, "from", t.From.String(), "to", t.To.String(), "reason", t.Reason, "servers_known", t.Known, "bad", t.Bad)
+func (h *Watcher) note(t sites.Transition) {
+	h.log.Warn("site", "site", t.Site, "from", t.From.String(), "to", t.To.String(), "reason", t.Reason, "servers_known", t.KnownServers, "bad", t.FailureRatio)
 }
 
-// Members notes a message about the list of servers, before or after the module has it.
-func (h *Host) Members(now policy.Time, kind policy.ListKind, entries []policy.Server) {
+// UpdateServers notes a message about the list of servers, before or after the module has it.
+func (h *Watcher) UpdateServers(now policy.Time, kind policy.ListKind, entries []policy.Server) {
 	if kind == policy.ListFailed {
 		return
 	}
@@ -95,29 +95,29 @@
 }
 
 // tell tells the monitor which servers may take requests.
-func (h *Host) tell(now policy.Time) {
+func (h *Watcher) tell(now policy.Time) {
 	var all []sites.Server
 	for id, s := range h.list {
 		if s.State == policy.Ready {
 			all = append(all, sites.Server{ID: string(id), Site: s.Zone})
 		}
 	}
-	h.monitor.Servers(now, all)
+	h.monitor.UpdateServers(now, all)
 }
 
-// Ended notes how an attempt or a probe has ended, if that says something of the server.
-func (h *Host) Ended(now policy.Time, server policy.ServerID, status policy.Status) {
+// RecordOutcome notes how an attempt or a probe has ended, if that says something of the server.
+func (h *Watcher) RecordOutcome(now policy.Time, server policy.ServerID, status policy.Status) {
 	if h.monitor == nil || status == policy.Canceled || status == policy.NotSent {
 		return
 	}
-	h.monitor.Outcome(now, string(server), status == policy.OK || status == policy.Overloaded || status == policy.Rejected)
+	h.monitor.RecordOutcome(now, string(server), status == policy.OK || status == policy.Overloaded || status == policy.Rejected)
 	if now-h.shared >= sharesEvery {
 		h.share(now)
 	}
 }
 
 // Tick tells the module of the shares in time for a request.
-func (h *Host) Tick(now policy.Time) {
+func (h *Watcher) Tick(now policy.Time) {
 	if h.monitor != nil && now-h.shared >= sharesEvery {
 		h.monitor.Tick(now)
 		h.share(now)
@@ -125,31 +125,31 @@
 }
 
 // share tells the module what each site may take.
-func (h *Host) share(now policy.Time) {
+func (h *Watcher) share(now policy.Time) {
 	h.shared = now
 	h.module.SetSiteShares(h.monitor.Shares(now))
 }
 
-// Views returns what is held of each site, in the order of preference; none where sites are not watched.
-func (h *Host) Views(now policy.Time) []sites.View {
+// Snapshot returns what is held of each site, in the order of preference; none where sites are not watched.
+func (h *Watcher) Snapshot(now policy.Time) []sites.SiteSnapshot {
 	if h.monitor == nil {
 		return nil
 	}
-	return h.monitor.Views(now)
+	return h.monitor.Snapshot(now)
 }
 
-// Memory returns what was learnt of sites, for whoever takes over.
-func (h *Host) Memory(now policy.Time) sites.Memory {
+// Learned returns what was learnt of sites, for whoever takes over.
+func (h *Watcher) Learned(now policy.Time) sites.Learned {
 	if h.monitor == nil {
-		return sites.Memory{}
+		return sites.Learned{}
 	}
-	return h.monitor.Memory(now)
+	return h.monitor.Learned(now)
 }
 
-// Recall has the monitor begin with what another one had learnt.
-func (h *Host) Recall(now policy.Time, m sites.Memory) {
+// Restore has the monitor begin with what another one had learnt.
+func (h *Watcher) Restore(now policy.Time, m sites.Learned) {
 	if h.monitor != nil {
-		h.monitor.Recall(now, m)
+		h.monitor.Restore(now, m)
 		h.share(now)
 	}
 }
--- a/internal/siting/siting_test.go
+++ b/internal/sitewatch/watcher_test.go
@@ -1,4 +1,4 @@
-package siting
+package sitewatch
 
 import (
 	"context"
@@ -29,7 +29,7 @@
 )
 
 func watched() *sites.Config {
-	return &sites.Config{Spill: spill, Hold: 2 * time.Second, Climb: 10 * time.Second, MostClimb: time.Minute}
+	return &sites.Config{MaxSpill: spill, HoldTime: 2 * time.Second, RecoveryTime: 10 * time.Second, MaxRecoveryTime: time.Minute}
 }
 
 // TestLossOfASite: every way in which all servers of a site can fail at once, and its return, cold. While it is dark, what is
@@ -218,7 +218,7 @@
 		s.run(10 * sec)
 		s.nodes[0].cut = true
 		s.run(20 * sec)
-		for _, v := range s.nodes[0].host.Views(s.now) {
+		for _, v := range s.nodes[0].host.Snapshot(s.now) {
 			if v.Share < 1 {
 				t.Errorf("seed %d: %v", seed, v)
 			}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -173,7 +173,7 @@
 	for _, v := range s.Engine.Sites {
 		gauge(siteShare, v.Share, v.Site)
 		gauge(siteState, float64(v.State), v.Site)
-		gauge(siteBad, v.Bad, v.Site)
+		gauge(siteBad, v.FailureRatio, v.Site)
 		total(siteSpilled, v.Spilled, v.Site)
 		total(siteAway, v.TurnedAway, v.Site)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"quillfront/internal/settings"
-	"quillfront/internal/siting"
+	"quillfront/internal/sitewatch"
 	"quillfront/policy"
 	"quillfront/sites"
 )
@@ -136,8 +136,8 @@
 	if err != nil {
 		return nil, err
 	}
-	inst := &instance{balancer: b, sites: siting.New(b, slog.New(slog.DiscardHandler)), fields: s.LoadFields}
-	if err := inst.sites.Watch(now, watch, s.Config); err != nil {
+	inst := &instance{balancer: b, sites: sitewatch.New(b, slog.New(slog.DiscardHandler)), fields: s.LoadFields}
+	if err := inst.sites.Configure(now, watch, s.Config); err != nil {
 		return nil, err
 	}
 	return inst, nil
@@ -145,7 +145,7 @@
 
 type instance struct {
 	balancer *policy.Balancer
-	sites    *siting.Host
+	sites    *sitewatch.Watcher
 	fields   []string // names of the values in a load report
 	orders   []order
 }
@@ -229,7 +229,7 @@
 			}
 			lines = h.pages[e.Page]
 		}
-		inst.sites.Members(now, kind, lines)
+		inst.sites.UpdateServers(now, kind, lines)
 		b.UpdateServers(now, kind, lines, inst)
 	case "Demand":
 		tenant, _ := e.Project.(string)
@@ -246,7 +246,7 @@
 			return fmt.Errorf("unknown outcome %q", e.Disposition)
 		}
 		server, delay, load := policy.ServerID(e.Upstream), settings.Micros(e.DelaySeenUs), inst.load(e.Metrics)
-		inst.sites.Ended(now, server, status)
+		inst.sites.RecordOutcome(now, server, status)
 		if e.Cmd == "HealthResult" {
 			b.Probed(now, policy.ProbeResult{Server: server, Status: status, Delay: delay, Load: load}, inst)
 			return nil
--- a/retune/retune.go
+++ b/reconfig/reconfig.go
@@ -1,6 +1,6 @@
-// Package retune decides what a new configuration comes to while a sidecar runs: whether it is whole, and what holds until all
+// Package reconfig decides what a new configuration comes to while a sidecar runs: whether it is whole, and what holds until all
 // clients go by it. It does no I/O and reads no clock.
-package retune
+package reconfig
 
 import (
 	"encoding/json"
@@ -12,13 +12,13 @@
 	"quillfront/policy"
 )
 
-// Before marks the name of a class as it was before a change of its rules. No path of a request can have it.
-const Before = "\x00before"
+// PreviousSuffix marks the name of a class as it was before a change of its rules. No path of a request can have it.
+const PreviousSuffix = "\x00before"
 
-// Whole returns an error that names a key which now lacks though the running configuration's text has it, at whatever depth. Of
+// CheckComplete returns an error that names a key which now lacks though the running configuration's text has it, at whatever depth. Of
 // the elements of a list only the keys that all of them had are asked for. It guards against a file that is half written
 // or badly edited: what is missing would silently be zero. A key that is dropped on purpose takes a restart.
-func Whole(running, now []byte) error {
+func CheckComplete(running, now []byte) error {
 	var a, b any
 	if err := json.Unmarshal(running, &a); err != nil {
 		return fmt.Errorf("the running configuration: %w", err)
@@ -110,32 +110,32 @@
 
 // Change is a change of the classes' rules.
 type Change struct {
-	Now   policy.Config // until all clients go by the new rules: the classes of both, and of each limit the stricter
-	Then  policy.Config // from then on
-	Moved bool          // whether Now and Then differ
+	Interim    policy.Config // until all clients go by the new rules: the classes of both, and of each limit the stricter
+	Final      policy.Config // from then on
+	HasInterim bool          // whether Now and Then differ
 }
 
-// Between returns what follows when the configuration was, and is to be now. A class whose effect changes stays, as it was,
+// NewChange returns what follows when the configuration was, and is to be now. A class whose effect changes stays, as it was,
 // under its name with Before behind it: a request tells by its form which of the two it means. So does one that is
 // dropped, under its own name. Where only windows or groups of keys change, what may be done under both holds meanwhile.
-func Between(was, now policy.Config) Change {
-	c := Change{Now: now, Then: now}
-	c.Now.Classes = slices.Clone(now.Classes)
-	c.Now.MaxAttempts = min(was.MaxAttempts, now.MaxAttempts)
-	c.Moved = c.Now.MaxAttempts != now.MaxAttempts
+func NewChange(was, now policy.Config) Change {
+	c := Change{Interim: now, Final: now}
+	c.Interim.Classes = slices.Clone(now.Classes)
+	c.Interim.MaxAttempts = min(was.MaxAttempts, now.MaxAttempts)
+	c.HasInterim = c.Interim.MaxAttempts != now.MaxAttempts
 	for _, old := range was.Classes {
-		if strings.HasSuffix(old.Name, Before) {
+		if strings.HasSuffix(old.Name, PreviousSuffix) {
 			continue
 		}
-		i := slices.IndexFunc(c.Now.Classes, func(k policy.Class) bool { return k.Name == old.Name })
+		i := slices.IndexFunc(c.Interim.Classes, func(k policy.Class) bool { return k.Name == old.Name })
 		switch {
 		case i < 0:
-			c.Now.Classes = append(c.Now.Classes, old)
-		case c.Now.Classes[i].Effect != old.Effect:
-			old.Name += Before
-			c.Now.Classes = append(c.Now.Classes, old)
+			c.Interim.Classes = append(c.Interim.Classes, old)
+		case c.Interim.Classes[i].Effect != old.Effect:
+			old.Name += PreviousSuffix
+			c.Interim.Classes = append(c.Interim.Classes, old)
 		default:
-			k := &c.Now.Classes[i]
+			k := &c.Interim.Classes[i]
 			if *k == old {
 				continue
 			}
@@ -151,7 +151,7 @@
 				continue
 			}
 		}
-		c.Moved = true
+		c.HasInterim = true
 	}
 	return c
 }
--- a/retune/retune_test.go
+++ b/reconfig/reconfig_test.go
@@ -1,4 +1,4 @@
-package retune
+package reconfig
 
 import (
 	"strings"
@@ -29,7 +29,7 @@
 		{`"Localities":["x"],`, ``, "settings.Localities"},
 		{`"Null":null}}`, ``, "unexpected end"},
 	} {
-		err := Whole([]byte(running), []byte(strings.Replace(running, tt.old, tt.new, 1)))
+		err := CheckComplete([]byte(running), []byte(strings.Replace(running, tt.old, tt.new, 1)))
 		if tt.want == "" && err != nil || tt.want != "" && (err == nil || !strings.Contains(err.Error(), tt.want)) {
 			t.Errorf("%s as %s: %v, want %q", tt.old, tt.new, err, tt.want)
 		}
@@ -46,7 +46,7 @@
 	keyed := func(g policy.Group, ttl time.Duration) policy.Class {
 		return policy.Class{Name: "a", Effect: policy.Keyed, Group: g, KeyTTL: ttl}
 	}
-	before := func(c policy.Class) policy.Class { c.Name += Before; return c }
+	before := func(c policy.Class) policy.Class { c.Name += PreviousSuffix; return c }
 	for i, tt := range []struct {
 		was, now, want policy.Config
 		moved          bool
@@ -63,12 +63,12 @@
 		{cfg(3, keyed(policy.GroupZone, 9)), cfg(3, keyed(policy.GroupCell, 5)), cfg(3, keyed(policy.GroupCell, 0)), true},
 		{cfg(3, keyed(policy.GroupAll, 9)), cfg(3, keyed(policy.GroupAll, 5)), cfg(3, keyed(policy.GroupAll, 5)), false},
 	} {
-		c := Between(tt.was, tt.now)
-		same := len(c.Now.Classes) == len(tt.want.Classes) && c.Now.MaxAttempts == tt.want.MaxAttempts && c.Moved == tt.moved
-		for j := range min(len(c.Now.Classes), len(tt.want.Classes)) {
-			same = same && c.Now.Classes[j] == tt.want.Classes[j]
+		c := NewChange(tt.was, tt.now)
+		same := len(c.Interim.Classes) == len(tt.want.Classes) && c.Interim.MaxAttempts == tt.want.MaxAttempts && c.HasInterim == tt.moved
+		for j := range min(len(c.Interim.Classes), len(tt.want.Classes)) {
+			same = same && c.Interim.Classes[j] == tt.want.Classes[j]
 		}
-		if !same || len(c.Then.Classes) != len(tt.now.Classes) || c.Then.MaxAttempts != tt.now.MaxAttempts {
+		if !same || len(c.Final.Classes) != len(tt.now.Classes) || c.Final.MaxAttempts != tt.now.MaxAttempts {
 			t.Errorf("%d: %+v, want %+v and moved %v", i, c, tt.want, tt.moved)
 		}
 	}
--- a/sites.go
+++ b/sites.go
@@ -57,7 +57,7 @@
 func siteSnapshots(e engine.Snapshot) (all []SiteSnapshot) {
 	for _, v := range e.Sites {
 		all = append(all, SiteSnapshot{
-			v.Site, v.State.String(), e.At - v.Since, v.Share, v.Servers, v.Known, v.Bad, v.Spilled, v.TurnedAway,
+			v.Site, v.State.String(), e.At - v.Since, v.Share, v.Servers, v.KnownServers, v.FailureRatio, v.Spilled, v.TurnedAway,
 		})
 	}
 	return all
--- a/sites/config.go
+++ b/sites/config.go
@@ -20,23 +20,23 @@
 	// Rules say which sites requests are meant for, by class and tenant; the first that matches holds. Requests that none
 	// matches are meant for all sites alike. At most 64.
 	Rules []Rule
-	// Doubt and Dark are the parts of a site's servers that fail from which on it is doubtful or dark; 0.3 and 0.7. Clear
-	// is the part below which it is neither; 0.15. It lies under Doubt, so that a load at the bound does not swing it.
-	Clear, Doubt, Dark float64
-	// Memory is how long evidence keeps half its weight; 1 s. Hold is how long a site stays as it is before it may get
+	// DegradedThreshold and DownThreshold are the parts of a site's servers that fail from which on it is doubtful or dark; 0.3 and 0.7. HealthyThreshold
+	// is the part below which it is neither; 0.15. It lies under DegradedThreshold, so that a load at the bound does not swing it.
+	HealthyThreshold, DegradedThreshold, DownThreshold float64
+	// EvidenceHalfLife is how long evidence keeps half its weight; 1 s. HoldTime is how long a site stays as it is before it may get
 	// better; 3 s.
-	Memory, Hold time.Duration
-	// First is the share of its traffic with which a dark site begins to return; 0.05. Climb is how long it takes to all of
+	EvidenceHalfLife, HoldTime time.Duration
+	// InitialShare is the share of its traffic with which a dark site begins to return; 0.05. Climb is how long it takes to all of
 	// it; 20 s. A relapse halves the one and doubles the other, up to MostClimb; 5 min.
-	First            float64
-	Climb, MostClimb time.Duration
-	// Spill is how much of a site's normal load may be added to it for others, as a part of that; 0.5.
-	Spill float64
-	// Fade is how long the traffic of a site that the list has lost keeps half its weight as that site's; 2 min. Until then the
+	InitialShare                  float64
+	RecoveryTime, MaxRecoveryTime time.Duration
+	// MaxSpill is how much of a site's normal load may be added to it for others, as a part of that; 0.5.
+	MaxSpill float64
+	// LostSiteHalfLife is how long the traffic of a site that the list has lost keeps half its weight as that site's; 2 min. Until then the
 	// others take it over within Spill only; a site that is closed for good becomes the others' normal load over it.
-	Fade time.Duration
-	// Changes bounds how often a minute a site may change its state for the better; 6.
-	Changes int
+	LostSiteHalfLife time.Duration
+	// MaxImprovements bounds how often a minute a site may change its state for the better; 6.
+	MaxImprovements int
 	// Ordinal and GroupSize are this instance's number among its peers: peers step at other moments, and share out the
 	// trials of a dark site.
 	Ordinal, GroupSize int
@@ -52,8 +52,8 @@
 // Tier is a set of sites of one preference.
 type Tier struct {
 	Sites []string
-	// Most is the part of the rule's requests that may go to this tier for those before it; 1. The first tier has none.
-	Most float64
+	// MaxShare is the part of the rule's requests that may go to this tier for those before it; 1. The first tier has none.
+	MaxShare float64
 }
 
 const (
@@ -73,18 +73,18 @@
 			*v = d
 		}
 	}
-	usual(&c.Clear, 0.15)
-	usual(&c.Doubt, 0.3)
-	usual(&c.Dark, 0.7)
-	usual(&c.First, 0.05)
-	usual(&c.Spill, 0.5)
-	lasting(&c.Memory, time.Second)
-	lasting(&c.Hold, 3*time.Second)
-	lasting(&c.Climb, 20*time.Second)
-	lasting(&c.MostClimb, 5*time.Minute)
-	lasting(&c.Fade, 2*time.Minute)
-	if c.Changes == 0 {
-		c.Changes = 6
+	usual(&c.HealthyThreshold, 0.15)
+	usual(&c.DegradedThreshold, 0.3)
+	usual(&c.DownThreshold, 0.7)
+	usual(&c.InitialShare, 0.05)
+	usual(&c.MaxSpill, 0.5)
+	lasting(&c.EvidenceHalfLife, time.Second)
+	lasting(&c.HoldTime, 3*time.Second)
+	lasting(&c.RecoveryTime, 20*time.Second)
+	lasting(&c.MaxRecoveryTime, 5*time.Minute)
+	lasting(&c.LostSiteHalfLife, 2*time.Minute)
+	if c.MaxImprovements == 0 {
+		c.MaxImprovements = 6
 	}
 	if c.GroupSize == 0 {
 		c.GroupSize = 1
@@ -96,28 +96,28 @@
 		return wrong(fmt.Sprintf("prefer[%d]", i), "%q is empty or there twice", s)
 	}
 	switch {
-	case !(c.Clear > 0 && c.Clear < c.Doubt):
-		return wrong("clear", "%v is outside 0 to doubt, which is %v", c.Clear, c.Doubt)
-	case !(c.Doubt < c.Dark):
-		return wrong("doubt", "%v is not below dark, which is %v", c.Doubt, c.Dark)
-	case !(c.Dark <= 1):
-		return wrong("dark", "%v is above 1", c.Dark)
-	case !(c.First > 0 && c.First <= 1):
-		return wrong("first", "%v is outside 0 to 1", c.First)
-	case !(c.Spill >= 0 && c.Spill <= 10):
-		return wrong("spill", "%v is outside 0 to 10", c.Spill)
-	case c.Memory < 100*time.Millisecond || c.Memory > time.Minute:
-		return wrong("memory", "%v is outside 100ms to 1m", c.Memory)
-	case c.Hold < 0 || c.Hold > time.Hour:
-		return wrong("hold", "%v is outside 0 to 1h", c.Hold)
-	case c.Climb < time.Second || c.Climb > c.MostClimb:
-		return wrong("climb", "%v is outside 1s to most_climb, which is %v", c.Climb, c.MostClimb)
-	case c.MostClimb > 24*time.Hour:
-		return wrong("most_climb", "%v is above 24h", c.MostClimb)
-	case c.Fade < time.Second || c.Fade > 24*time.Hour:
-		return wrong("fade", "%v is outside 1s to 24h", c.Fade)
-	case c.Changes < 1:
-		return wrong("changes", "%d is below 1", c.Changes)
+	case !(c.HealthyThreshold > 0 && c.HealthyThreshold < c.DegradedThreshold):
+		return wrong("clear", "%v is outside 0 to doubt, which is %v", c.HealthyThreshold, c.DegradedThreshold)
+	case !(c.DegradedThreshold < c.DownThreshold):
+		return wrong("doubt", "%v is not below dark, which is %v", c.DegradedThreshold, c.DownThreshold)
+	case !(c.DownThreshold <= 1):
+		return wrong("dark", "%v is above 1", c.DownThreshold)
+	case !(c.InitialShare > 0 && c.InitialShare <= 1):
+		return wrong("first", "%v is outside 0 to 1", c.InitialShare)
+	case !(c.MaxSpill >= 0 && c.MaxSpill <= 10):
+		return wrong("spill", "%v is outside 0 to 10", c.MaxSpill)
+	case c.EvidenceHalfLife < 100*time.Millisecond || c.EvidenceHalfLife > time.Minute:
+		return wrong("memory", "%v is outside 100ms to 1m", c.EvidenceHalfLife)
+	case c.HoldTime < 0 || c.HoldTime > time.Hour:
+		return wrong("hold", "%v is outside 0 to 1h", c.HoldTime)
+	case c.RecoveryTime < time.Second || c.RecoveryTime > c.MaxRecoveryTime:
+		return wrong("climb", "%v is outside 1s to most_climb, which is %v", c.RecoveryTime, c.MaxRecoveryTime)
+	case c.MaxRecoveryTime > 24*time.Hour:
+		return wrong("most_climb", "%v is above 24h", c.MaxRecoveryTime)
+	case c.LostSiteHalfLife < time.Second || c.LostSiteHalfLife > 24*time.Hour:
+		return wrong("fade", "%v is outside 1s to 24h", c.LostSiteHalfLife)
+	case c.MaxImprovements < 1:
+		return wrong("changes", "%d is below 1", c.MaxImprovements)
 	case c.GroupSize < 1 || c.Ordinal < 0 || c.Ordinal >= c.GroupSize:
 		return wrong("ordinal", "%d is outside the %d instances", c.Ordinal, c.GroupSize)
 	case len(c.Rules) > mostRules:
@@ -135,7 +135,7 @@
 		}
 		rules[i] = Rule{Classes: r.Classes, Tenants: r.Tenants, Tiers: make([]Tier, len(r.Tiers))}
 		for j, t := range r.Tiers {
-			usual(&t.Most, 1)
+			usual(&t.MaxShare, 1)
 			rules[i].Tiers[j] = t
 		}
 	}
@@ -170,9 +170,9 @@
 		switch {
 		case len(t.Sites) == 0 || len(t.Sites) > mostNames:
 			return at + ".sites", fmt.Errorf("%d sites, outside 1 to %d", len(t.Sites), mostNames)
-		case !(t.Most >= 0 && t.Most <= 1):
-			return at + ".most", fmt.Errorf("%v is outside 0 to 1", t.Most)
-		case i == 0 && t.Most != 0:
+		case !(t.MaxShare >= 0 && t.MaxShare <= 1):
+			return at + ".most", fmt.Errorf("%v is outside 0 to 1", t.MaxShare)
+		case i == 0 && t.MaxShare != 0:
 			return at + ".most", fmt.Errorf("the first tier takes what is meant for it, and has no bound")
 		}
 		all = append(all, t.Sites...)
--- a/sites/monitor.go
+++ b/sites/monitor.go
@@ -17,10 +17,10 @@
 
 // The states.
 const (
-	Healthy   State = iota // it takes all its traffic
-	Doubtful               // it takes less by what fails there
-	Dark                   // it takes trials only
-	Returning              // it takes a share that grows
+	Healthy    State = iota // it takes all its traffic
+	Degraded                // it takes less by what fails there
+	Down                    // it takes trials only
+	Recovering              // it takes a share that grows
 )
 
 // String returns the state's name.
@@ -106,12 +106,12 @@
 
 // Transition is a change of a site's state.
 type Transition struct {
-	Site     string
-	From, To State
-	At       Time
-	Known    int     // servers of which enough was known
-	Bad      float64 // the part of them that failed
-	Reason   string
+	Site         string
+	From, To     State
+	At           Time
+	KnownServers int     // servers of which enough was known
+	FailureRatio float64 // the part of them that failed
+	Reason       string
 }
 
 // New returns a Monitor. log, which may be nil, is told of each transition. The error names the field of cfg at fault.
@@ -139,10 +139,10 @@
 	return nil
 }
 
-// Servers makes list the servers that may take requests. A site without any keeps its state, so that a list which is empty
+// UpdateServers makes list the servers that may take requests. A site without any keeps its state, so that a list which is empty
 // for one message changes nothing, and a site whose servers come back under new ids returns as it left. What is known of
 // servers that are listed no more is forgotten.
-func (m *Monitor) Servers(now Time, list []Server) {
+func (m *Monitor) UpdateServers(now Time, list []Server) {
 	if len(list) == 0 {
 		return
 	}
@@ -157,7 +157,7 @@
 		}
 		at := m.sites[s.Site]
 		if at == nil {
-			at = &site{name: s.Site, since: now, calm: now, climb: m.cfg.Climb, faded: now, bucket: bucket{at: now}}
+			at = &site{name: s.Site, since: now, calm: now, climb: m.cfg.RecoveryTime, faded: now, bucket: bucket{at: now}}
 			m.sites[s.Site] = at
 		}
 		at.servers++
@@ -168,12 +168,12 @@
 		m.order = append(m.order, m.servers[id])
 	}
 	for _, s := range m.sites {
-		s.fade(now, m.cfg.Fade)
+		s.fade(now, m.cfg.LostSiteHalfLife)
 	}
 	// Sites come and go as well. One that the list has lost is forgotten once its traffic has become that of the others, and
 	// a dark one not before it may have forgiven its relapses.
 	maps.DeleteFunc(m.sites, func(_ string, s *site) bool {
-		return s.servers == 0 && s.places < leastPlaces && (s.state == Healthy || now-s.since > m.cfg.MostClimb)
+		return s.servers == 0 && s.places < leastPlaces && (s.state == Healthy || now-s.since > m.cfg.MaxRecoveryTime)
 	})
 	m.rank()
 	m.judge(now)
@@ -212,14 +212,14 @@
 	slices.SortStableFunc(m.ranked, func(a, b *site) int { return cmp.Compare(place(a), place(b)) })
 }
 
-// Outcome notes the end of an attempt or a probe at a server: whether it was answered in time, or failed in a way that speaks
+// RecordOutcome notes the end of an attempt or a probe at a server: whether it was answered in time, or failed in a way that speaks
 // against the server: silence, a reset, an error, or an answer too late to be of use. A server that turns work away answers.
-func (m *Monitor) Outcome(now Time, id string, ok bool) {
+func (m *Monitor) RecordOutcome(now Time, id string, ok bool) {
 	v := m.servers[id]
 	if v == nil {
 		return
 	}
-	v.decay(now, m.cfg.Memory)
+	v.decay(now, m.cfg.EvidenceHalfLife)
 	v.all++
 	s := m.sites[v.site]
 	s.run.note(now, id, ok)
@@ -249,10 +249,10 @@
 	m.judged = now
 	for _, s := range m.sites {
 		s.evidence = evidence{}
-		s.fade(now, m.cfg.Fade)
+		s.fade(now, m.cfg.LostSiteHalfLife)
 	}
 	for _, v := range m.order {
-		v.decay(now, m.cfg.Memory)
+		v.decay(now, m.cfg.EvidenceHalfLife)
 		if s := m.sites[v.site]; v.all >= leastEvidence {
 			s.evidence.known++
 			s.evidence.bad += v.bad / v.all
@@ -267,9 +267,9 @@
 		if s.evidence.known > 0 {
 			s.lastBad, s.lastSeen = s.evidence.bad, now
 		}
-		if s.lastSeen != 0 && now-s.lastSeen <= m.cfg.Hold {
+		if s.lastSeen != 0 && now-s.lastSeen <= m.cfg.HoldTime {
 			known++
-			if s.lastBad >= m.cfg.Dark {
+			if s.lastBad >= m.cfg.DownThreshold {
 				dark++
 			}
 		}
@@ -279,7 +279,7 @@
 	was := m.alone
 	if m.alone = known > 1 && dark == known; m.alone && !was {
 		for _, name := range m.names {
-			if s := m.sites[name]; s.state == Dark && s.before == Healthy && now-s.since <= m.cfg.Hold && s.mayImprove(now, m.cfg.Changes) {
+			if s := m.sites[name]; s.state == Down && s.before == Healthy && now-s.since <= m.cfg.HoldTime && s.mayImprove(now, m.cfg.MaxImprovements) {
 				m.move(now, s, Healthy, "nothing reaches any site: this instance is cut off")
 			}
 		}
@@ -306,51 +306,51 @@
 // step moves one site on, of which since has passed.
 func (m *Monitor) step(now Time, since time.Duration, s *site) {
 	e := s.evidence
-	held := now-s.since >= m.cfg.Hold+m.jitter(s)
+	held := now-s.since >= m.cfg.HoldTime+m.jitter(s)
 	switch s.state {
 	case Healthy:
-		if s.relapses > 0 && now-s.calm >= m.cfg.MostClimb { // long enough ago
+		if s.relapses > 0 && now-s.calm >= m.cfg.MaxRecoveryTime { // long enough ago
 			s.relapses, s.calm = s.relapses-1, now
 		}
 		switch {
 		case m.alone || !e.enough:
-		case e.bad >= m.cfg.Dark:
-			m.move(now, s, Dark, "most of what is sent there fails")
-		case e.bad >= m.cfg.Doubt:
-			m.move(now, s, Doubtful, "a part of what is sent there fails")
+		case e.bad >= m.cfg.DownThreshold:
+			m.move(now, s, Down, "most of what is sent there fails")
+		case e.bad >= m.cfg.DegradedThreshold:
+			m.move(now, s, Degraded, "a part of what is sent there fails")
 		}
-	case Doubtful:
+	case Degraded:
 		switch {
 		case m.alone || e.known == 0:
-		case e.enough && e.bad >= m.cfg.Dark:
-			m.move(now, s, Dark, "most of what is sent there fails")
-		case e.bad < m.cfg.Clear && held && s.mayImprove(now, m.cfg.Changes):
+		case e.enough && e.bad >= m.cfg.DownThreshold:
+			m.move(now, s, Down, "most of what is sent there fails")
+		case e.bad < m.cfg.HealthyThreshold && held && s.mayImprove(now, m.cfg.MaxImprovements):
 			m.move(now, s, Healthy, "what is sent there is answered")
 		}
-	case Dark:
+	case Down:
 		switch {
-		case e.known > 0 && e.bad >= m.cfg.Clear:
+		case e.known > 0 && e.bad >= m.cfg.HealthyThreshold:
 			s.good = 0
 		case e.known > 0 && s.good == 0:
 			s.good = now
 		}
 		// Between the trials of a trickle nothing is known for long: that speaks neither for the site nor against it.
-		if s.good != 0 && held && now-s.good >= m.jitter(s) && s.mayImprove(now, m.cfg.Changes) {
-			s.climb = min(m.cfg.Climb<<min(s.relapses, 20), m.cfg.MostClimb)
+		if s.good != 0 && held && now-s.good >= m.jitter(s) && s.mayImprove(now, m.cfg.MaxImprovements) {
+			s.climb = min(m.cfg.RecoveryTime<<min(s.relapses, 20), m.cfg.MaxRecoveryTime)
 			s.good, s.climbed, s.proof = 0, 0, 0
-			s.from = max(m.cfg.First/float64(uint64(1)<<min(s.relapses, 20)), trialShare)
-			m.move(now, s, Returning, "trials are answered")
+			s.from = max(m.cfg.InitialShare/float64(uint64(1)<<min(s.relapses, 20)), trialShare)
+			m.move(now, s, Recovering, "trials are answered")
 		}
-	case Returning:
+	case Recovering:
 		// The share grows with time, but no further than the answers stand for.
 		done := min(since, s.proof)
 		s.climbed, s.proof = s.climbed+done, s.proof-done
 		switch {
 		case m.alone:
-		case e.known > 0 && e.bad >= m.cfg.Doubt:
+		case e.known > 0 && e.bad >= m.cfg.DegradedThreshold:
 			s.relapses++
-			m.move(now, s, Dark, "it fails again")
-		case s.climbed >= s.climb && s.mayImprove(now, m.cfg.Changes):
+			m.move(now, s, Down, "it fails again")
+		case s.climbed >= s.climb && s.mayImprove(now, m.cfg.MaxImprovements):
 			s.calm = now
 			m.move(now, s, Healthy, "it takes all its traffic")
 		}
@@ -365,14 +365,14 @@
 
 func (m *Monitor) move(now Time, s *site, to State, reason string) {
 	from := s.state
-	if s.before = from; from == Doubtful && now-s.since <= m.cfg.Hold { // on the way from one to another
+	if s.before = from; from == Degraded && now-s.since <= m.cfg.HoldTime { // on the way from one to another
 		s.before = Healthy
 	}
-	if to == Healthy || to == Returning {
+	if to == Healthy || to == Recovering {
 		s.changes = append(s.changes, now)
 	}
 	s.state, s.since = to, now
-	if to == Dark {
+	if to == Down {
 		s.run.clear()
 	}
 	m.log(Transition{s.name, from, to, now, s.evidence.known, s.evidence.bad, reason})
@@ -384,7 +384,7 @@
 	for _, c := range []byte(s.name) {
 		h = (h ^ uint64(c)) * 0x100000001b3
 	}
-	return time.Duration(float64(m.cfg.Hold) / 2 * float64(h>>11) / (1 << 53))
+	return time.Duration(float64(m.cfg.HoldTime) / 2 * float64(h>>11) / (1 << 53))
 }
 
 // Share returns which part of its traffic a site may take now, 0 to 1. Of a site that is not known it is 1.
@@ -419,11 +419,11 @@
 		return 1
 	}
 	switch s.state {
-	case Doubtful:
-		return max(1-s.evidence.bad, m.cfg.First)
-	case Dark:
+	case Degraded:
+		return max(1-s.evidence.bad, m.cfg.InitialShare)
+	case Down:
 		return m.trials(now, s)
-	case Returning: // by equal factors in equal times, as a queue that is too long shows late
+	case Recovering: // by equal factors in equal times, as a queue that is too long shows late
 		grown := s.from * math.Pow(1/s.from, float64(s.climbed)/float64(s.climb))
 		return min(1, max(grown, m.trials(now, s)))
 	}
@@ -439,31 +439,31 @@
 	return max(trialShare, share)
 }
 
-// View is what a Monitor holds of a site.
-type View struct {
-	Site       string
-	State      State
-	Since      Time // of the state
-	Share      float64
-	Servers    int
-	Known      int     // servers of which enough is known
-	Bad        float64 // the part of them that fails
-	Relapses   int
-	Normal     float64 // requests a second that are the site's by its servers
-	Spilled    uint64  // requests that were added for others
-	TurnedAway uint64  // requests meant for it that no other site had room for
+// SiteSnapshot is what a Monitor holds of a site.
+type SiteSnapshot struct {
+	Site         string
+	State        State
+	Since        Time // of the state
+	Share        float64
+	Servers      int
+	KnownServers int     // servers of which enough is known
+	FailureRatio float64 // the part of them that fails
+	Relapses     int
+	NormalRate   float64 // requests a second that are the site's by its servers
+	Spilled      uint64  // requests that were added for others
+	TurnedAway   uint64  // requests meant for it that no other site had room for
 }
 
 // String describes v for logs.
-func (v View) String() string {
-	return fmt.Sprintf("%s %s, share %.2f, %d of %d servers known, %.2f bad", v.Site, v.State, v.Share, v.Known, v.Servers, v.Bad)
+func (v SiteSnapshot) String() string {
+	return fmt.Sprintf("%s %s, share %.2f, %d of %d servers known, %.2f bad", v.Site, v.State, v.Share, v.KnownServers, v.Servers, v.FailureRatio)
 }
 
-// Views returns all sites in the order of preference.
-func (m *Monitor) Views(now Time) []View {
-	var all []View
+// Snapshot returns all sites in the order of preference.
+func (m *Monitor) Snapshot(now Time) []SiteSnapshot {
+	var all []SiteSnapshot
 	for _, s := range m.ranked {
-		all = append(all, View{
+		all = append(all, SiteSnapshot{
 			s.name, s.state, s.since, m.share(now, s), s.servers, s.evidence.known, s.evidence.bad, s.relapses, m.normal(now, s), s.spilled, s.turnedAway,
 		})
 	}
--- a/sites/plan.go
+++ b/sites/plan.go
@@ -230,7 +230,7 @@
 				tier = &r.buckets[i]
 			}
 			for _, name := range t.Sites {
-				if try(m.sites[name], tier, t.Most*r.offered.normal(now)) {
+				if try(m.sites[name], tier, t.MaxShare*r.offered.normal(now)) {
 					return to, 0
 				}
 			}
@@ -240,20 +240,20 @@
 		s.turnedAway++
 	}
 	if wait == math.MaxInt64 { // nobody could take it: until one may be better
-		wait = m.cfg.Hold
+		wait = m.cfg.HoldTime
 	}
 	return "", wait
 }
 
 // mayTakeOver reports whether s may have what is meant for others: one that is dark or on its way back may not.
 func (s *site) mayTakeOver() bool {
-	return s.servers > 0 && (s.state == Healthy || s.state == Doubtful)
+	return s.servers > 0 && (s.state == Healthy || s.state == Degraded)
 }
 
 // room is how many requests a second s may have, its own among them, before nothing more is added to it. Of one that is doubtful
 // only the part counts that does not fail: to add nothing there would turn all away that is meant for a dark site beside it.
 func (m *Monitor) room(now Time, s *site) float64 {
-	return (1 + m.cfg.Spill) * m.normal(now, s) * m.share(now, s)
+	return (1 + m.cfg.MaxSpill) * m.normal(now, s) * m.share(now, s)
 }
 
 // HasSpareCapacity reports whether what has been asked before may go to a site now: it has room for more than its own.
--- a/sites/plan_test.go
+++ b/sites/plan_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	now := Time(time.Hour)
-	m.Servers(now, list(20, "a", "b"))
+	m.UpdateServers(now, list(20, "a", "b"))
 	rng := rand.New(rand.NewPCG(5, 6))
 	dark, tried, failed := false, 0, 0
 	run := func(d time.Duration) {
@@ -33,18 +33,18 @@
 			if !ok {
 				failed++
 			}
-			m.Outcome(now, fmt.Sprint(site, "-", rng.IntN(5)), ok)
+			m.RecordOutcome(now, fmt.Sprint(site, "-", rng.IntN(5)), ok)
 			m.Tick(now)
 		}
 	}
 	run(10 * time.Minute)
 	if m.Share(now, "a") < 1 || m.Share(now, "b") < 1 {
-		t.Fatalf("a calm time: %v", m.Views(now))
+		t.Fatalf("a calm time: %v", m.Snapshot(now))
 	}
 	dark = true
 	run(5 * time.Minute)
-	if m.Views(now)[0].State != Dark || failed > 14 {
-		t.Errorf("after %d failures it is %v", failed, m.Views(now)[0])
+	if m.Snapshot(now)[0].State != Down || failed > 14 {
+		t.Errorf("after %d failures it is %v", failed, m.Snapshot(now)[0])
 	}
 	tried = 0
 	run(time.Hour)
@@ -53,7 +53,7 @@
 	}
 	dark = false
 	run(2 * time.Hour)
-	if s := m.Views(now)[0]; s.State != Healthy {
+	if s := m.Snapshot(now)[0]; s.State != Healthy {
 		t.Errorf("two hours after its return it is %v", s)
 	}
 }
@@ -62,15 +62,15 @@
 func TestIllServer(t *testing.T) {
 	m, _ := New(Config{}, nil)
 	now := Time(time.Hour)
-	m.Servers(now, list(20, "a", "b"))
+	m.UpdateServers(now, list(20, "a", "b"))
 	for range 100 {
 		now += 5 * time.Second
 		m.RecordRequest(now, "", "", false)
-		m.Outcome(now, "a-1", false)
-		m.Outcome(now, "b-1", true)
+		m.RecordOutcome(now, "a-1", false)
+		m.RecordOutcome(now, "b-1", true)
 		m.Tick(now)
 	}
-	if s := m.Views(now)[0]; s.State != Healthy {
+	if s := m.Snapshot(now)[0]; s.State != Healthy {
 		t.Errorf("%v", s)
 	}
 }
@@ -78,15 +78,15 @@
 // TestLost: the traffic of a site that the list has lost is added to the others within the bound only, and becomes theirs as
 // time goes; a site some of whose servers are gone keeps all of it.
 func TestLost(t *testing.T) {
-	w := newWorld(t, Config{Fade: time.Minute, Spill: 0.2})
+	w := newWorld(t, Config{LostSiteHalfLife: time.Minute, MaxSpill: 0.2})
 	w.run(time.Minute)
-	w.Servers(w.now, append(list(1, "a"), list(4, "b")...))
+	w.UpdateServers(w.now, append(list(1, "a"), list(4, "b")...))
 	if _, lost := w.HomeSites("", ""); lost != 0 {
 		t.Errorf("with a server left %.2f is lost", lost)
 	}
-	w.Servers(w.now, list(4, "a", "b"))
+	w.UpdateServers(w.now, list(4, "a", "b"))
 	for left := 3; left >= 0; left-- { // the list drops them one by one
-		w.Servers(w.now, append(list(left, "a"), list(4, "b")...))
+		w.UpdateServers(w.now, append(list(left, "a"), list(4, "b")...))
 	}
 	if sites, lost := w.HomeSites("", ""); sites != nil || lost < 0.49 || lost > 0.51 {
 		t.Fatalf("%v, %.2f is lost", sites, lost)
@@ -115,7 +115,7 @@
 		t.Errorf("after about a half-life %.2f is lost", lost)
 	}
 	w.run(10 * time.Minute)
-	w.Servers(w.now, list(4, "b"))
+	w.UpdateServers(w.now, list(4, "b"))
 	if _, lost := w.HomeSites("", ""); lost != 0 || len(w.sites) != 1 {
 		t.Errorf("at the end %.2f is lost, and %d sites are kept", lost, len(w.sites))
 	}
@@ -124,12 +124,12 @@
 // TestTiers: a rule's requests are meant for its first tier that has servers, go over in the order of its tiers and within
 // what each may take, and never to a site that it does not name.
 func TestTiers(t *testing.T) {
-	w := newWorld(t, Config{Spill: 10, Rules: []Rule{
-		{Classes: []string{"order"}, Tiers: []Tier{{Sites: []string{"a"}}, {Sites: []string{"b"}, Most: 0.1}, {Sites: []string{"c"}}}},
+	w := newWorld(t, Config{MaxSpill: 10, Rules: []Rule{
+		{Classes: []string{"order"}, Tiers: []Tier{{Sites: []string{"a"}}, {Sites: []string{"b"}, MaxShare: 0.1}, {Sites: []string{"c"}}}},
 		{Tenants: []string{"north*"}, Tiers: []Tier{{Sites: []string{"b"}}}},
 		{Tiers: []Tier{{Sites: []string{"gone", "c"}}, {Sites: []string{"a"}}}},
 	}})
-	w.Servers(w.now, list(4, "a", "b", "c"))
+	w.UpdateServers(w.now, list(4, "a", "b", "c"))
 	for _, tt := range []struct{ class, tenant, home string }{
 		{"order", "north-1", "[a]"}, {"check", "north-1", "[b]"}, {"check", "south", "[gone c]"},
 	} {
@@ -152,12 +152,12 @@
 	if site, after := w.Spill(w.now, "check", "north-1", "b", 1); site != "" || after <= 0 {
 		t.Errorf("what is for b alone goes to %q", site)
 	}
-	w.Servers(w.now, list(4, "a", "b")) // the list loses c: what is meant for it is lost until that has faded
+	w.UpdateServers(w.now, list(4, "a", "b")) // the list loses c: what is meant for it is lost until that has faded
 	if _, lost := w.HomeSites("check", "south"); lost != 1 {
 		t.Errorf("%.2f of what is meant for c is lost", lost)
 	}
 	w.run(20 * time.Minute)
-	w.Servers(w.now, list(4, "a", "b"))
+	w.UpdateServers(w.now, list(4, "a", "b"))
 	if sites, lost := w.HomeSites("check", "south"); fmt.Sprint(sites) != "[a]" || lost != 0 {
 		t.Errorf("later: %v, %.2f lost", sites, lost)
 	}
@@ -165,7 +165,7 @@
 
 // TestAdded: further attempts at other sites are counted against the same bound, and never go to a site that is dark.
 func TestAdded(t *testing.T) {
-	w := newWorld(t, Config{Spill: 0.1})
+	w := newWorld(t, Config{MaxSpill: 0.1})
 	w.run(time.Minute)
 	n := 0
 	for i := range 2000 {
@@ -200,20 +200,20 @@
 	w.run(20 * time.Second)
 	v := newWorld(t, Config{})
 	v.now = w.now + time.Hour // its clock is another
-	v.Servers(v.now, list(4, "a", "b"))
-	v.Recall(v.now, w.Memory(w.now))
-	if v.state("a") != Dark || v.Share(v.now, "a") > 1.1*w.Share(w.now, "a") || v.state("b") != Healthy {
-		t.Errorf("%v, was %v", v.Views(v.now), w.Views(w.now))
+	v.UpdateServers(v.now, list(4, "a", "b"))
+	v.Restore(v.now, w.Learned(w.now))
+	if v.state("a") != Down || v.Share(v.now, "a") > 1.1*w.Share(w.now, "a") || v.state("b") != Healthy {
+		t.Errorf("%v, was %v", v.Snapshot(v.now), w.Snapshot(w.now))
 	}
-	if a, b := v.Views(v.now)[0].Normal, w.Views(w.now)[0].Normal; a < b*0.9 || a > b*1.1 {
+	if a, b := v.Snapshot(v.now)[0].NormalRate, w.Snapshot(w.now)[0].NormalRate; a < b*0.9 || a > b*1.1 {
 		t.Errorf("normal is %.1f, was %.1f", a, b)
 	}
-	for _, bad := range []SiteMemory{
-		{Site: "nowhere", State: Dark, Climb: time.Minute}, {Site: "b", State: 9, Climb: time.Minute}, {Site: "b", State: -1, Climb: time.Minute},
-		{Site: "b", State: Dark, Climb: 1}, {Site: "b", State: Dark, Climb: 1 << 60}, {Site: "b", State: Returning, Climb: time.Minute, From: 7},
-		{Site: "b", State: Dark, Climb: time.Minute, Relapses: -1}, {Site: "b", State: Dark, Climb: time.Minute, For: -1},
+	for _, bad := range []LearnedSite{
+		{Site: "nowhere", State: Down, RecoveryTime: time.Minute}, {Site: "b", State: 9, RecoveryTime: time.Minute}, {Site: "b", State: -1, RecoveryTime: time.Minute},
+		{Site: "b", State: Down, RecoveryTime: 1}, {Site: "b", State: Down, RecoveryTime: 1 << 60}, {Site: "b", State: Recovering, RecoveryTime: time.Minute, InitialShare: 7},
+		{Site: "b", State: Down, RecoveryTime: time.Minute, Relapses: -1}, {Site: "b", State: Down, RecoveryTime: time.Minute, StateAge: -1},
 	} {
-		v.Recall(v.now, Memory{Offered: -5, Sites: []SiteMemory{bad}})
+		v.Restore(v.now, Learned{RequestRate: -5, Sites: []LearnedSite{bad}})
 		if v.state("b") != Healthy || len(v.sites) != 2 {
 			t.Errorf("%+v was believed", bad)
 		}
@@ -226,14 +226,14 @@
 	w.run(30 * time.Second)
 	w.up["a"] = is(0)
 	w.run(10 * time.Second)
-	if err := w.Reconfigure(Config{Spill: 0.2, Prefer: []string{"b"}}); err != nil {
+	if err := w.Reconfigure(Config{MaxSpill: 0.2, Prefer: []string{"b"}}); err != nil {
 		t.Fatal(err)
 	}
-	if w.state("a") != Dark || w.Views(w.now)[0].Site != "b" || w.cfg.Spill != 0.2 {
-		t.Errorf("%v", w.Views(w.now))
+	if w.state("a") != Down || w.Snapshot(w.now)[0].Site != "b" || w.cfg.MaxSpill != 0.2 {
+		t.Errorf("%v", w.Snapshot(w.now))
 	}
-	if err := w.Reconfigure(Config{Spill: -1}); err == nil || w.cfg.Spill != 0.2 {
-		t.Errorf("spill %v: %v", w.cfg.Spill, err)
+	if err := w.Reconfigure(Config{MaxSpill: -1}); err == nil || w.cfg.MaxSpill != 0.2 {
+		t.Errorf("spill %v: %v", w.cfg.MaxSpill, err)
 	}
 }
 
@@ -245,8 +245,8 @@
 		"rules[0].classes[1]:":        {{Classes: []string{"b", "b"}, Tiers: a}},
 		"rules[0].tenants[0]:":        {{Tenants: []string{"x*y"}, Tiers: a}},
 		"rules[0].tiers[0].sites:":    {{Tiers: []Tier{{}}}},
-		"rules[0].tiers[0].most:":     {{Tiers: []Tier{{Sites: b, Most: 0.5}}}},
-		"rules[0].tiers[1].most:":     {{Tiers: []Tier{{Sites: b}, {Sites: []string{"a"}, Most: 2}}}},
+		"rules[0].tiers[0].most:":     {{Tiers: []Tier{{Sites: b, MaxShare: 0.5}}}},
+		"rules[0].tiers[1].most:":     {{Tiers: []Tier{{Sites: b}, {Sites: []string{"a"}, MaxShare: 2}}}},
 		"rules[0].tiers[1].sites:":    {{Tiers: []Tier{{Sites: b}, {Sites: b}}}},
 		"rules[1]: it is never":       {{Tiers: a}, {Classes: b, Tiers: a}},
 		"rules[2]: it is never":       {{Classes: b, Tiers: a}, {Tenants: []string{"n*"}, Tiers: a}, {Classes: b, Tenants: []string{"no*", "nx"}, Tiers: a}},
--- a/sites/sites_test.go
+++ b/sites/sites_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	w.Monitor = m
-	w.Servers(w.now, list(4, "a", "b"))
+	w.UpdateServers(w.now, list(4, "a", "b"))
 	return w
 }
 
@@ -57,13 +57,13 @@
 		if ok {
 			w.served++
 		}
-		w.Outcome(w.now, fmt.Sprint(site, "-", w.rng.IntN(4)), ok)
+		w.RecordOutcome(w.now, fmt.Sprint(site, "-", w.rng.IntN(4)), ok)
 		w.Tick(w.now)
 	}
 }
 
 func (w *world) state(site string) State {
-	for _, v := range w.Views(w.now) {
+	for _, v := range w.Snapshot(w.now) {
 		if v.Site == site {
 			return v.State
 		}
@@ -87,7 +87,7 @@
 		t.Fatalf("after a second of failures it is %v", s)
 	}
 	w.run(2 * time.Second)
-	if s := w.state("a"); s != Dark {
+	if s := w.state("a"); s != Down {
 		t.Fatalf("after three seconds of failures it is %v", s)
 	}
 	w.sent["a"] = 0
@@ -121,7 +121,7 @@
 	w.run(5 * time.Second)
 	w.moves = nil
 	w.run(time.Minute)
-	if s := w.Share(w.now, "a"); w.state("a") != Doubtful || s < 0.3 || s > 0.7 {
+	if s := w.Share(w.now, "a"); w.state("a") != Degraded || s < 0.3 || s > 0.7 {
 		t.Errorf("%v with a share of %.2f", w.state("a"), s)
 	}
 	if len(w.moves) > 6 {
@@ -136,7 +136,7 @@
 	w.up["a"], w.up["b"] = is(0), is(0)
 	w.run(10 * time.Second)
 	if a, b := w.Share(w.now, "a"), w.Share(w.now, "b"); a < 1 || b < 1 {
-		t.Errorf("shares %.2f and %.2f, want all: %v", a, b, w.Views(w.now))
+		t.Errorf("shares %.2f and %.2f, want all: %v", a, b, w.Snapshot(w.now))
 	}
 }
 
@@ -148,15 +148,15 @@
 	w.up["a"] = is(0)
 	w.run(5 * time.Second)
 	before := w.Share(w.now, "a")
-	w.Servers(w.now, nil)
-	if got := w.Share(w.now, "a"); got != before || w.state("a") != Dark {
+	w.UpdateServers(w.now, nil)
+	if got := w.Share(w.now, "a"); got != before || w.state("a") != Down {
 		t.Errorf("after an empty list: %v, share %.2f", w.state("a"), got)
 	}
 	var fresh []Server
 	for _, s := range list(4, "a") {
 		fresh = append(fresh, Server{"new-" + s.ID, s.Site})
 	}
-	w.Servers(w.now, append(fresh, list(4, "b")...))
+	w.UpdateServers(w.now, append(fresh, list(4, "b")...))
 	if got := w.Share(w.now, "a"); got != before {
 		t.Errorf("under new ids its share is %.2f", got)
 	}
@@ -181,14 +181,14 @@
 		w.run(10 * time.Minute)
 		better := 0
 		for _, x := range w.moves {
-			if x.To == Healthy || x.To == Returning {
+			if x.To == Healthy || x.To == Recovering {
 				better++
 			}
 		}
 		for i := range w.moves { // within any minute
 			n := 0
 			for _, x := range w.moves[i:] {
-				if x.At < w.moves[i].At+time.Minute && (x.To == Healthy || x.To == Returning) {
+				if x.At < w.moves[i].At+time.Minute && (x.To == Healthy || x.To == Recovering) {
 					n++
 				}
 			}
@@ -208,17 +208,17 @@
 // TestRelapse: each relapse halves the share with which the next climb begins and doubles its time, up to a bound, and a long
 // calm makes up for it.
 func TestRelapse(t *testing.T) {
-	w := newWorld(t, Config{MostClimb: 40 * time.Second})
+	w := newWorld(t, Config{MaxRecoveryTime: 40 * time.Second})
 	w.run(5 * time.Second)
 	var from []float64
 	var climbs []time.Duration
 	for range 3 {
 		w.up["a"] = is(0)
-		for w.state("a") != Dark {
+		for w.state("a") != Down {
 			w.run(100 * ms)
 		}
 		w.up["a"] = is(1)
-		for w.state("a") != Returning {
+		for w.state("a") != Recovering {
 			w.run(100 * ms)
 		}
 		from, climbs = append(from, w.sites["a"].from), append(climbs, w.sites["a"].climb)
@@ -243,13 +243,13 @@
 		normal, spilled, refused := 0.0, 0, 0
 		const seconds = 60
 		for i := range n {
-			m, err := New(Config{Ordinal: i, GroupSize: n, Spill: 0.5}, nil)
+			m, err := New(Config{Ordinal: i, GroupSize: n, MaxSpill: 0.5}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			rate := 1300 / float64(n) * math.Pow(rng.Float64(), -0.6) * 0.4 // Pareto: some have many times the mean
 			now := Time(time.Hour)
-			m.Servers(now, list(4, "a", "b"))
+			m.UpdateServers(now, list(4, "a", "b"))
 			gap := func() Time { return Time(rng.ExpFloat64() / rate * float64(time.Second)) }
 			for until := now + 2*time.Minute; now < until; now += gap() {
 				m.RecordRequest(now, "", "", false)
@@ -279,12 +279,12 @@
 
 // TestWorth: what is worth little is turned away first, and what is worth most only when nothing is left.
 func TestWorth(t *testing.T) {
-	m, err := New(Config{Spill: 0.2}, nil)
+	m, err := New(Config{MaxSpill: 0.2}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := Time(time.Hour)
-	m.Servers(now, list(4, "a", "b"))
+	m.UpdateServers(now, list(4, "a", "b"))
 	for range 60_000 { // 1000 a second
 		m.RecordRequest(now, "", "", false)
 		now += ms
@@ -306,11 +306,11 @@
 	if total := spilled[1] + spilled[0.2]; total > 3000 || spilled[0.2] > spilled[1]/10 {
 		t.Errorf("spilled %v", spilled)
 	}
-	if v := m.Views(now); v[1].Site != "b" || v[1].Spilled != uint64(spilled[1]+spilled[0.2]) || v[0].TurnedAway != 20_000-v[1].Spilled {
+	if v := m.Snapshot(now); v[1].Site != "b" || v[1].Spilled != uint64(spilled[1]+spilled[0.2]) || v[0].TurnedAway != 20_000-v[1].Spilled {
 		t.Errorf("counted %+v", v)
 	}
 	only, _ := New(Config{}, nil)
-	only.Servers(now, list(4, "a"))
+	only.UpdateServers(now, list(4, "a"))
 	if to, _ := only.Spill(now, "", "", "a", 1); to != "" {
 		t.Error("a site's requests spill to itself")
 	}
@@ -338,9 +338,9 @@
 // TestConfig: what is out of range is named.
 func TestConfig(t *testing.T) {
 	for field, cfg := range map[string]Config{
-		"prefer[1]": {Prefer: []string{"a", "a"}}, "clear": {Clear: 0.5}, "doubt": {Doubt: 0.9}, "dark": {Dark: 1.5}, "first": {First: -1},
-		"spill": {Spill: math.NaN()}, "memory": {Memory: time.Hour}, "hold": {Hold: -1}, "climb": {Climb: time.Hour},
-		"most_climb": {MostClimb: 48 * time.Hour}, "changes": {Changes: -1}, "ordinal": {Ordinal: 3},
+		"prefer[1]": {Prefer: []string{"a", "a"}}, "clear": {HealthyThreshold: 0.5}, "doubt": {DegradedThreshold: 0.9}, "dark": {DownThreshold: 1.5}, "first": {InitialShare: -1},
+		"spill": {MaxSpill: math.NaN()}, "memory": {EvidenceHalfLife: time.Hour}, "hold": {HoldTime: -1}, "climb": {RecoveryTime: time.Hour},
+		"most_climb": {MaxRecoveryTime: 48 * time.Hour}, "changes": {MaxImprovements: -1}, "ordinal": {Ordinal: 3},
 	} {
 		if _, err := New(cfg, nil); err == nil || !strings.Contains(err.Error(), field+":") {
 			t.Errorf("%s: %v", field, err)
