--- a/exclusion/avoided.go
+++ b/exclusion/avoided.go
@@ -2,16 +2,18 @@
 
 import "quillfront/policy"
 
-// Avoided are the servers that have asked to be left alone for a while. At most half of those that could be used are left alone at once: a
-// fleet whose servers all ask for it is in need of clients that come back later, not of a sidecar that has nobody left. The zero value has
-// none.
+// Avoided holds the servers that have asked not to receive requests for a while. At most half of
+// the usable servers are avoided at the same time: if all servers of a fleet ask for it, the
+// clients must come back later, and a sidecar without any server left would not help. The zero
+// value is empty.
 type Avoided struct{ until map[policy.ServerID]int64 }
 
-// Add notes that a server asks to be left alone for forMs, at nowMs, where usable servers could be used if none were. It reports whether
-// it is left alone. A later end replaces an earlier one.
+// Add records that a server asks to be avoided for forMs from nowMs on, where usable is the number
+// of servers that could be used if none were avoided. It reports whether the server is avoided now.
+// If it was avoided already, the later end applies.
 func (a *Avoided) Add(id policy.ServerID, nowMs, forMs int64, usable int) bool {
-	until, is := a.until[id]
-	if !is && 2*(len(a.until)+1) > usable {
+	until, avoided := a.until[id]
+	if !avoided && 2*(len(a.until)+1) > usable {
 		return false
 	}
 	if a.until == nil {
@@ -21,22 +23,22 @@
 	return true
 }
 
-// Has reports whether a server is left alone.
+// Has reports whether a server is avoided.
 func (a *Avoided) Has(id policy.ServerID) bool {
-	_, is := a.until[id]
-	return is
+	_, avoided := a.until[id]
+	return avoided
 }
 
-// Expire takes those out whose time is over at nowMs, or for which gone is true, and returns them, with the time until the next one's is; 0:
-// there is none.
-func (a *Avoided) Expire(nowMs int64, gone func(policy.ServerID) bool) (back []policy.ServerID, nextMs int64) {
+// Expire removes the servers whose time has ended at nowMs or for which gone is true, and returns
+// them and the time until the next one ends, 0 if there is none.
+func (a *Avoided) Expire(nowMs int64, gone func(policy.ServerID) bool) (expired []policy.ServerID, nextMs int64) {
 	for id, until := range a.until {
 		if until <= nowMs || gone(id) {
-			back = append(back, id)
+			expired = append(expired, id)
 			delete(a.until, id)
 		} else if left := until - nowMs; nextMs == 0 || left < nextMs {
 			nextMs = left
 		}
 	}
-	return back, nextMs
+	return expired, nextMs
 }
--- a/exclusion/exclusion.go
+++ b/exclusion/exclusion.go
@@ -1,8 +1,10 @@
-// Package exclusion decides what the servers' list comes to when operators take servers out of it and put them back. A server
-// that is out counts as draining, whatever the list says of it meanwhile. One that is put back counts as cold from that
-// moment on until the list tells of its new start: it was restarted while it was out, and the list runs seconds late.
+// Package exclusion applies operators' changes to the server list: servers that they exclude and
+// include again at run time. An excluded server counts as draining, whatever the list says. One
+// that is included again counts as cold from that time on until the list reports its new start: it
+// was restarted while it was excluded, and the list lags by seconds.
 //
-// It does no I/O and reads no clock. Two processes that take over from one another share Absences as JSON.
+// The package does no I/O and reads no clock. Two processes share State as JSON while one takes
+// over from the other.
 package exclusion
 
 import (
@@ -14,112 +16,116 @@
 )
 
 const (
-	// MaxExcluded bounds the servers that may be out at once. Those that are no longer listed give way first.
+	// MaxExcluded limits the servers that are excluded at the same time. At the limit, a server
+	// that is no longer listed is dropped to make room.
 	MaxExcluded = 1024
-	// backMs is how long, in milliseconds, it is remembered that a server was put back. The list has told of its new start
-	// by then, or there was none, and it is warm.
-	backMs = 60_000
+	// restoredTTLMs is how long a Restored entry is kept, in milliseconds. By then the list has
+	// reported the new start of the server, or the server did not restart and is warm.
+	restoredTTLMs = 60_000
 )
 
 // The errors of Exclude and Include.
 var (
-	// ErrUnknown tells that the list has no server of that id, and that none of that id is out.
+	// ErrUnknown means that no server with the ID is listed or excluded.
 	ErrUnknown = errors.New("no such server")
-	// ErrTooMany tells that MostOut servers are out already.
+	// ErrTooMany means that MaxExcluded servers are excluded already.
 	ErrTooMany = errors.New("too many servers are out")
 )
 
-// State is which servers operators have out, and which they have put back of late. The zero value has none.
+// State holds the servers that operators have excluded, and those that they recently included
+// again. The zero value is empty and ready to use.
 type State struct {
 	Excluded map[policy.ServerID]Excluded `json:"out,omitempty"`
 	Restored map[policy.ServerID]Restored `json:"back,omitempty"`
 }
 
-// Excluded is a server that is out.
+// Excluded is an excluded server. Times are Unix times in milliseconds.
 type Excluded struct {
-	StartedMs  int64 `json:"born_ms"` // its start as it was listed when it was taken out: Unix time in milliseconds, 0 is long ago
-	ExcludedMs int64 `json:"from_ms"` // when it was taken out
+	StartedMs  int64 `json:"born_ms"` // start as listed at the time of the exclusion; 0: long ago
+	ExcludedMs int64 `json:"from_ms"` // time of the exclusion
 }
 
-// Restored is a server that was put back.
+// Restored is a server that was included again.
 type Restored struct {
-	StartedMs  int64 `json:"born_ms"`  // its start as it was listed before it was taken out
-	RestoredMs int64 `json:"since_ms"` // when it was put back
+	StartedMs  int64 `json:"born_ms"`  // start as listed before the exclusion
+	RestoredMs int64 `json:"since_ms"` // time of the inclusion
 }
 
-// Entry is what the list says of a server, as far as it matters here.
+// Entry is the part of a server's list entry that this package uses.
 type Entry struct {
 	ID        policy.ServerID
 	State     policy.ServerState
 	StartedMs int64
 }
 
-// Exclude takes a server out. To do so twice is as to do so once. listed tells what the list says of a server.
-func (a *State) Exclude(id policy.ServerID, listed func(policy.ServerID) (Entry, bool), nowMs int64) error {
-	if _, out := a.Excluded[id]; out {
+// Exclude excludes a server. It has no effect on one that is excluded already. listed returns the
+// list entry of a server.
+func (s *State) Exclude(id policy.ServerID, listed func(policy.ServerID) (Entry, bool), nowMs int64) error {
+	if _, excluded := s.Excluded[id]; excluded {
 		return nil
 	}
 	e, known := listed(id)
 	if !known {
 		return ErrUnknown
 	}
-	if len(a.Excluded) >= MaxExcluded && !a.makeRoom(listed) {
+	if len(s.Excluded) >= MaxExcluded && !s.evictUnlisted(listed) {
 		return ErrTooMany
 	}
-	if a.Excluded == nil {
-		a.Excluded = map[policy.ServerID]Excluded{}
+	if s.Excluded == nil {
+		s.Excluded = map[policy.ServerID]Excluded{}
 	}
-	a.Excluded[id] = Excluded{StartedMs: e.StartedMs, ExcludedMs: nowMs}
-	delete(a.Restored, id)
+	s.Excluded[id] = Excluded{StartedMs: e.StartedMs, ExcludedMs: nowMs}
+	delete(s.Restored, id)
 	return nil
 }
 
-// makeRoom forgets one server that is out and not listed, and reports whether there was one.
-func (a *State) makeRoom(listed func(policy.ServerID) (Entry, bool)) bool {
-	for _, id := range slices.Sorted(maps.Keys(a.Excluded)) {
+// evictUnlisted drops one excluded server that is not listed, and reports whether there was one.
+func (s *State) evictUnlisted(listed func(policy.ServerID) (Entry, bool)) bool {
+	for _, id := range slices.Sorted(maps.Keys(s.Excluded)) {
 		if _, known := listed(id); !known {
-			delete(a.Excluded, id)
+			delete(s.Excluded, id)
 			return true
 		}
 	}
 	return false
 }
 
-// Include puts a server back, however often it was taken out. One that is listed and was never out is left as it is.
-func (a *State) Include(id policy.ServerID, listed func(policy.ServerID) (Entry, bool), nowMs int64) error {
-	o, out := a.Excluded[id]
-	if !out {
+// Include includes a server again, however often it was excluded. It has no effect on a listed
+// server that is not excluded.
+func (s *State) Include(id policy.ServerID, listed func(policy.ServerID) (Entry, bool), nowMs int64) error {
+	o, excluded := s.Excluded[id]
+	if !excluded {
 		if _, known := listed(id); !known {
 			return ErrUnknown
 		}
 		return nil
 	}
-	delete(a.Excluded, id)
-	maps.DeleteFunc(a.Restored, func(_ policy.ServerID, b Restored) bool { return nowMs-b.RestoredMs >= backMs })
-	if a.Restored == nil {
-		a.Restored = map[policy.ServerID]Restored{}
+	delete(s.Excluded, id)
+	maps.DeleteFunc(s.Restored, func(_ policy.ServerID, b Restored) bool { return nowMs-b.RestoredMs >= restoredTTLMs })
+	if s.Restored == nil {
+		s.Restored = map[policy.ServerID]Restored{}
 	}
-	a.Restored[id] = Restored{StartedMs: o.StartedMs, RestoredMs: nowMs}
+	s.Restored[id] = Restored{StartedMs: o.StartedMs, RestoredMs: nowMs}
 	return nil
 }
 
-// Effective is e as it counts.
-func (a *State) Effective(e Entry) Entry {
-	if _, out := a.Excluded[e.ID]; out && e.State == policy.Ready {
+// Effective returns e with the exclusions and inclusions in s applied.
+func (s *State) Effective(e Entry) Entry {
+	if _, excluded := s.Excluded[e.ID]; excluded && e.State == policy.Ready {
 		e.State = policy.Draining
 	}
-	if b, back := a.Restored[e.ID]; back && e.StartedMs == b.StartedMs {
+	if b, restored := s.Restored[e.ID]; restored && e.StartedMs == b.StartedMs {
 		e.StartedMs = b.RestoredMs
 	}
 	return e
 }
 
-// Equal reports whether a and b say the same.
-func (a *State) Equal(b *State) bool {
-	return maps.Equal(a.Excluded, b.Excluded) && maps.Equal(a.Restored, b.Restored)
+// Equal reports whether s and b hold the same servers.
+func (s *State) Equal(b *State) bool {
+	return maps.Equal(s.Excluded, b.Excluded) && maps.Equal(s.Restored, b.Restored)
 }
 
-// Clone returns a copy that shares nothing with a.
-func (a *State) Clone() State {
-	return State{Excluded: maps.Clone(a.Excluded), Restored: maps.Clone(a.Restored)}
+// Clone returns a deep copy of s.
+func (s *State) Clone() State {
+	return State{Excluded: maps.Clone(s.Excluded), Restored: maps.Clone(s.Restored)}
 }
--- a/exclusion/exclusion_test.go
+++ b/exclusion/exclusion_test.go
@@ -101,7 +101,7 @@
 	for i := range MaxExcluded + 1 {
 		a.Include(id(i), l.listed, int64(i)*1000)
 	}
-	if len(a.Restored) > backMs/1000+1 {
+	if len(a.Restored) > restoredTTLMs/1000+1 {
 		t.Errorf("%d that were put back are remembered", len(a.Restored))
 	}
 }
--- a/internal/sitewatch/watcher.go
+++ b/internal/sitewatch/watcher.go
@@ -1,5 +1,6 @@
-// Package sitewatch hosts a monitor of sites beside a decision module: it tells the monitor what the module is told, and the
-// module what the monitor makes of it. The engine and the simulator's adapter both go through it.
+// Package sitewatch connects a sites.Monitor to a decision module: it passes the module's events to
+// the monitor, and the resulting shares of the sites to the module. The engine and the simulator's
+// adapter both use it.
 package sitewatch
 
 import (
@@ -10,146 +11,152 @@
 	"quillfront/sites"
 )
 
-// sharesEvery is how often the module is told of the sites' shares at most.
-const sharesEvery = 100 * time.Millisecond
+// shareInterval is the minimum time between two updates of the shares that events cause.
+const shareInterval = 100 * time.Millisecond
 
-// Module is a module that goes by a plan of sites.
+// Module is a decision module that supports a site plan.
 type Module interface {
 	SetSitePlan(policy.SitePlan)
 	SetSiteShares(map[string]float64)
 }
 
-// Watcher hosts a monitor. The zero Watcher watches nothing until it is given a configuration. It is not safe for concurrent use.
+// Watcher runs a monitor of sites for a module. A new Watcher does nothing until it is configured. It
+// is not safe for concurrent use.
 type Watcher struct {
-	module  Module
-	log     *slog.Logger
-	monitor *sites.Monitor // nil: sites are not watched
-	list    map[policy.ServerID]policy.Server
-	shared  policy.Time // when the module was last told of the shares
+	module   Module
+	log      *slog.Logger
+	monitor  *sites.Monitor // nil: sites are not watched
+	listed   map[policy.ServerID]policy.Server
+	sharedAt policy.Time // last update of the module's shares
 }
 
-// New returns a Host that watches nothing. A module that does not go by plans is left alone.
+// New returns a Watcher that watches nothing. It ignores a module that doesn't implement Module.
 func New(module any, log *slog.Logger) *Watcher {
-	h := &Watcher{log: log, list: map[policy.ServerID]policy.Server{}}
-	h.module, _ = module.(Module)
-	return h
+	w := &Watcher{log: log, listed: map[policy.ServerID]policy.Server{}}
+	w.module, _ = module.(Module)
+	return w
 }
 
-// Configure has sites be watched by cfg from now on, with the instance's number taken from p; nil ends it. What is known of sites
-// stays where they are watched already. The error names the field of cfg at fault; nothing has changed then.
-func (h *Watcher) Configure(now policy.Time, cfg *sites.Config, p policy.Config) error {
-	if h.module == nil {
+// Configure starts watching sites with cfg, or stops if cfg is nil. The ordinal and group size come
+// from p. If sites are watched already, their state is kept. If cfg is invalid, nothing changes and
+// the error names the field.
+func (w *Watcher) Configure(now policy.Time, cfg *sites.Config, p policy.Config) error {
+	if w.module == nil {
 		return nil
 	}
 	if cfg == nil {
-		if h.monitor != nil {
-			h.monitor = nil
-			h.module.SetSitePlan(nil)
-			h.module.SetSiteShares(nil)
+		if w.monitor != nil {
+			w.monitor = nil
+			w.module.SetSitePlan(nil)
+			w.module.SetSiteShares(nil)
 		}
 		return nil
 	}
 	c := *cfg
 	c.Ordinal, c.GroupSize = p.Ordinal, p.GroupSize
-	if h.monitor != nil {
-		if err := h.monitor.Reconfigure(c); err != nil {
+	if w.monitor != nil {
+		if err := w.monitor.Reconfigure(c); err != nil {
 			return err
 		}
 	} else {
-		m, err := sites.New(c, h.note)
+		m, err := sites.New(c, w.logTransition)
 		if err != nil {
 			return err
 		}
-		h.monitor = m
-		h.tell(now)
-		h.module.SetSitePlan(m)
+		w.monitor = m
+		w.updateMonitor(now)
+		w.module.SetSitePlan(m)
 	}
-	h.share(now)
+	w.updateShares(now)
 	return nil
 }
 
-// note logs a transition with its evidence.
-func (h *Watcher) note(t sites.Transition) {
-	h.log.Warn("site", "site", t.Site, "from", t.From.String(), "to", t.To.String(), "reason", t.Reason, "servers_known", t.KnownServers, "bad", t.FailureRatio)
+// logTransition logs a transition with its evidence.
+func (w *Watcher) logTransition(t sites.Transition) {
+	w.log.Warn("site", "site", t.Site, "from", t.From.String(), "to", t.To.String(), "reason", t.Reason, "servers_known", t.KnownServers, "bad", t.FailureRatio)
 }
 
-// UpdateServers notes a message about the list of servers, before or after the module has it.
-func (h *Watcher) UpdateServers(now policy.Time, kind policy.ListKind, entries []policy.Server) {
+// UpdateServers processes a message about the server list, before or after the module does.
+func (w *Watcher) UpdateServers(now policy.Time, kind policy.ListKind, entries []policy.Server) {
 	if kind == policy.ListFailed {
 		return
 	}
 	if kind.Complete() {
-		clear(h.list)
+		clear(w.listed)
 	}
 	for _, s := range entries {
 		if s.State == policy.Gone {
-			delete(h.list, s.ID)
+			delete(w.listed, s.ID)
 		} else {
-			h.list[s.ID] = s
+			w.listed[s.ID] = s
 		}
 	}
-	if h.monitor != nil {
-		h.tell(now)
-		h.share(now)
+	if w.monitor != nil {
+		w.updateMonitor(now)
+		w.updateShares(now)
 	}
 }
 
-// tell tells the monitor which servers may take requests.
-func (h *Watcher) tell(now policy.Time) {
+// updateMonitor passes the servers that may receive requests to the monitor.
+func (w *Watcher) updateMonitor(now policy.Time) {
 	var all []sites.Server
-	for id, s := range h.list {
+	for id, s := range w.listed {
 		if s.State == policy.Ready {
 			all = append(all, sites.Server{ID: string(id), Site: s.Zone})
 		}
 	}
-	h.monitor.UpdateServers(now, all)
+	w.monitor.UpdateServers(now, all)
 }
 
-// RecordOutcome notes how an attempt or a probe has ended, if that says something of the server.
-func (h *Watcher) RecordOutcome(now policy.Time, server policy.ServerID, status policy.Status) {
-	if h.monitor == nil || status == policy.Canceled || status == policy.NotSent {
+// RecordOutcome records the end of an attempt or a probe. Canceled and unsent attempts are ignored,
+// because they say nothing about the server.
+func (w *Watcher) RecordOutcome(now policy.Time, server policy.ServerID, status policy.Status) {
+	if w.monitor == nil || status == policy.Canceled || status == policy.NotSent {
 		return
 	}
-	h.monitor.RecordOutcome(now, string(server), status == policy.OK || status == policy.Overloaded || status == policy.Rejected)
-	if now-h.shared >= sharesEvery {
-		h.share(now)
+	w.monitor.RecordOutcome(now, string(server), status == policy.OK || status == policy.Overloaded || status == policy.Rejected)
+	if now-w.sharedAt >= shareInterval {
+		w.updateShares(now)
 	}
 }
 
-// Tick tells the module of the shares in time for a request.
-func (h *Watcher) Tick(now policy.Time) {
-	if h.monitor != nil && now-h.shared >= sharesEvery {
-		h.monitor.Tick(now)
-		h.share(now)
+// Tick updates the shares of the module. It is called before each request.
+func (w *Watcher) Tick(now policy.Time) {
+	if w.monitor != nil && now-w.sharedAt >= shareInterval {
+		w.monitor.Tick(now)
+		w.updateShares(now)
 	}
 }
 
-// share tells the module what each site may take.
-func (h *Watcher) share(now policy.Time) {
-	h.shared = now
-	h.module.SetSiteShares(h.monitor.Shares(now))
+// updateShares passes the shares of the sites to the module.
+func (w *Watcher) updateShares(now policy.Time) {
+	w.sharedAt = now
+	w.module.SetSiteShares(w.monitor.Shares(now))
 }
 
-// Snapshot returns what is held of each site, in the order of preference; none where sites are not watched.
-func (h *Watcher) Snapshot(now policy.Time) []sites.SiteSnapshot {
-	if h.monitor == nil {
+// Snapshot returns the state of each site in the order of preference, or nil if sites are not
+// watched.
+func (w *Watcher) Snapshot(now policy.Time) []sites.SiteSnapshot {
+	if w.monitor == nil {
 		return nil
 	}
-	return h.monitor.Snapshot(now)
+	return w.monitor.Snapshot(now)
 }
 
-// Learned returns what was learnt of sites, for whoever takes over.
-func (h *Watcher) Learned(now policy.Time) sites.Learned {
-	if h.monitor == nil {
+// Learned returns the state that the monitor hands over to its successor. It is empty if sites are
+// not watched.
+func (w *Watcher) Learned(now policy.Time) sites.Learned {
+	if w.monitor == nil {
 		return sites.Learned{}
 	}
-	return h.monitor.Learned(now)
+	return w.monitor.Learned(now)
 }
 
-// Restore has the monitor begin with what another one had learnt.
-func (h *Watcher) Restore(now policy.Time, m sites.Learned) {
-	if h.monitor != nil {
-		h.monitor.Restore(now, m)
-		h.share(now)
+// Restore makes the monitor continue from the state of another one. It has no effect if sites are not
+// watched.
+func (w *Watcher) Restore(now policy.Time, m sites.Learned) {
+	if w.monitor != nil {
+		w.monitor.Restore(now, m)
+		w.updateShares(now)
 	}
 }
--- a/reconfig/reconfig.go
+++ b/reconfig/reconfig.go
@@ -1,5 +1,5 @@
-// Package reconfig decides what a new configuration comes to while a sidecar runs: whether it is whole, and what holds until all
-// clients go by it. It does no I/O and reads no clock.
+// Package reconfig checks a new configuration for a running sidecar, and determines which rules
+// apply until all clients use the new ones. It does no I/O and reads no clock.
 package reconfig
 
 import (
@@ -12,85 +12,91 @@
 	"quillfront/policy"
 )
 
-// PreviousSuffix marks the name of a class as it was before a change of its rules. No path of a request can have it.
+// PreviousSuffix is appended to the name of a class as it was before a change of its rules. The
+// path of a request cannot contain it.
 const PreviousSuffix = "\x00before"
 
-// CheckComplete returns an error that names a key which now lacks though the running configuration's text has it, at whatever depth. Of
-// the elements of a list only the keys that all of them had are asked for. It guards against a file that is half written
-// or badly edited: what is missing would silently be zero. A key that is dropped on purpose takes a restart.
-func CheckComplete(running, now []byte) error {
+// CheckComplete returns an error that names a key which the running configuration has, at any
+// depth, and updated lacks. Of the elements of a list it requires the keys that all elements had.
+// This detects a file that is half written or badly edited, whose missing keys would silently
+// become zero. To remove a key on purpose, the sidecar must be restarted.
+func CheckComplete(running, updated []byte) error {
 	var a, b any
 	if err := json.Unmarshal(running, &a); err != nil {
 		return fmt.Errorf("the running configuration: %w", err)
 	}
-	if err := json.Unmarshal(now, &b); err != nil {
+	if err := json.Unmarshal(updated, &b); err != nil {
 		return err
 	}
-	return whole("", a, b)
+	return checkComplete("", a, b)
 }
 
-func whole(path string, was, is any) error {
-	switch was := was.(type) {
+// checkComplete compares the values at path.
+func checkComplete(path string, old, updated any) error {
+	switch old := old.(type) {
 	case map[string]any:
-		is, ok := is.(map[string]any)
+		updated, ok := updated.(map[string]any)
 		if !ok {
-			return fmt.Errorf("%s is no object", name(path))
+			return fmt.Errorf("%s is no object", displayPath(path))
 		}
-		for _, key := range slices.Sorted(maps.Keys(was)) {
-			v, ok := is[key]
+		for _, key := range slices.Sorted(maps.Keys(old)) {
+			v, ok := updated[key]
 			if !ok {
-				return fmt.Errorf("%s is not set, as it was", name(path+"."+key))
+				return fmt.Errorf("%s is missing, but set in the running configuration", displayPath(path+"."+key))
 			}
-			if err := whole(path+"."+key, was[key], v); err != nil {
+			if err := checkComplete(path+"."+key, old[key], v); err != nil {
 				return err
 			}
 		}
 	case []any:
-		is, ok := is.([]any)
+		updated, ok := updated.([]any)
 		if !ok {
-			return fmt.Errorf("%s is no list", name(path))
+			return fmt.Errorf("%s is no list", displayPath(path))
 		}
-		shape := common(was)
-		for i, v := range is {
+		shape := commonKeys(old)
+		for i, v := range updated {
 			if shape == nil {
 				break
 			}
-			if err := whole(fmt.Sprintf("%s[%d]", path, i), shape, v); err != nil {
+			if err := checkComplete(fmt.Sprintf("%s[%d]", path, i), shape, v); err != nil {
 				return err
 			}
 		}
 	case nil:
 	default:
-		if kind(is) != kind(was) {
-			return fmt.Errorf("%s is a %s, and was a %s", name(path), kind(is), kind(was))
+		if jsonType(updated) != jsonType(old) {
+			return fmt.Errorf("%s is a %s, and was a %s", displayPath(path), jsonType(updated), jsonType(old))
 		}
 	}
 	return nil
 }
 
-func name(path string) string {
+// displayPath returns the form of path for error messages.
+func displayPath(path string) string {
 	if path == "" {
 		return "the configuration"
 	}
 	return strings.TrimPrefix(path, ".")
 }
 
-func kind(v any) string {
+// jsonType returns the name of the type of a decoded JSON value.
+func jsonType(v any) string {
 	switch v.(type) {
 	case string:
 		return "string"
 	case float64:
 		return "number"
 	case bool:
-		return "truth value"
+		return "boolean"
 	case nil:
 		return "null"
 	}
 	return "list or object"
 }
 
-// common returns an object of the keys that all elements of a list have, nil if they are no objects.
-func common(list []any) any {
+// commonKeys returns an object with the keys that all elements of list have, or nil if it is empty
+// or has an element that is not an object. The values are those of the first element.
+func commonKeys(list []any) any {
 	var shape map[string]any
 	for _, v := range list {
 		o, ok := v.(map[string]any)
@@ -108,22 +114,24 @@
 	return shape
 }
 
-// Change is a change of the classes' rules.
+// Change is a change of the rules of classes.
 type Change struct {
-	Interim    policy.Config // until all clients go by the new rules: the classes of both, and of each limit the stricter
-	Final      policy.Config // from then on
-	HasInterim bool          // whether Now and Then differ
+	Interim    policy.Config // until all clients use the new rules: classes of both, stricter limits
+	Final      policy.Config // applies after that
+	HasInterim bool          // whether Interim differs from Final
 }
 
-// NewChange returns what follows when the configuration was, and is to be now. A class whose effect changes stays, as it was,
-// under its name with Before behind it: a request tells by its form which of the two it means. So does one that is
-// dropped, under its own name. Where only windows or groups of keys change, what may be done under both holds meanwhile.
-func NewChange(was, now policy.Config) Change {
-	c := Change{Interim: now, Final: now}
-	c.Interim.Classes = slices.Clone(now.Classes)
-	c.Interim.MaxAttempts = min(was.MaxAttempts, now.MaxAttempts)
-	c.HasInterim = c.Interim.MaxAttempts != now.MaxAttempts
-	for _, old := range was.Classes {
+// NewChange returns the change from the configuration running to updated. In the interim, a class
+// whose effect changes is also kept in its old form, under its name with PreviousSuffix appended:
+// the form of a request tells which of the two it means. A class that is removed is kept under its
+// own name. If only the validity or the group of a class's idempotency keys changes, what both
+// versions allow applies.
+func NewChange(running, updated policy.Config) Change {
+	c := Change{Interim: updated, Final: updated}
+	c.Interim.Classes = slices.Clone(updated.Classes)
+	c.Interim.MaxAttempts = min(running.MaxAttempts, updated.MaxAttempts)
+	c.HasInterim = c.Interim.MaxAttempts != updated.MaxAttempts
+	for _, old := range running.Classes {
 		if strings.HasSuffix(old.Name, PreviousSuffix) {
 			continue
 		}
@@ -144,10 +152,10 @@
 			case k.Group == old.Group || old.Group == policy.GroupAll:
 			case k.Group == policy.GroupAll:
 				k.Group = old.Group
-			default: // no server is in both groups for sure
+			default: // no server is certain to be in both groups
 				k.KeyTTL = 0
 			}
-			if *k == now.Classes[i] {
+			if *k == updated.Classes[i] {
 				continue
 			}
 		}
--- a/sites/config.go
+++ b/sites/config.go
@@ -1,9 +1,11 @@
-// Package sites decides how much of the traffic a site may take: what befalls its servers makes it doubtful or dark, what
-// is answered again lets it return by degrees, and what other sites take over for it is bounded. Which server of a site
-// takes a request is not its to say.
+// Package sites decides which share of its traffic each site receives. Failures of a site's servers
+// make the site degraded or down, answered trials let its share grow back step by step, and the
+// load that other sites take over for it is bounded. The package doesn't choose the server within
+// a site.
 //
-// It is a pure state machine: the host tells it what happens, and when; it starts nothing, reads no clock and draws no
-// random numbers, so that equal events give equal shares. docs/design/sites.md weighs the ways.
+// A Monitor is a pure state machine: the caller passes in events with their time. It starts no
+// goroutines, reads no clock and draws no random numbers, so equal events give equal shares.
+// docs/design/sites.md compares the alternatives.
 package sites
 
 import (
@@ -12,130 +14,141 @@
 	"time"
 )
 
-// Config bounds a Monitor. Zero values take the defaults.
+// Config configures a Monitor. Zero values take the defaults. Error messages name a field by its
+// key in the operator's file, which the field's comment gives in parentheses where it differs.
 type Config struct {
-	// Prefer is the order in which sites take over for others: the first that has room gets a request. Sites that it does not
-	// name come last, in the order of their names.
+	// Prefer is the order in which sites take over for others: the first with spare capacity gets
+	// the request. Sites that it doesn't name follow in the order of their names.
 	Prefer []string
-	// Rules say which sites requests are meant for, by class and tenant; the first that matches holds. Requests that none
-	// matches are meant for all sites alike. At most 64.
+	// Rules assign home sites to requests by class and tenant; the first match applies. The home of
+	// a request that no rule matches is every site. At most 64 rules.
 	Rules []Rule
-	// DegradedThreshold and DownThreshold are the parts of a site's servers that fail from which on it is doubtful or dark; 0.3 and 0.7. HealthyThreshold
-	// is the part below which it is neither; 0.15. It lies under DegradedThreshold, so that a load at the bound does not swing it.
+	// A site is degraded from DegradedThreshold (doubt; default 0.3) and down from DownThreshold
+	// (dark; default 0.7) on, each a fraction of its servers that fails. Below HealthyThreshold
+	// (clear; default 0.15) it is neither. HealthyThreshold is less than DegradedThreshold, so that
+	// a load around the limit doesn't make the site flap.
 	HealthyThreshold, DegradedThreshold, DownThreshold float64
-	// EvidenceHalfLife is how long evidence keeps half its weight; 1 s. HoldTime is how long a site stays as it is before it may get
-	// better; 3 s.
+	// EvidenceHalfLife (memory; default 1 s) is the half-life of the weight of an outcome. HoldTime
+	// (hold; default 3 s) is how long a site keeps its state before it may change to a better one.
 	EvidenceHalfLife, HoldTime time.Duration
-	// InitialShare is the share of its traffic with which a dark site begins to return; 0.05. Climb is how long it takes to all of
-	// it; 20 s. A relapse halves the one and doubles the other, up to MostClimb; 5 min.
+	// InitialShare (first; default 0.05) is the share of its traffic with which a site that was
+	// down starts to recover. RecoveryTime (climb; default 20 s) is the time from there to its full
+	// share. Each relapse halves the former and doubles the latter, up to MaxRecoveryTime
+	// (most_climb; default 5 min).
 	InitialShare                  float64
 	RecoveryTime, MaxRecoveryTime time.Duration
-	// MaxSpill is how much of a site's normal load may be added to it for others, as a part of that; 0.5.
+	// MaxSpill (spill; default 0.5) limits the requests that a site takes over for others, as a
+	// fraction of its normal load.
 	MaxSpill float64
-	// LostSiteHalfLife is how long the traffic of a site that the list has lost keeps half its weight as that site's; 2 min. Until then the
-	// others take it over within Spill only; a site that is closed for good becomes the others' normal load over it.
+	// LostSiteHalfLife (fade; default 2 min) is the half-life of the load attributed to a site that
+	// is no longer listed. The other sites take over attributed load within MaxSpill only; the load
+	// of a site that is closed for good becomes their normal load as the attribution decays.
 	LostSiteHalfLife time.Duration
-	// MaxImprovements bounds how often a minute a site may change its state for the better; 6.
+	// MaxImprovements (changes; default 6) limits how often per minute a site may change to a
+	// better state.
 	MaxImprovements int
-	// Ordinal and GroupSize are this instance's number among its peers: peers step at other moments, and share out the
-	// trials of a dark site.
+	// Ordinal and GroupSize are the number of this instance among its peers and their count. Peers
+	// change states at different times and share the trials of a site that is down.
 	Ordinal, GroupSize int
 }
 
-// Rule says for requests of some classes and tenants which sites they are meant for.
+// Rule assigns home sites to the requests of some classes and tenants.
 type Rule struct {
-	Classes []string // by name; empty: of all
-	Tenants []string // by name, or by what it begins with and a final "*"; empty: of all
-	Tiers   []Tier   // the most preferred first; sites that no tier names never get such requests. At most 16
+	Classes []string // names; empty matches all
+	Tenants []string // names, or prefixes that end in "*"; empty matches all
+	Tiers   []Tier   // most preferred first, at most 16; other sites never get the requests
 }
 
-// Tier is a set of sites of one preference.
+// Tier is a set of sites with the same preference.
 type Tier struct {
 	Sites []string
-	// MaxShare is the part of the rule's requests that may go to this tier for those before it; 1. The first tier has none.
+	// MaxShare (most; default 1) is the fraction of the rule's requests that may spill from earlier
+	// tiers to this one. It must not be set for the first tier.
 	MaxShare float64
 }
 
 const (
-	mostRules, mostTiers = 64, 16
-	// mostNames bounds the names that a rule lists of classes, tenants and sites each.
-	mostNames = 1024
+	maxRules, maxTiers = 64, 16
+	// maxNames limits the classes and the tenants of a rule, and the sites of a tier.
+	maxNames = 1024
 )
 
+// withDefaults returns c with its defaults filled in, or an error that names the first invalid
+// field.
 func (c Config) withDefaults() (Config, error) {
-	usual := func(v *float64, d float64) {
+	setDefault := func(v *float64, d float64) {
 		if *v == 0 {
 			*v = d
 		}
 	}
-	lasting := func(v *time.Duration, d time.Duration) {
+	setDefaultDuration := func(v *time.Duration, d time.Duration) {
 		if *v == 0 {
 			*v = d
 		}
 	}
-	usual(&c.HealthyThreshold, 0.15)
-	usual(&c.DegradedThreshold, 0.3)
-	usual(&c.DownThreshold, 0.7)
-	usual(&c.InitialShare, 0.05)
-	usual(&c.MaxSpill, 0.5)
-	lasting(&c.EvidenceHalfLife, time.Second)
-	lasting(&c.HoldTime, 3*time.Second)
-	lasting(&c.RecoveryTime, 20*time.Second)
-	lasting(&c.MaxRecoveryTime, 5*time.Minute)
-	lasting(&c.LostSiteHalfLife, 2*time.Minute)
+	setDefault(&c.HealthyThreshold, 0.15)
+	setDefault(&c.DegradedThreshold, 0.3)
+	setDefault(&c.DownThreshold, 0.7)
+	setDefault(&c.InitialShare, 0.05)
+	setDefault(&c.MaxSpill, 0.5)
+	setDefaultDuration(&c.EvidenceHalfLife, time.Second)
+	setDefaultDuration(&c.HoldTime, 3*time.Second)
+	setDefaultDuration(&c.RecoveryTime, 20*time.Second)
+	setDefaultDuration(&c.MaxRecoveryTime, 5*time.Minute)
+	setDefaultDuration(&c.LostSiteHalfLife, 2*time.Minute)
 	if c.MaxImprovements == 0 {
 		c.MaxImprovements = 6
 	}
 	if c.GroupSize == 0 {
 		c.GroupSize = 1
 	}
-	wrong := func(field, format string, args ...any) (Config, error) {
+	fieldError := func(field, format string, args ...any) (Config, error) {
 		return Config{}, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, args...))
 	}
-	if i, s := repeated(c.Prefer); i >= 0 {
-		return wrong(fmt.Sprintf("prefer[%d]", i), "%q is empty or there twice", s)
+	if i, s := findInvalid(c.Prefer); i >= 0 {
+		return fieldError(fmt.Sprintf("prefer[%d]", i), "%q is empty or a duplicate", s)
 	}
 	switch {
 	case !(c.HealthyThreshold > 0 && c.HealthyThreshold < c.DegradedThreshold):
-		return wrong("clear", "%v is outside 0 to doubt, which is %v", c.HealthyThreshold, c.DegradedThreshold)
+		return fieldError("clear", "%v is not between 0 and doubt (%v)", c.HealthyThreshold, c.DegradedThreshold)
 	case !(c.DegradedThreshold < c.DownThreshold):
-		return wrong("doubt", "%v is not below dark, which is %v", c.DegradedThreshold, c.DownThreshold)
+		return fieldError("doubt", "%v is not below dark (%v)", c.DegradedThreshold, c.DownThreshold)
 	case !(c.DownThreshold <= 1):
-		return wrong("dark", "%v is above 1", c.DownThreshold)
+		return fieldError("dark", "%v is above 1", c.DownThreshold)
 	case !(c.InitialShare > 0 && c.InitialShare <= 1):
-		return wrong("first", "%v is outside 0 to 1", c.InitialShare)
+		return fieldError("first", "%v is outside 0 to 1", c.InitialShare)
 	case !(c.MaxSpill >= 0 && c.MaxSpill <= 10):
-		return wrong("spill", "%v is outside 0 to 10", c.MaxSpill)
+		return fieldError("spill", "%v is outside 0 to 10", c.MaxSpill)
 	case c.EvidenceHalfLife < 100*time.Millisecond || c.EvidenceHalfLife > time.Minute:
-		return wrong("memory", "%v is outside 100ms to 1m", c.EvidenceHalfLife)
+		return fieldError("memory", "%v is outside 100ms to 1m", c.EvidenceHalfLife)
 	case c.HoldTime < 0 || c.HoldTime > time.Hour:
-		return wrong("hold", "%v is outside 0 to 1h", c.HoldTime)
+		return fieldError("hold", "%v is outside 0 to 1h", c.HoldTime)
 	case c.RecoveryTime < time.Second || c.RecoveryTime > c.MaxRecoveryTime:
-		return wrong("climb", "%v is outside 1s to most_climb, which is %v", c.RecoveryTime, c.MaxRecoveryTime)
+		return fieldError("climb", "%v is outside 1s to most_climb (%v)", c.RecoveryTime, c.MaxRecoveryTime)
 	case c.MaxRecoveryTime > 24*time.Hour:
-		return wrong("most_climb", "%v is above 24h", c.MaxRecoveryTime)
+		return fieldError("most_climb", "%v is above 24h", c.MaxRecoveryTime)
 	case c.LostSiteHalfLife < time.Second || c.LostSiteHalfLife > 24*time.Hour:
-		return wrong("fade", "%v is outside 1s to 24h", c.LostSiteHalfLife)
+		return fieldError("fade", "%v is outside 1s to 24h", c.LostSiteHalfLife)
 	case c.MaxImprovements < 1:
-		return wrong("changes", "%d is below 1", c.MaxImprovements)
+		return fieldError("changes", "%d is below 1", c.MaxImprovements)
 	case c.GroupSize < 1 || c.Ordinal < 0 || c.Ordinal >= c.GroupSize:
-		return wrong("ordinal", "%d is outside the %d instances", c.Ordinal, c.GroupSize)
-	case len(c.Rules) > mostRules:
-		return wrong("rules", "%d of them, at most %d may be", len(c.Rules), mostRules)
+		return fieldError("ordinal", "%d is not an ordinal of %d instances", c.Ordinal, c.GroupSize)
+	case len(c.Rules) > maxRules:
+		return fieldError("rules", "%d of them, at most %d may be", len(c.Rules), maxRules)
 	}
-	rules := make([]Rule, len(c.Rules)) // the caller's stay as they are
+	rules := make([]Rule, len(c.Rules)) // leaves the caller's slice unchanged
 	for i, r := range c.Rules {
 		if field, err := r.check(); err != nil {
-			return wrong(fmt.Sprintf("rules[%d].%s", i, field), "%v", err)
+			return fieldError(fmt.Sprintf("rules[%d].%s", i, field), "%v", err)
 		}
 		for j := range i {
 			if c.Rules[j].covers(r) {
-				return wrong(fmt.Sprintf("rules[%d]", i), "it is never reached: rules[%d] matches all that it does", j)
+				return fieldError(fmt.Sprintf("rules[%d]", i), "it is never reached: rules[%d] matches all its requests", j)
 			}
 		}
 		rules[i] = Rule{Classes: r.Classes, Tenants: r.Tenants, Tiers: make([]Tier, len(r.Tiers))}
 		for j, t := range r.Tiers {
-			usual(&t.MaxShare, 1)
+			setDefault(&t.MaxShare, 1)
 			rules[i].Tiers[j] = t
 		}
 	}
@@ -143,17 +156,17 @@
 	return c, nil
 }
 
-// check returns what of r is wrong, and its field.
+// check returns the first error in r and the path of the field that has it.
 func (r Rule) check() (field string, err error) {
 	for _, names := range []struct {
 		field string
 		list  []string
 	}{{"classes", r.Classes}, {"tenants", r.Tenants}} {
-		if i, s := repeated(names.list); i >= 0 {
-			return fmt.Sprintf("%s[%d]", names.field, i), fmt.Errorf("%q is empty or there twice", s)
+		if i, s := findInvalid(names.list); i >= 0 {
+			return fmt.Sprintf("%s[%d]", names.field, i), fmt.Errorf("%q is empty or a duplicate", s)
 		}
-		if len(names.list) > mostNames {
-			return names.field, fmt.Errorf("%d names, at most %d may be", len(names.list), mostNames)
+		if len(names.list) > maxNames {
+			return names.field, fmt.Errorf("%d names, at most %d are allowed", len(names.list), maxNames)
 		}
 	}
 	for i, t := range r.Tenants {
@@ -161,49 +174,50 @@
 			return fmt.Sprintf("tenants[%d]", i), fmt.Errorf("%q has a * before its end", t)
 		}
 	}
-	if len(r.Tiers) == 0 || len(r.Tiers) > mostTiers {
-		return "tiers", fmt.Errorf("%d of them, outside 1 to %d", len(r.Tiers), mostTiers)
+	if len(r.Tiers) == 0 || len(r.Tiers) > maxTiers {
+		return "tiers", fmt.Errorf("%d tiers, outside 1 to %d", len(r.Tiers), maxTiers)
 	}
 	var all []string
 	for i, t := range r.Tiers {
-		at := fmt.Sprintf("tiers[%d]", i)
+		path := fmt.Sprintf("tiers[%d]", i)
 		switch {
-		case len(t.Sites) == 0 || len(t.Sites) > mostNames:
-			return at + ".sites", fmt.Errorf("%d sites, outside 1 to %d", len(t.Sites), mostNames)
+		case len(t.Sites) == 0 || len(t.Sites) > maxNames:
+			return path + ".sites", fmt.Errorf("%d sites, outside 1 to %d", len(t.Sites), maxNames)
 		case !(t.MaxShare >= 0 && t.MaxShare <= 1):
-			return at + ".most", fmt.Errorf("%v is outside 0 to 1", t.MaxShare)
+			return path + ".most", fmt.Errorf("%v is outside 0 to 1", t.MaxShare)
 		case i == 0 && t.MaxShare != 0:
-			return at + ".most", fmt.Errorf("the first tier takes what is meant for it, and has no bound")
+			return path + ".most", fmt.Errorf("the first tier takes all its requests and cannot have a limit")
 		}
 		all = append(all, t.Sites...)
-		if j, s := repeated(all); j >= 0 {
-			return at + ".sites", fmt.Errorf("%q is empty or there twice", s)
+		if j, s := findInvalid(all); j >= 0 {
+			return path + ".sites", fmt.Errorf("%q is empty or a duplicate", s)
 		}
 	}
 	return "", nil
 }
 
-// matches reports whether requests of class and tenant are r's.
+// matches reports whether r applies to requests of class and tenant.
 func (r Rule) matches(class, tenant string) bool {
-	return named(r.Classes, class) && held(r.Tenants, tenant)
+	return matchesName(r.Classes, class) && matchesPattern(r.Tenants, tenant)
 }
 
-// covers reports whether r matches whatever other does.
+// covers reports whether r matches every request that other matches.
 func (r Rule) covers(other Rule) bool {
 	for _, c := range other.Classes {
-		if !named(r.Classes, c) {
+		if !matchesName(r.Classes, c) {
 			return false
 		}
 	}
 	for _, t := range other.Tenants {
-		if !held(r.Tenants, t) { // a pattern is held by one that is as wide
+		if !matchesPattern(r.Tenants, t) { // matches patterns that are no wider, too
 			return false
 		}
 	}
 	return (len(r.Classes) == 0 || len(other.Classes) > 0) && (len(r.Tenants) == 0 || len(other.Tenants) > 0)
 }
 
-func named(list []string, name string) bool {
+// matchesName reports whether list has name or is empty.
+func matchesName(list []string, name string) bool {
 	for _, n := range list {
 		if n == name {
 			return true
@@ -212,17 +226,19 @@
 	return len(list) == 0
 }
 
-func held(patterns []string, name string) bool {
+// matchesPattern reports whether a name or prefix in patterns matches name, or patterns is empty.
+func matchesPattern(patterns []string, name string) bool {
 	for _, p := range patterns {
-		if begin, open := strings.CutSuffix(p, "*"); p == name || open && strings.HasPrefix(name, begin) {
+		if prefix, ok := strings.CutSuffix(p, "*"); p == name || ok && strings.HasPrefix(name, prefix) {
 			return true
 		}
 	}
 	return len(patterns) == 0
 }
 
-// repeated returns the first name that is empty or stands in list before, and its place; -1 if there is none.
-func repeated(list []string) (int, string) {
+// findInvalid returns the index and value of the first name that is empty or a duplicate; the index
+// is -1 if there is none.
+func findInvalid(list []string) (int, string) {
 	seen := make(map[string]bool, len(list))
 	for i, s := range list {
 		if s == "" || seen[s] {
@@ -233,7 +249,7 @@
 	return -1, ""
 }
 
-// Check returns an error that names the field of c at fault, if there is one.
+// Check returns an error that names the first invalid field of c, or nil.
 func (c Config) Check() error {
 	_, err := c.withDefaults()
 	return err
--- a/sites/monitor.go
+++ b/sites/monitor.go
@@ -9,99 +9,103 @@
 	"time"
 )
 
-// Time is an instant on the host's monotonic clock; its origin means nothing.
+// Time is an instant on the caller's monotonic clock, whose origin is arbitrary.
 type Time = time.Duration
 
-// State is how a site is held to be.
+// State is the health of a site.
 type State int
 
-// The states.
+// The states of a site. String returns the names that logs, metrics and the operator's file use.
 const (
-	Healthy    State = iota // it takes all its traffic
-	Degraded                // it takes less by what fails there
-	Down                    // it takes trials only
-	Recovering              // it takes a share that grows
+	Healthy    State = iota // receives all its traffic
+	Degraded                // receives less traffic, in proportion to its failures
+	Down                    // receives trials only
+	Recovering              // receives a growing share of its traffic
 )
 
-// String returns the state's name.
+// String returns the name under which operators see the state.
 func (s State) String() string {
 	return [...]string{"healthy", "doubtful", "dark", "returning"}[s]
 }
 
-// Server is a server that may take requests.
+// Server is a server that may receive requests, and its site.
 type Server struct{ ID, Site string }
 
 const (
-	// leastEvidence is the weight from which on a server's evidence counts.
-	leastEvidence = 0.5
-	// trialShare is the part of its traffic that a dark site gets as trials: what is not tried is never known to be back.
-	trialShare = 0.01
-	// groupTrials is how often a second all instances together try a dark site that they hardly send to, each of them at
-	// least once in mostTrialGap and at most once in leastTrialGap, and never with more than mostTrialShare of its traffic.
-	groupTrials                 = 20.0
-	leastTrialGap, mostTrialGap = 2 * time.Second, time.Minute
-	mostTrialShare              = 0.25
-	// climbSteps is how many answers a site must give at least on its way back.
-	climbSteps = 8
-	// judgeEvery is how often evidence is weighed at most: it takes a look at every server.
-	judgeEvery = 20 * time.Millisecond
-	// mostServers bounds the servers whose evidence is kept.
-	mostServers = 100_000
+	// minEvidence is the total weight of outcomes from which on a server's evidence counts.
+	minEvidence = 0.5
+	// minTrialShare is the minimum share of its traffic that a site receives as trials while it is
+	// down. Without trials its recovery would go unnoticed.
+	minTrialShare = 0.01
+	// groupTrialRate is the number of trials per second that all instances together send to a site
+	// which is down and has little traffic from each. An instance sends one at least every
+	// maxTrialInterval and at most every minTrialInterval, and never uses more than maxTrialShare
+	// of the site's traffic for it.
+	groupTrialRate                     = 20.0
+	minTrialInterval, maxTrialInterval = 2 * time.Second, time.Minute
+	maxTrialShare                      = 0.25
+	// minRecoverySuccesses is the minimum number of successes before a site has fully recovered.
+	minRecoverySuccesses = 8
+	// evaluationInterval is the minimum time between two evaluations of the evidence that outcomes
+	// cause, because each evaluation visits every server.
+	evaluationInterval = 20 * time.Millisecond
+	// maxServers limits the servers whose evidence is kept.
+	maxServers = 100_000
 )
 
-// Monitor watches sites. It is not safe for concurrent use.
+// Monitor tracks the health of sites. It is not safe for concurrent use.
 type Monitor struct {
-	cfg     Config
-	servers map[string]*server
-	order   []*server // by their ids: sums of figures must not hang on the order of a map
-	sites   map[string]*site
-	names   []string // of the sites, in order
-	ranked  []*site  // in the order of preference
-	rules   []*rule
-	alone   bool // nothing reaches anybody: the fault is this instance's own
-	judged  Time
-	offered load
-	places  float64
-	log     func(Transition)
+	cfg              Config
+	servers          map[string]*server
+	sortedServers    []*server // by ID, as floating-point sums must not depend on map order
+	sites            map[string]*site
+	siteNames        []string // sorted
+	byPreference     []*site
+	rules            []*rule
+	isolated         bool // no site can be reached: the cause is this instance's own connectivity
+	evaluatedAt      Time
+	offered          load
+	effectiveServers float64 // sum over all sites
+	log              func(Transition)
 }
 
 type server struct {
-	id       string
-	site     string
-	bad, all float64 // decaying sums of evidence
-	at       Time
+	id              string
+	site            string
+	failures, total float64 // weights of outcomes, which decay
+	updatedAt       Time
 }
 
 type site struct {
-	name     string
-	servers  int
-	places   float64 // servers, those included that the list has lost and whose traffic is still held to be this site's
-	faded    Time    // when places was last brought up to date
-	state    State
-	since    Time
-	before   State         // what it was before that, but for a moment's doubt
-	from     float64       // the share with which the present climb began
-	climbed  time.Duration // how much of the climb is done
-	proof    time.Duration // how much more of it its answers stand for
-	climb    time.Duration
-	relapses int
-	calm     Time   // since when it has been healthy
-	good     Time   // dark: since when its trials are answered; 0: they are not
-	changes  []Time // for the better, within the last minute
-	run      run
-	bucket   bucket // what may be added for others
-	evidence evidence
-	lastBad  float64 // of the latest evidence
-	lastSeen Time    // when that was; zero: never
+	name             string
+	servers          int
+	effectiveServers float64 // listed servers, and lost ones whose load is still attributed to it
+	effectiveAt      Time    // last update of effectiveServers
+	state            State
+	since            Time
+	previous         State         // before state, without a degraded phase that was only brief
+	initialShare     float64       // share at the start of the current recovery
+	recoveryProgress time.Duration // completed part of recoveryTime
+	recoveryCredit   time.Duration // further progress that successes have earned
+	recoveryTime     time.Duration
+	relapses         int
+	healthySince     Time   // also set when a relapse is forgiven
+	succeedingSince  Time   // while down: time since which trials succeed; zero: they don't
+	improvements     []Time // changes to a better state within the last minute
+	streak           streak
+	bucket           bucket // limits what spills to the site
+	evidence         evidence
+	lastFailureRatio float64 // of the latest evidence
+	lastEvidenceAt   Time    // zero: never
 
 	spilled, turnedAway uint64
 }
 
-// evidence is what is known of a site's servers.
+// evidence summarizes the recent outcomes of a site's servers.
 type evidence struct {
-	known  int     // servers of which enough is known
-	bad    float64 // the mean part that failed, over those
-	enough bool    // of half of its servers, or of a run of failures
+	known        int     // servers with at least minEvidence
+	failureRatio float64 // mean over those servers
+	sufficient   bool    // covers half of the servers, or a streak of failures on several
 }
 
 // Transition is a change of a site's state.
@@ -109,12 +113,13 @@
 	Site         string
 	From, To     State
 	At           Time
-	KnownServers int     // servers of which enough was known
-	FailureRatio float64 // the part of them that failed
+	KnownServers int     // servers with enough evidence
+	FailureRatio float64 // mean over those servers
 	Reason       string
 }
 
-// New returns a Monitor. log, which may be nil, is told of each transition. The error names the field of cfg at fault.
+// New returns a Monitor that calls log, which may be nil, on each transition. An error names the
+// invalid field of cfg.
 func New(cfg Config, log func(Transition)) (*Monitor, error) {
 	if log == nil {
 		log = func(Transition) {}
@@ -126,22 +131,23 @@
 	return m, nil
 }
 
-// Reconfigure makes cfg what m goes by from now on. What it knows of sites stays, and so do climbs that have begun. The error
-// names the field of cfg at fault; nothing has changed then.
+// Reconfigure replaces the configuration of m. The state of sites is kept, including recoveries in
+// progress. If cfg is invalid, m is unchanged and the error names the field.
 func (m *Monitor) Reconfigure(cfg Config) error {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
 		return err
 	}
 	m.cfg = cfg
-	m.rules = m.compile(cfg.Rules)
-	m.rank()
+	m.rules = m.compileRules(cfg.Rules)
+	m.sortSites()
 	return nil
 }
 
-// UpdateServers makes list the servers that may take requests. A site without any keeps its state, so that a list which is empty
-// for one message changes nothing, and a site whose servers come back under new ids returns as it left. What is known of
-// servers that are listed no more is forgotten.
+// UpdateServers replaces the servers that may receive requests. An empty list is ignored, so that a
+// list which is empty for a single message changes nothing. A site without servers keeps its state,
+// so that a site whose servers come back with new IDs continues where it left off. Evidence about
+// servers that are no longer listed is dropped.
 func (m *Monitor) UpdateServers(now Time, list []Server) {
 	if len(list) == 0 {
 		return
@@ -150,235 +156,245 @@
 		s.servers = 0
 	}
 	listed := make(map[string]bool, len(list))
-	for _, s := range list[:min(len(list), mostServers)] {
+	for _, s := range list[:min(len(list), maxServers)] {
 		listed[s.ID] = true
 		if old := m.servers[s.ID]; old == nil || old.site != s.Site {
-			m.servers[s.ID] = &server{id: s.ID, site: s.Site, at: now}
+			m.servers[s.ID] = &server{id: s.ID, site: s.Site, updatedAt: now}
 		}
 		at := m.sites[s.Site]
 		if at == nil {
-			at = &site{name: s.Site, since: now, calm: now, climb: m.cfg.RecoveryTime, faded: now, bucket: bucket{at: now}}
+			at = &site{name: s.Site, since: now, healthySince: now, recoveryTime: m.cfg.RecoveryTime, effectiveAt: now, bucket: bucket{updatedAt: now}}
 			m.sites[s.Site] = at
 		}
 		at.servers++
 	}
 	maps.DeleteFunc(m.servers, func(id string, _ *server) bool { return !listed[id] })
-	m.order = m.order[:0]
+	m.sortedServers = m.sortedServers[:0]
 	for _, id := range slices.Sorted(maps.Keys(m.servers)) {
-		m.order = append(m.order, m.servers[id])
+		m.sortedServers = append(m.sortedServers, m.servers[id])
 	}
 	for _, s := range m.sites {
-		s.fade(now, m.cfg.LostSiteHalfLife)
+		s.updateEffectiveServers(now, m.cfg.LostSiteHalfLife)
 	}
-	// Sites come and go as well. One that the list has lost is forgotten once its traffic has become that of the others, and
-	// a dark one not before it may have forgiven its relapses.
+	// A site without servers is dropped once its load has become the normal load of the others. If
+	// it isn't healthy, it is also kept for MaxRecoveryTime, after which a relapse would be
+	// forgiven.
 	maps.DeleteFunc(m.sites, func(_ string, s *site) bool {
-		return s.servers == 0 && s.places < leastPlaces && (s.state == Healthy || now-s.since > m.cfg.MaxRecoveryTime)
+		return s.servers == 0 && s.effectiveServers < minEffectiveServers && (s.state == Healthy || now-s.since > m.cfg.MaxRecoveryTime)
 	})
-	m.rank()
-	m.judge(now)
+	m.sortSites()
+	m.evaluate(now)
 }
 
-// leastPlaces is what of a lost site's places is held for none.
-const leastPlaces = 0.05
+// minEffectiveServers is the number below which attributed unlisted servers are rounded down to
+// none.
+const minEffectiveServers = 0.05
 
-// fade brings s.places up to date: they follow the servers at once when there are more, and by degrees when there are less, since
-// a list drops the servers of a lost site one by one.
-func (s *site) fade(now Time, half time.Duration) {
+// updateEffectiveServers updates s.effectiveServers. It follows an increase of the listed servers
+// at once, but decays after a decrease, because a list drops the servers of a lost site one by one.
+func (s *site) updateEffectiveServers(now Time, halfLife time.Duration) {
 	listed := float64(s.servers)
-	if s.places -= listed; s.places > 0 {
-		s.places *= math.Exp2(-float64(now-s.faded) / float64(half))
+	if s.effectiveServers -= listed; s.effectiveServers > 0 {
+		s.effectiveServers *= math.Exp2(-float64(now-s.effectiveAt) / float64(halfLife))
 	}
-	if s.places < leastPlaces {
-		s.places = 0
+	if s.effectiveServers < minEffectiveServers {
+		s.effectiveServers = 0
 	}
-	s.places += listed
-	s.faded = now
+	s.effectiveServers += listed
+	s.effectiveAt = now
 }
 
-// rank puts the sites in order.
-func (m *Monitor) rank() {
-	m.names = slices.Sorted(maps.Keys(m.sites))
-	place := func(s *site) int {
+// sortSites updates the sites in order of name and of preference.
+func (m *Monitor) sortSites() {
+	m.siteNames = slices.Sorted(maps.Keys(m.sites))
+	rank := func(s *site) int {
 		if i := slices.Index(m.cfg.Prefer, s.name); i >= 0 {
 			return i
 		}
 		return len(m.cfg.Prefer)
 	}
-	m.ranked = m.ranked[:0]
-	for _, name := range m.names {
-		m.ranked = append(m.ranked, m.sites[name])
+	m.byPreference = m.byPreference[:0]
+	for _, name := range m.siteNames {
+		m.byPreference = append(m.byPreference, m.sites[name])
 	}
-	slices.SortStableFunc(m.ranked, func(a, b *site) int { return cmp.Compare(place(a), place(b)) })
+	slices.SortStableFunc(m.byPreference, func(a, b *site) int { return cmp.Compare(rank(a), rank(b)) })
 }
 
-// RecordOutcome notes the end of an attempt or a probe at a server: whether it was answered in time, or failed in a way that speaks
-// against the server: silence, a reset, an error, or an answer too late to be of use. A server that turns work away answers.
+// RecordOutcome records the end of an attempt or a probe at a server. ok is false for a failure
+// that the server may have caused: silence, a reset, an error, or an answer that came too late. A
+// server that rejects work answers, so ok is true for a rejection.
 func (m *Monitor) RecordOutcome(now Time, id string, ok bool) {
 	v := m.servers[id]
 	if v == nil {
 		return
 	}
 	v.decay(now, m.cfg.EvidenceHalfLife)
-	v.all++
+	v.total++
 	s := m.sites[v.site]
-	s.run.note(now, id, ok)
+	s.streak.record(now, id, ok)
 	if ok {
-		s.proof = min(s.proof+s.climb/climbSteps, s.climb/4)
+		s.recoveryCredit = min(s.recoveryCredit+s.recoveryTime/minRecoverySuccesses, s.recoveryTime/4)
 	} else {
-		v.bad++
+		v.failures++
 	}
-	if now-m.judged >= judgeEvery {
-		m.judge(now)
+	if now-m.evaluatedAt >= evaluationInterval {
+		m.evaluate(now)
 	}
 }
 
-func (s *server) decay(now Time, half time.Duration) {
-	if dt := now - s.at; dt > 0 {
-		f := math.Exp2(-float64(dt) / float64(half))
-		s.bad, s.all, s.at = s.bad*f, s.all*f, now
+// decay updates the weights of s to now.
+func (s *server) decay(now Time, halfLife time.Duration) {
+	if dt := now - s.updatedAt; dt > 0 {
+		f := math.Exp2(-float64(dt) / float64(halfLife))
+		s.failures, s.total, s.updatedAt = s.failures*f, s.total*f, now
 	}
 }
 
-// Tick lets time pass: shares grow, and what is known grows old. The host calls it a few times a second.
-func (m *Monitor) Tick(now Time) { m.judge(now) }
+// Tick advances recoveries and the decay of evidence to now. The caller calls it a few times per
+// second.
+func (m *Monitor) Tick(now Time) { m.evaluate(now) }
 
-// judge weighs the evidence and moves each site on.
-func (m *Monitor) judge(now Time) {
-	since := now - m.judged
-	m.judged = now
+// evaluate aggregates the evidence and updates the state of each site.
+func (m *Monitor) evaluate(now Time) {
+	elapsed := now - m.evaluatedAt
+	m.evaluatedAt = now
 	for _, s := range m.sites {
 		s.evidence = evidence{}
-		s.fade(now, m.cfg.LostSiteHalfLife)
+		s.updateEffectiveServers(now, m.cfg.LostSiteHalfLife)
 	}
-	for _, v := range m.order {
+	for _, v := range m.sortedServers {
 		v.decay(now, m.cfg.EvidenceHalfLife)
-		if s := m.sites[v.site]; v.all >= leastEvidence {
+		if s := m.sites[v.site]; v.total >= minEvidence {
 			s.evidence.known++
-			s.evidence.bad += v.bad / v.all
+			s.evidence.failureRatio += v.failures / v.total
 		}
 	}
-	m.places = 0
-	known, dark := 0, 0
-	for _, name := range m.names {
+	m.effectiveServers = 0
+	known, down := 0, 0
+	for _, name := range m.siteNames {
 		s := m.sites[name]
-		m.places += s.places
-		s.weigh(now)
+		m.effectiveServers += s.effectiveServers
+		s.aggregateEvidence(now)
 		if s.evidence.known > 0 {
-			s.lastBad, s.lastSeen = s.evidence.bad, now
+			s.lastFailureRatio, s.lastEvidenceAt = s.evidence.failureRatio, now
 		}
-		if s.lastSeen != 0 && now-s.lastSeen <= m.cfg.HoldTime {
+		if s.lastEvidenceAt != 0 && now-s.lastEvidenceAt <= m.cfg.HoldTime {
 			known++
-			if s.lastBad >= m.cfg.DownThreshold {
-				dark++
+			if s.lastFailureRatio >= m.cfg.DownThreshold {
+				down++
 			}
 		}
 	}
-	// Where everything fails at every site at once it is this instance that is cut off, or all is lost anyway: to take
-	// traffic away from everybody helps nobody. The first of them to fail was held for dark a moment ago, wrongly.
-	was := m.alone
-	if m.alone = known > 1 && dark == known; m.alone && !was {
-		for _, name := range m.names {
-			if s := m.sites[name]; s.state == Down && s.before == Healthy && now-s.since <= m.cfg.HoldTime && s.mayImprove(now, m.cfg.MaxImprovements) {
-				m.move(now, s, Healthy, "nothing reaches any site: this instance is cut off")
+	// If every known site fails at the same time, either this instance is cut off or no site works
+	// at all, and withdrawing traffic wouldn't help. The first site to fail was marked down moments
+	// ago, which was wrong and is undone.
+	wasIsolated := m.isolated
+	if m.isolated = known > 1 && down == known; m.isolated && !wasIsolated {
+		for _, name := range m.siteNames {
+			if s := m.sites[name]; s.state == Down && s.previous == Healthy && now-s.since <= m.cfg.HoldTime && s.mayImprove(now, m.cfg.MaxImprovements) {
+				m.transition(now, s, Healthy, "no site can be reached: this instance is cut off")
 			}
 		}
 	}
-	for _, name := range m.names {
-		m.step(now, since, m.sites[name])
+	for _, name := range m.siteNames {
+		m.advance(now, elapsed, m.sites[name])
 	}
-	m.settle(now)
+	m.updateBaselines(now)
 }
 
-// weigh makes what is known of s's servers evidence of the site. An instance that knows less than half of them goes by a run
-// of failures at several, if there is one.
-func (s *site) weigh(now Time) {
+// aggregateEvidence turns the evidence about s's servers into evidence about the site. If less than
+// half of the servers is known, a streak of failures on several servers is used, if there is one.
+func (s *site) aggregateEvidence(now Time) {
 	e := &s.evidence
 	if e.known > 0 {
-		e.bad /= float64(e.known)
-		e.enough = 2*e.known >= s.servers
+		e.failureRatio /= float64(e.known)
+		e.sufficient = 2*e.known >= s.servers
 	}
-	if !e.enough && s.run.tells(now, s.servers) {
-		*e = evidence{known: max(e.known, len(s.run.at)), bad: 1, enough: true}
+	if !e.sufficient && s.streak.indicatesDown(now, s.servers) {
+		*e = evidence{known: max(e.known, len(s.streak.servers)), failureRatio: 1, sufficient: true}
 	}
 }
 
-// step moves one site on, of which since has passed.
-func (m *Monitor) step(now Time, since time.Duration, s *site) {
+// advance updates the state of s. elapsed is the time since the last evaluation.
+func (m *Monitor) advance(now Time, elapsed time.Duration, s *site) {
 	e := s.evidence
 	held := now-s.since >= m.cfg.HoldTime+m.jitter(s)
 	switch s.state {
 	case Healthy:
-		if s.relapses > 0 && now-s.calm >= m.cfg.MaxRecoveryTime { // long enough ago
-			s.relapses, s.calm = s.relapses-1, now
+		if s.relapses > 0 && now-s.healthySince >= m.cfg.MaxRecoveryTime { // a relapse is forgiven
+			s.relapses, s.healthySince = s.relapses-1, now
 		}
 		switch {
-		case m.alone || !e.enough:
-		case e.bad >= m.cfg.DownThreshold:
-			m.move(now, s, Down, "most of what is sent there fails")
-		case e.bad >= m.cfg.DegradedThreshold:
-			m.move(now, s, Degraded, "a part of what is sent there fails")
+		case m.isolated || !e.sufficient:
+		case e.failureRatio >= m.cfg.DownThreshold:
+			m.transition(now, s, Down, "most requests fail")
+		case e.failureRatio >= m.cfg.DegradedThreshold:
+			m.transition(now, s, Degraded, "part of the requests fail")
 		}
 	case Degraded:
 		switch {
-		case m.alone || e.known == 0:
-		case e.enough && e.bad >= m.cfg.DownThreshold:
-			m.move(now, s, Down, "most of what is sent there fails")
-		case e.bad < m.cfg.HealthyThreshold && held && s.mayImprove(now, m.cfg.MaxImprovements):
-			m.move(now, s, Healthy, "what is sent there is answered")
+		case m.isolated || e.known == 0:
+		case e.sufficient && e.failureRatio >= m.cfg.DownThreshold:
+			m.transition(now, s, Down, "most requests fail")
+		case e.failureRatio < m.cfg.HealthyThreshold && held && s.mayImprove(now, m.cfg.MaxImprovements):
+			m.transition(now, s, Healthy, "requests succeed")
 		}
 	case Down:
 		switch {
-		case e.known > 0 && e.bad >= m.cfg.HealthyThreshold:
-			s.good = 0
-		case e.known > 0 && s.good == 0:
-			s.good = now
+		case e.known > 0 && e.failureRatio >= m.cfg.HealthyThreshold:
+			s.succeedingSince = 0
+		case e.known > 0 && s.succeedingSince == 0:
+			s.succeedingSince = now
 		}
-		// Between the trials of a trickle nothing is known for long: that speaks neither for the site nor against it.
-		if s.good != 0 && held && now-s.good >= m.jitter(s) && s.mayImprove(now, m.cfg.MaxImprovements) {
-			s.climb = min(m.cfg.RecoveryTime<<min(s.relapses, 20), m.cfg.MaxRecoveryTime)
-			s.good, s.climbed, s.proof = 0, 0, 0
-			s.from = max(m.cfg.InitialShare/float64(uint64(1)<<min(s.relapses, 20)), trialShare)
-			m.move(now, s, Recovering, "trials are answered")
+		// With few requests there is no evidence for long times between trials. That counts neither
+		// for the site nor against it.
+		if s.succeedingSince != 0 && held && now-s.succeedingSince >= m.jitter(s) && s.mayImprove(now, m.cfg.MaxImprovements) {
+			s.recoveryTime = min(m.cfg.RecoveryTime<<min(s.relapses, 20), m.cfg.MaxRecoveryTime)
+			s.succeedingSince, s.recoveryProgress, s.recoveryCredit = 0, 0, 0
+			s.initialShare = max(m.cfg.InitialShare/float64(uint64(1)<<min(s.relapses, 20)), minTrialShare)
+			m.transition(now, s, Recovering, "trials are answered")
 		}
 	case Recovering:
-		// The share grows with time, but no further than the answers stand for.
-		done := min(since, s.proof)
-		s.climbed, s.proof = s.climbed+done, s.proof-done
+		// The share grows with time, but only as far as successes have earned.
+		done := min(elapsed, s.recoveryCredit)
+		s.recoveryProgress, s.recoveryCredit = s.recoveryProgress+done, s.recoveryCredit-done
 		switch {
-		case m.alone:
-		case e.known > 0 && e.bad >= m.cfg.DegradedThreshold:
+		case m.isolated:
+		case e.known > 0 && e.failureRatio >= m.cfg.DegradedThreshold:
 			s.relapses++
-			m.move(now, s, Down, "it fails again")
-		case s.climbed >= s.climb && s.mayImprove(now, m.cfg.MaxImprovements):
-			s.calm = now
-			m.move(now, s, Healthy, "it takes all its traffic")
+			m.transition(now, s, Down, "requests fail again")
+		case s.recoveryProgress >= s.recoveryTime && s.mayImprove(now, m.cfg.MaxImprovements):
+			s.healthySince = now
+			m.transition(now, s, Healthy, "it receives all its traffic")
 		}
 	}
 }
 
-// mayImprove reports whether the site may change for the better once more within this minute. For the worse it always may.
-func (s *site) mayImprove(now Time, most int) bool {
-	s.changes = slices.DeleteFunc(s.changes, func(t Time) bool { return now-t >= time.Minute })
-	return len(s.changes) < most
+// mayImprove reports whether s may change to a better state now: at most limit such changes are
+// made per minute. Changes to a worse state are not limited.
+func (s *site) mayImprove(now Time, limit int) bool {
+	s.improvements = slices.DeleteFunc(s.improvements, func(t Time) bool { return now-t >= time.Minute })
+	return len(s.improvements) < limit
 }
 
-func (m *Monitor) move(now Time, s *site, to State, reason string) {
+// transition changes the state of s and logs the change.
+func (m *Monitor) transition(now Time, s *site, to State, reason string) {
 	from := s.state
-	if s.before = from; from == Degraded && now-s.since <= m.cfg.HoldTime { // on the way from one to another
-		s.before = Healthy
+	if s.previous = from; from == Degraded && now-s.since <= m.cfg.HoldTime { // passed through only
+		s.previous = Healthy
 	}
 	if to == Healthy || to == Recovering {
-		s.changes = append(s.changes, now)
+		s.improvements = append(s.improvements, now)
 	}
 	s.state, s.since = to, now
 	if to == Down {
-		s.run.clear()
+		s.streak.clear()
 	}
-	m.log(Transition{s.name, from, to, now, s.evidence.known, s.evidence.bad, reason})
+	m.log(Transition{s.name, from, to, now, s.evidence.known, s.evidence.failureRatio, reason})
 }
 
-// jitter spreads the steps of peers, and of one instance's sites, over half of Hold.
+// jitter returns a delay that spreads the transitions of peers, and of the sites of one instance,
+// over half of HoldTime.
 func (m *Monitor) jitter(s *site) time.Duration {
 	h := uint64(m.cfg.Ordinal)*0x9e3779b97f4a7c15 + uint64(len(s.name))
 	for _, c := range []byte(s.name) {
@@ -387,7 +403,8 @@
 	return time.Duration(float64(m.cfg.HoldTime) / 2 * float64(h>>11) / (1 << 53))
 }
 
-// Share returns which part of its traffic a site may take now, 0 to 1. Of a site that is not known it is 1.
+// Share returns the share of its traffic that a site may receive now, from 0 to 1. It is 1 for an
+// unknown site.
 func (m *Monitor) Share(now Time, name string) float64 {
 	if s := m.sites[name]; s != nil {
 		return m.share(now, s)
@@ -395,8 +412,8 @@
 	return 1
 }
 
-// Shares returns the shares of all sites. There is always one that takes all of its traffic: where every site fails in part,
-// the best of them does, and the others in proportion.
+// Shares returns the shares of all sites, scaled so that the highest share of a site with servers
+// is 1. If every site fails in part, the best of them still receives all its traffic.
 func (m *Monitor) Shares(now Time) map[string]float64 {
 	all := make(map[string]float64, len(m.sites))
 	best := 0.0
@@ -414,57 +431,59 @@
 	return all
 }
 
+// share returns the share of s before scaling.
 func (m *Monitor) share(now Time, s *site) float64 {
-	if m.alone {
+	if m.isolated {
 		return 1
 	}
 	switch s.state {
 	case Degraded:
-		return max(1-s.evidence.bad, m.cfg.InitialShare)
+		return max(1-s.evidence.failureRatio, m.cfg.InitialShare)
 	case Down:
-		return m.trials(now, s)
-	case Recovering: // by equal factors in equal times, as a queue that is too long shows late
-		grown := s.from * math.Pow(1/s.from, float64(s.climbed)/float64(s.climb))
-		return min(1, max(grown, m.trials(now, s)))
+		return m.trialShare(now, s)
+	case Recovering: // grows exponentially, since a queue that is too long is noticed late
+		grown := s.initialShare * math.Pow(1/s.initialShare, float64(s.recoveryProgress)/float64(s.recoveryTime))
+		return min(1, max(grown, m.trialShare(now, s)))
 	}
 	return 1
 }
 
-// trials is the share that a dark site gets as trials. It guards against an instance that sends so little that a part of it
-// would be one request in hours: such a one tries at least now and then, the seldomer the more peers it has.
-func (m *Monitor) trials(now Time, s *site) float64 {
-	gap := time.Duration(float64(m.cfg.GroupSize) / groupTrials * float64(time.Second))
-	gap = min(max(gap, leastTrialGap), mostTrialGap)
-	share := 1 / max(m.normal(now, s)*gap.Seconds(), 1/mostTrialShare)
-	return max(trialShare, share)
+// trialShare returns the share of its traffic that a site receives as trials while it is down. An
+// instance with little traffic would send one trial in hours with a fixed share, so it uses a
+// higher one; the more peers it has, the less often it tries.
+func (m *Monitor) trialShare(now Time, s *site) float64 {
+	gap := time.Duration(float64(m.cfg.GroupSize) / groupTrialRate * float64(time.Second))
+	gap = min(max(gap, minTrialInterval), maxTrialInterval)
+	share := 1 / max(m.normalRate(now, s)*gap.Seconds(), 1/maxTrialShare)
+	return max(minTrialShare, share)
 }
 
-// SiteSnapshot is what a Monitor holds of a site.
+// SiteSnapshot is the state of a site at one moment.
 type SiteSnapshot struct {
 	Site         string
 	State        State
 	Since        Time // of the state
 	Share        float64
 	Servers      int
-	KnownServers int     // servers of which enough is known
-	FailureRatio float64 // the part of them that fails
+	KnownServers int     // servers with enough evidence
+	FailureRatio float64 // mean over those servers
 	Relapses     int
-	NormalRate   float64 // requests a second that are the site's by its servers
-	Spilled      uint64  // requests that were added for others
-	TurnedAway   uint64  // requests meant for it that no other site had room for
+	NormalRate   float64 // normal requests per second, by its number of servers
+	Spilled      uint64  // requests taken over for other sites
+	TurnedAway   uint64  // home requests of the site that no other site had capacity for
 }
 
-// String describes v for logs.
+// String formats v for logs.
 func (v SiteSnapshot) String() string {
-	return fmt.Sprintf("%s %s, share %.2f, %d of %d servers known, %.2f bad", v.Site, v.State, v.Share, v.KnownServers, v.Servers, v.FailureRatio)
+	return fmt.Sprintf("%s %s, share %.2f, %d of %d servers known, failure ratio %.2f", v.Site, v.State, v.Share, v.KnownServers, v.Servers, v.FailureRatio)
 }
 
-// Snapshot returns all sites in the order of preference.
+// Snapshot returns the state of all sites in the order of preference.
 func (m *Monitor) Snapshot(now Time) []SiteSnapshot {
 	var all []SiteSnapshot
-	for _, s := range m.ranked {
+	for _, s := range m.byPreference {
 		all = append(all, SiteSnapshot{
-			s.name, s.state, s.since, m.share(now, s), s.servers, s.evidence.known, s.evidence.bad, s.relapses, m.normal(now, s), s.spilled, s.turnedAway,
+			s.name, s.state, s.since, m.share(now, s), s.servers, s.evidence.known, s.evidence.failureRatio, s.relapses, m.normalRate(now, s), s.spilled, s.turnedAway,
 		})
 	}
 	return all
--- a/sites/plan.go
+++ b/sites/plan.go
@@ -6,111 +6,119 @@
 )
 
 const (
-	// burst is how many seconds of spill may come at once.
-	burst = 1.0
-	// leastBurst is how many requests may come at once at the least: with fewer nothing could be kept for what is worth most.
-	leastBurst = 2.0
-	// leastSpill is what an instance may always send to a site, in requests a second: a tablet's order must not hang on its being busy.
-	leastSpill = 0.1
-	// loadMemory is over how long the load is measured that counts as normal.
-	loadMemory = 30 * time.Second
+	// burstSeconds is the burst size of a bucket, in seconds of its rate.
+	burstSeconds = 1.0
+	// minBurst is the minimum burst size in requests. With fewer, nothing could be reserved for the
+	// requests with the highest worth.
+	minBurst = 2.0
+	// minRefillRate is the rate that an instance may always send to a site, in requests per second,
+	// so that an instance with almost no load, on a tablet for example, can still send an order.
+	minRefillRate = 0.1
+	// loadTimeConstant is the time constant of the moving average that measures the normal load.
+	loadTimeConstant = 30 * time.Second
 )
 
-// rate measures events a second over loadMemory.
+// rate is an exponentially weighted moving average of events per second, with loadTimeConstant.
 type rate struct {
 	value       float64
 	first, last Time
 }
 
-func (r *rate) note(now Time) {
+// record counts an event.
+func (r *rate) record(now Time) {
 	if gap := float64(now - r.last); r.last > 0 && gap > 0 {
-		r.value *= math.Exp(-gap / float64(loadMemory))
+		r.value *= math.Exp(-gap / float64(loadTimeConstant))
 	}
-	r.value += float64(time.Second) / float64(loadMemory)
+	r.value += float64(time.Second) / float64(loadTimeConstant)
 	if r.last = now; r.first == 0 {
 		r.first = now
 	}
 }
 
-// at is the rate. What has been seen for less than loadMemory is taken for as much as it would come to: else an instance that
-// starts while a site is dark would turn nearly all away that was meant for it.
-func (r *rate) at(now Time) float64 {
+// perSecond returns the rate at now. A rate that was observed for less than loadTimeConstant is
+// extrapolated: otherwise an instance that starts while a site is down would reject nearly all
+// requests meant for it.
+func (r *rate) perSecond(now Time) float64 {
 	if r.last == 0 {
 		return 0
 	}
 	seen := max(float64(r.last-r.first), float64(time.Second))
-	quiet := math.Exp(-float64(now-r.last) / float64(loadMemory))
-	return r.value * quiet / (1 - math.Exp(-seen/float64(loadMemory)))
+	quiet := math.Exp(-float64(now-r.last) / float64(loadTimeConstant))
+	return r.value * quiet / (1 - math.Exp(-seen/float64(loadTimeConstant)))
 }
 
-// load measures what is normal.
+// load measures the normal request rate.
 type load struct {
-	all   rate    // requests
-	fresh rate    // those of clients that have not asked before, as far as can be told
-	calm  float64 // all, when no site was in trouble last; 0: that was not seen for long enough
+	all        rate    // all requests
+	firstTries rate    // requests that are not retries, as far as the caller can tell
+	baseline   float64 // all when every site was last healthy; 0: not measured for long enough
 }
 
-// calmSeen is for how long the load must have been measured in calm time to go by it.
-const calmSeen = 5 * time.Second
+// minBaselineWindow is the minimum time of measurement before a baseline is set.
+const minBaselineWindow = 5 * time.Second
 
-// settle notes that no site is in trouble.
-func (l *load) settle(now Time) {
-	if l.all.last-l.all.first >= calmSeen {
-		l.calm = l.all.at(now)
+// updateBaseline sets the baseline. It must be called only while all sites are healthy.
+func (l *load) updateBaseline(now Time) {
+	if l.all.last-l.all.first >= minBaselineWindow {
+		l.baseline = l.all.perSecond(now)
 	}
 }
 
-func (l *load) note(now Time, again bool) {
-	if l.all.note(now); !again {
-		l.fresh.note(now)
+// record counts a request; again marks a retry.
+func (l *load) record(now Time, again bool) {
+	if l.all.record(now); !again {
+		l.firstTries.record(now)
 	}
 }
 
-// normal is how many requests a second are normal. While a site is in trouble what is turned away comes back, and neither figure
-// can be trusted: with retries all is too much, and fresh is too little where many clients ask for the same and pass for one that
-// asks again. So it stays as it was in calm time, unless the one proves more or the other less.
-func (l *load) normal(now Time) float64 {
-	if l.calm == 0 {
-		return l.all.at(now)
+// normalRate returns the normal load in requests per second. While a site fails, rejected requests
+// are retried and neither measurement can be trusted: all includes the retries, and firstTries is
+// too low where many clients ask for the same thing and look like one client that retries. The
+// result therefore is the baseline, unless firstTries is higher or all is lower.
+func (l *load) normalRate(now Time) float64 {
+	if l.baseline == 0 {
+		return l.all.perSecond(now)
 	}
-	return min(max(l.calm, l.fresh.at(now)), l.all.at(now))
+	return min(max(l.baseline, l.firstTries.perSecond(now)), l.all.perSecond(now))
 }
 
-// bucket is room for requests.
+// bucket is a token bucket for requests.
 type bucket struct {
-	tokens float64
-	at     Time
+	tokens    float64
+	updatedAt Time
 }
 
-// fill lets time pass, at so many tokens a second, and returns how many there are at most.
-func (b *bucket) fill(now Time, perSecond float64) (most float64) {
-	most = max(perSecond*burst, leastBurst)
-	b.tokens = min(max(b.tokens, -most)+max(perSecond, leastSpill)*(now-b.at).Seconds(), most)
-	b.at = now
-	return most
+// refill adds the tokens of the time until now, at perSecond, and returns the bucket's size.
+func (b *bucket) refill(now Time, perSecond float64) (size float64) {
+	size = max(perSecond*burstSeconds, minBurst)
+	b.tokens = min(max(b.tokens, -size)+max(perSecond, minRefillRate)*(now-b.updatedAt).Seconds(), size)
+	b.updatedAt = now
+	return size
 }
 
-// after returns how long it takes until a request of a weight from 0 to 1 may have a token, at so many a second: what is worth
-// little stops at half of the bucket, and what is worth most overdraws it by half, which is paid back before the rest gets any.
-func (b *bucket) after(now Time, perSecond, weight float64) time.Duration {
-	most := b.fill(now, perSecond)
-	perSecond = max(perSecond, leastSpill)
-	need := 1 + (most-1)/2 - min(max(weight, 0), 1)*(most-0.5)
+// delay returns the time until a request of the given weight, from 0 to 1, may take a token, or 0.
+// A request of weight 0 leaves half of the bucket untouched. One of weight 1 may overdraw the
+// bucket by half, and the debt is paid back before other requests get tokens.
+func (b *bucket) delay(now Time, perSecond, weight float64) time.Duration {
+	size := b.refill(now, perSecond)
+	perSecond = max(perSecond, minRefillRate)
+	need := 1 + (size-1)/2 - min(max(weight, 0), 1)*(size-0.5)
 	if b.tokens >= need {
 		return 0
 	}
 	return max(time.Duration((need-b.tokens)/perSecond*float64(time.Second)), time.Millisecond)
 }
 
-// rule is a Rule with what is measured of it.
+// rule is a Rule with its measured load.
 type rule struct {
 	Rule
 	offered load
-	buckets []bucket // of its tiers
+	buckets []bucket // one per tier
 }
 
-// compile returns rules as they are used. What was measured of one that stands unchanged at its place stays.
-func (m *Monitor) compile(rules []Rule) []*rule {
+// compileRules returns the runtime form of rules. A rule takes over the measurements of the
+// previous rule at its index if that has the same number of tiers.
+func (m *Monitor) compileRules(rules []Rule) []*rule {
 	all := make([]*rule, len(rules))
 	for i, r := range rules {
 		all[i] = &rule{Rule: r, buckets: make([]bucket, len(r.Tiers))}
@@ -122,8 +130,8 @@
 	return all
 }
 
-// rule returns the rule of requests of class and tenant, nil if there is none.
-func (m *Monitor) rule(class, tenant string) *rule {
+// findRule returns the rule that applies to requests of class and tenant, or nil.
+func (m *Monitor) findRule(class, tenant string) *rule {
 	for _, r := range m.rules {
 		if r.matches(class, tenant) {
 			return r
@@ -132,44 +140,47 @@
 	return nil
 }
 
-// RecordRequest notes a request of a client, and whether it has asked before, as far as can be told. It tells how much is normal.
+// RecordRequest records a request of a client. again reports whether it is a retry, as far as the
+// caller can tell. Recorded requests determine the normal load.
 func (m *Monitor) RecordRequest(now Time, class, tenant string, again bool) {
-	m.offered.note(now, again)
-	if r := m.rule(class, tenant); r != nil {
-		r.offered.note(now, again)
+	m.offered.record(now, again)
+	if r := m.findRule(class, tenant); r != nil {
+		r.offered.record(now, again)
 	}
 }
 
-// settle notes what is normal while no site is in trouble.
-func (m *Monitor) settle(now Time) {
+// updateBaselines updates the baseline loads if all sites are healthy.
+func (m *Monitor) updateBaselines(now Time) {
 	for _, s := range m.sites {
 		if s.state != Healthy || s.servers == 0 {
 			return
 		}
 	}
-	m.offered.settle(now)
+	m.offered.updateBaseline(now)
 	for _, r := range m.rules {
-		r.offered.settle(now)
+		r.offered.updateBaseline(now)
 	}
 }
 
-// normal is the part of the load that is a site's by its servers, in requests a second.
-func (m *Monitor) normal(now Time, s *site) float64 {
-	return m.offered.normal(now) * s.places / max(m.places, 1)
+// normalRate returns the part of the normal load that falls to s by its number of servers, in
+// requests per second.
+func (m *Monitor) normalRate(now Time, s *site) float64 {
+	return m.offered.normalRate(now) * s.effectiveServers / max(m.effectiveServers, 1)
 }
 
-// HomeSites returns the sites that requests of a class and tenant are meant for, nil for all that are listed, and which part of
-// them is meant for sites that the list has lost. It must not be changed.
+// HomeSites returns the home sites of requests of class and tenant, nil for all listed sites, and
+// the fraction of the requests whose home is a site that is no longer listed. The caller must not
+// modify the slice.
 func (m *Monitor) HomeSites(class, tenant string) (sites []string, lost float64) {
 	var all, gone float64
-	if r := m.rule(class, tenant); r != nil {
+	if r := m.findRule(class, tenant); r != nil {
 		for _, t := range r.Tiers {
 			all, gone = 0, 0
 			for _, name := range t.Sites {
 				if s := m.sites[name]; s != nil {
-					all += s.places
+					all += s.effectiveServers
 					if s.servers == 0 {
-						gone += s.places
+						gone += s.effectiveServers
 					}
 				}
 			}
@@ -179,31 +190,34 @@
 		}
 		return r.Tiers[0].Sites, 1
 	}
-	for _, s := range m.ranked {
+	for _, s := range m.byPreference {
 		if s.servers == 0 {
-			gone += s.places
+			gone += s.effectiveServers
 		}
 	}
-	return nil, gone / max(m.places, 1)
+	return nil, gone / max(m.effectiveServers, 1)
 }
 
-// Spill returns the site that may take over a request which is meant for the site from, and may not go there, and counts it:
-// the first in the order of preference that has room. from is empty for sites that the list has lost. Where none has room to is
-// empty, and after is when one may. weight is how much the request is worth beside the most that any is, 0 to 1: what is worth
-// little is turned away while half of what may spill is still there, so that what is worth most goes on to the last.
+// Spill selects the site that takes over a request which its home site from may not receive, and
+// counts the request: the first site in the order of preference that has capacity. from is empty
+// for home sites that are no longer listed. If no site has capacity, to is empty and after is the
+// time until one may have it. weight is the worth of the request relative to the highest worth of
+// any, from 0 to 1. Requests of low weight are rejected while half of the spill capacity is still
+// free, so that it lasts for those of high weight.
 //
-// A site has what is normal for it and the configured part of that more, by this instance's own load, so that the sum over
-// instances is bounded by the same part of the sum, however unequal they are; but for a request each ten seconds, which one that
-// sends next to nothing may always add.
+// The capacity of a site is its normal load and the fraction MaxSpill of that, measured by this
+// instance's own load. So the sum over all instances stays within the same fraction of their total
+// load, however unequal they are. The exception is one request per ten seconds, which even an
+// instance with almost no load may always add.
 func (m *Monitor) Spill(now Time, class, tenant, from string, weight float64) (to string, after time.Duration) {
 	wait := time.Duration(math.MaxInt64)
-	try := func(s *site, tier *bucket, most float64) bool {
-		if s == nil || s.name == from || !s.mayTakeOver() {
+	try := func(s *site, tier *bucket, tierRate float64) bool {
+		if s == nil || s.name == from || !s.acceptsSpill() {
 			return false
 		}
-		d := s.bucket.after(now, m.room(now, s), weight)
+		d := s.bucket.delay(now, m.maxRate(now, s), weight)
 		if tier != nil {
-			d = max(d, tier.after(now, most, weight))
+			d = max(d, tier.delay(now, tierRate, weight))
 		}
 		if d > 0 {
 			wait = min(wait, d)
@@ -216,9 +230,9 @@
 		to = s.name
 		return true
 	}
-	r := m.rule(class, tenant)
+	r := m.findRule(class, tenant)
 	if r == nil {
-		for _, s := range m.ranked {
+		for _, s := range m.byPreference {
 			if try(s, nil, 0) {
 				return to, 0
 			}
@@ -230,7 +244,7 @@
 				tier = &r.buckets[i]
 			}
 			for _, name := range t.Sites {
-				if try(m.sites[name], tier, t.MaxShare*r.offered.normal(now)) {
+				if try(m.sites[name], tier, t.MaxShare*r.offered.normalRate(now)) {
 					return to, 0
 				}
 			}
@@ -239,34 +253,39 @@
 	if s := m.sites[from]; s != nil {
 		s.turnedAway++
 	}
-	if wait == math.MaxInt64 { // nobody could take it: until one may be better
+	if wait == math.MaxInt64 { // no site accepts spill: one may after HoldTime
 		wait = m.cfg.HoldTime
 	}
 	return "", wait
 }
 
-// mayTakeOver reports whether s may have what is meant for others: one that is dark or on its way back may not.
-func (s *site) mayTakeOver() bool {
+// acceptsSpill reports whether s may take over requests of other sites. A site that is down or
+// recovering may not.
+func (s *site) acceptsSpill() bool {
 	return s.servers > 0 && (s.state == Healthy || s.state == Degraded)
 }
 
-// room is how many requests a second s may have, its own among them, before nothing more is added to it. Of one that is doubtful
-// only the part counts that does not fail: to add nothing there would turn all away that is meant for a dark site beside it.
-func (m *Monitor) room(now Time, s *site) float64 {
-	return (1 + m.cfg.MaxSpill) * m.normal(now, s) * m.share(now, s)
+// maxRate returns the rate, in requests per second and including the site's own, up to which s
+// takes over requests. For a degraded site it is reduced to the share that doesn't fail; with no
+// spill at all to a degraded site, everything meant for a second site that is down would be
+// rejected.
+func (m *Monitor) maxRate(now Time, s *site) float64 {
+	return (1 + m.cfg.MaxSpill) * m.normalRate(now, s) * m.share(now, s)
 }
 
-// HasSpareCapacity reports whether what has been asked before may go to a site now: it has room for more than its own.
+// HasSpareCapacity reports whether a further attempt of a request may go to a site now, which is
+// the case if the site has capacity beyond its own load.
 func (m *Monitor) HasSpareCapacity(now Time, to string, weight float64) bool {
 	s := m.sites[to]
-	return s != nil && s.mayTakeOver() && s.bucket.after(now, m.room(now, s), weight) == 0
+	return s != nil && s.acceptsSpill() && s.bucket.delay(now, m.maxRate(now, s), weight) == 0
 }
 
-// RecordAttempt notes an attempt at a server of a site. Every one counts, whatever it was meant for: what a site has of its own beyond what
-// is normal, by retries of what others turned away, is not free for others.
+// RecordAttempt records an attempt at a server of a site. It counts every attempt, whatever its
+// home site: retries of rejected requests raise a site's own load above normal, and leave less
+// capacity for the requests of other sites.
 func (m *Monitor) RecordAttempt(now Time, site string) {
 	if s := m.sites[site]; s != nil {
-		s.bucket.fill(now, m.room(now, s))
+		s.bucket.refill(now, m.maxRate(now, s))
 		s.bucket.tokens--
 	}
 }
--- a/sites/sites_test.go
+++ b/sites/sites_test.go
@@ -221,7 +221,7 @@
 		for w.state("a") != Recovering {
 			w.run(100 * ms)
 		}
-		from, climbs = append(from, w.sites["a"].from), append(climbs, w.sites["a"].climb)
+		from, climbs = append(from, w.sites["a"].initialShare), append(climbs, w.sites["a"].recoveryTime)
 	}
 	if !slices.IsSortedFunc(from, func(x, y float64) int { return int(math.Copysign(1, y-x)) }) || from[1] != from[0]/2 || climbs[1] != 2*climbs[0] || climbs[2] > 40*time.Second {
 		t.Errorf("shares %v, climbs %v", from, climbs)
@@ -269,7 +269,7 @@
 				}
 			}
 		}
-		most := 0.5*normal*seconds*1.1 + float64(n)*(leastSpill*seconds+1)
+		most := 0.5*normal*seconds*1.1 + float64(n)*(minRefillRate*seconds+1)
 		t.Logf("%d instances: %.0f a second spill, normal is %.0f, and %.0f are turned away", n, float64(spilled)/seconds, normal, float64(refused)/seconds)
 		if float64(spilled) > most || spilled == 0 || refused == 0 {
 			t.Errorf("%d instances: %d spilled, at most %.0f may be; %d refused", n, spilled, most, refused)
--- a/sites/streak.go
+++ b/sites/streak.go
@@ -7,57 +7,60 @@
 )
 
 const (
-	// leastRun and mostRun bound how many failures in a row tell that a site is dark. Between them it is as many as come by
-	// chance, with what fails there usually, once in a thousand times.
-	leastRun, mostRun = 4, 20
-	byChance          = 0.001
-	// runServers is at how many servers they must have come, if the site has as many: one that is ill is no dark site.
-	runServers = 3
-	// runMemory is how old the latest failure may be.
-	runMemory = time.Minute
-	// baseMemory is the weight of a new outcome in what fails usually.
-	baseMemory = 1.0 / 32
+	// minStreak and maxStreak bound the number of consecutive failures from which on a site counts
+	// as down. Between them it is the number that occurs by chance, at the site's usual failure
+	// rate, with the probability falsePositiveRate.
+	minStreak, maxStreak = 4, 20
+	falsePositiveRate    = 0.001
+	// minStreakServers is the number of servers that the failures must come from, if the site has
+	// as many: a single faulty server doesn't make a site count as down.
+	minStreakServers = 3
+	// streakTimeout is the maximum time since the last outcome of a streak.
+	streakTimeout = time.Minute
+	// failureRateWeight is the weight of a new outcome in the usual failure rate.
+	failureRateWeight = 1.0 / 32
 )
 
-// run is the outcomes of a site one by one, for an instance that sends too little for sums that decay: of the servers of a
-// site it meets a few, each some times a minute.
-type run struct {
-	bad  int      // failures since the latest answer
-	at   []string // servers at which they came, at most runServers
-	last Time     // the latest outcome
-	base float64  // the part that fails usually
+// streak counts a site's consecutive failures. It serves instances whose traffic is too low for
+// decaying sums: such an instance reaches a few servers of a site, each a few times per minute.
+type streak struct {
+	failures    int      // since the last success
+	servers     []string // servers that failed, at most minStreakServers
+	last        Time     // time of the last outcome
+	failureRate float64  // usual fraction of failures
 }
 
-// note notes an outcome.
-func (r *run) note(now Time, server string, ok bool) {
-	if now-r.last > runMemory {
-		r.clear()
+// record records the outcome of an attempt or probe.
+func (s *streak) record(now Time, server string, ok bool) {
+	if now-s.last > streakTimeout {
+		s.clear()
 	}
-	r.last = now
+	s.last = now
 	if !ok {
-		r.bad = min(r.bad+1, mostRun)
-		if len(r.at) < runServers && !slices.Contains(r.at, server) {
-			r.at = append(r.at, server)
+		s.failures = min(s.failures+1, maxStreak)
+		if len(s.servers) < minStreakServers && !slices.Contains(s.servers, server) {
+			s.servers = append(s.servers, server)
 		}
 		return
 	}
-	for range r.bad { // failures that did not become a run are what is usual
-		r.base += baseMemory * (1 - r.base)
+	for range s.failures { // the streak has ended, so its failures are usual ones
+		s.failureRate += failureRateWeight * (1 - s.failureRate)
 	}
-	r.base -= baseMemory * r.base
-	r.clear()
+	s.failureRate -= failureRateWeight * s.failureRate
+	s.clear()
 }
 
-func (r *run) clear() { r.bad, r.at = 0, r.at[:0] }
+// clear ends the streak.
+func (s *streak) clear() { s.failures, s.servers = 0, s.servers[:0] }
 
-// tells reports whether the failures tell that a site of so many servers is dark.
-func (r *run) tells(now Time, servers int) bool {
-	if r.bad < leastRun || now-r.last > runMemory || len(r.at) < min(runServers, servers) {
+// indicatesDown reports whether the streak shows that a site with that number of servers is down.
+func (s *streak) indicatesDown(now Time, servers int) bool {
+	if s.failures < minStreak || now-s.last > streakTimeout || len(s.servers) < min(minStreakServers, servers) {
 		return false
 	}
-	need := mostRun
-	if r.base < 0.7 {
-		need = min(max(int(math.Ceil(math.Log(byChance)/math.Log(max(r.base, 0.01)))), leastRun), mostRun)
+	need := maxStreak
+	if s.failureRate < 0.7 {
+		need = min(max(int(math.Ceil(math.Log(falsePositiveRate)/math.Log(max(s.failureRate, 0.01)))), minStreak), maxStreak)
 	}
-	return r.bad >= need
+	return s.failures >= need
 }
