--- a/internal/engine/availability.go
+++ b/internal/engine/availability.go
@@ -22,19 +22,19 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.listed[id]
-	return ok && e.asCounts(e.absences, s).State == policy.Ready
+	return ok && e.effective(e.absences, s).State == policy.Ready
 }
 
 // HasUsableServer reports whether any server is listed that may get something new.
 func (e *Engine) HasUsableServer() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.usable()
+	return e.hasUsableServer()
 }
 
-func (e *Engine) usable() bool {
+func (e *Engine) hasUsableServer() bool {
 	for _, s := range e.listed {
-		if e.asCounts(e.absences, s).State == policy.Ready {
+		if e.effective(e.absences, s).State == policy.Ready {
 			return true
 		}
 	}
@@ -55,9 +55,9 @@
 			s := e.listed[id]
 			s.State = policy.Draining
 			e.listed[id] = s
-			all = append(all, e.asCounts(e.absences, s))
+			all = append(all, e.effective(e.absences, s))
 		}
-		e.tell(now, policy.ListEnded, all)
+		e.applyEntries(now, policy.ListEnded, all)
 	})
 }
 
@@ -65,14 +65,14 @@
 func (e *Engine) UnservedSinceRetire() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.cut
+	return e.unserved
 }
 
 // OpenRequests returns how many requests have no result yet.
 func (e *Engine) OpenRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.open
+	return e.openCount
 }
 
 // RetainedRequests returns how many requests are kept: open ones, and ended ones with attempts that are still out.
@@ -91,18 +91,18 @@
 		var changed []Server
 		for _, id := range slices.Sorted(maps.Keys(e.listed)) {
 			s := e.listed[id]
-			if is := e.asCounts(a, s); is != e.asCounts(before, s) {
+			if is := e.effective(a, s); is != e.effective(before, s) {
 				changed = append(changed, is)
 			}
 		}
 		if len(changed) > 0 {
-			e.tell(now, policy.ListDelta, changed)
+			e.applyEntries(now, policy.ListDelta, changed)
 		}
 	})
 }
 
-// asCounts is s as it counts under a, and as it has asked itself.
-func (e *Engine) asCounts(a roster.Absences, s Server) Server {
+// effective is s as it counts under a, and as it has asked itself.
+func (e *Engine) effective(a roster.Absences, s Server) Server {
 	c := a.Counts(roster.Entry{ID: s.ID, State: s.State, BornMs: s.StartedMs})
 	s.State, s.StartedMs = c.State, c.BornMs
 	if s.State == policy.Ready && e.avoided.Has(s.ID) {
@@ -111,39 +111,39 @@
 	return s
 }
 
-// mostHint is how long a server counts as draining on another's word.
-const mostHint = 10 * time.Second
+// hintDuration is how long a server counts as draining on another's word.
+const hintDuration = 10 * time.Second
 
 // HintDraining takes another process's word that a server drains or is gone. It counts as draining for a while, as if it had asked to be left alone:
 // that makes this process more careful, and is over soon if its own list does not say so too. At most half of those that could be used are
 // left alone.
 func (e *Engine) HintDraining(id policy.ServerID) {
-	e.event(func(now policy.Time) { e.avoid(now, id, mostHint) })
+	e.event(func(now policy.Time) { e.avoid(now, id, hintDuration) })
 }
 
 // OnLeaving has f told of each server that the list has had and that drains or is gone from now on. f must not block, nor call e.
 func (e *Engine) OnLeaving(f func(policy.ServerID)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaving = f
+	e.onLeaving = f
 }
 
-// leaves tells whoever is to know of servers that have left.
-func (e *Engine) leaves(kind policy.ListKind, l []Server) {
-	if e.leaving == nil {
+// reportLeaving tells whoever is to know of servers that have left.
+func (e *Engine) reportLeaving(kind policy.ListKind, l []Server) {
+	if e.onLeaving == nil {
 		return
 	}
 	said := make(map[policy.ServerID]bool, len(l))
 	for _, s := range l {
 		said[s.ID] = true
 		if was, listed := e.listed[s.ID]; listed && was.State == policy.Ready && s.State != policy.Ready {
-			e.leaving(s.ID)
+			e.onLeaving(s.ID)
 		}
 	}
 	if kind.Whole() && kind != policy.ListCached {
 		for _, id := range slices.Sorted(maps.Keys(e.listed)) {
 			if !said[id] && e.listed[id].State == policy.Ready {
-				e.leaving(id)
+				e.onLeaving(id)
 			}
 		}
 	}
@@ -161,45 +161,45 @@
 			usable++
 		}
 	}
-	before := e.asCounts(e.absences, s)
+	before := e.effective(e.absences, s)
 	if !e.avoided.Avoid(id, now.Milliseconds(), max(d.Milliseconds(), 1), usable) {
 		return
 	}
-	if is := e.asCounts(e.absences, s); is != before {
-		e.tell(now, policy.ListDelta, []Server{is})
+	if is := e.effective(e.absences, s); is != before {
+		e.applyEntries(now, policy.ListDelta, []Server{is})
 	}
-	e.unavoid(now)
+	e.endAvoidance(now)
 }
 
-// unavoid ends what is over of avoid, and comes again when the next is.
-func (e *Engine) unavoid(now policy.Time) {
+// endAvoidance ends what is over of avoid, and comes again when the next is.
+func (e *Engine) endAvoidance(now policy.Time) {
 	back, next := e.avoided.End(now.Milliseconds(), func(id policy.ServerID) bool { _, listed := e.listed[id]; return !listed })
 	var changed []Server
 	slices.Sort(back)
 	for _, id := range back {
 		if s, listed := e.listed[id]; listed {
-			changed = append(changed, e.asCounts(e.absences, s))
+			changed = append(changed, e.effective(e.absences, s))
 		}
 	}
 	if len(changed) > 0 {
-		e.tell(now, policy.ListDelta, changed)
+		e.applyEntries(now, policy.ListDelta, changed)
 	}
 	if next > 0 && !e.closed {
-		if e.unavoids != nil {
-			e.unavoids.Stop()
+		if e.avoidTimer != nil {
+			e.avoidTimer.Stop()
 		}
-		e.unavoids = time.AfterFunc(time.Duration(next)*time.Millisecond, func() {
+		e.avoidTimer = time.AfterFunc(time.Duration(next)*time.Millisecond, func() {
 			e.event(func(now policy.Time) {
 				if !e.closed {
-					e.unavoid(now)
+					e.endAvoidance(now)
 				}
 			})
 		})
 	}
 }
 
-// note notes a message about the list, and returns its entries as they count.
-func (e *Engine) note(kind policy.ListKind, l []Server) []Server {
+// recordEntries notes a message about the list, and returns its entries as they count.
+func (e *Engine) recordEntries(kind policy.ListKind, l []Server) []Server {
 	if kind.Whole() {
 		clear(e.listed)
 	}
@@ -210,7 +210,7 @@
 		} else {
 			e.listed[s.ID] = s
 		}
-		entries[i] = e.asCounts(e.absences, s)
+		entries[i] = e.effective(e.absences, s)
 	}
 	return entries
 }
--- a/internal/engine/classes.go
+++ b/internal/engine/classes.go
@@ -9,33 +9,33 @@
 	"quillfront/retune"
 )
 
-// rules are the classes that requests may be of. They are replaced whole.
-type rules struct {
-	classes map[string][]policy.Class // by the name that clients give: as it is now, and perhaps as it was before
+// classSet are the classes that requests may be of. They are replaced whole.
+type classSet struct {
+	byName  map[string][]policy.Class // by the name that clients give: as it is now, and perhaps as it was before
 	longest time.Duration
 }
 
-func newRules(cfg policy.Config) *rules {
-	r := &rules{classes: map[string][]policy.Class{}}
+func newClassSet(cfg policy.Config) *classSet {
+	r := &classSet{byName: map[string][]policy.Class{}}
 	for _, c := range cfg.Classes {
 		name, before := strings.CutSuffix(c.Name, retune.Before)
 		if before {
-			r.classes[name] = append(r.classes[name], c)
+			r.byName[name] = append(r.byName[name], c)
 		} else {
-			r.classes[name] = append([]policy.Class{c}, r.classes[name]...)
+			r.byName[name] = append([]policy.Class{c}, r.byName[name]...)
 		}
 		r.longest = max(r.longest, c.Deadline)
 	}
 	if r.longest == 0 {
-		r.longest = mostWait
+		r.longest = defaultMaxWait
 	}
 	return r
 }
 
 // known reports whether requests may be of the class of that name, which is the module's.
-func (r *rules) known(name string) bool {
+func (r *classSet) known(name string) bool {
 	public, _ := strings.CutSuffix(name, retune.Before)
-	for _, c := range r.classes[public] {
+	for _, c := range r.byName[public] {
 		if c.Name == name {
 			return true
 		}
@@ -44,7 +44,7 @@
 }
 
 // LongestDeadline is the longest time that a request may wait: the longest deadline of the classes.
-func (e *Engine) LongestDeadline() time.Duration { return e.rules.Load().longest }
+func (e *Engine) LongestDeadline() time.Duration { return e.classes.Load().longest }
 
 // Class returns the class of requests of that name.
 func (e *Engine) Class(name string) (c policy.Class, known bool) {
@@ -56,11 +56,11 @@
 
 // Classes returns the class of requests of that name, and behind it the one that it was before a change of its rules, as
 // long as clients may still go by those. It is empty if there is none. A request's Class is the Name of one of them.
-func (e *Engine) Classes(name string) []policy.Class { return e.rules.Load().classes[name] }
+func (e *Engine) Classes(name string) []policy.Class { return e.classes.Load().byName[name] }
 
 // Reconfigure makes cfg the configuration of the module and of what comes from now on. With an error nothing has changed.
 func (e *Engine) Reconfigure(cfg policy.Config) (err error) {
-	e.event(func(now policy.Time) { err = e.reconfigure(now, cfg, e.group) })
+	e.event(func(now policy.Time) { err = e.reconfigure(now, cfg, e.groupOverride) })
 	return err
 }
 
@@ -69,7 +69,7 @@
 func (e *Engine) Regroup(group int) (err error) {
 	e.event(func(now policy.Time) {
 		if !e.closed {
-			err = e.reconfigure(now, e.given, group)
+			err = e.reconfigure(now, e.baseConfig, group)
 		}
 	})
 	return err
@@ -83,12 +83,12 @@
 	if err := e.module.Reconfigure(cfg); err != nil {
 		return err
 	}
-	e.rules.Store(newRules(cfg))
+	e.classes.Store(newClassSet(cfg))
 	regrouped := cfg.GroupSize != e.config.GroupSize || cfg.Ordinal != e.config.Ordinal
-	e.config, e.given, e.group = cfg, given, group
-	e.listen()
-	if regrouped && e.watched != nil {
-		return e.sites.Watch(now, e.watched, cfg)
+	e.config, e.baseConfig, e.groupOverride = cfg, given, group
+	e.ensurePushedWatch()
+	if regrouped && e.siteConfig != nil {
+		return e.sites.Watch(now, e.siteConfig, cfg)
 	}
 	return nil
 }
--- a/internal/engine/counts.go
+++ b/internal/engine/counts.go
@@ -16,12 +16,12 @@
 	Attempts  [policy.Rejected + 1]uint64 // that have ended, by how they did
 }
 
-// count returns the counts of r's class. There are as many as there were classes; beyond mostCounted the rest is one.
-func (e *Engine) count(r *Request) *Counts {
+// countsOf returns the counts of r's class. There are as many as there were classes; beyond mostCounted the rest is one.
+func (e *Engine) countsOf(r *Request) *Counts {
 	name, _ := strings.CutSuffix(r.Class, retune.Before)
 	c := e.counts[name]
 	if c == nil {
-		if len(e.counts) >= mostCounted {
+		if len(e.counts) >= maxCountedClasses {
 			name = "other"
 			if c = e.counts[name]; c != nil {
 				return c
@@ -33,8 +33,8 @@
 	return c
 }
 
-// mostCounted bounds the classes that are counted apart: settings may bring ever new ones.
-const mostCounted = 256
+// maxCountedClasses bounds the classes that are counted apart: settings may bring ever new ones.
+const maxCountedClasses = 256
 
 // Counts returns what has become of requests since the start, by class.
 func (e *Engine) Counts() map[string]Counts {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -24,15 +24,15 @@
 	"quillfront/sites"
 )
 
-// longAgo lies between the clock's origin and the engine's start. It keeps every present time far from zero, which the
+// clockOffset lies between the clock's origin and the engine's start. It keeps every present time far from zero, which the
 // module takes for 'never'.
-const longAgo = time.Hour
+const clockOffset = time.Hour
 
-// mostWait bounds a client's wait where the settings name no class.
-const mostWait = time.Minute
+// defaultMaxWait bounds a client's wait where the settings name no class.
+const defaultMaxWait = time.Minute
 
-// mostProbes bounds the probes under way; one beyond it counts as never sent.
-const mostProbes = 64
+// maxConcurrentProbes bounds the probes under way; one beyond it counts as never sent.
+const maxConcurrentProbes = 64
 
 // Module is what the engine needs of a policy.Balancer.
 type Module interface {
@@ -96,70 +96,70 @@
 
 // Engine hosts one decision module. Its methods may be called from many goroutines at once.
 type Engine struct {
-	log      *slog.Logger
-	ctx      context.Context // ends with Close
-	stop     context.CancelFunc
-	work     sync.WaitGroup // attempts, probes and watches
-	origin   time.Time      // of the module's clock
-	originMs int64          // the same instant in Unix milliseconds, read once: see started
-	to       Transport
-	rules    atomic.Pointer[rules]
+	log       *slog.Logger
+	ctx       context.Context // ends with Close
+	stop      context.CancelFunc
+	work      sync.WaitGroup // attempts, probes and watches
+	origin    time.Time      // of the module's clock
+	originMs  int64          // the same instant in Unix milliseconds, read once: see started
+	transport Transport
+	classes   atomic.Pointer[classSet]
 
 	// All that is below is touched under mu only.
-	mu        sync.Mutex
-	module    Module
-	requests  map[policy.RequestID]*Request // until they have ended and their attempts are back
-	names     map[string]*Request           // by Name, until they have ended
-	open      int                           // requests that have not ended
-	lastID    policy.RequestID
-	endpoints map[policy.ServerID]Endpoint // of the servers that are listed
-	listed    map[policy.ServerID]Server   // the list as it was told
-	counts    map[string]*Counts           // by class
-	sites     *siting.Host                 // watches them if it is told to
-	config    policy.Config                // by which the module goes
-	given     policy.Config                // the same, as it was given
-	group     int                          // in place of its GroupSize; 0: that counts
-	watched   *sites.Config                // by which sites are watched
-	leaving   func(policy.ServerID)
-	told      bool                           // by the source
-	early     map[policy.ServerID]firstSight // of listed servers that began after they were told of
-	faults    complaints
-	absences  roster.Absences // what operators have taken out of it
-	avoided   roster.Avoided  // what has asked to be left alone
-	unavoids  *time.Timer     // ends that; nil: nothing has asked yet
-	source    Source
-	seq       int64              // of the last list of that source
-	stopWatch context.CancelFunc // nil while there is no watch
-	probing   int                // probes under way
-	timers    timerHeap
-	alarm     *time.Timer // fires when the first timer is due
-	alarmAt   policy.Time // zero: not set
-	after     []func(now policy.Time)
-	closing   bool          // nothing more is taken
-	drained   chan struct{} // closed once closing and open is 0
-	closed    bool          // the module is told of nothing more
-	retired   bool          // no list will be heeded any more
-	cut       uint64        // refused or failed since
+	mu               sync.Mutex
+	module           Module
+	requests         map[policy.RequestID]*Request // until they have ended and their attempts are back
+	openByExternalID map[string]*Request           // by Name, until they have ended
+	openCount        int                           // requests that have not ended
+	lastID           policy.RequestID
+	endpoints        map[policy.ServerID]Endpoint // of the servers that are listed
+	listed           map[policy.ServerID]Server   // the list as it was told
+	counts           map[string]*Counts           // by class
+	sites            *siting.Host                 // watches them if it is told to
+	config           policy.Config                // by which the module goes
+	baseConfig       policy.Config                // the same, as it was given
+	groupOverride    int                          // in place of its GroupSize; 0: that counts
+	siteConfig       *sites.Config                // by which sites are watched
+	onLeaving        func(policy.ServerID)
+	listReceived     bool                            // by the source
+	futureStarts     map[policy.ServerID]futureStart // of listed servers that began after they were told of
+	entryErrors      entryErrorLog
+	absences         roster.Absences // what operators have taken out of it
+	avoided          roster.Avoided  // what has asked to be left alone
+	avoidTimer       *time.Timer     // ends that; nil: nothing has asked yet
+	source           Source
+	seq              int64              // of the last list of that source
+	stopWatch        context.CancelFunc // nil while there is no watch
+	probing          int                // probes under way
+	timers           timerHeap
+	wakeTimer        *time.Timer // fires when the first timer is due
+	wakeAt           policy.Time // zero: not set
+	deferredEvents   []func(now policy.Time)
+	closing          bool          // nothing more is taken
+	drained          chan struct{} // closed once closing and open is 0
+	closed           bool          // the module is told of nothing more
+	retired          bool          // no list will be heeded any more
+	unserved         uint64        // refused or failed since
 }
 
 // ClockOrigin is the instant of policy.Time 0 for an engine that starts now.
-func ClockOrigin() time.Time { return time.Now().Add(-longAgo) }
+func ClockOrigin() time.Time { return time.Now().Add(-clockOffset) }
 
 // New returns an engine that runs until Close.
 func New(o Options) *Engine {
 	origin := ClockOrigin()
 	ctx, stop := context.WithCancel(context.Background())
 	e := &Engine{
-		log: o.Log, ctx: ctx, stop: stop, origin: origin, originMs: origin.UnixMilli(), to: o.Transport,
+		log: o.Log, ctx: ctx, stop: stop, origin: origin, originMs: origin.UnixMilli(), transport: o.Transport,
 		module: o.Module, requests: map[policy.RequestID]*Request{},
-		names: map[string]*Request{}, endpoints: map[policy.ServerID]Endpoint{}, source: o.Source, seq: UnknownSeq,
+		openByExternalID: map[string]*Request{}, endpoints: map[policy.ServerID]Endpoint{}, source: o.Source, seq: UnknownSeq,
 		drained: make(chan struct{}), listed: map[policy.ServerID]Server{}, counts: map[string]*Counts{},
-		sites: siting.New(o.Module, o.Log), config: o.Config, given: o.Config, early: map[policy.ServerID]firstSight{},
-		faults: complaints{some: rate.Sometimes{First: 1, Interval: faultEvery}},
+		sites: siting.New(o.Module, o.Log), config: o.Config, baseConfig: o.Config, futureStarts: map[policy.ServerID]futureStart{},
+		entryErrors: entryErrorLog{limit: rate.Sometimes{First: 1, Interval: entryErrorLogInterval}},
 	}
-	e.rules.Store(newRules(o.Config))
-	e.alarm = time.AfterFunc(longAgo, e.ring)
-	e.alarm.Stop()
+	e.classes.Store(newClassSet(o.Config))
+	e.wakeTimer = time.AfterFunc(clockOffset, e.fireTimers)
+	e.wakeTimer.Stop()
 	if o.Sites != nil {
 		if err := e.WatchSites(o.Sites); err != nil {
 			panic(err) // it was not checked
@@ -167,9 +167,9 @@
 	}
 	e.event(func(now policy.Time) {
 		if o.CachedList != nil {
-			e.members(now, policy.ListCached, *o.CachedList)
+			e.updateList(now, policy.ListCached, *o.CachedList)
 		}
-		e.listen()
+		e.ensurePushedWatch()
 	})
 	return e
 }
@@ -183,9 +183,9 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f(e.Now())
-	for len(e.after) > 0 {
-		next := e.after
-		e.after = nil
+	for len(e.deferredEvents) > 0 {
+		next := e.deferredEvents
+		e.deferredEvents = nil
 		for _, f := range next {
 			f(e.Now())
 		}
@@ -215,8 +215,8 @@
 // the other. A client that uses a name twice at once on purpose gets but one of them served.
 func (e *Engine) Submit(r *Request, read policy.Time) (err error) {
 	e.event(func(now policy.Time) {
-		if err = e.admit(r); err == nil {
-			e.hand(now, r, read)
+		if err = e.register(r); err == nil {
+			e.dispatch(now, r, read)
 		}
 	})
 	return err
@@ -226,8 +226,8 @@
 // module after all. In everything else it is as one that was taken.
 func (e *Engine) SubmitDeferred(r *Request) (err error) {
 	e.event(func(policy.Time) {
-		if err = e.admit(r); err == nil {
-			r.adopted = true
+		if err = e.register(r); err == nil {
+			r.deferred = true
 		}
 	})
 	return err
@@ -236,7 +236,7 @@
 // ResolveDeferred gives an adopted request its result, unless it has ended.
 func (e *Engine) ResolveDeferred(r *Request, result Result) {
 	e.event(func(policy.Time) {
-		if r.adopted {
+		if r.deferred {
 			e.finish(r, result)
 		}
 	})
@@ -245,36 +245,36 @@
 // DispatchDeferred hands an adopted request to the module, unless it has ended; first is run before, under the lock.
 func (e *Engine) DispatchDeferred(r *Request, read policy.Time, first func()) {
 	e.event(func(now policy.Time) {
-		if !r.adopted || r.ended {
+		if !r.deferred || r.ended {
 			return
 		}
-		if r.unsendable { // what it has waited for so far may have run
+		if r.sendingStopped { // what it has waited for so far may have run
 			e.finish(r, Result{Kind: Failed, MayHaveRun: true})
 			return
 		}
 		first()
-		r.adopted = false
-		e.hand(now, r, read)
+		r.deferred = false
+		e.dispatch(now, r, read)
 	})
 }
 
-// admit notes a request as open.
-func (e *Engine) admit(r *Request) error {
-	if !e.rules.Load().known(r.Class) {
+// register notes a request as open.
+func (e *Engine) register(r *Request) error {
+	if !e.classes.Load().known(r.Class) {
 		return fmt.Errorf("%w: %q", ErrUnknownClass, r.Class)
 	}
 	switch {
-	case e.closing || r.unsendable:
+	case e.closing || r.sendingStopped:
 		return ErrClosed
-	case r.ExternalID != "" && e.names[r.ExternalID] != nil:
+	case r.ExternalID != "" && e.openByExternalID[r.ExternalID] != nil:
 		return ErrDuplicateID
 	case r.ExternalID != "":
-		e.names[r.ExternalID] = r
+		e.openByExternalID[r.ExternalID] = r
 	}
 	e.lastID++
-	e.open++
-	e.count(r).Accepted++
-	r.id, r.result, r.since = e.lastID, make(chan Result, 1), e.Now()
+	e.openCount++
+	e.countsOf(r).Accepted++
+	r.id, r.result, r.submittedAt = e.lastID, make(chan Result, 1), e.Now()
 	e.requests[r.id] = r
 	return nil
 }
@@ -287,8 +287,8 @@
 	return min(read+r.Timeout, r.Deadline.Sub(e.origin))
 }
 
-// hand tells the module of a request.
-func (e *Engine) hand(now policy.Time, r *Request, read policy.Time) {
+// dispatch tells the module of a request.
+func (e *Engine) dispatch(now policy.Time, r *Request, read policy.Time) {
 	e.sites.Tick(now)
 	e.module.Request(now, policy.Request{
 		ID: r.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Cost: r.Cost, Retry: r.Retry, Expires: e.Expires(r, read), Wait: r.Timeout, Past: r.KeyHistory,
@@ -308,16 +308,16 @@
 }
 
 func (e *Engine) withdraw(now policy.Time, r *Request) {
-	e.end(r)
-	r.callOff(nil)
-	e.count(r).Withdrawn++
+	e.markEnded(r)
+	r.cancelUnsent(nil)
+	e.countsOf(r).Withdrawn++
 	if r.OnEnd != nil {
 		r.OnEnd(Result{}, true)
 	}
-	if !r.adopted {
+	if !r.deferred {
 		e.module.Withdrawn(now, r.id, e)
 	}
-	e.forget(r)
+	e.releaseIfDone(r)
 }
 
 // finish gives r its final result. It guards against a second one.
@@ -325,37 +325,37 @@
 	if r == nil || r.ended {
 		return
 	}
-	e.end(r)
-	r.callOff(nil)
+	e.markEnded(r)
+	r.cancelUnsent(nil)
 	if e.retired {
-		e.cut++
+		e.unserved++
 	}
-	result.Attempts, result.LastStatus, result.NotRun = len(r.attempts), r.last, r.out == 0 && !r.ran
-	e.give(r, result)
-	e.after = append(e.after, func(policy.Time) { e.forget(r) })
+	result.Attempts, result.LastStatus, result.NotRun = len(r.attempts), r.lastStatus, r.outstanding == 0 && !r.mayHaveRun
+	e.deliver(r, result)
+	e.deferredEvents = append(e.deferredEvents, func(policy.Time) { e.releaseIfDone(r) })
 }
 
-// give delivers r's one result.
-func (e *Engine) give(r *Request, result Result) {
+// deliver delivers r's one result.
+func (e *Engine) deliver(r *Request, result Result) {
 	r.result <- result
-	e.count(r).Results[result.Kind]++
+	e.countsOf(r).Results[result.Kind]++
 	if r.OnEnd != nil {
 		r.OnEnd(result, false)
 	}
 }
 
-// end notes that r has ended: its name may be used again.
-func (e *Engine) end(r *Request) {
+// markEnded notes that r has ended: its name may be used again.
+func (e *Engine) markEnded(r *Request) {
 	r.ended = true
 	if r.ExternalID != "" {
-		delete(e.names, r.ExternalID)
+		delete(e.openByExternalID, r.ExternalID)
 	}
-	e.open--
+	e.openCount--
 	e.checkDrained()
 }
 
 func (e *Engine) checkDrained() {
-	if e.closing && e.open == 0 {
+	if e.closing && e.openCount == 0 {
 		select {
 		case <-e.drained:
 		default:
@@ -364,9 +364,9 @@
 	}
 }
 
-// forget drops a request that has ended once no attempt needs its payload any more.
-func (e *Engine) forget(r *Request) {
-	if !r.ended || r.out > 0 || e.requests[r.id] != r {
+// releaseIfDone drops a request that has ended once no attempt needs its payload any more.
+func (e *Engine) releaseIfDone(r *Request) {
+	if !r.ended || r.outstanding > 0 || e.requests[r.id] != r {
 		return
 	}
 	delete(e.requests, r.id)
@@ -376,35 +376,35 @@
 	}
 }
 
-// settled takes the end of an attempt.
-func (e *Engine) settled(now policy.Time, a *Attempt, end AttemptResult) {
+// attemptEnded takes the end of an attempt.
+func (e *Engine) attemptEnded(now policy.Time, a *Attempt, end AttemptResult) {
 	r := a.req
-	a.settled = true
+	a.ended = true
 	if end.Status == policy.Canceled && !r.ended && a.unsent() {
 		end.Status = policy.Moot
 	}
-	r.out--
-	r.last = end.Status
-	r.ran = r.ran || !end.Status.NotRun()
-	e.count(r).Attempts[end.Status]++
+	r.outstanding--
+	r.lastStatus = end.Status
+	r.mayHaveRun = r.mayHaveRun || !end.Status.NotRun()
+	e.countsOf(r).Attempts[end.Status]++
 	e.sites.Ended(now, a.Server, end.Status)
 	if end.AvoidFor > 0 {
 		e.avoid(now, a.Server, end.AvoidFor)
 	}
-	delay := now - a.sent
-	if a.begun != 0 {
-		delay = a.begun - a.sent // the rest may be as long as it likes
+	delay := now - a.sentAt
+	if a.replyBegunAt != 0 {
+		delay = a.replyBegunAt - a.sentAt // the rest may be as long as it likes
 	}
 	if end.Status == policy.OK && !r.ended {
-		e.end(r)
-		r.callOff(a)
-		e.give(r, Result{Kind: Served, Reply: end.Reply, Server: a.Server, Attempts: len(r.attempts)})
+		e.markEnded(r)
+		r.cancelUnsent(a)
+		e.deliver(r, Result{Kind: Served, Reply: end.Reply, Server: a.Server, Attempts: len(r.attempts)})
 	}
 	e.module.Outcome(now, policy.Outcome{
 		ID: r.id, Attempt: a.Number, Server: a.Server, Status: end.Status, Delay: delay,
 		Closed: r.ended, Load: end.Load, Spent: end.PayloadConsumed,
 	}, e)
-	e.forget(r)
+	e.releaseIfDone(r)
 }
 
 // BeginReply gives the request of a its result before the attempt has ended: the answer has begun, and nothing else is sent for it
@@ -413,10 +413,10 @@
 	e, r := a.engine, a.req
 	e.event(func(now policy.Time) {
 		if wanted = !r.ended; wanted {
-			a.begun = now
-			e.end(r)
-			r.callOff(a)
-			e.give(r, Result{Kind: Served, Reply: reply, Server: a.Server, Attempts: len(r.attempts)})
+			a.replyBegunAt = now
+			e.markEnded(r)
+			r.cancelUnsent(a)
+			e.deliver(r, Result{Kind: Served, Reply: reply, Server: a.Server, Attempts: len(r.attempts)})
 			e.module.Streaming(now, r.id, a.Number, e)
 		}
 	})
@@ -431,7 +431,7 @@
 func (a *Attempt) UploadedConcurrently() (deadline time.Time) {
 	e, r := a.engine, a.req
 	e.event(func(now policy.Time) {
-		deadline, a.sent = time.Now().Add(r.Timeout), now
+		deadline, a.sentAt = time.Now().Add(r.Timeout), now
 		a.SetStage(StageAnswer)
 		if !r.ended {
 			e.module.Uploaded(now, r.id, e)
@@ -450,17 +450,17 @@
 		return
 	}
 	now := time.Now()
-	a := &Attempt{engine: e, req: r, Number: len(r.attempts), Server: server, sent: now.Sub(e.origin), Deadline: now.Add(timeout)}
+	a := &Attempt{engine: e, req: r, Number: len(r.attempts), Server: server, sentAt: now.Sub(e.origin), Deadline: now.Add(timeout)}
 	r.attempts = append(r.attempts, a)
-	r.out++
+	r.outstanding++
 	to, listed := e.endpoints[server]
 	if r.ended || !listed || timeout <= 0 {
-		e.after = append(e.after, func(now policy.Time) { e.settled(now, a, AttemptResult{Status: policy.Moot}) })
+		e.deferredEvents = append(e.deferredEvents, func(now policy.Time) { e.attemptEnded(now, a, AttemptResult{Status: policy.Moot}) })
 		return
 	}
 	e.work.Go(func() {
-		end := e.to.Do(a, to)
-		e.event(func(now policy.Time) { e.settled(now, a, end) })
+		end := e.transport.Do(a, to)
+		e.event(func(now policy.Time) { e.attemptEnded(now, a, end) })
 	})
 }
 
@@ -482,7 +482,7 @@
 // HangUp is a method of policy.Actions.
 func (e *Engine) HangUp(server policy.ServerID) {
 	if to, ok := e.endpoints[server]; ok {
-		e.to.HangUp(to)
+		e.transport.HangUp(to)
 	}
 }
 
@@ -493,15 +493,15 @@
 func (e *Engine) Probe(server policy.ServerID) {
 	sent := e.Now()
 	to, listed := e.endpoints[server]
-	if !listed || e.probing >= mostProbes || e.closed {
-		e.after = append(e.after, func(now policy.Time) {
+	if !listed || e.probing >= maxConcurrentProbes || e.closed {
+		e.deferredEvents = append(e.deferredEvents, func(now policy.Time) {
 			e.module.Probed(now, policy.ProbeResult{Server: server, Status: policy.Moot}, e)
 		})
 		return
 	}
 	e.probing++
 	e.work.Go(func() {
-		status, load := e.to.Probe(e.ctx, to)
+		status, load := e.transport.Probe(e.ctx, to)
 		e.event(func(now policy.Time) {
 			e.probing--
 			e.sites.Ended(now, server, status)
@@ -533,7 +533,7 @@
 		e.closing = true
 		for _, r := range maps.Clone(e.requests) {
 			if !r.ended {
-				r.result <- Result{Kind: Dropped, Attempts: len(r.attempts), LastStatus: r.last, NotRun: r.out == 0 && !r.ran}
+				r.result <- Result{Kind: Dropped, Attempts: len(r.attempts), LastStatus: r.lastStatus, NotRun: r.outstanding == 0 && !r.mayHaveRun}
 				e.withdraw(now, r)
 			}
 			for _, a := range r.attempts {
@@ -547,9 +547,9 @@
 			e.stopWatch = nil
 		}
 		e.timers = nil
-		e.alarm.Stop()
-		if e.unavoids != nil {
-			e.unavoids.Stop()
+		e.wakeTimer.Stop()
+		if e.avoidTimer != nil {
+			e.avoidTimer.Stop()
 		}
 	})
 	e.stop()
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -8,7 +8,7 @@
 	"quillfront/policy"
 )
 
-func TestStarted(t *testing.T) {
+func TestStartTime(t *testing.T) {
 	e := New(Options{Log: slog.New(slog.DiscardHandler)})
 	defer e.Close()
 	nowMs := time.Now().UnixMilli()
@@ -26,7 +26,7 @@
 	}
 	for _, tt := range tests {
 		s := Server{ID: "a", StartedMs: tt.ms}
-		if got := e.started(e.Now(), s); got < tt.min || got > tt.max || got != e.started(e.Now(), s) {
+		if got := e.startTime(e.Now(), s); got < tt.min || got > tt.max || got != e.startTime(e.Now(), s) {
 			t.Errorf("%s: started(%d) = %v, want %v to %v", tt.name, tt.ms, got, tt.min, tt.max)
 		}
 	}
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -39,12 +39,12 @@
 	StartedMs int64 // when it last started, Unix time in milliseconds; 0 is long ago
 }
 
-// rewatch is the pause before a pushed list is listened to again after a failure. What the source gets counts as told, and the
+// rewatchDelay is the pause before a pushed list is listened to again after a failure. What the source gets counts as told, and the
 // source is the process's own, so that nobody else waits longer for the call; it keeps a source that refuses from being asked without end.
-const rewatch = 200 * time.Millisecond
+const rewatchDelay = 200 * time.Millisecond
 
-// listen begins the watch of a list that is pushed, unless it stands: it comes unasked to the module, and asking for it is the engine's.
-func (e *Engine) listen() {
+// ensurePushedWatch begins the watch of a list that is pushed, unless it stands: it comes unasked to the module, and asking for it is the engine's.
+func (e *Engine) ensurePushedWatch() {
 	if e.config.Pushed && e.stopWatch == nil {
 		e.Watch(true)
 	}
@@ -71,7 +71,7 @@
 			}
 			e.event(func(now policy.Time) {
 				if ctx.Err() == nil {
-					e.members(now, kind, l)
+					e.updateList(now, kind, l)
 				}
 			})
 		})
@@ -83,7 +83,7 @@
 			e.stopWatch = nil
 			e.log.Warn("watch on discovery ended", "err", err)
 			if e.config.Pushed {
-				time.AfterFunc(rewatch, func() { e.event(func(policy.Time) { e.listen() }) })
+				time.AfterFunc(rewatchDelay, func() { e.event(func(policy.Time) { e.ensurePushedWatch() }) })
 				return
 			}
 			e.module.Members(now, policy.ListFailed, nil, e)
@@ -111,21 +111,21 @@
 func (e *Engine) ListReceived() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.told
+	return e.listReceived
 }
 
-// members notes a message about the server list, and hands it to the module as it counts.
-func (e *Engine) members(now policy.Time, kind policy.ListKind, l List) {
+// updateList notes a message about the server list, and hands it to the module as it counts.
+func (e *Engine) updateList(now policy.Time, kind policy.ListKind, l List) {
 	e.seq = l.Seq
-	e.told = kind != policy.ListCached
-	servers, faults := vet(l, e.listed, e.originMs+now.Milliseconds())
-	e.complain(faults)
-	e.leaves(kind, servers)
-	e.tell(now, kind, e.note(kind, servers))
+	e.listReceived = kind != policy.ListCached
+	servers, faults := validateList(l, e.listed, e.originMs+now.Milliseconds())
+	e.logEntryErrors(faults)
+	e.reportLeaving(kind, servers)
+	e.applyEntries(now, kind, e.recordEntries(kind, servers))
 }
 
-// tell hands entries of the list to the module.
-func (e *Engine) tell(now policy.Time, kind policy.ListKind, entries []Server) {
+// applyEntries hands entries of the list to the module.
+func (e *Engine) applyEntries(now policy.Time, kind policy.ListKind, entries []Server) {
 	before := e.endpoints // of those that may change: of a whole list all, else what its entries name
 	if kind.Whole() {
 		e.endpoints = make(map[policy.ServerID]Endpoint, len(entries))
@@ -140,7 +140,7 @@
 	servers := make([]policy.Server, len(entries))
 	for i, s := range entries {
 		servers[i] = policy.Server{
-			ID: s.ID, State: s.State, Zone: s.Zone, Cell: s.Cell, Weight: s.Weight, Started: e.started(now, s),
+			ID: s.ID, State: s.State, Zone: s.Zone, Cell: s.Cell, Weight: s.Weight, Started: e.startTime(now, s),
 		}
 		if s.State == policy.Gone {
 			delete(e.endpoints, s.ID)
@@ -148,12 +148,12 @@
 			e.endpoints[s.ID] = Endpoint{s.Addr, s.ID, s.StartedMs, s.Zone, s.Cell}
 		}
 	}
-	maps.DeleteFunc(e.early, func(id policy.ServerID, f firstSight) bool { return e.endpoints[id].StartedMs != f.bornMs })
+	maps.DeleteFunc(e.futureStarts, func(id policy.ServerID, f futureStart) bool { return e.endpoints[id].StartedMs != f.bornMs })
 	leaving := map[policy.ServerID]bool{}
 	// Connections of a server that has gone, moved or started anew are of no use to whoever has its address now.
 	for id, old := range before {
 		if e.endpoints[id] != old {
-			e.to.HangUp(old)
+			e.transport.HangUp(old)
 			leaving[id] = true
 		}
 	}
@@ -163,33 +163,33 @@
 		}
 	}
 	e.module.Members(now, kind, servers, e)
-	e.recall(leaving)
+	e.cancelUnsent(leaving)
 	e.sites.Members(now, kind, servers)
 }
 
-// recall calls off what waits to be sent to servers that leave, so that the module decides anew. It guards against sends that begin long
+// cancelUnsent calls off what waits to be sent to servers that leave, so that the module decides anew. It guards against sends that begin long
 // after the decision: however long a descriptor or a connection takes to come, nothing new goes to a server that was told to leave.
-func (e *Engine) recall(leaving map[policy.ServerID]bool) {
+func (e *Engine) cancelUnsent(leaving map[policy.ServerID]bool) {
 	if len(leaving) == 0 {
 		return
 	}
 	for _, r := range e.requests {
 		for _, a := range r.attempts {
-			if !a.settled && a.begun == 0 && leaving[a.Server] {
-				a.callOff()
+			if !a.ended && a.replyBegunAt == 0 && leaving[a.Server] {
+				a.cancelIfUnsent()
 			}
 		}
 	}
 }
 
-// started is the module's time of a server's start. It guards against a server that seems to have restarted because its time
+// startTime is the module's time of a server's start. It guards against a server that seems to have restarted because its time
 // was converted anew by a wall clock that has since been set: equal times stay equal, and only 0 is long ago. It also guards
 // against a start in the future, by a clock that is wrong: the server would be held for cold until then.
-func (e *Engine) started(now policy.Time, s Server) policy.Time {
+func (e *Engine) startTime(now policy.Time, s Server) policy.Time {
 	if s.StartedMs == 0 {
 		return 0
 	}
-	if f, ok := e.early[s.ID]; ok && f.bornMs == s.StartedMs {
+	if f, ok := e.futureStarts[s.ID]; ok && f.bornMs == s.StartedMs {
 		return f.at
 	}
 	const most = int64(1e12) // about 30 years either way: more would overflow, and none is real
@@ -199,14 +199,14 @@
 	case ms == 0:
 		return 1
 	case at > now:
-		e.early[s.ID] = firstSight{s.StartedMs, now}
+		e.futureStarts[s.ID] = futureStart{s.StartedMs, now}
 		return now
 	}
 	return at
 }
 
-// firstSight is a time told that was in the future, and when that was.
-type firstSight struct {
+// futureStart is a time told that was in the future, and when that was.
+type futureStart struct {
 	bornMs int64
 	at     policy.Time
 }
--- a/internal/engine/list_bench_test.go
+++ b/internal/engine/list_bench_test.go
@@ -9,19 +9,21 @@
 	"quillfront/policy"
 )
 
-// idle is a module that does nothing, so that what is measured is the engine's own.
-type idle struct{ Module }
+// noopModule is a module that does nothing, so that what is measured is the engine's own.
+type noopModule struct{ Module }
 
-func (idle) Members(policy.Time, policy.ListKind, []policy.Server, policy.Actions) {}
+func (noopModule) Members(policy.Time, policy.ListKind, []policy.Server, policy.Actions) {}
 
-// nowhere is a transport that is never used but for HangUp.
-type nowhere struct{ hungUp int }
+// unusedTransport is a transport that is never used but for HangUp.
+type unusedTransport struct{ hungUp int }
 
-func (*nowhere) Do(*Attempt, Endpoint) AttemptResult { return AttemptResult{Status: policy.Moot} }
-func (*nowhere) Probe(context.Context, Endpoint) (policy.Status, *policy.Load) {
+func (*unusedTransport) Do(*Attempt, Endpoint) AttemptResult {
+	return AttemptResult{Status: policy.Moot}
+}
+func (*unusedTransport) Probe(context.Context, Endpoint) (policy.Status, *policy.Load) {
 	return policy.Moot, nil
 }
-func (n *nowhere) HangUp(Endpoint) { n.hungUp++ }
+func (n *unusedTransport) HangUp(Endpoint) { n.hungUp++ }
 
 // BenchmarkListChange is one changed entry of the list as the engine takes it, under its lock, without what the module does of it.
 func BenchmarkListChange(b *testing.B) {
@@ -31,14 +33,14 @@
 			for i := range n {
 				l.Servers = append(l.Servers, Server{ID: policy.ServerID(fmt.Sprintf("server-%d", i)), Addr: "127.0.0.1:1", Weight: 1})
 			}
-			to := &nowhere{}
-			e := New(Options{Module: idle{}, Transport: to, CachedList: &l, Log: slog.New(slog.DiscardHandler)})
+			to := &unusedTransport{}
+			e := New(Options{Module: noopModule{}, Transport: to, CachedList: &l, Log: slog.New(slog.DiscardHandler)})
 			defer e.Close()
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				s := l.Servers[i%n]
 				s.Addr = fmt.Sprintf("127.0.0.1:%d", 2+i%1000)
-				e.event(func(now policy.Time) { e.members(now, policy.ListDelta, List{Servers: []Server{s}}) })
+				e.event(func(now policy.Time) { e.updateList(now, policy.ListDelta, List{Servers: []Server{s}}) })
 			}
 			if to.hungUp == 0 {
 				b.Error("nobody was hung up on")
--- a/internal/engine/list_validation.go
+++ b/internal/engine/list_validation.go
@@ -15,13 +15,13 @@
 	Reason string          // one line, which names the field
 }
 
-// vet returns the entries of l as they can be used beside those that stood before, and what is wrong with it. nowMs is the
+// validateList returns the entries of l as they can be used beside those that stood before, and what is wrong with it. nowMs is the
 // present in Unix milliseconds.
 //
 // An entry without an address keeps the one that stood, so that a server that leaves is left alone even if the rest of its entry
 // is spoilt; if none stood it is dropped. Of two for one server the one that lets it take least counts: a drain that another
 // line denies is kept.
-func vet(l List, before map[policy.ServerID]Server, nowMs int64) ([]Server, []EntryError) {
+func validateList(l List, before map[policy.ServerID]Server, nowMs int64) ([]Server, []EntryError) {
 	faults := l.EntryErrors
 	at := make(map[policy.ServerID]int, len(l.Servers))
 	servers := make([]Server, 0, len(l.Servers))
@@ -57,21 +57,21 @@
 	return servers, faults
 }
 
-// complaints tells the log of faults, one line for those of faultEvery: who sends what is wrong may do so without end.
-type complaints struct {
-	some rate.Sometimes
-	left int // faults since the last line
+// entryErrorLog tells the log of faults, one line for those of faultEvery: who sends what is wrong may do so without end.
+type entryErrorLog struct {
+	limit      rate.Sometimes
+	unreported int // faults since the last line
 }
 
-const faultEvery = 10 * time.Second
+const entryErrorLogInterval = 10 * time.Second
 
-func (e *Engine) complain(faults []EntryError) {
+func (e *Engine) logEntryErrors(faults []EntryError) {
 	if len(faults) == 0 {
 		return
 	}
-	e.faults.left += len(faults)
-	e.faults.some.Do(func() {
-		e.log.Warn("the list has what cannot be used", "server", string(faults[0].ID), "fault", faults[0].Reason, "faults", e.faults.left)
-		e.faults.left = 0
+	e.entryErrors.unreported += len(faults)
+	e.entryErrors.limit.Do(func() {
+		e.log.Warn("the list has what cannot be used", "server", string(faults[0].ID), "fault", faults[0].Reason, "faults", e.entryErrors.unreported)
+		e.entryErrors.unreported = 0
 	})
 }
--- a/internal/engine/list_validation_test.go
+++ b/internal/engine/list_validation_test.go
@@ -11,7 +11,7 @@
 	"quillfront/policy"
 )
 
-func TestVet(t *testing.T) {
+func TestValidateList(t *testing.T) {
 	stood := Server{ID: "a", Addr: "a:1", Zone: "z", StartedMs: 5}
 	before := map[policy.ServerID]Server{"a": stood}
 	ready := func(id policy.ServerID, addr string) Server { return Server{ID: id, Addr: addr} }
@@ -39,33 +39,33 @@
 		{"twice, moved", List{Servers: []Server{ready("a", "a:1"), ready("a", "a:2")}}, []Server{ready("a", "a:2")}, 1},
 		{"begun from now on", List{Servers: []Server{{ID: "a", Addr: "a:1", StartedMs: 1001}}}, []Server{{ID: "a", Addr: "a:1", StartedMs: 1001}}, 1},
 	} {
-		got, faults := vet(tt.l, before, 1000)
+		got, faults := validateList(tt.l, before, 1000)
 		if !reflect.DeepEqual(got, tt.want) || len(faults) != tt.faults {
 			t.Errorf("%s: %+v and faults %v; want %+v and %d", tt.name, got, faults, tt.want, tt.faults)
 		}
 	}
 }
 
-// told collects what a module is told of the list.
-type told struct {
+// listRecorder collects what a module is listRecorder of the list.
+type listRecorder struct {
 	Module
 	lists [][]policy.Server
 }
 
-func (m *told) Members(_ policy.Time, _ policy.ListKind, servers []policy.Server, _ policy.Actions) {
+func (m *listRecorder) Members(_ policy.Time, _ policy.ListKind, servers []policy.Server, _ policy.Actions) {
 	m.lists = append(m.lists, servers)
 }
 
-// TestBornInTheFuture: a server whose clock runs ahead counts as begun when it was first told of, the same at each list, so that
+// TestStartInTheFuture: a server whose clock runs ahead counts as begun when it was first told of, the same at each list, so that
 // it is neither held for cold for years nor taken for one that restarts again and again.
-func TestBornInTheFuture(t *testing.T) {
+func TestStartInTheFuture(t *testing.T) {
 	var log bytes.Buffer
-	m := &told{}
-	e := New(Options{Module: m, Transport: newFake(), Log: slog.New(slog.NewTextHandler(&log, nil))})
+	m := &listRecorder{}
+	e := New(Options{Module: m, Transport: newFakeTransport(), Log: slog.New(slog.NewTextHandler(&log, nil))})
 	defer e.Close()
 	say := func(bornMs int64) policy.Time {
 		l := List{Seq: 1, Full: true, Servers: []Server{{ID: "a", Addr: "a:1", StartedMs: bornMs}}}
-		e.event(func(now policy.Time) { e.members(now, policy.ListFull, l) })
+		e.event(func(now policy.Time) { e.updateList(now, policy.ListFull, l) })
 		return m.lists[len(m.lists)-1][0].Started
 	}
 	ahead := time.Now().Add(time.Hour).UnixMilli()
@@ -89,19 +89,19 @@
 	if again := say(soon); again != first {
 		t.Errorf("once its time has come, %v is %v", first, again)
 	}
-	if say(0); len(e.early) > 0 {
-		t.Errorf("%d starts are kept that nobody tells any more", len(e.early))
+	if say(0); len(e.futureStarts) > 0 {
+		t.Errorf("%d starts are kept that nobody tells any more", len(e.futureStarts))
 	}
 	if got := log.String(); strings.Count(got, "\n") != 1 || !strings.Contains(got, "server=a") || !strings.Contains(got, "from now") {
 		t.Errorf("the log has %q", got)
 	}
 }
 
-// TestListKeepsItsHead: no list crashes the engine or loses what stood, however spoilt.
-func TestListKeepsItsHead(t *testing.T) {
-	e, _ := start(t, "a", "b")
-	e.SetSource(once{List{Seq: 2, Full: true, Servers: []Server{{ID: "a", State: policy.Draining}, {ID: "c"}}, EntryErrors: []EntryError{{"a", "dial"}, {"b", "health"}, {"c", "dial"}, {"", ""}}}})
-	for end := time.Now().Add(patience); e.Snapshot().ListSeq != 2; time.Sleep(time.Millisecond) {
+// TestInvalidEntriesKeepPreviousState: no list crashes the engine or loses what stood, however spoilt.
+func TestInvalidEntriesKeepPreviousState(t *testing.T) {
+	e, _ := startEngine(t, "a", "b")
+	e.SetSource(oneListSource{List{Seq: 2, Full: true, Servers: []Server{{ID: "a", State: policy.Draining}, {ID: "c"}}, EntryErrors: []EntryError{{"a", "dial"}, {"b", "health"}, {"c", "dial"}, {"", ""}}}})
+	for end := time.Now().Add(testTimeout); e.Snapshot().ListSeq != 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the list is not taken")
 		}
--- a/internal/engine/pending.go
+++ b/internal/engine/pending.go
@@ -22,13 +22,13 @@
 	StageAnswer                  // the head of the answer
 )
 
-var stages = [...]string{
+var stageNames = [...]string{
 	StageServer: "its server", StageDescriptor: "a descriptor", StageConnect: "a connection", StageSend: "the request to be taken",
 	StageAnswer: "the answer",
 }
 
 // String returns the stage in words.
-func (s Stage) String() string { return stages[s] }
+func (s Stage) String() string { return stageNames[s] }
 
 // SetStage notes what the attempt waits for from now on. It may be called by the transport at any time.
 func (a *Attempt) SetStage(s Stage) { a.stage.Store(int32(s)) }
@@ -68,7 +68,7 @@
 	defer e.mu.Unlock()
 	now := e.Now()
 	none := "a load report"
-	if !e.usable() {
+	if !e.hasUsableServer() {
 		none = "a list with a server that takes requests"
 		if e.retired {
 			none += ", in a pool that is taken out"
@@ -76,21 +76,21 @@
 	}
 	var all []PendingRequest
 	for _, r := range e.requests {
-		if r.ended || now-r.since < d {
+		if r.ended || now-r.submittedAt < d {
 			continue
 		}
-		w := PendingRequest{Class: r.Class, Age: now - r.since, Attempts: len(r.attempts)}
+		w := PendingRequest{Class: r.Class, Age: now - r.submittedAt, Attempts: len(r.attempts)}
 		if s, ok := r.Payload.(fmt.Stringer); ok {
 			w.Description = s.String()
 		}
 		for _, a := range r.attempts {
-			if !a.settled {
-				w.OpenAttempts = append(w.OpenAttempts, OpenAttempt{a.Server, now - a.sent, Stage(a.stage.Load())})
+			if !a.ended {
+				w.OpenAttempts = append(w.OpenAttempts, OpenAttempt{a.Server, now - a.sentAt, Stage(a.stage.Load())})
 			}
 		}
 		switch {
 		case len(w.OpenAttempts) > 0:
-		case r.adopted:
+		case r.deferred:
 			w.WaitsFor = "another request of its order"
 		default:
 			w.WaitsFor = none
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -27,24 +27,24 @@
 	// call the engine.
 	OnEnd func(result Result, withdrawn bool)
 
-	id         policy.RequestID
-	since      policy.Time // when it was taken
-	result     chan Result // of one place
-	attempts   []*Attempt
-	out        int // attempts without an ending
-	ended      bool
-	adopted    bool // the module was not told of it
-	unsendable bool // see StopSending
-	ran        bool // an attempt has ended that may have been executed
-	last       policy.Status
+	id             policy.RequestID
+	submittedAt    policy.Time // when it was taken
+	result         chan Result // of one place
+	attempts       []*Attempt
+	outstanding    int // attempts without an ending
+	ended          bool
+	deferred       bool // the module was not told of it
+	sendingStopped bool // see StopSending
+	mayHaveRun     bool // an attempt has ended that may have been executed
+	lastStatus     policy.Status
 }
 
-// callOff calls off the attempts of r that wait to be sent, but for one. It guards against sending what nobody waits for any more, after
+// cancelUnsent calls off the attempts of r that wait to be sent, but for one. It guards against sending what nobody waits for any more, after
 // a wait for a descriptor or a connection: where attempts that are out may not be called off, the module leaves these alone too.
-func (r *Request) callOff(but *Attempt) {
+func (r *Request) cancelUnsent(but *Attempt) {
 	for _, a := range r.attempts {
-		if a != but && !a.settled {
-			a.callOff()
+		if a != but && !a.ended {
+			a.cancelIfUnsent()
 		}
 	}
 }
@@ -82,17 +82,17 @@
 	Server   policy.ServerID
 	Deadline time.Time // the module waits no longer
 
-	engine  *Engine
-	req     *Request
-	sent    policy.Time
-	settled bool        // it has ended
-	begun   policy.Time // when its answer was passed on before its end; zero: it was not
-	stage   atomic.Int32
+	engine       *Engine
+	req          *Request
+	sentAt       policy.Time
+	ended        bool        // it has ended
+	replyBegunAt policy.Time // when its answer was passed on before its end; zero: it was not
+	stage        atomic.Int32
 
 	mu       sync.Mutex
 	canceled bool
 	sending  bool   // its server may have seen some of it
-	stop     func() // ends what the attempt waits for
+	stopWait func() // ends what the attempt waits for
 }
 
 // Payload is what is to be sent. It stays until the attempt has ended.
@@ -109,21 +109,21 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.canceled = true
-	if a.stop != nil {
-		a.stop()
+	if a.stopWait != nil {
+		a.stopWait()
 	}
 }
 
-// callOff is cancel of an attempt that waits to be sent. It asks nobody whether attempts may be called off: no server has seen it.
-func (a *Attempt) callOff() {
+// cancelIfUnsent is cancel of an attempt that waits to be sent. It asks nobody whether attempts may be called off: no server has seen it.
+func (a *Attempt) cancelIfUnsent() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.sending || a.canceled {
 		return
 	}
 	a.canceled = true
-	if a.stop != nil {
-		a.stop()
+	if a.stopWait != nil {
+		a.stopWait()
 	}
 }
 
@@ -139,7 +139,7 @@
 	a.SetStage(StageSend)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.stop, a.sending = stop, true
+	a.stopWait, a.sending = stop, true
 	return !a.canceled
 }
 
@@ -148,7 +148,7 @@
 func (a *Attempt) OnCancel(stop func()) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.stop = stop
+	a.stopWait = stop
 	return !a.canceled
 }
 
--- a/internal/engine/shutdown.go
+++ b/internal/engine/shutdown.go
@@ -7,11 +7,11 @@
 // bring the answer. It may be called before Take, which then fails with ErrClosed, and after r has ended.
 func (e *Engine) StopSending(r *Request) {
 	e.event(func(now policy.Time) {
-		r.unsendable = true
-		if r.ended || !r.taken() || r.adopted {
+		r.sendingStopped = true
+		if r.ended || !r.submitted() || r.deferred {
 			return
 		}
-		r.callOff(nil)
+		r.cancelUnsent(nil)
 		e.module.StopSending(now, r.id, e)
 	})
 }
@@ -19,17 +19,17 @@
 // GiveUp gives r its final result now, if it has none: whoever waits for it can wait no longer. It includes StopSending.
 func (e *Engine) GiveUp(r *Request) {
 	e.event(func(now policy.Time) {
-		r.unsendable = true
-		if r.ended || !r.taken() {
+		r.sendingStopped = true
+		if r.ended || !r.submitted() {
 			return
 		}
-		if !r.adopted {
+		if !r.deferred {
 			e.module.GiveUp(now, r.id, e)
 		}
 		// What it was adopted for may have run. For another it guards against a module that leaves it open.
-		e.finish(r, Result{Kind: Failed, MayHaveRun: r.adopted})
+		e.finish(r, Result{Kind: Failed, MayHaveRun: r.deferred})
 	})
 }
 
-// taken reports whether r has been taken or adopted.
-func (r *Request) taken() bool { return r.id != 0 }
+// submitted reports whether r has been submitted or adopted.
+func (r *Request) submitted() bool { return r.id != 0 }
--- a/internal/engine/shutdown_test.go
+++ b/internal/engine/shutdown_test.go
@@ -8,31 +8,31 @@
 	"quillfront/policy"
 )
 
-// TestStopSendingTakesBack: an attempt that waits for a connection is called off, proves never to have run, and has no
+// TestStopSendingCancelsUnsent: an attempt that waits for a connection is called off, proves never to have run, and has no
 // successor; its request is refused at once.
-func TestStopSendingTakesBack(t *testing.T) {
-	e, f := start(t, "a", "b")
-	r, released := take(t, e, "unsafe", "n")
-	next(t, "attempt", f.started)
+func TestStopSendingCancelsUnsent(t *testing.T) {
+	e, f := startEngine(t, "a", "b")
+	r, released := submit(t, e, "unsafe", "n")
+	receive(t, "attempt", f.started)
 	e.StopSending(r)
-	if got := next(t, "result", r.Result()); got.Kind != Refused || !got.NotRun || got.Attempts != 1 {
+	if got := receive(t, "result", r.Result()); got.Kind != Refused || !got.NotRun || got.Attempts != 1 {
 		t.Errorf("result %+v, want refused, not run, after one attempt", got)
 	}
-	next(t, "release", released)
+	receive(t, "release", released)
 }
 
-// TestStopSendingLeavesWhatIsOut: an attempt that its server may have seen goes on, and its answer is the request's.
-func TestStopSendingLeavesWhatIsOut(t *testing.T) {
-	e, f := start(t, "a", "b")
-	r, _ := take(t, e, "safe", "n")
-	a := next(t, "attempt", f.started)
+// TestStopSendingKeepsSentAttempts: an attempt that its server may have seen goes on, and its answer is the request's.
+func TestStopSendingKeepsSentAttempts(t *testing.T) {
+	e, f := startEngine(t, "a", "b")
+	r, _ := submit(t, e, "safe", "n")
+	a := receive(t, "attempt", f.started)
 	a.Sending(func() { t.Error("called off") })
 	e.StopSending(r)
 	if len(r.Result()) > 0 {
 		t.Error("answered before its server did")
 	}
 	f.finish(a, AttemptResult{Status: policy.OK, Reply: "reply"})
-	if got := next(t, "result", r.Result()); got.Kind != Served {
+	if got := receive(t, "result", r.Result()); got.Kind != Served {
 		t.Errorf("result %+v", got)
 	}
 	e.StopSending(r) // it has ended
@@ -42,28 +42,28 @@
 	}
 }
 
-// TestGiveUpAnswers: a request whose attempt hangs has its result at once, by the module's word, and only one.
-func TestGiveUpAnswers(t *testing.T) {
+// TestGiveUpEndsRequestAtOnce: a request whose attempt hangs has its result at once, by the module's word, and only one.
+func TestGiveUpEndsRequestAtOnce(t *testing.T) {
 	for class, want := range map[string]ResultKind{"safe": Refused, "unsafe": Failed} {
-		e, f := start(t, "a")
-		r, released := take(t, e, class, "n")
-		a := next(t, "attempt", f.started)
+		e, f := startEngine(t, "a")
+		r, released := submit(t, e, class, "n")
+		a := receive(t, "attempt", f.started)
 		a.Sending(func() {})
 		e.GiveUp(r)
-		if got := next(t, "result", r.Result()); got.Kind != want || got.NotRun {
+		if got := receive(t, "result", r.Result()); got.Kind != want || got.NotRun {
 			t.Errorf("%s: result %+v, want %v and no promise that it has not run", class, got, want)
 		}
 		f.finish(a, AttemptResult{Status: policy.OK, Reply: "late"})
-		next(t, "release", released)
+		receive(t, "release", released)
 		if len(r.Result()) > 0 {
 			t.Errorf("%s: a second result", class)
 		}
 	}
 }
 
-// TestShutdownBeforeTake: a request that was stopped or given up just before it is handed over is not taken.
-func TestShutdownBeforeTake(t *testing.T) {
-	e, f := start(t, "a")
+// TestShutdownBeforeSubmit: a request that was stopped or given up just before it is handed over is not taken.
+func TestShutdownBeforeSubmit(t *testing.T) {
+	e, f := startEngine(t, "a")
 	for _, stop := range []func(*Request){e.StopSending, e.GiveUp} {
 		r := &Request{Class: "safe", Timeout: time.Second}
 		stop(r)
@@ -76,10 +76,10 @@
 	}
 }
 
-// TestShutdownOfAdopted: an adopted request that may not be sent is not handed to the module any more, and one that is given
+// TestShutdownOfDeferredRequest: an adopted request that may not be sent is not handed to the module any more, and one that is given
 // up is told as one that may have run.
-func TestShutdownOfAdopted(t *testing.T) {
-	e, f := start(t, "a")
+func TestShutdownOfDeferredRequest(t *testing.T) {
+	e, f := startEngine(t, "a")
 	for _, end := range []func(r *Request){
 		func(r *Request) { e.StopSending(r); e.DispatchDeferred(r, e.Now(), func() { t.Error("handed over") }) },
 		func(r *Request) { e.GiveUp(r) },
@@ -89,7 +89,7 @@
 			t.Fatal(err)
 		}
 		end(r)
-		if got := next(t, "result", r.Result()); got.Kind != Failed || !got.MayHaveRun {
+		if got := receive(t, "result", r.Result()); got.Kind != Failed || !got.MayHaveRun {
 			t.Errorf("result %+v, want failed, may have run", got)
 		}
 	}
@@ -98,19 +98,19 @@
 	}
 }
 
-// mute leaves open what it is told to give up.
-type mute struct{ Module }
+// giveUpIgnorer leaves open what it is told to give up.
+type giveUpIgnorer struct{ Module }
 
-func (mute) GiveUp(policy.Time, policy.RequestID, policy.Actions) {}
+func (giveUpIgnorer) GiveUp(policy.Time, policy.RequestID, policy.Actions) {}
 
-// TestGiveUpWhateverTheModuleDoes: no request stays open.
-func TestGiveUpWhateverTheModuleDoes(t *testing.T) {
-	e, f := start(t, "a")
-	e.module = mute{e.module}
-	r, _ := take(t, e, "safe", "n")
-	a := next(t, "attempt", f.started)
+// TestGiveUpIgnoredByModule: no request stays open.
+func TestGiveUpIgnoredByModule(t *testing.T) {
+	e, f := startEngine(t, "a")
+	e.module = giveUpIgnorer{e.module}
+	r, _ := submit(t, e, "safe", "n")
+	a := receive(t, "attempt", f.started)
 	e.GiveUp(r)
-	if got := next(t, "result", r.Result()); got.Kind != Failed {
+	if got := receive(t, "result", r.Result()); got.Kind != Failed {
 		t.Errorf("result %+v", got)
 	}
 	f.finish(a, AttemptResult{Status: policy.Timeout})
--- a/internal/engine/sites.go
+++ b/internal/engine/sites.go
@@ -10,7 +10,7 @@
 func (e *Engine) WatchSites(cfg *sites.Config) (err error) {
 	e.event(func(now policy.Time) {
 		if err = e.sites.Watch(now, cfg, e.config); err == nil {
-			e.watched = cfg
+			e.siteConfig = cfg
 		}
 	})
 	return err
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -31,8 +31,8 @@
 	policy.ServerBelief
 }
 
-// believer is a module that can tell what it believes.
-type believer interface {
+// beliefReporter is a module that can tell what it believes.
+type beliefReporter interface {
 	Beliefs(policy.Time) policy.Beliefs
 }
 
@@ -42,13 +42,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := Snapshot{
-		At: e.Now(), Open: e.open, Retained: len(e.requests), Accepted: uint64(e.lastID), Probing: e.probing, Timers: len(e.timers),
+		At: e.Now(), Open: e.openCount, Retained: len(e.requests), Accepted: uint64(e.lastID), Probing: e.probing, Timers: len(e.timers),
 		ListSeq: e.seq, Watching: e.stopWatch != nil,
 	}
 	for _, t := range e.timers {
 		s.LastDue = max(s.LastDue, t.at-e.Now())
 	}
-	if m, ok := e.module.(believer); ok {
+	if m, ok := e.module.(beliefReporter); ok {
 		s.Beliefs = m.Beliefs(e.Now())
 	}
 	s.Sites = e.sites.Views(e.Now())
--- a/internal/engine/timer.go
+++ b/internal/engine/timer.go
@@ -13,21 +13,21 @@
 		return
 	}
 	heap.Push(&e.timers, timer{e.Now() + max(0, after), token})
-	e.setAlarm()
+	e.scheduleWake()
 }
 
-// setAlarm makes the alarm ring when the first timer is due.
-func (e *Engine) setAlarm() {
-	if len(e.timers) > 0 && (e.alarmAt == 0 || e.timers[0].at < e.alarmAt) {
-		e.alarmAt = e.timers[0].at
-		e.alarm.Reset(max(0, e.alarmAt-e.Now()))
+// scheduleWake makes the alarm ring when the first timer is due.
+func (e *Engine) scheduleWake() {
+	if len(e.timers) > 0 && (e.wakeAt == 0 || e.timers[0].at < e.wakeAt) {
+		e.wakeAt = e.timers[0].at
+		e.wakeTimer.Reset(max(0, e.wakeAt-e.Now()))
 	}
 }
 
-// ring hands the timers that are due to the module, all in one go.
-func (e *Engine) ring() {
+// fireTimers hands the timers that are due to the module, all in one go.
+func (e *Engine) fireTimers() {
 	e.event(func(now policy.Time) {
-		e.alarmAt = 0
+		e.wakeAt = 0
 		var due []string
 		for len(e.timers) > 0 && e.timers[0].at <= now {
 			due = append(due, heap.Pop(&e.timers).(timer).token)
@@ -35,7 +35,7 @@
 		for _, token := range due {
 			e.module.Timer(now, token, e)
 		}
-		e.setAlarm()
+		e.scheduleWake()
 	})
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -18,8 +18,8 @@
 	Peers      bool     // sidecars may send one another datagrams
 }
 
-// object mirrors the keys that the module uses; others are skipped.
-type object struct {
+// settingsObject mirrors the keys that the module uses; others are skipped.
+type settingsObject struct {
 	GroupSize, Ordinal int
 	Zone               string
 	MembershipMode     string
@@ -63,7 +63,7 @@
 
 // Parse reads the settings object. An error names the key at fault.
 func Parse(text []byte) (Settings, error) {
-	var s object
+	var s settingsObject
 	if err := json.Unmarshal(text, &s); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
@@ -95,7 +95,7 @@
 }
 
 // validate guards against what the module would reject or misread, by the names that the operators use.
-func (s *object) validate() error {
+func (s *settingsObject) validate() error {
 	for _, c := range s.RequestClasses {
 		_, effect := effects[c.Effect]
 		_, group := groups[c.Group]
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,37 +12,37 @@
 	"quillfront/policy"
 )
 
-const whole = `{"GroupSize":2,"Ordinal":1,"Zone":"a","MembershipMode":"asked","OverShareWorth":0.5,"TickUs":1000,
+const completeSettings = `{"GroupSize":2,"Ordinal":1,"Zone":"a","MembershipMode":"asked","OverShareWorth":0.5,"TickUs":1000,
 "Limits":{"Cancelling":true,"MayDuplicate":true,"Probes":true,"RetryAfter":true,"ConnIdleUs":5000000,"DialTimeoutUs":250000,"MaxRetryAfterUs":1500000,"SendCap":3},
 "RequestClasses":[{"Name":"order","Effect":"idempotency_key","Group":"cell","AimUs":400000,"DeadlineUs":1600000,"KeyTtlUs":1500000,"Worth":10,"LateShare":0.5}],
 "Safety":{"AskEveryUs":10000000,"GraceToAnswerUs":20000,"RampTimeUs":8000000,"ColdFrom":0.3,"TipMultiple":2.5},
 "FamilyInfo":{"WarmKeys":false},"Tariffs":{"Connection":0.01,"CrossZone":0.03,"Handshake":0.08,"Probe":0.08},
 "Telemetry":{"Fields":["queue"],"Via":"inline"},"Tenants":[{"Name":"north","AllowancePerS":5}]}`
 
-// idle ignores what a module does.
-type idle struct{ sent int }
+// countingActions ignores what a module does.
+type countingActions struct{ sent int }
 
-func (a *idle) Send(policy.RequestID, policy.ServerID, time.Duration) { a.sent++ }
-func (*idle) Refuse(policy.RequestID, time.Duration)                  {}
-func (*idle) Fail(policy.RequestID)                                   {}
-func (*idle) Cancel(policy.RequestID, int)                            {}
-func (*idle) SetTimer(time.Duration, string)                          {}
-func (*idle) Probe(policy.ServerID)                                   {}
-func (*idle) HangUp(policy.ServerID)                                  {}
-func (*idle) Watch(bool)                                              {}
-func (*idle) Log(string)                                              {}
+func (a *countingActions) Send(policy.RequestID, policy.ServerID, time.Duration) { a.sent++ }
+func (*countingActions) Refuse(policy.RequestID, time.Duration)                  {}
+func (*countingActions) Fail(policy.RequestID)                                   {}
+func (*countingActions) Cancel(policy.RequestID, int)                            {}
+func (*countingActions) SetTimer(time.Duration, string)                          {}
+func (*countingActions) Probe(policy.ServerID)                                   {}
+func (*countingActions) HangUp(policy.ServerID)                                  {}
+func (*countingActions) Watch(bool)                                              {}
+func (*countingActions) Log(string)                                              {}
 
-// TestWithoutAKey: settings that lack a key either end in an error of one line that names it, or in a module that serves: what the
+// TestMissingKey: settings that lack a key either end in an error of one line that names it, or in a module that serves: what the
 // key is for is off then.
-func TestWithoutAKey(t *testing.T) {
+func TestMissingKey(t *testing.T) {
 	parse := func() map[string]any {
 		var m map[string]any
-		if err := json.Unmarshal([]byte(whole), &m); err != nil {
+		if err := json.Unmarshal([]byte(completeSettings), &m); err != nil {
 			t.Fatal(err)
 		}
 		return m
 	}
-	if _, err := Parse([]byte(whole)); err != nil {
+	if _, err := Parse([]byte(completeSettings)); err != nil {
 		t.Fatal(err)
 	}
 	refused := map[string]bool{}
@@ -64,7 +64,7 @@
 			t.Errorf("without %s: %v", key, err)
 			return
 		}
-		act := &idle{}
+		act := &countingActions{}
 		now := policy.Time(time.Hour)
 		b.Members(now, policy.ListFull, []policy.Server{{ID: "s", Zone: "a"}, {ID: "t", Zone: "b", Started: now - time.Second}}, act)
 		for i := range 20 {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -26,7 +26,7 @@
 	for {
 		line, err := in.ReadBytes('\n')
 		if text := bytes.TrimSpace(line); len(text) > 0 {
-			out, err := h.batch(text)
+			out, err := h.handleBatch(text)
 			if err != nil {
 				return err
 			}
@@ -59,7 +59,7 @@
 	Salt        uint64          `json:"Salt"`
 	Settings    json.RawMessage `json:"Settings"`
 	Page        int             `json:"Page"`
-	Lines       []entry         `json:"Lines"`
+	Lines       []listEntry     `json:"Lines"`
 	How         string          `json:"How"`
 	Corr        uint64          `json:"Corr"`
 	CostUs      int64           `json:"CostUs"`
@@ -77,7 +77,7 @@
 	Ctx         string          `json:"Ctx"`
 }
 
-type entry struct {
+type listEntry struct {
 	LastStartUs  int64   `json:"LastStartUs"`
 	CapacityHint float64 `json:"CapacityHint"`
 	Lifecycle    string  `json:"Lifecycle"`
@@ -87,16 +87,16 @@
 }
 
 type reply struct {
-	Groups []orders `json:"groups"`
+	Groups []actionGroup `json:"groups"`
 }
 
-type orders struct {
-	Sidecar string  `json:"Sidecar"`
-	Orders  []order `json:"orders"`
+type actionGroup struct {
+	Sidecar string   `json:"Sidecar"`
+	Orders  []action `json:"orders"`
 }
 
-// order holds the fields of every action.
-type order struct {
+// action holds the fields of every action.
+type action struct {
 	Cmd        string            `json:"cmd"`
 	Corr       *policy.RequestID `json:"Corr,omitempty"` // 0 is an id too
 	Upstream   policy.ServerID   `json:"Upstream,omitzero"`
@@ -114,20 +114,20 @@
 	"dial_failed": policy.ConnectFailed, "dropped": policy.Reset, "revoked": policy.Canceled, "unused": policy.Moot,
 }
 
-var states = map[string]policy.ServerState{"on": policy.Ready, "fading": policy.Draining, "off": policy.Gone}
+var serverStates = map[string]policy.ServerState{"on": policy.Ready, "fading": policy.Draining, "off": policy.Gone}
 
-var kinds = map[string]policy.ListKind{
+var listKinds = map[string]policy.ListKind{
 	"patch": policy.ListDelta, "whole": policy.ListFull, "stale_copy": policy.ListCached, "broken": policy.ListFailed,
 }
 
 // host holds the instances of the process and the lists they refer to.
 type host struct {
 	instances map[string]*instance
-	pages     [16][]policy.Server
+	lists     [16][]policy.Server
 	watch     *sites.Config
 }
 
-func open(now policy.Time, e *event, watch *sites.Config) (*instance, error) {
+func openInstance(now policy.Time, e *event, watch *sites.Config) (*instance, error) {
 	s, err := settings.Parse(e.Settings)
 	if err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 	if err != nil {
 		return nil, err
 	}
-	inst := &instance{balancer: b, sites: siting.New(b, slog.New(slog.DiscardHandler)), fields: s.LoadFields}
+	inst := &instance{balancer: b, sites: siting.New(b, slog.New(slog.DiscardHandler)), loadFields: s.LoadFields}
 	if err := inst.sites.Watch(now, watch, s.Config); err != nil {
 		return nil, err
 	}
@@ -144,13 +144,13 @@
 }
 
 type instance struct {
-	balancer *policy.Balancer
-	sites    *siting.Host
-	fields   []string // names of the values in a load report
-	orders   []order
+	balancer   *policy.Balancer
+	sites      *siting.Host
+	loadFields []string // names of the values in a load report
+	actions    []action
 }
 
-func (h *host) batch(line []byte) ([]byte, error) {
+func (h *host) handleBatch(line []byte) ([]byte, error) {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
 		return nil, fmt.Errorf("batch: %w", err)
@@ -158,9 +158,9 @@
 	if b.AtTimeUs == nil {
 		return nil, fmt.Errorf("batch: no AtTimeUs in %.80q", line)
 	}
-	out := reply{Groups: []orders{}}
+	out := reply{Groups: []actionGroup{}}
 	for _, g := range b.Groups {
-		var done []order
+		var done []action
 		for i := range g.Msgs {
 			got, err := h.dispatch(settings.Micros(*b.AtTimeUs), g.Sidecar, &g.Msgs[i])
 			if err != nil {
@@ -169,7 +169,7 @@
 			done = append(done, got...)
 		}
 		if len(done) > 0 {
-			out.Groups = append(out.Groups, orders{g.Sidecar, done})
+			out.Groups = append(out.Groups, actionGroup{g.Sidecar, done})
 		}
 	}
 	text, err := json.Marshal(out)
@@ -177,18 +177,18 @@
 }
 
 // dispatch hands one event to its instance. A panic of the module becomes a Fault.
-func (h *host) dispatch(now policy.Time, name string, e *event) (got []order, err error) {
+func (h *host) dispatch(now policy.Time, name string, e *event) (got []action, err error) {
 	if e.Cmd == "Pool" {
-		return nil, h.pool(e)
+		return nil, h.storeList(e)
 	}
 	if e.Cmd == "OpenInstance" {
-		inst, err := open(now, e, h.watch)
+		inst, err := openInstance(now, e, h.watch)
 		if err == nil {
 			h.instances[name] = inst
 		}
 		return nil, err
 	}
-	if !known[e.Cmd] {
+	if !instanceCommands[e.Cmd] {
 		return nil, fmt.Errorf("unknown message")
 	}
 	inst := h.instances[name]
@@ -201,15 +201,15 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			got = []order{{Cmd: "Fault", Text: fmt.Sprintf("%s: %v", e.Cmd, p)}}
+			got = []action{{Cmd: "Fault", Text: fmt.Sprintf("%s: %v", e.Cmd, p)}}
 		}
 	}()
-	inst.orders = nil
+	inst.actions = nil
 	err = h.deliver(now, inst, e)
-	return inst.orders, err
+	return inst.actions, err
 }
 
-var known = map[string]bool{
+var instanceCommands = map[string]bool{
 	"Halt": true, "BackendsChanged": true, "Demand": true, "Opened": true, "ReportBack": true, "Withdrawn": true,
 	"DeadlineHit": true, "HealthResult": true, "Memo": true,
 }
@@ -218,16 +218,16 @@
 	b := inst.balancer
 	switch e.Cmd {
 	case "BackendsChanged":
-		kind, ok := kinds[e.How]
+		kind, ok := listKinds[e.How]
 		if !ok {
 			return fmt.Errorf("unknown kind of list %q", e.How)
 		}
 		var lines []policy.Server
 		if kind != policy.ListFailed {
-			if e.Page < 0 || e.Page >= len(h.pages) {
+			if e.Page < 0 || e.Page >= len(h.lists) {
 				return fmt.Errorf("no list %d", e.Page)
 			}
-			lines = h.pages[e.Page]
+			lines = h.lists[e.Page]
 		}
 		inst.sites.Members(now, kind, lines)
 		b.Members(now, kind, lines, inst)
@@ -245,7 +245,7 @@
 		if !ok {
 			return fmt.Errorf("unknown outcome %q", e.Disposition)
 		}
-		server, delay, load := policy.ServerID(e.Upstream), settings.Micros(e.DelaySeenUs), inst.load(e.Metrics)
+		server, delay, load := policy.ServerID(e.Upstream), settings.Micros(e.DelaySeenUs), inst.parseLoad(e.Metrics)
 		inst.sites.Ended(now, server, status)
 		if e.Cmd == "HealthResult" {
 			b.Probed(now, policy.ProbeResult{Server: server, Status: status, Delay: delay, Load: load}, inst)
@@ -263,13 +263,13 @@
 	return nil
 }
 
-func (h *host) pool(e *event) error {
-	if e.Page < 0 || e.Page >= len(h.pages) {
+func (h *host) storeList(e *event) error {
+	if e.Page < 0 || e.Page >= len(h.lists) {
 		return fmt.Errorf("list number %d out of range", e.Page)
 	}
 	lines := make([]policy.Server, len(e.Lines))
 	for i, l := range e.Lines {
-		state, ok := states[l.Lifecycle]
+		state, ok := serverStates[l.Lifecycle]
 		if !ok {
 			return fmt.Errorf("unknown state %q of %s", l.Lifecycle, l.Upstream)
 		}
@@ -278,49 +278,49 @@
 			Weight: l.CapacityHint, Started: settings.Micros(l.LastStartUs),
 		}
 	}
-	h.pages[e.Page] = lines
+	h.lists[e.Page] = lines
 	return nil
 }
 
-// load reads a report by the names of its fields.
-func (i *instance) load(row []float64) *policy.Load {
+// parseLoad reads a report by the names of its fields.
+func (i *instance) parseLoad(row []float64) *policy.Load {
 	if len(row) == 0 {
 		return nil
 	}
 	l := settings.EmptyLoad()
-	for k, v := range row[:min(len(row), len(i.fields))] {
-		settings.SetLoadField(&l, i.fields[k], v)
+	for k, v := range row[:min(len(row), len(i.loadFields))] {
+		settings.SetLoadField(&l, i.loadFields[k], v)
 	}
 	return &l
 }
 
 // The methods of policy.Actions.
 
-func (i *instance) add(o order) { i.orders = append(i.orders, o) }
+func (i *instance) add(o action) { i.actions = append(i.actions, o) }
 
 func (i *instance) Send(id policy.RequestID, s policy.ServerID, timeout time.Duration) {
-	i.add(order{Cmd: "Route", Corr: &id, Upstream: s, MaxWaitUs: timeout.Microseconds()})
+	i.add(action{Cmd: "Route", Corr: &id, Upstream: s, MaxWaitUs: timeout.Microseconds()})
 }
 
 func (i *instance) Refuse(id policy.RequestID, retryAfter time.Duration) {
-	i.add(order{Cmd: "OverloadReply", Corr: &id, StayAwayUs: retryAfter.Microseconds()})
+	i.add(action{Cmd: "OverloadReply", Corr: &id, StayAwayUs: retryAfter.Microseconds()})
 }
 
-func (i *instance) Fail(id policy.RequestID) { i.add(order{Cmd: "Lose", Corr: &id}) }
+func (i *instance) Fail(id policy.RequestID) { i.add(action{Cmd: "Lose", Corr: &id}) }
 
 func (i *instance) Cancel(id policy.RequestID, attempt int) {
-	i.add(order{Cmd: "DropAttempt", Corr: &id, Shot: &attempt})
+	i.add(action{Cmd: "DropAttempt", Corr: &id, Shot: &attempt})
 }
 
 func (i *instance) SetTimer(after time.Duration, token string) {
 	us := max(0, after.Microseconds())
-	i.add(order{Cmd: "SetTimer", AfterUs: &us, Ctx: token})
+	i.add(action{Cmd: "SetTimer", AfterUs: &us, Ctx: token})
 }
 
-func (i *instance) Probe(s policy.ServerID) { i.add(order{Cmd: "Ping", Upstream: s}) }
+func (i *instance) Probe(s policy.ServerID) { i.add(action{Cmd: "Ping", Upstream: s}) }
 
-func (i *instance) HangUp(s policy.ServerID) { i.add(order{Cmd: "HangUp", Upstream: s}) }
+func (i *instance) HangUp(s policy.ServerID) { i.add(action{Cmd: "HangUp", Upstream: s}) }
 
-func (i *instance) Watch(on bool) { i.add(order{Cmd: "KeepInformed", Active: &on}) }
+func (i *instance) Watch(on bool) { i.add(action{Cmd: "KeepInformed", Active: &on}) }
 
-func (i *instance) Log(text string) { i.add(order{Cmd: "JournalLine", Text: text}) }
+func (i *instance) Log(text string) { i.add(action{Cmd: "JournalLine", Text: text}) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -105,7 +105,7 @@
 	i.HangUp("10.0.0.1:80")
 	i.Watch(false)
 	i.Log("hello")
-	text, err := json.Marshal(i.orders)
+	text, err := json.Marshal(i.actions)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,8 +131,8 @@
 		{[]string{"inflight", "util"}, []float64{4, 0.5}, &policy.Load{Queue: -1, Inflight: 4, Latency: -1, ErrorRate: -1}},
 	}
 	for _, tt := range tests {
-		i := &instance{fields: tt.fields}
-		if got := i.load(tt.row); !reflect.DeepEqual(got, tt.want) {
+		i := &instance{loadFields: tt.fields}
+		if got := i.parseLoad(tt.row); !reflect.DeepEqual(got, tt.want) {
 			t.Errorf("load(%v) of %v = %+v, want %+v", tt.row, tt.fields, got, tt.want)
 		}
 	}
