--- a/internal/config/services.go
+++ b/internal/config/services.go
@@ -16,7 +16,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"quillfront/internal/guests"
+	"quillfront/internal/connlimit"
 	"quillfront/internal/httpfront"
 	"quillfront/internal/mysql/proxy"
 	"quillfront/internal/mysql/wire"
@@ -36,8 +36,8 @@
 // HTTP is an address at which plain HTTP is served by routes.
 type HTTP struct {
 	Name, Listen string
-	Patience     time.Duration   // at the end of the process
-	Whole        httpfront.Whole // without a Router
+	Patience     time.Duration         // at the end of the process
+	Whole        httpfront.ProxyConfig // without a Router
 }
 
 const (
@@ -78,10 +78,10 @@
 		hold := int64(1 << 20)
 		t.Hold = &hold
 	}
-	c := HTTP{Name: t.Name, Listen: t.Listen, Patience: or(&t.Patience, 10*time.Second), Whole: httpfront.Whole{
-		Name: t.Via, Health: t.Health, MostHead: t.MostHead, HeadTime: or(&t.HeadTime, 10*time.Second), Idle: or(&t.Idle, time.Minute),
-		Stall: or(&t.Stall, 30*time.Second), Rate: t.Rate, Hold: *t.Hold, MostBody: t.MostBody, Expect: or(&t.Expect, time.Second),
-		Forwarded: t.Forwarded, Trace: t.Trace,
+	c := HTTP{Name: t.Name, Listen: t.Listen, Patience: or(&t.Patience, 10*time.Second), Whole: httpfront.ProxyConfig{
+		Pseudonym: t.Via, HealthPath: t.Health, MaxHead: t.MostHead, HeadTimeout: or(&t.HeadTime, 10*time.Second), IdleTimeout: or(&t.Idle, time.Minute),
+		StallTimeout: or(&t.Stall, 30*time.Second), MinBodyRate: t.Rate, MaxBufferedBody: *t.Hold, MaxBody: t.MostBody, ExpectTimeout: or(&t.Expect, time.Second),
+		AddForwardedFor: t.Forwarded, AddTraceparent: t.Trace,
 	}}
 	_, port, err := net.SplitHostPort(t.Listen)
 	if _, perr := strconv.ParseUint(port, 10, 16); err != nil || perr != nil {
@@ -234,7 +234,7 @@
 	c := stream.Config{
 		Name: t.Name, Listen: t.Listen, Pool: t.Pool, Class: t.Class, Idle: time.Duration(t.Idle), Stall: time.Duration(t.Stall), Total: time.Duration(t.Total),
 		Drain: time.Duration(t.Drain), Half: time.Duration(t.Half), Patience: time.Duration(t.Patience), Splice: t.Splice,
-		Guests: guests.Limits{Most: t.Most, PerAddress: t.PerAddr},
+		Guests: connlimit.Limits{Total: t.Most, PerAddress: t.PerAddr},
 	}
 	s := Services{Pools: pools}
 	p := s.Pool(t.Pool)
@@ -305,7 +305,7 @@
 		Name: t.Name, Listen: t.Listen, Pool: t.Pool, Plugin: t.Plugin, Default: t.Class, Hints: t.Hints, MostStatement: t.Statement, Memory: t.Memory,
 		Stall: time.Duration(t.Stall), Idle: time.Duration(t.Idle), Login: time.Duration(t.Login), Hold: time.Duration(t.Hold),
 		Drain: time.Duration(t.Drain), Patience: time.Duration(t.Patience), IdlePool: t.IdlePool, PerServer: t.PerServer, LoadQuery: t.LoadQuery,
-		Guests: guests.Limits{Most: t.Most, PerAddress: t.PerAddress, PerUser: t.PerUser},
+		Guests: connlimit.Limits{Total: t.Most, PerAddress: t.PerAddress, PerUser: t.PerUser},
 	}
 	s := Services{Pools: pools}
 	p := s.Pool(t.Pool)
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -120,7 +120,7 @@
 		if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
 			t.Fatalf("answer %d", resp.StatusCode)
 		}
-		if n := w.inUse(); n > config.LeastSockets-sockets.Spare {
+		if n := w.inUse(); n > config.LeastSockets-sockets.Reserved {
 			t.Fatalf("%d descriptors in use", n)
 		}
 	}
@@ -130,7 +130,7 @@
 // keep clients out. The one that has been silent longest goes, and no other.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
 	w := start(t, newScript(), peer(t, say(okAnswer)), "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.LeastSockets })
-	quiet := func() int { return w.server.Stats().Quiet }
+	quiet := func() int { return w.server.Stats().Idle }
 	var silent []*client
 	begun := w.connect(t) // a head that is slow to come is not silence
 	begun.write(plainGet[:20])
@@ -172,8 +172,8 @@
 	}
 	c.write(plainGet)
 	c.read(t)
-	if o := next(t, "outcome", m.outcomes); o.Status != policy.Moot {
-		t.Errorf("outcome %v, want Moot", o.Status)
+	if o := next(t, "outcome", m.outcomes); o.Status != policy.NotSent {
+		t.Errorf("outcome %v, want NotSent", o.Status)
 	}
 }
 
@@ -205,7 +205,7 @@
 			return
 		}
 		say(okAnswer)(n, c)
-	}), "127.0.0.1:1", func(c *config.Config) { c.Settings.Config.ConnIdle = 100 * time.Millisecond })
+	}), "127.0.0.1:1", func(c *config.Config) { c.Settings.Config.ConnIdleTimeout = 100 * time.Millisecond })
 	var clients []*client
 	for range 50 {
 		c := w.connect(t)
--- a/internal/engine/availability.go
+++ b/internal/engine/availability.go
@@ -140,7 +140,7 @@
 			e.onLeaving(s.ID)
 		}
 	}
-	if kind.Whole() && kind != policy.ListCached {
+	if kind.Complete() && kind != policy.ListCached {
 		for _, id := range slices.Sorted(maps.Keys(e.listed)) {
 			if !said[id] && e.listed[id].State == policy.Ready {
 				e.onLeaving(id)
@@ -200,7 +200,7 @@
 
 // recordEntries notes a message about the list, and returns its entries as they count.
 func (e *Engine) recordEntries(kind policy.ListKind, l []Server) []Server {
-	if kind.Whole() {
+	if kind.Complete() {
 		clear(e.listed)
 	}
 	entries := make([]Server, len(l))
--- a/internal/engine/list_bench_test.go
+++ b/internal/engine/list_bench_test.go
@@ -12,16 +12,16 @@
 // noopModule is a module that does nothing, so that what is measured is the engine's own.
 type noopModule struct{ Module }
 
-func (noopModule) Members(policy.Time, policy.ListKind, []policy.Server, policy.Actions) {}
+func (noopModule) UpdateServers(policy.Time, policy.ListKind, []policy.Server, policy.Actions) {}
 
 // unusedTransport is a transport that is never used but for HangUp.
 type unusedTransport struct{ hungUp int }
 
 func (*unusedTransport) Do(*Attempt, Endpoint) AttemptResult {
-	return AttemptResult{Status: policy.Moot}
+	return AttemptResult{Status: policy.NotSent}
 }
 func (*unusedTransport) Probe(context.Context, Endpoint) (policy.Status, *policy.Load) {
-	return policy.Moot, nil
+	return policy.NotSent, nil
 }
 func (n *unusedTransport) HangUp(Endpoint) { n.hungUp++ }
 
--- a/internal/engine/list_validation_test.go
+++ b/internal/engine/list_validation_test.go
@@ -52,7 +52,7 @@
 	lists [][]policy.Server
 }
 
-func (m *listRecorder) Members(_ policy.Time, _ policy.ListKind, servers []policy.Server, _ policy.Actions) {
+func (m *listRecorder) UpdateServers(_ policy.Time, _ policy.ListKind, servers []policy.Server, _ policy.Actions) {
 	m.lists = append(m.lists, servers)
 }
 
--- a/internal/orders/desk.go
+++ b/internal/orders/desk.go
@@ -475,7 +475,7 @@
 	}
 	e, number, err := o.begin(to)
 	if err != nil {
-		return engine.AttemptResult{Status: policy.Moot}
+		return engine.AttemptResult{Status: policy.NotSent}
 	}
 	end := t.Transport.Do(a, to)
 	o.end(e, number, end)
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -96,7 +96,7 @@
 		return nil
 	}
 	return upstream.New(settings.Settings{
-		Config: policy.Config{DialTimeout: p.DialTimeout(), ConnIdle: p.IdleTimeout()}, LoadFields: p.Fields(),
+		Config: policy.Config{DialTimeout: p.DialTimeout(), ConnIdleTimeout: p.IdleTimeout()}, LoadFields: p.Fields(),
 	}, s.budget, s.log)
 }
 
@@ -142,7 +142,7 @@
 }
 
 func roomOf(beside *upstream.Transport, other func() bool) func() bool {
-	return func() bool { return other != nil && other() || beside != nil && beside.MakeRoom() }
+	return func() bool { return other != nil && other() || beside != nil && beside.EvictIdle() }
 }
 
 func closing(beside *upstream.Transport, other func()) func() {
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -9,8 +9,8 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
+	"quillfront/internal/connlimit"
 	"quillfront/internal/engine"
-	"quillfront/internal/guests"
 	"quillfront/internal/orders"
 	"quillfront/internal/peering"
 	"quillfront/internal/services"
@@ -33,7 +33,7 @@
 	Places            [2]int        // descriptors that may be taken, in all and by clients
 	Orders            *orders.Stats // nil: nothing is noted of orders
 	Services          []services.Figures
-	Peers             *peering.Figures // nil: there are no other processes
+	Peers             *peering.Metrics // nil: there are no other processes
 }
 
 const prefix = "svc_"
@@ -117,8 +117,8 @@
 
 // statuses names how attempts end.
 var statuses = [...]string{
-	policy.OK: "ok", policy.AppError: "error", policy.Full: "turned_away", policy.Timeout: "timeout", policy.ConnectFailed: "connect",
-	policy.Reset: "reset", policy.Canceled: "canceled", policy.Moot: "unsent", policy.Rejected: "rejected",
+	policy.OK: "ok", policy.AppError: "error", policy.Overloaded: "turned_away", policy.Timeout: "timeout", policy.ConnectFailed: "connect",
+	policy.Reset: "reset", policy.Canceled: "canceled", policy.NotSent: "unsent", policy.Rejected: "rejected",
 }
 
 // collector implements prometheus.Collector.
@@ -152,23 +152,23 @@
 	s := c.State()
 	ejected, draining := 0, 0
 	for _, t := range s.Engine.Servers {
-		if t.Ejected > 0 {
+		if t.EjectedFor > 0 {
 			ejected++
 		}
-		if t.ServerBelief.State == policy.Draining {
+		if t.ServerSnapshot.State == policy.Draining {
 			draining++
 		}
 	}
 	for _, t := range s.Engine.Servers[:min(len(s.Engine.Servers), mostServers)] {
 		id := string(t.ID)
-		gauge(serverOut, float64(t.Out), id)
+		gauge(serverOut, float64(t.Outstanding), id)
 		if t.Reported {
 			gauge(serverQueue, t.Queue, id)
 		}
-		gauge(serverDelay, t.Expected.Seconds(), id)
+		gauge(serverDelay, t.ExpectedDelay.Seconds(), id)
 		gauge(serverWarmth, t.Warmth, id)
-		gauge(serverLeft, t.Ejected.Seconds(), id)
-		gauge(serverFails, float64(t.Fails), id)
+		gauge(serverLeft, t.EjectedFor.Seconds(), id)
+		gauge(serverFails, float64(t.ConsecutiveFailures), id)
 	}
 	for _, v := range s.Engine.Sites {
 		gauge(siteShare, v.Share, v.Site)
@@ -211,17 +211,17 @@
 		for state, n := range f.States {
 			gauge(membersKnown, float64(n), state)
 		}
-		gauge(membersLiving, float64(f.Living))
+		gauge(membersLiving, float64(f.Live))
 		gauge(membersGroup, float64(f.Group))
 		gauge(membersHealth, f.Stats.Health)
-		gauge(membersApart, truth(f.Isolated || f.Out))
+		gauge(membersApart, truth(f.Isolated || f.Displaced))
 		total(membersEvents, f.Stats.Verdicts, "condemned")
-		total(membersEvents, f.Stats.Returns, "returned")
+		total(membersEvents, f.Stats.Refutations, "returned")
 		total(membersEvents, f.Stats.Stalls, "stalled")
 		total(membersBytes, f.SentBytes, "sent")
-		total(membersBytes, f.GotBytes, "received")
-		total(membersLost, f.Over, "over_bound")
-		total(membersLost, f.Crowded, "crowded")
+		total(membersBytes, f.ReceivedBytes, "received")
+		total(membersLost, f.SendLimited, "over_bound")
+		total(membersLost, f.ReceiveLimited, "crowded")
 		for why, n := range f.Stats.Dropped {
 			total(membersLost, n, why)
 		}
@@ -237,9 +237,9 @@
 		total(serviceEnded, n.Withdrawn, f.Name, class, "withdrawn")
 	}
 	for _, v := range f.Pool.Servers[:min(len(f.Pool.Servers), mostServers)] {
-		gauge(serviceServer, float64(v.Out), f.Name, string(v.ID))
+		gauge(serviceServer, float64(v.Outstanding), f.Name, string(v.ID))
 	}
-	var g guests.Stats
+	var g connlimit.Stats
 	if st := f.Stream; st != nil {
 		g = st.Guests
 		gauge(streamsOpen, float64(st.Open), f.Name)
@@ -267,11 +267,11 @@
 		if f.Kind == "pool" {
 			gauge(poolPlaces, float64(st.Descriptors), f.Name)
 			gauge(poolBodies, float64(st.Bodies), f.Name)
-			total(poolWaits, st.Waits.Got, f.Name, "got")
-			total(poolWaits, st.Waits.None, f.Name, "none")
+			total(poolWaits, st.Waits.Acquired, f.Name, "got")
+			total(poolWaits, st.Waits.TimedOut, f.Name, "none")
 			return
 		}
-		g.Now = st.Clients.Open
+		g.Current = st.Clients.Open
 		total(poolsEnded, st.Ends.Pools, f.Name)
 		total(poolsCut, st.Ends.Cut, f.Name)
 		for route, n := range st.Routes {
@@ -280,8 +280,8 @@
 			total(routeEarly, uint64(n.Early), f.Name, route)
 		}
 	}
-	gauge(serviceGuests, float64(g.Now), f.Name)
-	for why, n := range g.Turned {
+	gauge(serviceGuests, float64(g.Current), f.Name)
+	for why, n := range g.Rejected {
 		total(serviceAway, n, f.Name, why)
 	}
 }
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -70,11 +70,11 @@
 func (t *Transport) Reconfigure(s settings.Settings) {
 	t.load.Store(&loadForm{s.LoadFields, s.Config.InlineReports})
 	t.pool.dialTimeout.Store(int64(s.Config.DialTimeout))
-	t.pool.idleFor.Store(int64(float64(s.Config.ConnIdle) * idleShare))
+	t.pool.idleFor.Store(int64(float64(s.Config.ConnIdleTimeout) * idleShare))
 }
 
-// HoldHeads has heads of answers of up to n bytes read, from the next connection on.
-func (t *Transport) HoldHeads(n int) { t.pool.buffer = n }
+// SetMaxHeaderBytes has heads of answers of up to n bytes read, from the next connection on.
+func (t *Transport) SetMaxHeaderBytes(n int) { t.pool.buffer = n }
 
 // Close closes the idle connections, and keeps none from now on. Attempts that are out go on to their ends.
 func (t *Transport) Close() {
@@ -83,17 +83,17 @@
 	t.pool.close()
 }
 
-// MakeRoom closes one idle connection, and reports whether there was one.
-func (t *Transport) MakeRoom() bool { return t.pool.closeIdle(0, 1) > 0 }
+// EvictIdle closes one idle connection, and reports whether there was one.
+func (t *Transport) EvictIdle() bool { return t.pool.closeIdle(0, 1) > 0 }
 
 // Dials returns how many connects have been begun.
 func (t *Transport) Dials() int64 { return t.pool.dials.Load() }
 
 // Stats counts a transport's idle connections.
 type Stats struct {
-	Idle  int // in all
-	Stale int // of them, those on which the server has closed or said something unasked
-	Rests int // of them, those that carry no request yet: see settleTime
+	Idle     int // in all
+	Stale    int // of them, those on which the server has closed or said something unasked
+	Settling int // of them, those that carry no request yet: see settleTime
 }
 
 // Stats returns the present counts.
@@ -109,7 +109,7 @@
 				s.Stale++
 			}
 			if c.since.After(settled) {
-				s.Rests++
+				s.Settling++
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 			end.Load = t.report(to, string(f.Value), load.fields)
 		case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 			f.Is("X-Not-Processed") && string(f.Value) == "1":
-			end.Status = policy.Full
+			end.Status = policy.Overloaded
 		}
 		if answer != nil && !c.head.Hop(f) {
 			if answer.Lines == nil {
@@ -250,8 +250,8 @@
 	switch {
 	case a.Canceled():
 		status = policy.Canceled
-	case errors.Is(err, sockets.ErrNone) || errors.As(err, &source): // nothing was wrong with the upstream
-		status = policy.Moot
+	case errors.Is(err, sockets.ErrNoDescriptor) || errors.As(err, &source): // nothing was wrong with the upstream
+		status = policy.NotSent
 	case errors.As(err, &notWritten): // whatever ended it, the upstream never had the whole
 		status = policy.ConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(a.Deadline): // else the answer has stalled
@@ -268,8 +268,8 @@
 	if c == nil {
 		var err error
 		c, err = t.pool.dial(ctx, to, until, func() {})
-		if errors.Is(err, sockets.ErrNone) {
-			return policy.Moot, nil
+		if errors.Is(err, sockets.ErrNoDescriptor) {
+			return policy.NotSent, nil
 		}
 		if err != nil {
 			return policy.ConnectFailed, nil
@@ -306,7 +306,7 @@
 	case http.StatusOK:
 		return policy.OK, t.report(to, string(body), t.load.Load().fields)
 	case http.StatusServiceUnavailable:
-		return policy.Full, nil
+		return policy.Overloaded, nil
 	}
 	return policy.AppError, nil
 }
