--- a/http.go
+++ b/http.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Release, r.Upload = release, more != nil
+	r.Release, r.Uploading = release, more != nil
 	var up *upload
 	if more != nil {
 		up = send(m, more, call.Length)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -70,8 +70,8 @@
 	Do(a *Attempt, to Endpoint) AttemptResult
 	// Probe asks a server for its load. It ends by itself within a fixed time, or when ctx does.
 	Probe(ctx context.Context, to Endpoint) (policy.Status, *policy.Load)
-	// HangUp closes the idle connections to a server. It does not block.
-	HangUp(to Endpoint)
+	// CloseIdle closes the idle connections to a server. It does not block.
+	CloseIdle(to Endpoint)
 }
 
 // AttemptResult is how an attempt has ended.
@@ -291,8 +291,8 @@
 func (e *Engine) dispatch(now policy.Time, r *Request, read policy.Time) {
 	e.sites.Tick(now)
 	e.module.Request(now, policy.Request{
-		ID: r.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Cost: r.Cost, Retry: r.Retry, Expires: e.Expires(r, read), ClientTimeout: r.Timeout, PriorAttempts: r.KeyHistory,
-		Uploading: r.Upload,
+		ID: r.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Cost: r.Cost, Retry: r.Retry, Expires: e.Expires(r, read), ClientTimeout: r.Timeout, PriorAttempts: r.PriorAttempts,
+		Uploading: r.Uploading,
 	}, e)
 }
 
@@ -482,7 +482,7 @@
 // CloseIdle is a method of policy.Actions.
 func (e *Engine) CloseIdle(server policy.ServerID) {
 	if to, ok := e.endpoints[server]; ok {
-		e.transport.HangUp(to)
+		e.transport.CloseIdle(to)
 	}
 }
 
--- a/internal/engine/hosting_test.go
+++ b/internal/engine/hosting_test.go
@@ -56,7 +56,7 @@
 	return policy.OK, nil
 }
 
-func (f *fakeTransport) HangUp(to Endpoint) {
+func (f *fakeTransport) CloseIdle(to Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hungUp = append(f.hungUp, to)
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -153,7 +153,7 @@
 	// Connections of a server that has gone, moved or started anew are of no use to whoever has its address now.
 	for id, old := range before {
 		if e.endpoints[id] != old {
-			e.transport.HangUp(old)
+			e.transport.CloseIdle(old)
 			leaving[id] = true
 		}
 	}
--- a/internal/engine/list_bench_test.go
+++ b/internal/engine/list_bench_test.go
@@ -23,7 +23,7 @@
 func (*unusedTransport) Probe(context.Context, Endpoint) (policy.Status, *policy.Load) {
 	return policy.NotSent, nil
 }
-func (n *unusedTransport) HangUp(Endpoint) { n.hungUp++ }
+func (n *unusedTransport) CloseIdle(Endpoint) { n.hungUp++ }
 
 // BenchmarkListChange is one changed entry of the list as the engine takes it, under its lock, without what the module does of it.
 func BenchmarkListChange(b *testing.B) {
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -19,8 +19,8 @@
 	Deadline           time.Time             // when it has its answer at the latest, if it has not been uploaded since; zero: with Wait
 	Payload            any                   // what the transport sends; the engine never looks at it
 	Release            func()                // called once, when no attempt needs Payload any more; it must not block
-	Upload             bool                  // Payload is still coming, and can be sent once; Wait runs from its end
-	KeyHistory         []policy.PriorAttempt // what the module is told of earlier requests under its key
+	Uploading          bool                  // Payload is still coming, and can be sent once; Wait runs from its end
+	PriorAttempts      []policy.PriorAttempt // what the module is told of earlier requests under its key
 	Order              any                   // what whoever notes its attempts goes by; the engine never looks at it
 
 	// OnEnd is called once, under the engine's lock, when the request has its result or was withdrawn. It must not block nor
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -21,7 +21,7 @@
 	ListSeq  int64         // version of the list; UnknownSeq if none was told
 	Watching bool
 	Servers  []ServerState // in the order of their IDs
-	Beliefs  policy.Snapshot
+	Module   policy.Snapshot
 	Sites    []sites.View // in the order of preference; none where sites are not watched
 }
 
@@ -31,8 +31,8 @@
 	policy.ServerSnapshot
 }
 
-// beliefReporter is a module that can tell what it believes.
-type beliefReporter interface {
+// snapshotter is a module that can tell what it believes.
+type snapshotter interface {
 	Snapshot(policy.Time) policy.Snapshot
 }
 
@@ -48,15 +48,15 @@
 	for _, t := range e.timers {
 		s.LastDue = max(s.LastDue, t.at-e.Now())
 	}
-	if m, ok := e.module.(beliefReporter); ok {
-		s.Beliefs = m.Snapshot(e.Now())
+	if m, ok := e.module.(snapshotter); ok {
+		s.Module = m.Snapshot(e.Now())
 	}
 	s.Sites = e.sites.Views(e.Now())
 	believed := map[policy.ServerID]policy.ServerSnapshot{}
-	for _, b := range s.Beliefs.Servers {
+	for _, b := range s.Module.Servers {
 		believed[b.ID] = b
 	}
-	s.Beliefs.Servers = nil
+	s.Module.Servers = nil
 	for id, to := range e.endpoints {
 		b := believed[id]
 		b.ID = id
--- a/internal/httpfront/proxy.go
+++ b/internal/httpfront/proxy.go
@@ -312,7 +312,7 @@
 			}
 			q.Room.Release(n) // what has a trailer goes in chunks, and those go as they come
 			q.m.Rest, q.m.Length = httpmsg.NewUpload(bytes.NewReader(q.m.Body)), -1
-			q.m.Body, q.m.Trailer, q.Request.Upload = nil, c.body.Trailer, true
+			q.m.Body, q.m.Trailer, q.Request.Uploading = nil, c.body.Trailer, true
 			return nil
 		}
 	}
@@ -320,7 +320,7 @@
 		q.m.Terms.Expect = s.whole.ExpectTimeout
 		src.first = func() { s.writeInterim(c, q, "HTTP/1.1 100 Continue\r\n\r\n") }
 	}
-	q.m.Rest, q.m.Length, q.Request.Upload = httpmsg.NewUpload(src), q.length, true
+	q.m.Rest, q.m.Length, q.Request.Uploading = httpmsg.NewUpload(src), q.length, true
 	if chunked {
 		q.m.Trailer = c.body.Trailer
 	}
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -702,7 +702,7 @@
 		return bodyError(err)
 	}
 	if !c.body.Ended() {
-		m.Rest, m.Length, r.Upload = httpmsg.NewUpload(&paced{c: c, from: time.Now(), size: n, lim: &s.limits}), length, true
+		m.Rest, m.Length, r.Uploading = httpmsg.NewUpload(&paced{c: c, from: time.Now(), size: n, lim: &s.limits}), length, true
 	}
 	return nil
 }
--- a/internal/mysql/proxy/transport.go
+++ b/internal/mysql/proxy/transport.go
@@ -165,8 +165,8 @@
 	return true
 }
 
-// HangUp is a method of engine.Transport.
-func (t *Transport) HangUp(to engine.Endpoint) {
+// CloseIdle is a method of engine.Transport.
+func (t *Transport) CloseIdle(to engine.Endpoint) {
 	t.mu.Lock()
 	l := t.idle[to]
 	delete(t.idle, to)
--- a/internal/orders/desk.go
+++ b/internal/orders/desk.go
@@ -251,7 +251,7 @@
 	lead := func() {
 		l := &leader{}
 		o.leader = l
-		r.KeyHistory, r.Order = v.Past, o
+		r.PriorAttempts, r.Order = v.Past, o
 		r.OnEnd = func(result engine.Result, withdrawn bool) { o.over(l, result, withdrawn) }
 	}
 	if adopted {
@@ -260,7 +260,7 @@
 	}
 	lead()
 	if err := e.Submit(r, read); err != nil {
-		o.leader, r.OnEnd, r.Order, r.KeyHistory = nil, nil, nil, nil
+		o.leader, r.OnEnd, r.Order, r.PriorAttempts = nil, nil, nil, nil
 		return err
 	}
 	return nil
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -23,7 +23,7 @@
 func (nobody) Probe(context.Context, engine.Endpoint) (policy.Status, *policy.Load) {
 	return policy.ConnectFailed, nil
 }
-func (nobody) HangUp(engine.Endpoint) {}
+func (nobody) CloseIdle(engine.Endpoint) {}
 
 func config() Config {
 	return Config{
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -281,7 +281,7 @@
 		if held > 0 {
 			c.Room.Release(held)
 		}
-		next.Request.Payload, next.Request.Retry, next.Request.Upload = c.Request.Payload, c.Request.Retry, c.Request.Upload
+		next.Request.Payload, next.Request.Retry, next.Request.Uploading = c.Request.Payload, c.Request.Retry, c.Request.Uploading
 		c.Taken()
 		c = next
 	}
--- a/internal/standin/memory.go
+++ b/internal/standin/memory.go
@@ -50,8 +50,8 @@
 	return policy.NotSent, nil
 }
 
-// HangUp is a method of engine.Transport.
-func (*Attempts) HangUp(engine.Endpoint) {}
+// CloseIdle is a method of engine.Transport.
+func (*Attempts) CloseIdle(engine.Endpoint) {}
 
 // Hold waits until the attempt is called off, for d, or until open is closed, and reports whether it is still wanted. A d of 0 is for
 // ever.
--- a/internal/stream/transport.go
+++ b/internal/stream/transport.go
@@ -99,8 +99,8 @@
 	return t.prober.Probe(ctx, to)
 }
 
-// HangUp is a method of engine.Transport. There are no idle connections.
-func (t *Transport) HangUp(engine.Endpoint) {}
+// CloseIdle is a method of engine.Transport. There are no idle connections.
+func (t *Transport) CloseIdle(engine.Endpoint) {}
 
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -116,8 +116,8 @@
 	return s
 }
 
-// HangUp is a method of engine.Transport.
-func (t *Transport) HangUp(to engine.Endpoint) { t.pool.hangUp(to) }
+// CloseIdle is a method of engine.Transport.
+func (t *Transport) CloseIdle(to engine.Endpoint) { t.pool.hangUp(to) }
 
 // Do is a method of engine.Transport. What an attempt's end proves follows the protocol's table of outcomes.
 func (t *Transport) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
--- a/pools.go
+++ b/pools.go
@@ -270,7 +270,7 @@
 		}
 	case length != 0:
 		*up = send(m, &bounded{r: body, length: length, most: -1}, length)
-		r.Upload = true
+		r.Uploading = true
 		if q.Trailer != nil {
 			m.Length, m.Trailer = -1, func() []byte { return httpmsg.AppendHeader(nil, q.Trailer, nil) }
 		}
--- a/snapshot.go
+++ b/snapshot.go
@@ -54,8 +54,8 @@
 	e := b.engine.Snapshot()
 	used, _ := b.sockets.InUse()
 	s := Snapshot{
-		Open: e.Open, Taken: e.Accepted, Probing: e.Probing, Waiting: e.Beliefs.Held, Connections: used,
-		Watching: e.Watching, Threshold: e.Beliefs.Threshold, ReadySet: e.Beliefs.ReadySet,
+		Open: e.Open, Taken: e.Accepted, Probing: e.Probing, Waiting: e.Module.Held, Connections: used,
+		Watching: e.Watching, Threshold: e.Module.Threshold, ReadySet: e.Module.ReadySet,
 		Servers: make([]ServerSnapshot, len(e.Servers)), Sites: siteSnapshots(e),
 	}
 	if b.desk != nil {
