--- a/internal/engine/availability.go
+++ b/internal/engine/availability.go
@@ -9,7 +9,7 @@
 	"quillfront/roster"
 )
 
-// ListEntry returns what the list says of a server, whether operators have it out or not.
+// ListEntry returns a server's entry in the list, without regard to removals by operators.
 func (e *Engine) ListEntry(id policy.ServerID) (roster.Entry, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -17,7 +17,8 @@
 	return roster.Entry{ID: s.ID, State: s.State, BornMs: s.StartedMs}, ok
 }
 
-// ServerUsable reports whether a server is listed and may get anything new, as far as the list and operators tell.
+// ServerUsable reports whether a server is listed and may get new requests according to the list,
+// to operators and to the server itself.
 func (e *Engine) ServerUsable(id policy.ServerID) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -25,7 +26,7 @@
 	return ok && e.effective(e.absences, s).State == policy.Ready
 }
 
-// HasUsableServer reports whether any server is listed that may get something new.
+// HasUsableServer reports whether any listed server may get new requests.
 func (e *Engine) HasUsableServer() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -41,8 +42,8 @@
 	return false
 }
 
-// Retire has every listed server count as draining, and heeds no list from now on: nothing new goes to any, and what waits for one is
-// answered at once.
+// Retire marks every listed server as draining and ignores list updates from now on: no server gets
+// new requests, and requests that wait for a server are answered at once.
 func (e *Engine) Retire() {
 	e.event(func(now policy.Time) {
 		if e.stopWatch != nil {
@@ -61,29 +62,30 @@
 	})
 }
 
-// UnservedSinceRetire returns how many requests have been refused or have failed since Retire.
+// UnservedSinceRetire returns how many requests were refused or failed since Retire.
 func (e *Engine) UnservedSinceRetire() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.unserved
 }
 
-// OpenRequests returns how many requests have no result yet.
+// OpenRequests returns the number of requests without a result.
 func (e *Engine) OpenRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.openCount
 }
 
-// RetainedRequests returns how many requests are kept: open ones, and ended ones with attempts that are still out.
+// RetainedRequests returns the number of requests that the engine retains: open ones, and ended
+// ones with attempts still in flight.
 func (e *Engine) RetainedRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.requests)
 }
 
-// SetAbsences makes a what operators have taken out and put back. The module is told of each server that counts as
-// something else from now on. a must not be changed afterwards.
+// SetAbsences sets which servers operators have removed and restored. The module is informed of
+// every server whose effective entry changes. The caller must not modify a afterwards.
 func (e *Engine) SetAbsences(a roster.Absences) {
 	e.event(func(now policy.Time) {
 		before := e.absences
@@ -101,7 +103,7 @@
 	})
 }
 
-// effective is s as it counts under a, and as it has asked itself.
+// effective returns s with the operators' removals in a and the current avoidances applied.
 func (e *Engine) effective(a roster.Absences, s Server) Server {
 	c := a.Counts(roster.Entry{ID: s.ID, State: s.State, BornMs: s.StartedMs})
 	s.State, s.StartedMs = c.State, c.BornMs
@@ -111,45 +113,47 @@
 	return s
 }
 
-// hintDuration is how long a server counts as draining on another's word.
+// hintDuration is how long a server is treated as draining after a hint from another process.
 const hintDuration = 10 * time.Second
 
-// HintDraining takes another process's word that a server drains or is gone. It counts as draining for a while, as if it had asked to be left alone:
-// that makes this process more careful, and is over soon if its own list does not say so too. At most half of those that could be used are
-// left alone.
+// HintDraining handles a hint from another process that a server is draining or gone. The server is
+// treated as draining for hintDuration, as if it had asked for it: the hint takes effect early and
+// expires soon if this process's own list does not confirm it. At most half of the usable servers
+// are avoided.
 func (e *Engine) HintDraining(id policy.ServerID) {
 	e.event(func(now policy.Time) { e.avoid(now, id, hintDuration) })
 }
 
-// OnLeaving has f told of each server that the list has had and that drains or is gone from now on. f must not block, nor call e.
+// OnLeaving registers f to be called for every listed server that starts draining or disappears
+// from the list. f must not block or call e.
 func (e *Engine) OnLeaving(f func(policy.ServerID)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.onLeaving = f
 }
 
-// reportLeaving tells whoever is to know of servers that have left.
+// reportLeaving calls onLeaving for the servers that leave with this list.
 func (e *Engine) reportLeaving(kind policy.ListKind, l []Server) {
 	if e.onLeaving == nil {
 		return
 	}
-	said := make(map[policy.ServerID]bool, len(l))
+	present := make(map[policy.ServerID]bool, len(l))
 	for _, s := range l {
-		said[s.ID] = true
+		present[s.ID] = true
 		if was, listed := e.listed[s.ID]; listed && was.State == policy.Ready && s.State != policy.Ready {
 			e.onLeaving(s.ID)
 		}
 	}
 	if kind.Complete() && kind != policy.ListCached {
 		for _, id := range slices.Sorted(maps.Keys(e.listed)) {
-			if !said[id] && e.listed[id].State == policy.Ready {
+			if !present[id] && e.listed[id].State == policy.Ready {
 				e.onLeaving(id)
 			}
 		}
 	}
 }
 
-// avoid leaves a server alone for a while, as it has asked. The module is told that it drains, and at the end that it does not.
+// avoid treats a server as draining for the duration d, and as ready again afterwards.
 func (e *Engine) avoid(now policy.Time, id policy.ServerID, d time.Duration) {
 	s, listed := e.listed[id]
 	if !listed || e.closed {
@@ -171,7 +175,7 @@
 	e.endAvoidance(now)
 }
 
-// endAvoidance ends what is over of avoid, and comes again when the next is.
+// endAvoidance ends the avoidances that have expired, and schedules itself for the next one.
 func (e *Engine) endAvoidance(now policy.Time) {
 	back, next := e.avoided.End(now.Milliseconds(), func(id policy.ServerID) bool { _, listed := e.listed[id]; return !listed })
 	var changed []Server
@@ -198,7 +202,7 @@
 	}
 }
 
-// recordEntries notes a message about the list, and returns its entries as they count.
+// recordEntries stores the entries of a list or list change, and returns the effective entries.
 func (e *Engine) recordEntries(kind policy.ListKind, l []Server) []Server {
 	if kind.Complete() {
 		clear(e.listed)
--- a/internal/engine/classes.go
+++ b/internal/engine/classes.go
@@ -9,9 +9,9 @@
 	"quillfront/retune"
 )
 
-// classSet are the classes that requests may be of. They are replaced whole.
+// classSet holds the configured request classes. It is immutable; a new configuration replaces it.
 type classSet struct {
-	byName  map[string][]policy.Class // by the name that clients give: as it is now, and perhaps as it was before
+	byName  map[string][]policy.Class // by public name: the current class first, then its previous version, if any
 	longest time.Duration
 }
 
@@ -32,7 +32,7 @@
 	return r
 }
 
-// known reports whether requests may be of the class of that name, which is the module's.
+// known reports whether name is the module's name of a configured class.
 func (r *classSet) known(name string) bool {
 	public, _ := strings.CutSuffix(name, retune.Before)
 	for _, c := range r.byName[public] {
@@ -43,10 +43,11 @@
 	return false
 }
 
-// LongestDeadline is the longest time that a request may wait: the longest deadline of the classes.
+// LongestDeadline returns the longest time that a request may wait: the longest deadline of all
+// classes, or defaultMaxWait if there are none.
 func (e *Engine) LongestDeadline() time.Duration { return e.classes.Load().longest }
 
-// Class returns the class of requests of that name.
+// Class returns the current class with the given public name.
 func (e *Engine) Class(name string) (c policy.Class, known bool) {
 	if all := e.Classes(name); len(all) > 0 {
 		return all[0], true
@@ -54,18 +55,20 @@
 	return policy.Class{}, false
 }
 
-// Classes returns the class of requests of that name, and behind it the one that it was before a change of its rules, as
-// long as clients may still go by those. It is empty if there is none. A request's Class is the Name of one of them.
+// Classes returns the class with the given public name, followed by its version before a change of
+// its settings for as long as clients may still use that. It returns nothing for an unknown name. A
+// request's Class is the Name of one of the returned classes.
 func (e *Engine) Classes(name string) []policy.Class { return e.classes.Load().byName[name] }
 
-// Reconfigure makes cfg the configuration of the module and of what comes from now on. With an error nothing has changed.
+// Reconfigure applies cfg to the module and to all requests from now on. If it returns an error,
+// nothing has changed.
 func (e *Engine) Reconfigure(cfg policy.Config) (err error) {
 	e.event(func(now policy.Time) { err = e.reconfigure(now, cfg, e.groupOverride) })
 	return err
 }
 
-// Regroup has the module count group instances in place of the GroupSize of its configuration, whatever that becomes; 0: that counts
-// again.
+// Regroup overrides the GroupSize of the present and of later configurations with group. 0 removes
+// the override.
 func (e *Engine) Regroup(group int) (err error) {
 	e.event(func(now policy.Time) {
 		if !e.closed {
@@ -93,13 +96,13 @@
 	return nil
 }
 
-// learner is a module that can hand on what it has learnt.
+// learner is implemented by modules that can export and import their learned state.
 type learner interface {
 	Learned(policy.Time) policy.Learned
 	Restore(policy.Time, policy.Learned)
 }
 
-// Learned returns what the module has learnt, if it can tell.
+// Learned returns the module's learned state. ok is false if the module cannot export it.
 func (e *Engine) Learned() (l policy.Learned, ok bool) {
 	e.event(func(now policy.Time) {
 		var m learner
@@ -110,7 +113,7 @@
 	return l, ok
 }
 
-// Learn has the module begin with what another one had learnt.
+// Learn initializes the module with the learned state of another one.
 func (e *Engine) Learn(l policy.Learned) {
 	e.event(func(now policy.Time) {
 		if m, ok := e.module.(learner); ok {
--- a/internal/engine/counts.go
+++ b/internal/engine/counts.go
@@ -8,15 +8,16 @@
 	"quillfront/retune"
 )
 
-// Counts is what has become of the requests of a class since the start.
+// Counts holds the number of requests and attempts of a class since the engine's start, by outcome.
 type Counts struct {
 	Accepted  uint64
-	Results   [Dropped + 1]uint64         // by Kind
-	Withdrawn uint64                      // their clients have left
-	Attempts  [policy.Rejected + 1]uint64 // that have ended, by how they did
+	Results   [Dropped + 1]uint64         // by ResultKind
+	Withdrawn uint64                      // the client disconnected
+	Attempts  [policy.Rejected + 1]uint64 // ended attempts by status
 }
 
-// countsOf returns the counts of r's class. There are as many as there were classes; beyond mostCounted the rest is one.
+// countsOf returns the counts of r's class. Every class that ever was in the configuration has its
+// own counts, up to maxCountedClasses; further classes share the name "other".
 func (e *Engine) countsOf(r *Request) *Counts {
 	name, _ := strings.CutSuffix(r.Class, retune.Before)
 	c := e.counts[name]
@@ -33,10 +34,11 @@
 	return c
 }
 
-// maxCountedClasses bounds the classes that are counted apart: settings may bring ever new ones.
+// maxCountedClasses limits the number of classes with separate counts, because every change of the
+// settings may introduce new ones.
 const maxCountedClasses = 256
 
-// Counts returns what has become of requests since the start, by class.
+// Counts returns the counts since the engine's start by class.
 func (e *Engine) Counts() map[string]Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,9 +1,11 @@
-// Package engine hosts the decision module. It owns the module and its one lock, its clock and timers, the open requests
-// and their attempts, and the list of servers. It turns what happens into the module's events, and carries out the
-// module's actions through two interfaces: Transport, which reaches servers, and Source, which tells the list of them.
+// Package engine hosts the decision module. It owns the module and the lock that protects it, the
+// module's clock and timers, the open requests and their attempts, and the server list. It turns
+// external events into calls of the module and executes the module's actions through two
+// interfaces: Transport, which reaches servers, and Source, which provides the server list.
 //
-// It knows nothing of HTTP or any other protocol: to it a request is a class, a key, a cost, a time and an opaque
-// payload. It picks no server, and neither retries, hedges, refuses nor ejects by itself.
+// The engine is independent of HTTP and every other protocol: a request is a class, a key, a cost,
+// a timeout and an opaque payload. The engine itself never selects a server, retries, hedges,
+// refuses or ejects; those decisions belong to the module.
 package engine
 
 import (
@@ -24,17 +26,17 @@
 	"quillfront/sites"
 )
 
-// clockOffset lies between the clock's origin and the engine's start. It keeps every present time far from zero, which the
-// module takes for 'never'.
+// clockOffset is the time between the clock's origin and the engine's start. It keeps current times
+// far from zero, which the module treats as "never".
 const clockOffset = time.Hour
 
-// defaultMaxWait bounds a client's wait where the settings name no class.
+// defaultMaxWait limits how long a client waits if the settings define no class.
 const defaultMaxWait = time.Minute
 
-// maxConcurrentProbes bounds the probes under way; one beyond it counts as never sent.
+// maxConcurrentProbes limits the probes in flight. A probe above the limit is reported as not sent.
 const maxConcurrentProbes = 64
 
-// Module is what the engine needs of a policy.Balancer.
+// Module is the part of policy.Balancer that the engine uses.
 type Module interface {
 	UpdateServers(policy.Time, policy.ListKind, []policy.Server, policy.Actions)
 	DiscoveryMoved(policy.Time, policy.Actions)
@@ -50,12 +52,13 @@
 	GiveUp(policy.Time, policy.RequestID, policy.Actions)
 }
 
-// Endpoint is where a server is reached, and which one it is: an address may pass from one to another, and a server that
-// has started anew is another one to whoever holds connections to it.
+// Endpoint is a server's address together with its identity. An address can be reassigned to
+// another server, and connections to a server become invalid when it restarts, so endpoints are
+// compared as a whole.
 type Endpoint struct {
 	Addr      string
 	ID        policy.ServerID
-	StartedMs int64 // Unix time in milliseconds; 0 is long ago
+	StartedMs int64 // Unix time in milliseconds; 0 means long ago
 	Zone      string
 	Cell      int
 }
@@ -63,86 +66,88 @@
 // String returns the address.
 func (e Endpoint) String() string { return e.Addr }
 
-// Transport reaches servers by some protocol. Its methods may be called from many goroutines at once.
+// Transport sends requests and probes to servers over a specific protocol. Its methods are called
+// concurrently.
 type Transport interface {
-	// Do carries out one attempt and returns its one ending, by a.Deadline at the latest. It sends at most once: whether
-	// to send again is for the module to say. What it waits for ends when a is called off; see Attempt.OnCancel.
+	// Do executes one attempt and returns its result no later than a.Deadline. It sends the payload
+	// at most once; the module decides about retries. Do stops waiting when a is canceled; see
+	// Attempt.OnCancel.
 	Do(a *Attempt, to Endpoint) AttemptResult
-	// Probe asks a server for its load. It ends by itself within a fixed time, or when ctx does.
+	// Probe asks a server for a load report. It returns within a fixed time, or when ctx is done.
 	Probe(ctx context.Context, to Endpoint) (policy.Status, *policy.Load)
 	// CloseIdle closes the idle connections to a server. It does not block.
 	CloseIdle(to Endpoint)
 }
 
-// AttemptResult is how an attempt has ended.
+// AttemptResult is the outcome of an attempt as the transport reports it.
 type AttemptResult struct {
 	Status          policy.Status
-	Load            *policy.Load  // nil if none came with the answer
-	Reply           any           // with policy.OK: the answer, for the front that asked, unless it was given by Begin
+	Load            *policy.Load  // nil if the reply carried no load report
+	Reply           any           // with policy.OK: the reply, unless BeginReply delivered it already
 	PayloadConsumed bool          // the payload cannot be sent again
-	AvoidFor        time.Duration // the server asks to be left alone for as long; 0: it does not
+	AvoidFor        time.Duration // how long the server asks to get no new requests; 0 if it did not ask
 }
 
-// Options is what an Engine is made of.
+// Options configures an Engine.
 type Options struct {
 	Config     policy.Config
 	Module     Module
 	Transport  Transport
-	Source     Source        // of the list; nil: nothing is ever told
-	Sites      *sites.Config // nil: sites are not watched. It has been checked
-	CachedList *List         // the list as it was last known, perhaps out of date
+	Source     Source        // source of the server list; nil if there is none
+	Sites      *sites.Config // validated configuration of site monitoring; nil disables it
+	CachedList *List         // last known server list, possibly outdated; may be nil
 	Log        *slog.Logger
 }
 
-// Engine hosts one decision module. Its methods may be called from many goroutines at once.
+// Engine hosts one decision module. Its methods are safe for concurrent use.
 type Engine struct {
 	log       *slog.Logger
-	ctx       context.Context // ends with Close
+	ctx       context.Context // canceled by Close
 	stop      context.CancelFunc
-	work      sync.WaitGroup // attempts, probes and watches
-	origin    time.Time      // of the module's clock
-	originMs  int64          // the same instant in Unix milliseconds, read once: see started
+	work      sync.WaitGroup // goroutines of attempts, probes and watches
+	origin    time.Time      // origin of the module's clock
+	originMs  int64          // origin in Unix milliseconds, converted once; see startTime
 	transport Transport
 	classes   atomic.Pointer[classSet]
 
-	// All that is below is touched under mu only.
+	// mu protects the fields below.
 	mu               sync.Mutex
 	module           Module
-	requests         map[policy.RequestID]*Request // until they have ended and their attempts are back
-	openByExternalID map[string]*Request           // by Name, until they have ended
+	requests         map[policy.RequestID]*Request // open, or ended with attempts still in flight
+	openByExternalID map[string]*Request           // open requests by ExternalID
 	openCount        int                           // requests that have not ended
 	lastID           policy.RequestID
-	endpoints        map[policy.ServerID]Endpoint // of the servers that are listed
-	listed           map[policy.ServerID]Server   // the list as it was told
+	endpoints        map[policy.ServerID]Endpoint // endpoints of the listed servers
+	listed           map[policy.ServerID]Server   // the list as the source sent it
 	counts           map[string]*Counts           // by class
-	sites            *siting.Host                 // watches them if it is told to
-	config           policy.Config                // by which the module goes
-	baseConfig       policy.Config                // the same, as it was given
-	groupOverride    int                          // in place of its GroupSize; 0: that counts
-	siteConfig       *sites.Config                // by which sites are watched
+	sites            *siting.Host                 // monitors sites while siteConfig is set
+	config           policy.Config                // configuration that the module uses
+	baseConfig       policy.Config                // config before groupOverride is applied
+	groupOverride    int                          // replaces baseConfig.GroupSize; 0: no override
+	siteConfig       *sites.Config                // configuration of site monitoring; may be nil
 	onLeaving        func(policy.ServerID)
-	listReceived     bool                            // by the source
-	futureStarts     map[policy.ServerID]futureStart // of listed servers that began after they were told of
+	listReceived     bool                            // the source has sent a list
+	futureStarts     map[policy.ServerID]futureStart // listed servers whose start lay in the future
 	entryErrors      entryErrorLog
-	absences         roster.Absences // what operators have taken out of it
-	avoided          roster.Avoided  // what has asked to be left alone
-	avoidTimer       *time.Timer     // ends that; nil: nothing has asked yet
+	absences         roster.Absences // servers that operators have removed from the list
+	avoided          roster.Avoided  // servers that get no new requests for a limited time
+	avoidTimer       *time.Timer     // ends the next avoidance; nil before the first one
 	source           Source
-	seq              int64              // of the last list of that source
-	stopWatch        context.CancelFunc // nil while there is no watch
-	probing          int                // probes under way
+	seq              int64              // version of the last list from source
+	stopWatch        context.CancelFunc // nil if no watch is running
+	probing          int                // probes in flight
 	timers           timerHeap
-	wakeTimer        *time.Timer // fires when the first timer is due
-	wakeAt           policy.Time // zero: not set
+	wakeTimer        *time.Timer // fires when the earliest timer is due
+	wakeAt           policy.Time // when wakeTimer fires; zero if it is not set
 	deferredEvents   []func(now policy.Time)
-	closing          bool          // nothing more is taken
-	drained          chan struct{} // closed once closing and open is 0
-	closed           bool          // the module is told of nothing more
-	retired          bool          // no list will be heeded any more
-	unserved         uint64        // refused or failed since
+	closing          bool          // no new requests are accepted
+	drained          chan struct{} // closed once closing is set and openCount is 0
+	closed           bool          // the module gets no more events
+	retired          bool          // set by Retire: list updates are ignored
+	unserved         uint64        // requests refused or failed since Retire
 }
 
-// ClockOrigin is the instant of policy.Time 0 for an engine that starts now.
+// ClockOrigin returns the wall-clock time of policy.Time 0 for an engine that starts now.
 func ClockOrigin() time.Time { return time.Now().Add(-clockOffset) }
 
 // New returns an engine that runs until Close.
@@ -162,7 +167,7 @@
 	e.wakeTimer.Stop()
 	if o.Sites != nil {
 		if err := e.WatchSites(o.Sites); err != nil {
-			panic(err) // it was not checked
+			panic(err) // the caller did not validate Options.Sites
 		}
 	}
 	e.event(func(now policy.Time) {
@@ -174,11 +179,12 @@
 	return e
 }
 
-// Now reads the module's clock. Only event may do so for an event's time: read outside the lock, it could run backwards
-// from one event to the next.
+// Now returns the current time of the module's clock. Only event may use it as the time of an
+// event: if it were read outside the lock, time could go backwards between events.
 func (e *Engine) Now() policy.Time { return time.Since(e.origin) }
 
-// event runs f, which hands one event to the module, and then those that f's actions gave rise to.
+// event runs f, which passes one event to the module, and then the events that f's actions
+// deferred.
 func (e *Engine) event(f func(now policy.Time)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -192,27 +198,29 @@
 	}
 }
 
-// RunAsEvent runs f as one event of the module's: under the lock, and with the actions that the module could call. Its actions
-// must be those of which the module may learn the outcome. It is for whoever scripts a module.
+// RunAsEvent runs f as one module event: under the lock, and with the actions that the module can
+// call. f may only call actions whose outcome the module can handle. It is meant for tests that
+// script a module.
 func (e *Engine) RunAsEvent(f func(now policy.Time, act policy.Actions)) {
 	e.event(func(now policy.Time) { f(now, e) })
 }
 
-// The errors of Take.
+// Errors returned by Submit and SubmitDeferred.
 var (
-	// ErrClosed tells that the engine takes no more requests.
+	// ErrClosed means that the engine accepts no more requests.
 	ErrClosed = errors.New("the balancer is closed")
-	// ErrUnknownClass tells that the configuration has no class of that name.
+	// ErrUnknownClass means that the configuration has no class of that name.
 	ErrUnknownClass = errors.New("no such class of requests")
-	// ErrDuplicateID tells that a request of that name is open.
+	// ErrDuplicateID means that a request with the same ExternalID is open.
 	ErrDuplicateID = errors.New("a request of this id is open")
 )
 
-// Submit hands a request to the module. Its time has run since read, a time of Now. With an error nothing was taken, and r
-// may be used again.
+// Submit passes a request to the module. The request's timeout runs from read, a time returned by
+// Now. If Submit returns an error, the request was not accepted and r can be reused.
 //
-// It guards against two open requests under one name: servers tell requests by it, so that the answer to one could go to
-// the other. A client that uses a name twice at once on purpose gets but one of them served.
+// Submit rejects a request whose ExternalID is in use by another open request: servers identify
+// requests by it, so the reply to one could be delivered to the other. A client that deliberately
+// uses an ID twice at the same time gets only one of the requests served.
 func (e *Engine) Submit(r *Request, read policy.Time) (err error) {
 	e.event(func(now policy.Time) {
 		if err = e.register(r); err == nil {
@@ -222,8 +230,9 @@
 	return err
 }
 
-// SubmitDeferred takes a request of which the module is not told: whoever adopts it gives it its result by Settle, or hands it to the
-// module after all. In everything else it is as one that was taken.
+// SubmitDeferred accepts a request without passing it to the module. The caller ends it with
+// ResolveDeferred, or passes it to the module later with DispatchDeferred. In all other respects
+// the request is treated like a submitted one.
 func (e *Engine) SubmitDeferred(r *Request) (err error) {
 	e.event(func(policy.Time) {
 		if err = e.register(r); err == nil {
@@ -233,7 +242,7 @@
 	return err
 }
 
-// ResolveDeferred gives an adopted request its result, unless it has ended.
+// ResolveDeferred delivers the result of a deferred request, unless the request has ended.
 func (e *Engine) ResolveDeferred(r *Request, result Result) {
 	e.event(func(policy.Time) {
 		if r.deferred {
@@ -242,13 +251,14 @@
 	})
 }
 
-// DispatchDeferred hands an adopted request to the module, unless it has ended; first is run before, under the lock.
+// DispatchDeferred passes a deferred request to the module, unless the request has ended. It calls
+// first before that, under the engine's lock.
 func (e *Engine) DispatchDeferred(r *Request, read policy.Time, first func()) {
 	e.event(func(now policy.Time) {
 		if !r.deferred || r.ended {
 			return
 		}
-		if r.sendingStopped { // what it has waited for so far may have run
+		if r.sendingStopped { // the earlier request it waited for may have run
 			e.finish(r, Result{Kind: Failed, MayHaveRun: true})
 			return
 		}
@@ -258,7 +268,7 @@
 	})
 }
 
-// register notes a request as open.
+// register validates a request and records it as open.
 func (e *Engine) register(r *Request) error {
 	if !e.classes.Load().known(r.Class) {
 		return fmt.Errorf("%w: %q", ErrUnknownClass, r.Class)
@@ -279,7 +289,7 @@
 	return nil
 }
 
-// Expires is when nobody waits any more for the answer to r, whose time has run since read.
+// Expires returns when the client stops waiting for the reply to r, whose timeout runs from read.
 func (e *Engine) Expires(r *Request, read policy.Time) policy.Time {
 	if r.Deadline.IsZero() {
 		return read + r.Timeout
@@ -287,7 +297,7 @@
 	return min(read+r.Timeout, r.Deadline.Sub(e.origin))
 }
 
-// dispatch tells the module of a request.
+// dispatch passes a request to the module.
 func (e *Engine) dispatch(now policy.Time, r *Request, read policy.Time) {
 	e.sites.Tick(now)
 	e.module.Request(now, policy.Request{
@@ -296,8 +306,8 @@
 	}, e)
 }
 
-// Withdraw tells the module that the client has left, and reports whether the request was still open. If it was not, its
-// result is there.
+// Withdraw tells the module that the client has disconnected, and reports whether the request was
+// still open. If it was not, its result is available.
 func (e *Engine) Withdraw(r *Request) (open bool) {
 	e.event(func(now policy.Time) {
 		if open = !r.ended; open {
@@ -320,7 +330,7 @@
 	e.releaseIfDone(r)
 }
 
-// finish gives r its final result. It guards against a second one.
+// finish ends r with its final result. It does nothing if r is nil or has a result already.
 func (e *Engine) finish(r *Request, result Result) {
 	if r == nil || r.ended {
 		return
@@ -335,7 +345,7 @@
 	e.deferredEvents = append(e.deferredEvents, func(policy.Time) { e.releaseIfDone(r) })
 }
 
-// deliver delivers r's one result.
+// deliver sends r's only result to the client and counts it.
 func (e *Engine) deliver(r *Request, result Result) {
 	r.result <- result
 	e.countsOf(r).Results[result.Kind]++
@@ -344,7 +354,7 @@
 	}
 }
 
-// markEnded notes that r has ended: its name may be used again.
+// markEnded marks r as ended and frees its ExternalID for other requests.
 func (e *Engine) markEnded(r *Request) {
 	r.ended = true
 	if r.ExternalID != "" {
@@ -364,7 +374,7 @@
 	}
 }
 
-// releaseIfDone drops a request that has ended once no attempt needs its payload any more.
+// releaseIfDone forgets a request that has ended, once no attempt needs its payload.
 func (e *Engine) releaseIfDone(r *Request) {
 	if !r.ended || r.outstanding > 0 || e.requests[r.id] != r {
 		return
@@ -376,7 +386,7 @@
 	}
 }
 
-// attemptEnded takes the end of an attempt.
+// attemptEnded processes the result of an attempt and reports it to the module.
 func (e *Engine) attemptEnded(now policy.Time, a *Attempt, end AttemptResult) {
 	r := a.req
 	a.ended = true
@@ -393,7 +403,7 @@
 	}
 	delay := now - a.sentAt
 	if a.replyBegunAt != 0 {
-		delay = a.replyBegunAt - a.sentAt // the rest may be as long as it likes
+		delay = a.replyBegunAt - a.sentAt // the duration of the rest of a streamed reply is not the server's latency
 	}
 	if end.Status == policy.OK && !r.ended {
 		e.markEnded(r)
@@ -407,8 +417,9 @@
 	e.releaseIfDone(r)
 }
 
-// BeginReply gives the request of a its result before the attempt has ended: the answer has begun, and nothing else is sent for it
-// from now on. It reports false if the request has ended already, so that nobody awaits reply.
+// BeginReply delivers the request's result before the attempt has ended, because the reply has
+// started; from now on nothing else is sent for the request. It returns false if the request has
+// ended already, so that nobody waits for reply.
 func (a *Attempt) BeginReply(reply any) (wanted bool) {
 	e, r := a.engine, a.req
 	e.event(func(now policy.Time) {
@@ -423,11 +434,12 @@
 	return wanted
 }
 
-// Uploaded tells that all of a payload that was still coming has come: the time of its request counts from now. It is
-// called before the attempt waits for its answer, by the one that carries it out.
+// Uploaded reports that a payload that was still arriving is complete: the request's timeout runs
+// from now. The transport that executes the attempt calls it before it waits for the reply.
 func (a *Attempt) Uploaded() { a.Deadline = a.UploadedConcurrently() }
 
-// UploadedConcurrently is Uploaded for one that waits for the answer beside the upload: it leaves a.Deadline alone and returns what it is now.
+// UploadedConcurrently is like Uploaded for a transport that waits for the reply while it uploads:
+// it returns the new deadline and leaves a.Deadline unchanged.
 func (a *Attempt) UploadedConcurrently() (deadline time.Time) {
 	e, r := a.engine, a.req
 	e.event(func(now policy.Time) {
@@ -440,10 +452,10 @@
 	return deadline
 }
 
-// The methods of policy.Actions. The module calls them under mu, so they never block, and report what comes of them
-// through after or from a goroutine of their own.
+// The methods below implement policy.Actions. The module calls them with mu held, so they never
+// block; they report outcomes through deferredEvents or from a goroutine of their own.
 
-// Send is a method of policy.Actions.
+// Send implements policy.Actions.
 func (e *Engine) Send(id policy.RequestID, server policy.ServerID, timeout time.Duration) {
 	r := e.requests[id]
 	if r == nil {
@@ -464,32 +476,32 @@
 	})
 }
 
-// Refuse is a method of policy.Actions.
+// Refuse implements policy.Actions.
 func (e *Engine) Refuse(id policy.RequestID, retryAfter time.Duration) {
 	e.finish(e.requests[id], Result{Kind: Refused, RetryAfter: retryAfter})
 }
 
-// Fail is a method of policy.Actions.
+// Fail implements policy.Actions.
 func (e *Engine) Fail(id policy.RequestID) { e.finish(e.requests[id], Result{Kind: Failed}) }
 
-// Cancel is a method of policy.Actions.
+// Cancel implements policy.Actions.
 func (e *Engine) Cancel(id policy.RequestID, attempt int) {
 	if r := e.requests[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) {
 		r.attempts[attempt].cancel()
 	}
 }
 
-// CloseIdle is a method of policy.Actions.
+// CloseIdle implements policy.Actions.
 func (e *Engine) CloseIdle(server policy.ServerID) {
 	if to, ok := e.endpoints[server]; ok {
 		e.transport.CloseIdle(to)
 	}
 }
 
-// Log is a method of policy.Actions.
+// Log implements policy.Actions.
 func (e *Engine) Log(text string) { e.log.Info("policy: " + text) }
 
-// Probe is a method of policy.Actions.
+// Probe implements policy.Actions.
 func (e *Engine) Probe(server policy.ServerID) {
 	sent := e.Now()
 	to, listed := e.endpoints[server]
@@ -512,7 +524,7 @@
 	})
 }
 
-// Drain takes no more requests from now on, and waits until all that were taken have ended, or ctx has.
+// Drain stops accepting requests and waits until all accepted requests have ended or ctx is done.
 func (e *Engine) Drain(ctx context.Context) error {
 	e.event(func(policy.Time) {
 		e.closing = true
@@ -526,8 +538,8 @@
 	}
 }
 
-// Close ends the engine: requests that are still open end as Dropped, their attempts are called off, and it returns once
-// no goroutine of the engine's is left.
+// Close stops the engine. Requests that are still open end as Dropped and their attempts are
+// canceled. Close returns once all goroutines of the engine have ended.
 func (e *Engine) Close() {
 	e.event(func(now policy.Time) {
 		e.closing = true
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -8,27 +8,28 @@
 	"quillfront/policy"
 )
 
-// UnknownSeq stands for the version of a list that nobody has told.
+// UnknownSeq is the version of the list before the source has sent one.
 const UnknownSeq = -1
 
-// Source tells the list of servers.
+// Source provides the server list.
 type Source interface {
-	// Watch calls tell with what has changed since version since, or with the whole list where since is UnknownSeq or
-	// the source has no versions, and then with each change, until ctx ends or the watch fails. tell does not keep the
-	// list that it is given. When to ask again after a failure is for the module to say.
-	Watch(ctx context.Context, since int64, tell func(List)) error
+	// Watch calls update with the changes since version since, or with the full list if since is
+	// UnknownSeq or the source has no versions, and then with every further change, until ctx is
+	// done or the watch fails. update does not retain its argument. The module decides when to
+	// watch again after a failure.
+	Watch(ctx context.Context, since int64, update func(List)) error
 }
 
-// List is the whole list of servers, or the changes since the one before.
+// List is the full server list, or the changes since the previous version.
 type List struct {
 	Seq         int64 // its version
 	Full        bool
 	Servers     []Server
-	EntryErrors []EntryError // of entries that are not among Servers, or lack there what could not be read
+	EntryErrors []EntryError // errors of entries that are missing or incomplete in Servers
 }
 
-// Server is an entry of the list. Whoever makes it has checked it: there is an ID, and an address that can be dialled or,
-// with a Fault or if it is gone, none.
+// Server is an entry of the server list. The source has validated it: ID is set, and Addr can be
+// dialed or is empty. It is empty only if the server is gone or the entry has an EntryError.
 type Server struct {
 	ID        policy.ServerID
 	Addr      string
@@ -36,22 +37,24 @@
 	Zone      string
 	Cell      int
 	Weight    float64
-	StartedMs int64 // when it last started, Unix time in milliseconds; 0 is long ago
+	StartedMs int64 // last start, Unix time in milliseconds; 0 means long ago
 }
 
-// rewatchDelay is the pause before a pushed list is listened to again after a failure. What the source gets counts as told, and the
-// source is the process's own, so that nobody else waits longer for the call; it keeps a source that refuses from being asked without end.
+// rewatchDelay is the pause before the engine watches a pushed list again after a failure. It keeps
+// the engine from calling a failing source in a busy loop. The delay costs no other process
+// anything: the source belongs to this process, and what it has received counts as delivered.
 const rewatchDelay = 200 * time.Millisecond
 
-// ensurePushedWatch begins the watch of a list that is pushed, unless it stands: it comes unasked to the module, and asking for it is the engine's.
+// ensurePushedWatch starts the watch of a pushed list unless it is running. The module does not
+// request a pushed list, so the engine has to start the watch.
 func (e *Engine) ensurePushedWatch() {
 	if e.config.ListPushed && e.stopWatch == nil {
 		e.Watch(true)
 	}
 }
 
-// Watch is a method of policy.Actions. A watch ends in one ListFailed, unless it is called off or the list is pushed; when to ask again
-// is for the module to say.
+// Watch implements policy.Actions. A watch ends with one ListFailed event, unless it is canceled or
+// the list is pushed. The module decides when to watch again.
 func (e *Engine) Watch(on bool) {
 	if e.stopWatch != nil {
 		e.stopWatch()
@@ -76,7 +79,7 @@
 			})
 		})
 		e.event(func(now policy.Time) {
-			if ctx.Err() != nil { // called off
+			if ctx.Err() != nil { // canceled
 				return
 			}
 			cancel()
@@ -91,7 +94,8 @@
 	})
 }
 
-// SetSource makes s the source of the list. Versions are those of the old one: the whole list must be asked for.
+// SetSource replaces the source of the server list. Versions of the old source mean nothing to the
+// new one, so the next watch requests the full list.
 func (e *Engine) SetSource(s Source) {
 	e.event(func(now policy.Time) {
 		e.source, e.seq = s, UnknownSeq
@@ -99,7 +103,7 @@
 	})
 }
 
-// Refresh asks the source for the whole list at once, rather than when the module would.
+// Refresh has the module request the full list at once instead of at its next regular time.
 func (e *Engine) Refresh() {
 	e.event(func(now policy.Time) {
 		e.seq = UnknownSeq
@@ -107,14 +111,14 @@
 	})
 }
 
-// ListReceived reports whether the source has told the list, beyond what was known at the start.
+// ListReceived reports whether the source has sent a list. The cached list does not count.
 func (e *Engine) ListReceived() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.listReceived
 }
 
-// updateList notes a message about the server list, and hands it to the module as it counts.
+// updateList records a list or list change and passes the effective entries to the module.
 func (e *Engine) updateList(now policy.Time, kind policy.ListKind, l List) {
 	e.seq = l.Seq
 	e.listReceived = kind != policy.ListCached
@@ -124,9 +128,10 @@
 	e.applyEntries(now, kind, e.recordEntries(kind, servers))
 }
 
-// applyEntries hands entries of the list to the module.
+// applyEntries updates the endpoints from list entries, passes the entries to the module, and stops
+// using servers that leave or whose endpoint has changed.
 func (e *Engine) applyEntries(now policy.Time, kind policy.ListKind, entries []Server) {
-	before := e.endpoints // of those that may change: of a whole list all, else what its entries name
+	before := e.endpoints // old endpoints that may change: all for a full list, else those in entries
 	if kind.Complete() {
 		e.endpoints = make(map[policy.ServerID]Endpoint, len(entries))
 	} else {
@@ -150,7 +155,8 @@
 	}
 	maps.DeleteFunc(e.futureStarts, func(id policy.ServerID, f futureStart) bool { return e.endpoints[id].StartedMs != f.bornMs })
 	leaving := map[policy.ServerID]bool{}
-	// Connections of a server that has gone, moved or started anew are of no use to whoever has its address now.
+	// Connections to a server that has gone, moved or restarted are unusable for the server that
+	// has its address now.
 	for id, old := range before {
 		if e.endpoints[id] != old {
 			e.transport.CloseIdle(old)
@@ -167,8 +173,9 @@
 	e.sites.Members(now, kind, servers)
 }
 
-// cancelUnsent calls off what waits to be sent to servers that leave, so that the module decides anew. It guards against sends that begin long
-// after the decision: however long a descriptor or a connection takes to come, nothing new goes to a server that was told to leave.
+// cancelUnsent cancels attempts that have not been sent yet to servers that leave, so that the
+// module selects again. Waiting for a descriptor or a connection can take long; without this, a
+// send could start long after the selection, at a server that must not get new requests any more.
 func (e *Engine) cancelUnsent(leaving map[policy.ServerID]bool) {
 	if len(leaving) == 0 {
 		return
@@ -182,9 +189,11 @@
 	}
 }
 
-// startTime is the module's time of a server's start. It guards against a server that seems to have restarted because its time
-// was converted anew by a wall clock that has since been set: equal times stay equal, and only 0 is long ago. It also guards
-// against a start in the future, by a clock that is wrong: the server would be held for cold until then.
+// startTime converts a server's start time to the module's clock. The conversion does not depend on
+// the present wall clock: equal times stay equal after the clock was set, so that the server does
+// not seem to have restarted. Only 0 converts to 0, which means long ago. A start in the future,
+// reported by a wrong clock, becomes the time at which it was first listed; otherwise the server
+// would be treated as cold until then.
 func (e *Engine) startTime(now policy.Time, s Server) policy.Time {
 	if s.StartedMs == 0 {
 		return 0
@@ -192,8 +201,9 @@
 	if f, ok := e.futureStarts[s.ID]; ok && f.bornMs == s.StartedMs {
 		return f.at
 	}
-	const most = int64(1e12) // about 30 years either way: more would overflow, and none is real
-	ms := min(max(s.StartedMs-e.originMs, -most), most)
+	// 1e12 ms is about 30 years; larger values would overflow and cannot be real.
+	const maxOffsetMs = int64(1e12)
+	ms := min(max(s.StartedMs-e.originMs, -maxOffsetMs), maxOffsetMs)
 	at := time.Duration(ms) * time.Millisecond
 	switch {
 	case ms == 0:
@@ -205,7 +215,7 @@
 	return at
 }
 
-// futureStart is a time told that was in the future, and when that was.
+// futureStart is a reported start time that lay in the future, and when it was first listed.
 type futureStart struct {
 	bornMs int64
 	at     policy.Time
--- a/internal/engine/list_validation.go
+++ b/internal/engine/list_validation.go
@@ -9,69 +9,72 @@
 	"quillfront/policy"
 )
 
-// EntryError is what a source could not use of an entry. What stood of its server stays, but for what the entry does tell.
+// EntryError describes a list entry that the source could not use in full. The server keeps its
+// previous state, except for what the entry does provide.
 type EntryError struct {
-	ID     policy.ServerID // empty: the entry has none
-	Reason string          // one line, which names the field
+	ID     policy.ServerID // empty if the entry has no ID
+	Reason string          // one line that names the invalid field
 }
 
-// validateList returns the entries of l as they can be used beside those that stood before, and what is wrong with it. nowMs is the
-// present in Unix milliseconds.
+// validateList returns the usable entries of l, completed from the previous list, and the errors of
+// its entries. nowMs is the present in Unix milliseconds.
 //
-// An entry without an address keeps the one that stood, so that a server that leaves is left alone even if the rest of its entry
-// is spoilt; if none stood it is dropped. Of two for one server the one that lets it take least counts: a drain that another
-// line denies is kept.
-func validateList(l List, before map[policy.ServerID]Server, nowMs int64) ([]Server, []EntryError) {
-	faults := l.EntryErrors
-	at := make(map[policy.ServerID]int, len(l.Servers))
+// An entry without an address keeps the previous one, so that a server that drains gets no new
+// requests even if the rest of its entry is invalid. An entry without any address is dropped. Of
+// two entries for one server the more restrictive state applies: a drain is kept even if another
+// entry contradicts it.
+func validateList(l List, previous map[policy.ServerID]Server, nowMs int64) ([]Server, []EntryError) {
+	errs := l.EntryErrors
+	index := make(map[policy.ServerID]int, len(l.Servers))
 	servers := make([]Server, 0, len(l.Servers))
 	for _, s := range l.Servers {
 		if s.Addr == "" && s.State != policy.Gone {
-			s.Addr = before[s.ID].Addr
+			s.Addr = previous[s.ID].Addr
 		}
 		if s.StartedMs > nowMs {
-			faults = append(faults, EntryError{s.ID, fmt.Sprintf("began %v from now: counts as begun when it was first told",
+			errs = append(errs, EntryError{s.ID, fmt.Sprintf("start time is %v from now: using the time it was first listed",
 				time.Duration(min(s.StartedMs-nowMs, 1e12))*time.Millisecond)})
 		}
-		i, twice := at[s.ID]
+		i, duplicate := index[s.ID]
 		switch {
-		case twice:
-			faults = append(faults, EntryError{s.ID, "is there twice"})
+		case duplicate:
+			errs = append(errs, EntryError{s.ID, "server is listed more than once"})
 			if s.State >= servers[i].State {
 				servers[i] = s
 			}
 		case s.Addr != "" || s.State == policy.Gone:
-			at[s.ID] = len(servers)
+			index[s.ID] = len(servers)
 			servers = append(servers, s)
 		}
 	}
-	if l.Full { // what stood of those that could not be read stays
+	if l.Full { // servers whose entries are invalid keep their previous entries
 		for _, f := range l.EntryErrors {
-			s, stood := before[f.ID]
-			if _, told := at[f.ID]; stood && !told {
-				at[f.ID] = len(servers)
+			s, listed := previous[f.ID]
+			if _, present := index[f.ID]; listed && !present {
+				index[f.ID] = len(servers)
 				servers = append(servers, s)
 			}
 		}
 	}
-	return servers, faults
+	return servers, errs
 }
 
-// entryErrorLog tells the log of faults, one line for those of faultEvery: who sends what is wrong may do so without end.
+// entryErrorLog limits the logging of entry errors to one line per entryErrorLogInterval, because a
+// source may send invalid entries without end.
 type entryErrorLog struct {
 	limit      rate.Sometimes
-	unreported int // faults since the last line
+	unreported int // errors since the last line
 }
 
 const entryErrorLogInterval = 10 * time.Second
 
-func (e *Engine) logEntryErrors(faults []EntryError) {
-	if len(faults) == 0 {
+func (e *Engine) logEntryErrors(errs []EntryError) {
+	if len(errs) == 0 {
 		return
 	}
-	e.entryErrors.unreported += len(faults)
+	e.entryErrors.unreported += len(errs)
 	e.entryErrors.limit.Do(func() {
-		e.log.Warn("the list has what cannot be used", "server", string(faults[0].ID), "fault", faults[0].Reason, "faults", e.entryErrors.unreported)
+		e.log.Warn("the list has what cannot be used", "server", string(errs[0].ID), "fault", errs[0].Reason, "faults", e.entryErrors.unreported)
 		e.entryErrors.unreported = 0
 	})
 }
--- a/internal/engine/pending.go
+++ b/internal/engine/pending.go
@@ -10,16 +10,16 @@
 	"quillfront/policy"
 )
 
-// Stage is what an attempt waits for.
+// Stage is the step of an attempt that is in progress, named after what it waits for.
 type Stage int32
 
-// The stages.
+// The stages of an attempt.
 const (
-	StageServer     Stage = iota // its server, as far as its transport tells
-	StageDescriptor              // a descriptor
+	StageServer     Stage = iota // the server; the transport has reported nothing more specific
+	StageDescriptor              // a file descriptor
 	StageConnect                 // a connection
-	StageSend                    // the server to take what is sent
-	StageAnswer                  // the head of the answer
+	StageSend                    // the server to accept the request
+	StageAnswer                  // the head of the reply
 )
 
 var stageNames = [...]string{
@@ -27,30 +27,30 @@
 	StageAnswer: "the answer",
 }
 
-// String returns the stage in words.
+// String returns a description of what the attempt waits for.
 func (s Stage) String() string { return stageNames[s] }
 
-// SetStage notes what the attempt waits for from now on. It may be called by the transport at any time.
+// SetStage records what the attempt waits for from now on. The transport may call it at any time.
 func (a *Attempt) SetStage(s Stage) { a.stage.Store(int32(s)) }
 
-// PendingRequest is a request without a result, and what it waits for.
+// PendingRequest describes a request without a result and what it waits for.
 type PendingRequest struct {
-	Description  string // the payload's own word for it, if it has one
+	Description  string // the payload's String, if it has that method
 	Class        string
-	Age          time.Duration // since it was taken
-	Attempts     int           // made so far
+	Age          time.Duration // since the request was accepted
+	Attempts     int           // attempts made so far
 	OpenAttempts []OpenAttempt // attempts that have not ended
-	WaitsFor     string        // with none out: what keeps it
+	WaitsFor     string        // what the request waits for if no attempt is open
 }
 
-// OpenAttempt is an attempt that has not ended.
+// OpenAttempt describes an attempt that has not ended.
 type OpenAttempt struct {
 	Server policy.ServerID
-	Age    time.Duration // since it was sent, or the last byte of its request was
+	Age    time.Duration // since the send, or since the end of the upload
 	Stage  Stage
 }
 
-// String says what w waits for, without times.
+// String describes what w waits for, without times.
 func (w PendingRequest) String() string {
 	if len(w.OpenAttempts) == 0 {
 		return w.WaitsFor
@@ -62,7 +62,7 @@
 	return strings.Join(all, ", ")
 }
 
-// PendingRequests returns the requests that have waited for longer than d, the oldest first.
+// PendingRequests returns the requests that have waited for at least d, oldest first.
 func (e *Engine) PendingRequests(d time.Duration) []PendingRequest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -8,103 +8,105 @@
 	"quillfront/policy"
 )
 
-// Request is one request of a client. A front fills in the exported fields and hands it to Take; from then on they belong
-// to the engine.
+// Request is a client's request. The caller sets the exported fields and passes it to Submit or
+// SubmitDeferred; from then on the fields belong to the engine.
 type Request struct {
 	Class, Tenant, Key string
-	Cost               time.Duration         // rough expected work; zero: unknown
-	Retry              bool                  // the client says that it has asked before
-	ExternalID         string                // the client's own name of it, which no two open requests share; empty: none
-	Timeout            time.Duration         // how long the client waits
-	Deadline           time.Time             // when it has its answer at the latest, if it has not been uploaded since; zero: with Wait
-	Payload            any                   // what the transport sends; the engine never looks at it
-	Release            func()                // called once, when no attempt needs Payload any more; it must not block
-	Uploading          bool                  // Payload is still coming, and can be sent once; Wait runs from its end
-	PriorAttempts      []policy.PriorAttempt // what the module is told of earlier requests under its key
-	Order              any                   // what whoever notes its attempts goes by; the engine never looks at it
-
-	// OnEnd is called once, under the engine's lock, when the request has its result or was withdrawn. It must not block nor
-	// call the engine.
+	Cost               time.Duration         // rough estimate of the work; zero if unknown
+	Retry              bool                  // the client declares that this is a retry
+	ExternalID         string                // the client's ID, unique among open requests; empty if none
+	Timeout            time.Duration         // how long the client waits for the reply
+	Deadline           time.Time             // latest time of the reply, not counting an upload; zero: Timeout alone applies
+	Payload            any                   // what the transport sends; opaque to the engine
+	Release            func()                // called once when no attempt needs Payload any more; must not block
+	Uploading          bool                  // Payload is still arriving and can be sent only once; Timeout runs from its end
+	PriorAttempts      []policy.PriorAttempt // earlier attempts under the same key, for the module
+	Order              any                   // data for the code that records the attempts; opaque to the engine
+
+	// OnEnd is called once, with the engine's lock held, when the request has its result or was
+	// withdrawn. It must not block or call the engine.
 	OnEnd func(result Result, withdrawn bool)
 
 	id             policy.RequestID
-	submittedAt    policy.Time // when it was taken
-	result         chan Result // of one place
+	submittedAt    policy.Time // when the request was accepted
+	result         chan Result // buffered, capacity 1
 	attempts       []*Attempt
-	outstanding    int // attempts without an ending
+	outstanding    int // attempts that have not ended
 	ended          bool
-	deferred       bool // the module was not told of it
+	deferred       bool // not yet passed to the module
 	sendingStopped bool // see StopSending
-	mayHaveRun     bool // an attempt has ended that may have been executed
+	mayHaveRun     bool // an attempt has ended that the server may have executed
 	lastStatus     policy.Status
 }
 
-// cancelUnsent calls off the attempts of r that wait to be sent, but for one. It guards against sending what nobody waits for any more, after
-// a wait for a descriptor or a connection: where attempts that are out may not be called off, the module leaves these alone too.
-func (r *Request) cancelUnsent(but *Attempt) {
+// cancelUnsent cancels the attempts of r that have not been sent yet, except one. Otherwise, an
+// attempt that waits for a descriptor or a connection could be sent although nobody waits for the
+// reply: if attempts must not be canceled once sent, the module does not cancel unsent ones either.
+func (r *Request) cancelUnsent(except *Attempt) {
 	for _, a := range r.attempts {
-		if a != but && !a.ended {
+		if a != except && !a.ended {
 			a.cancelIfUnsent()
 		}
 	}
 }
 
-// Result returns where the request's one result comes, unless it is withdrawn.
+// Result returns the channel that receives the request's only result. A withdrawn request gets
+// none.
 func (r *Request) Result() <-chan Result { return r.result }
 
-// ResultKind says how a request ended.
+// ResultKind is the way in which a request ended.
 type ResultKind int
 
-// The kinds.
+// The kinds of results.
 const (
-	Served  ResultKind = iota // a server has answered it
-	Refused                   // a retry is harmless
-	Failed                    // nothing is promised: it may have run
-	Dropped                   // the engine was closed; nothing is promised
+	Served  ResultKind = iota // a server has replied
+	Refused                   // the request was not executed, or executing it again is harmless
+	Failed                    // the request may have been executed
+	Dropped                   // the engine was closed; the request may have been executed
 )
 
-// Result is the one result of a request.
+// Result is the outcome of a request.
 type Result struct {
 	Kind       ResultKind
-	Reply      any             // Served: the answer, as the transport gave it
-	Server     policy.ServerID // Served: whose it is
-	RetryAfter time.Duration   // Refused: when to come back; zero: not told
-	Attempts   int             // how many attempts were made
-	LastStatus policy.Status   // not Served: how the attempt that ended last did, if Attempts is above 0
-	Replayed   bool            // Served: the answer was made for an earlier request under the same key
-	NotRun     bool            // not Served: each attempt that was made has ended, and proves that it was never executed
-	MayHaveRun bool            // Failed: an earlier request under the same key may have run, and this one was not sent
+	Reply      any             // Served: the reply as the transport returned it
+	Server     policy.ServerID // Served: the server that replied
+	RetryAfter time.Duration   // Refused: when to retry; zero if unspecified
+	Attempts   int             // number of attempts made
+	LastStatus policy.Status   // not Served: status of the attempt that ended last, if Attempts > 0
+	Replayed   bool            // Served: the reply belongs to an earlier request under the same key
+	NotRun     bool            // not Served: every attempt has ended and was provably never executed
+	MayHaveRun bool            // Failed: this request was not sent, but an earlier one under its key may have run
 }
 
-// Attempt is one send of a request.
+// Attempt is one attempt to send a request to a server.
 type Attempt struct {
-	Number   int // of the request's attempts, from 0
+	Number   int // index among the request's attempts, from 0
 	Server   policy.ServerID
-	Deadline time.Time // the module waits no longer
+	Deadline time.Time // when the module stops waiting
 
 	engine       *Engine
 	req          *Request
 	sentAt       policy.Time
-	ended        bool        // it has ended
-	replyBegunAt policy.Time // when its answer was passed on before its end; zero: it was not
+	ended        bool        // the transport has returned
+	replyBegunAt policy.Time // when BeginReply was called; zero if it was not
 	stage        atomic.Int32
 
 	mu       sync.Mutex
 	canceled bool
-	sending  bool   // its server may have seen some of it
-	stopWait func() // ends what the attempt waits for
+	sending  bool   // the server may have received part of it
+	stopWait func() // ends the attempt's present wait
 }
 
-// Payload is what is to be sent. It stays until the attempt has ended.
+// Payload returns what is to be sent. It remains valid until the attempt has ended.
 func (a *Attempt) Payload() any { return a.req.Payload }
 
-// ExternalID is the client's own name of the request.
+// ExternalID returns the client's ID of the request.
 func (a *Attempt) ExternalID() string { return a.req.ExternalID }
 
-// Order is the request's.
+// Order returns the Order field of the request.
 func (a *Attempt) Order() any { return a.req.Order }
 
-// cancel calls the attempt off. Its goroutine tells the outcome.
+// cancel cancels the attempt. The attempt's goroutine reports the outcome.
 func (a *Attempt) cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -114,7 +116,8 @@
 	}
 }
 
-// cancelIfUnsent is cancel of an attempt that waits to be sent. It asks nobody whether attempts may be called off: no server has seen it.
+// cancelIfUnsent cancels an attempt that has not been sent yet. It applies even where attempts must
+// not be canceled, because no server has received it.
 func (a *Attempt) cancelIfUnsent() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -127,14 +130,15 @@
 	}
 }
 
-// unsent reports whether the attempt was called off before any of it was sent: it has never run.
+// unsent reports whether the attempt was canceled before any of it was sent, so that it never ran.
 func (a *Attempt) unsent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.canceled && !a.sending
 }
 
-// Sending is OnCancel where the attempt begins to be sent: from now on the module alone may call it off.
+// Sending is like OnCancel and marks the start of the send: from now on only the module can cancel
+// the attempt.
 func (a *Attempt) Sending(stop func()) bool {
 	a.SetStage(StageSend)
 	a.mu.Lock()
@@ -143,8 +147,8 @@
 	return !a.canceled
 }
 
-// OnCancel makes stop what ends the present wait, and reports whether the attempt is still wanted. stop is called at
-// most once for each cancel and must not block.
+// OnCancel registers stop as the function that ends the present wait, and reports whether the
+// attempt is still wanted. stop is called at most once for each cancellation and must not block.
 func (a *Attempt) OnCancel(stop func()) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -152,7 +156,7 @@
 	return !a.canceled
 }
 
-// Canceled reports whether the attempt was called off.
+// Canceled reports whether the attempt was canceled.
 func (a *Attempt) Canceled() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/engine/shutdown.go
+++ b/internal/engine/shutdown.go
@@ -2,9 +2,10 @@
 
 import "quillfront/policy"
 
-// StopSending has nothing more sent for r from now on: attempts that wait for a descriptor or a connection are called
-// off, and there is no retry or hedge. One that has no attempt out is answered at once; those that are out may still
-// bring the answer. It may be called before Take, which then fails with ErrClosed, and after r has ended.
+// StopSending prevents any further send for r: attempts that wait for a descriptor or a connection
+// are canceled, and there are no retries or hedges. A request without an attempt in flight ends at
+// once; attempts in flight may still bring the reply. StopSending may be called before Submit,
+// which then fails with ErrClosed, and after r has ended.
 func (e *Engine) StopSending(r *Request) {
 	e.event(func(now policy.Time) {
 		r.sendingStopped = true
@@ -16,7 +17,8 @@
 	})
 }
 
-// GiveUp gives r its final result now, if it has none: whoever waits for it can wait no longer. It includes StopSending.
+// GiveUp ends r with a final result now, if it has none, because its caller can wait no longer. It
+// includes the effects of StopSending.
 func (e *Engine) GiveUp(r *Request) {
 	e.event(func(now policy.Time) {
 		r.sendingStopped = true
@@ -26,10 +28,11 @@
 		if !r.deferred {
 			e.module.GiveUp(now, r.id, e)
 		}
-		// What it was adopted for may have run. For another it guards against a module that leaves it open.
+		// A deferred request waits for an earlier one, which may have run. For any other request
+		// this is a safeguard against a module that leaves it open.
 		e.finish(r, Result{Kind: Failed, MayHaveRun: r.deferred})
 	})
 }
 
-// submitted reports whether r has been submitted or adopted.
+// submitted reports whether the engine has accepted r by Submit or SubmitDeferred.
 func (r *Request) submitted() bool { return r.id != 0 }
--- a/internal/engine/sites.go
+++ b/internal/engine/sites.go
@@ -5,8 +5,9 @@
 	"quillfront/sites"
 )
 
-// WatchSites has sites be watched by cfg from now on; nil ends it. What is known of them stays where they are watched already. The
-// error names the field of cfg at fault; nothing has changed then.
+// WatchSites monitors sites according to cfg from now on; nil ends the monitoring. State of sites
+// that are monitored already is kept. An error names the invalid field of cfg; nothing has changed
+// then.
 func (e *Engine) WatchSites(cfg *sites.Config) (err error) {
 	e.event(func(now policy.Time) {
 		if err = e.sites.Watch(now, cfg, e.config); err == nil {
@@ -16,13 +17,13 @@
 	return err
 }
 
-// SiteMemory returns what was learnt of sites, for whoever takes over.
+// SiteMemory returns the learned state of the sites, for a process that takes over.
 func (e *Engine) SiteMemory() (m sites.Memory) {
 	e.event(func(now policy.Time) { m = e.sites.Memory(now) })
 	return m
 }
 
-// RestoreSites has the watch of sites begin with what another engine had learnt.
+// RestoreSites initializes the monitoring of sites with the learned state of another engine.
 func (e *Engine) RestoreSites(m sites.Memory) {
 	e.event(func(now policy.Time) { e.sites.Recall(now, m) })
 }
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -9,35 +9,35 @@
 	"quillfront/sites"
 )
 
-// Snapshot is what an engine holds and believes at one moment.
+// Snapshot is the state of an engine and its module at one moment.
 type Snapshot struct {
-	At       policy.Time // when it was taken, by the module's clock
+	At       policy.Time // time of the snapshot by the module's clock
 	Open     int         // requests without a result
-	Retained int         // requests of which something is kept: open ones, and ended ones with attempts out
+	Retained int         // retained requests: open ones, and ended ones with attempts in flight
 	Accepted uint64
-	Probing  int           // probes under way
-	Timers   int           // timers that are not yet due
-	LastDue  time.Duration // until the last of them is
-	ListSeq  int64         // version of the list; UnknownSeq if none was told
+	Probing  int           // probes in flight
+	Timers   int           // timers that are not due yet
+	LastDue  time.Duration // time until the last timer is due
+	ListSeq  int64         // version of the list; UnknownSeq if there is none
 	Watching bool
-	Servers  []ServerState // in the order of their IDs
+	Servers  []ServerState // sorted by ID
 	Module   policy.Snapshot
-	Sites    []sites.View // in the order of preference; none where sites are not watched
+	Sites    []sites.View // in order of preference; empty if sites are not monitored
 }
 
-// ServerState is a listed server with what the module believes of it.
+// ServerState is a listed server with the module's state of it.
 type ServerState struct {
 	Addr string
 	policy.ServerSnapshot
 }
 
-// snapshotter is a module that can tell what it believes.
+// snapshotter is implemented by modules that can report their state.
 type snapshotter interface {
 	Snapshot(policy.Time) policy.Snapshot
 }
 
-// Snapshot returns what the engine holds and believes now. It takes the engine's lock for a time that grows with the
-// number of servers.
+// Snapshot returns the present state of the engine and its module. It holds the engine's lock for a
+// time that grows with the number of servers.
 func (e *Engine) Snapshot() Snapshot {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -52,13 +52,13 @@
 		s.Module = m.Snapshot(e.Now())
 	}
 	s.Sites = e.sites.Views(e.Now())
-	believed := map[policy.ServerID]policy.ServerSnapshot{}
+	states := map[policy.ServerID]policy.ServerSnapshot{}
 	for _, b := range s.Module.Servers {
-		believed[b.ID] = b
+		states[b.ID] = b
 	}
 	s.Module.Servers = nil
 	for id, to := range e.endpoints {
-		b := believed[id]
+		b := states[id]
 		b.ID = id
 		s.Servers = append(s.Servers, ServerState{to.Addr, b})
 	}
--- a/internal/engine/timer.go
+++ b/internal/engine/timer.go
@@ -7,7 +7,7 @@
 	"quillfront/policy"
 )
 
-// SetTimer is a method of policy.Actions.
+// SetTimer implements policy.Actions.
 func (e *Engine) SetTimer(after time.Duration, token string) {
 	if e.closed {
 		return
@@ -16,7 +16,7 @@
 	e.scheduleWake()
 }
 
-// scheduleWake makes the alarm ring when the first timer is due.
+// scheduleWake sets wakeTimer to the time when the earliest timer is due.
 func (e *Engine) scheduleWake() {
 	if len(e.timers) > 0 && (e.wakeAt == 0 || e.timers[0].at < e.wakeAt) {
 		e.wakeAt = e.timers[0].at
@@ -24,7 +24,7 @@
 	}
 }
 
-// fireTimers hands the timers that are due to the module, all in one go.
+// fireTimers passes all timers that are due to the module, within one event.
 func (e *Engine) fireTimers() {
 	e.event(func(now policy.Time) {
 		e.wakeAt = 0
@@ -44,7 +44,7 @@
 	token string
 }
 
-// timerHeap implements heap.Interface, the timer that is due first at its top.
+// timerHeap implements heap.Interface with the earliest timer at the top.
 type timerHeap []timer
 
 func (t timerHeap) Len() int           { return len(t) }
@@ -54,7 +54,7 @@
 func (t *timerHeap) Pop() any {
 	last := len(*t) - 1
 	x := (*t)[last]
-	(*t)[last] = timer{} // lets go of the token
+	(*t)[last] = timer{} // releases the token
 	*t = (*t)[:last]
 	return x
 }
