--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts instances of the decision module and speaks the
-// simulator's wire on standard input and output.
+// Command adapter hosts instances of the decision module and serves the simulator's line protocol
+// on standard input and output.
 package main
 
 import (
@@ -12,7 +12,7 @@
 )
 
 func main() {
-	path := flag.String("config", "", "the operator's own file, of which [sites] is used; without it sites are not watched")
+	path := flag.String("config", "", "operator configuration file; only its [sites] section is used, and without it sites are not monitored")
 	flag.Parse()
 	op, err := config.LoadOperator(*path)
 	if err == nil {
--- a/internal/engine/availability.go
+++ b/internal/engine/availability.go
@@ -93,8 +93,8 @@
 		var changed []Server
 		for _, id := range slices.Sorted(maps.Keys(e.listed)) {
 			s := e.listed[id]
-			if is := e.effective(a, s); is != e.effective(before, s) {
-				changed = append(changed, is)
+			if current := e.effective(a, s); current != e.effective(before, s) {
+				changed = append(changed, current)
 			}
 		}
 		if len(changed) > 0 {
@@ -140,7 +140,7 @@
 	present := make(map[policy.ServerID]bool, len(l))
 	for _, s := range l {
 		present[s.ID] = true
-		if was, listed := e.listed[s.ID]; listed && was.State == policy.Ready && s.State != policy.Ready {
+		if old, listed := e.listed[s.ID]; listed && old.State == policy.Ready && s.State != policy.Ready {
 			e.onLeaving(s.ID)
 		}
 	}
@@ -169,8 +169,8 @@
 	if !e.avoided.Avoid(id, now.Milliseconds(), max(d.Milliseconds(), 1), usable) {
 		return
 	}
-	if is := e.effective(e.absences, s); is != before {
-		e.applyEntries(now, policy.ListDelta, []Server{is})
+	if current := e.effective(e.absences, s); current != before {
+		e.applyEntries(now, policy.ListDelta, []Server{current})
 	}
 	e.endAvoidance(now)
 }
--- a/internal/engine/classes.go
+++ b/internal/engine/classes.go
@@ -11,7 +11,8 @@
 
 // classSet holds the configured request classes. It is immutable; a new configuration replaces it.
 type classSet struct {
-	byName  map[string][]policy.Class // by public name: the current class first, then its previous version, if any
+	// byName holds the current class first, then its previous version, if any.
+	byName  map[string][]policy.Class
 	longest time.Duration
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -81,11 +81,13 @@
 
 // AttemptResult is the outcome of an attempt as the transport reports it.
 type AttemptResult struct {
-	Status          policy.Status
-	Load            *policy.Load  // nil if the reply carried no load report
-	Reply           any           // with policy.OK: the reply, unless BeginReply delivered it already
-	PayloadConsumed bool          // the payload cannot be sent again
-	AvoidFor        time.Duration // how long the server asks to get no new requests; 0 if it did not ask
+	Status policy.Status
+	Load   *policy.Load // nil if the reply carried no load report
+	// Reply is the reply if Status is policy.OK, unless BeginReply delivered it already.
+	Reply           any
+	PayloadConsumed bool // the payload cannot be sent again
+	// AvoidFor is how long the server asks to get no new requests; 0 if it did not ask.
+	AvoidFor time.Duration
 }
 
 // Options configures an Engine.
@@ -212,7 +214,7 @@
 	// ErrUnknownClass means that the configuration has no class of that name.
 	ErrUnknownClass = errors.New("no such class of requests")
 	// ErrDuplicateID means that a request with the same ExternalID is open.
-	ErrDuplicateID = errors.New("a request of this id is open")
+	ErrDuplicateID = errors.New("a request with this ID is already open")
 )
 
 // Submit passes a request to the module. The request's timeout runs from read, a time returned by
@@ -403,7 +405,8 @@
 	}
 	delay := now - a.sentAt
 	if a.replyBegunAt != 0 {
-		delay = a.replyBegunAt - a.sentAt // the duration of the rest of a streamed reply is not the server's latency
+		// How long the rest of a streamed reply takes is not the server's latency.
+		delay = a.replyBegunAt - a.sentAt
 	}
 	if end.Status == policy.OK && !r.ended {
 		e.markEnded(r)
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -122,8 +122,8 @@
 func (e *Engine) updateList(now policy.Time, kind policy.ListKind, l List) {
 	e.seq = l.Seq
 	e.listReceived = kind != policy.ListCached
-	servers, faults := validateList(l, e.listed, e.originMs+now.Milliseconds())
-	e.logEntryErrors(faults)
+	servers, errs := validateList(l, e.listed, e.originMs+now.Milliseconds())
+	e.logEntryErrors(errs)
 	e.reportLeaving(kind, servers)
 	e.applyEntries(now, kind, e.recordEntries(kind, servers))
 }
@@ -137,7 +137,7 @@
 	} else {
 		before = make(map[policy.ServerID]Endpoint, len(entries))
 		for _, s := range entries {
-			if old, stood := e.endpoints[s.ID]; stood {
+			if old, existed := e.endpoints[s.ID]; existed {
 				before[s.ID] = old
 			}
 		}
@@ -153,7 +153,7 @@
 			e.endpoints[s.ID] = Endpoint{s.Addr, s.ID, s.StartedMs, s.Zone, s.Cell}
 		}
 	}
-	maps.DeleteFunc(e.futureStarts, func(id policy.ServerID, f futureStart) bool { return e.endpoints[id].StartedMs != f.bornMs })
+	maps.DeleteFunc(e.futureStarts, func(id policy.ServerID, f futureStart) bool { return e.endpoints[id].StartedMs != f.startedMs })
 	leaving := map[policy.ServerID]bool{}
 	// Connections to a server that has gone, moved or restarted are unusable for the server that
 	// has its address now.
@@ -198,7 +198,7 @@
 	if s.StartedMs == 0 {
 		return 0
 	}
-	if f, ok := e.futureStarts[s.ID]; ok && f.bornMs == s.StartedMs {
+	if f, ok := e.futureStarts[s.ID]; ok && f.startedMs == s.StartedMs {
 		return f.at
 	}
 	// 1e12 ms is about 30 years; larger values would overflow and cannot be real.
@@ -217,6 +217,6 @@
 
 // futureStart is a reported start time that lay in the future, and when it was first listed.
 type futureStart struct {
-	bornMs int64
-	at     policy.Time
+	startedMs int64
+	at        policy.Time
 }
--- a/internal/engine/pending.go
+++ b/internal/engine/pending.go
@@ -67,11 +67,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Now()
-	none := "a load report"
+	reason := "a load report"
 	if !e.hasUsableServer() {
-		none = "a list with a server that takes requests"
+		reason = "a list with a server that takes requests"
 		if e.retired {
-			none += ", in a pool that is taken out"
+			reason += ", in a pool that is taken out"
 		}
 	}
 	var all []PendingRequest
@@ -93,7 +93,7 @@
 		case r.deferred:
 			w.WaitsFor = "another request of its order"
 		default:
-			w.WaitsFor = none
+			w.WaitsFor = reason
 		}
 		all = append(all, w)
 	}
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -12,16 +12,23 @@
 // SubmitDeferred; from then on the fields belong to the engine.
 type Request struct {
 	Class, Tenant, Key string
-	Cost               time.Duration         // rough estimate of the work; zero if unknown
-	Retry              bool                  // the client declares that this is a retry
-	ExternalID         string                // the client's ID, unique among open requests; empty if none
-	Timeout            time.Duration         // how long the client waits for the reply
-	Deadline           time.Time             // latest time of the reply, not counting an upload; zero: Timeout alone applies
-	Payload            any                   // what the transport sends; opaque to the engine
-	Release            func()                // called once when no attempt needs Payload any more; must not block
-	Uploading          bool                  // Payload is still arriving and can be sent only once; Timeout runs from its end
-	PriorAttempts      []policy.PriorAttempt // earlier attempts under the same key, for the module
-	Order              any                   // data for the code that records the attempts; opaque to the engine
+	Cost               time.Duration // rough estimate of the work; zero if unknown
+	Retry              bool          // the client declares that this is a retry
+	// ExternalID is the client's ID, unique among open requests; empty if none
+	ExternalID string
+	Timeout    time.Duration // how long the client waits for the reply
+	// Deadline is the latest time of the reply, unless an upload ends after it was set. If it is
+	// zero, Timeout alone applies.
+	Deadline time.Time
+	Payload  any // what the transport sends; opaque to the engine
+	// Release is called once when no attempt needs Payload any more. It must not block.
+	Release func()
+	// Uploading means that Payload is still arriving and can be sent only once; Timeout runs from
+	// the end of the upload.
+	Uploading     bool
+	PriorAttempts []policy.PriorAttempt // earlier attempts under the same key, for the module
+	// Order is data for the code that records the attempts; opaque to the engine.
+	Order any
 
 	// OnEnd is called once, with the engine's lock held, when the request has its result or was
 	// withdrawn. It must not block or call the engine.
@@ -74,8 +81,11 @@
 	Attempts   int             // number of attempts made
 	LastStatus policy.Status   // not Served: status of the attempt that ended last, if Attempts > 0
 	Replayed   bool            // Served: the reply belongs to an earlier request under the same key
-	NotRun     bool            // not Served: every attempt has ended and was provably never executed
-	MayHaveRun bool            // Failed: this request was not sent, but an earlier one under its key may have run
+	// not Served: every attempt has ended and was provably never executed
+	NotRun bool
+	// MayHaveRun is set on Failed: this request was not sent, but an earlier one under its key may
+	// have run.
+	MayHaveRun bool
 }
 
 // Attempt is one attempt to send a request to a server.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings translates the operators' settings object, which the
-// simulator's first message and the sidecar's configuration share, for the
-// decision module. It decides nothing itself.
+// Package settings parses the operators' settings object, which is part of both the simulator's
+// OpenInstance message and the sidecar's configuration, and converts it to the configuration of the
+// decision module. It makes no decisions of its own.
 package settings
 
 import (
@@ -11,14 +11,15 @@
 	"quillfront/policy"
 )
 
-// Settings is what a host needs of the settings object.
+// Settings is the part of the settings object that hosts of the decision module use.
 type Settings struct {
 	Config     policy.Config
-	LoadFields []string // names of the values in a load report, in their order
-	Peers      bool     // sidecars may send one another datagrams
+	LoadFields []string // names of the values in a load report, in order
+	Peers      bool     // sidecars may send datagrams to each other
 }
 
-// settingsObject mirrors the keys that the module uses; others are skipped.
+// settingsObject declares the keys that are used; the names of its fields are the keys in the JSON
+// text. Other keys are ignored.
 type settingsObject struct {
 	GroupSize, Ordinal int
 	Zone               string
@@ -61,7 +62,7 @@
 	"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell,
 }
 
-// Parse reads the settings object. An error names the key at fault.
+// Parse parses and validates the settings object. An error names the invalid key.
 func Parse(text []byte) (Settings, error) {
 	var s settingsObject
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -94,15 +95,16 @@
 	return Settings{Config: cfg, LoadFields: s.Telemetry.Fields, Peers: s.Limits.Peers}, nil
 }
 
-// validate guards against what the module would reject or misread, by the names that the operators use.
+// validate rejects settings that the module would reject or misinterpret. Its errors use the names
+// of the keys as operators write them.
 func (s *settingsObject) validate() error {
 	for _, c := range s.RequestClasses {
-		_, effect := effects[c.Effect]
-		_, group := groups[c.Group]
+		_, knownEffect := effects[c.Effect]
+		_, knownGroup := groups[c.Group]
 		switch {
-		case !effect:
+		case !knownEffect:
 			return fmt.Errorf("RequestClasses %q: Effect is %q", c.Name, c.Effect)
-		case !group:
+		case !knownGroup:
 			return fmt.Errorf("RequestClasses %q: Group is %q", c.Name, c.Group)
 		case c.AimUs <= 0:
 			return fmt.Errorf("RequestClasses %q: AimUs is %d, not above 0", c.Name, c.AimUs)
@@ -145,13 +147,13 @@
 	return nil
 }
 
-// EmptyLoad returns a report in which nothing is reported.
+// EmptyLoad returns a load report without any values: -1 marks a value as not reported.
 func EmptyLoad() policy.Load {
 	return policy.Load{Queue: -1, Inflight: -1, Latency: -1, ErrorRate: -1}
 }
 
-// SetLoadField notes the value that a report gives under a field's name. Fields that the module has no use for are
-// skipped.
+// SetLoadField sets the value of a load report's field, given by its name on the wire. Fields that
+// the module does not use are ignored.
 func SetLoadField(l *policy.Load, field string, value float64) {
 	switch field {
 	case "queue":
@@ -165,5 +167,5 @@
 	}
 }
 
-// Micros is a time given in microseconds.
+// Micros converts a number of microseconds to a time.Duration.
 func Micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire speaks the simulator's line protocol: it decodes batches of
-// events, hands them to the policy instances that it hosts, and encodes what
-// they decide. It decides nothing itself.
+// Package wire implements the simulator's line protocol. It decodes batches of events, passes them
+// to the policy instances that it hosts, and encodes the resulting actions. It makes no decisions
+// of its own.
 package wire
 
 import (
@@ -18,10 +18,12 @@
 	"quillfront/sites"
 )
 
-// Serve answers the batches read from r on w until r ends. Sites are watched by watch, which has been checked; nil: not at all. An
-// error means that the input was malformed; it names the message at fault.
-func Serve(r io.Reader, w io.Writer, watch *sites.Config) error {
-	h := &host{instances: map[string]*instance{}, watch: watch}
+// Serve reads batches from r, one per line, and writes a reply line to w for each, until r ends.
+// siteConfig is the validated configuration of site monitoring; nil disables it. Serve returns an
+// error if reading or writing fails, or if the input is malformed; that error names the invalid
+// message.
+func Serve(r io.Reader, w io.Writer, siteConfig *sites.Config) error {
+	h := &host{instances: map[string]*instance{}, siteConfig: siteConfig}
 	in := bufio.NewReaderSize(r, 1<<20)
 	for {
 		line, err := in.ReadBytes('\n')
@@ -43,17 +45,19 @@
 	}
 }
 
+// batch is a line of input: events that occur at the same time, grouped by instance.
 type batch struct {
 	AtTimeUs *int64  `json:"AtTimeUs"`
 	Groups   []group `json:"groups"`
 }
 
+// group holds the events of one instance.
 type group struct {
 	Sidecar string  `json:"Sidecar"`
 	Msgs    []event `json:"msgs"`
 }
 
-// event holds the fields of every event; Cmd tells which are set.
+// event holds the fields of all kinds of events; Cmd determines which are set.
 type event struct {
 	Cmd         string          `json:"cmd"`
 	Salt        uint64          `json:"Salt"`
@@ -66,7 +70,7 @@
 	ExpiresUs   int64           `json:"ExpiresUs"`
 	IsRetry     bool            `json:"IsRetry"`
 	Item        string          `json:"Item"`
-	Project     any             `json:"Project"` // a name, or 0 at sites without tenants
+	Project     any             `json:"Project"` // the tenant's name, or 0 where there are no tenants
 	Type        string          `json:"Type"`
 	Shot        int             `json:"Shot"`
 	Terminal    bool            `json:"Terminal"`
@@ -77,6 +81,7 @@
 	Ctx         string          `json:"Ctx"`
 }
 
+// listEntry is a server in a server list.
 type listEntry struct {
 	LastStartUs  int64   `json:"LastStartUs"`
 	CapacityHint float64 `json:"CapacityHint"`
@@ -86,19 +91,21 @@
 	UnitGroup    int     `json:"UnitGroup"`
 }
 
+// reply is a line of output: the actions that answer a batch.
 type reply struct {
 	Groups []actionGroup `json:"groups"`
 }
 
+// actionGroup holds the actions of one instance.
 type actionGroup struct {
 	Sidecar string   `json:"Sidecar"`
 	Orders  []action `json:"orders"`
 }
 
-// action holds the fields of every action.
+// action holds the fields of all kinds of actions; Cmd determines which are set.
 type action struct {
 	Cmd        string            `json:"cmd"`
-	Corr       *policy.RequestID `json:"Corr,omitempty"` // 0 is an id too
+	Corr       *policy.RequestID `json:"Corr,omitempty"` // a pointer, because 0 is a valid ID
 	Upstream   policy.ServerID   `json:"Upstream,omitzero"`
 	MaxWaitUs  int64             `json:"MaxWaitUs,omitzero"`
 	StayAwayUs int64             `json:"StayAwayUs,omitzero"`
@@ -120,14 +127,15 @@
 	"patch": policy.ListDelta, "whole": policy.ListFull, "stale_copy": policy.ListCached, "broken": policy.ListFailed,
 }
 
-// host holds the instances of the process and the lists they refer to.
+// host holds the instances of the process and the server lists that they refer to by number.
 type host struct {
-	instances map[string]*instance
-	lists     [16][]policy.Server
-	watch     *sites.Config
+	instances  map[string]*instance
+	lists      [16][]policy.Server
+	siteConfig *sites.Config
 }
 
-func openInstance(now policy.Time, e *event, watch *sites.Config) (*instance, error) {
+// openInstance creates an instance with the settings of an OpenInstance event.
+func openInstance(now policy.Time, e *event, siteConfig *sites.Config) (*instance, error) {
 	s, err := settings.Parse(e.Settings)
 	if err != nil {
 		return nil, err
@@ -137,16 +145,18 @@
 		return nil, err
 	}
 	inst := &instance{balancer: b, sites: siting.New(b, slog.New(slog.DiscardHandler)), loadFields: s.LoadFields}
-	if err := inst.sites.Watch(now, watch, s.Config); err != nil {
+	if err := inst.sites.Watch(now, siteConfig, s.Config); err != nil {
 		return nil, err
 	}
 	return inst, nil
 }
 
+// instance is a hosted balancer with the actions it has taken during the present event. It
+// implements policy.Actions.
 type instance struct {
 	balancer   *policy.Balancer
 	sites      *siting.Host
-	loadFields []string // names of the values in a load report
+	loadFields []string // names of the values in a load report, in order
 	actions    []action
 }
 
@@ -160,29 +170,30 @@
 	}
 	out := reply{Groups: []actionGroup{}}
 	for _, g := range b.Groups {
-		var done []action
+		var actions []action
 		for i := range g.Msgs {
 			got, err := h.dispatch(settings.Micros(*b.AtTimeUs), g.Sidecar, &g.Msgs[i])
 			if err != nil {
 				return nil, fmt.Errorf("message %q to %s: %w", g.Msgs[i].Cmd, g.Sidecar, err)
 			}
-			done = append(done, got...)
+			actions = append(actions, got...)
 		}
-		if len(done) > 0 {
-			out.Groups = append(out.Groups, actionGroup{g.Sidecar, done})
+		if len(actions) > 0 {
+			out.Groups = append(out.Groups, actionGroup{g.Sidecar, actions})
 		}
 	}
 	text, err := json.Marshal(out)
 	return append(text, '\n'), err
 }
 
-// dispatch hands one event to its instance. A panic of the module becomes a Fault.
+// dispatch passes one event to its instance and returns the resulting actions. A panic of the
+// module becomes a Fault action.
 func (h *host) dispatch(now policy.Time, name string, e *event) (got []action, err error) {
 	if e.Cmd == "Pool" {
 		return nil, h.storeList(e)
 	}
 	if e.Cmd == "OpenInstance" {
-		inst, err := openInstance(now, e, h.watch)
+		inst, err := openInstance(now, e, h.siteConfig)
 		if err == nil {
 			h.instances[name] = inst
 		}
@@ -193,7 +204,7 @@
 	}
 	inst := h.instances[name]
 	if inst == nil {
-		return nil, fmt.Errorf("no such instance is open")
+		return nil, fmt.Errorf("instance is not open")
 	}
 	if e.Cmd == "Halt" {
 		delete(h.instances, name)
@@ -209,6 +220,7 @@
 	return inst.actions, err
 }
 
+// instanceCommands are the commands that require an open instance.
 var instanceCommands = map[string]bool{
 	"Halt": true, "BackendsChanged": true, "Demand": true, "Opened": true, "ReportBack": true, "Withdrawn": true,
 	"DeadlineHit": true, "HealthResult": true, "Memo": true,
@@ -220,7 +232,7 @@
 	case "BackendsChanged":
 		kind, ok := listKinds[e.How]
 		if !ok {
-			return fmt.Errorf("unknown kind of list %q", e.How)
+			return fmt.Errorf("unknown list kind %q", e.How)
 		}
 		var lines []policy.Server
 		if kind != policy.ListFailed {
@@ -282,7 +294,8 @@
 	return nil
 }
 
-// parseLoad reads a report by the names of its fields.
+// parseLoad converts the values of a load report according to the configured field names. It
+// returns nil if there are no values.
 func (i *instance) parseLoad(row []float64) *policy.Load {
 	if len(row) == 0 {
 		return nil
@@ -294,7 +307,7 @@
 	return &l
 }
 
-// The methods of policy.Actions.
+// The methods below implement policy.Actions.
 
 func (i *instance) add(o action) { i.actions = append(i.actions, o) }
 
