--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -8,6 +8,8 @@
 	"quillfront/policy"
 )
 
+// TestStartTime verifies the conversion of start times to the module's clock, including values at
+// its origin and values too large to convert exactly, and that it is repeatable.
 func TestStartTime(t *testing.T) {
 	e := New(Options{Log: slog.New(slog.DiscardHandler)})
 	defer e.Close()
@@ -20,14 +22,14 @@
 		{"long ago", 0, 0, 0},
 		{"just now", nowMs, e.Now() - time.Minute, e.Now() + time.Minute},
 		{"at the clock's origin", e.originMs, 1, 1},
-		{"before it", e.originMs - 5, -5 * time.Millisecond, -5 * time.Millisecond},
-		{"senseless", 1 << 62, e.Now() - time.Minute, e.Now() + time.Minute},
-		{"senseless", -1 << 62, -time.Duration(1e12) * time.Millisecond, -time.Duration(1e12) * time.Millisecond},
+		{"before the clock's origin", e.originMs - 5, -5 * time.Millisecond, -5 * time.Millisecond},
+		{"out of range, future", 1 << 62, e.Now() - time.Minute, e.Now() + time.Minute},
+		{"out of range, past", -1 << 62, -time.Duration(1e12) * time.Millisecond, -time.Duration(1e12) * time.Millisecond},
 	}
 	for _, tt := range tests {
 		s := Server{ID: "a", StartedMs: tt.ms}
 		if got := e.startTime(e.Now(), s); got < tt.min || got > tt.max || got != e.startTime(e.Now(), s) {
-			t.Errorf("%s: started(%d) = %v, want %v to %v", tt.name, tt.ms, got, tt.min, tt.max)
+			t.Errorf("%s: startTime(%d) = %v, want %v to %v", tt.name, tt.ms, got, tt.min, tt.max)
 		}
 	}
 }
--- a/internal/engine/hosting_test.go
+++ b/internal/engine/hosting_test.go
@@ -18,13 +18,14 @@
 
 const testTimeout = 20 * time.Second
 
-// fakeTransport is a transport whose attempts end as the test says. It knows no protocol, as the engine knows none.
+// fakeTransport is a transport whose attempts end when the test calls finish, or when they are
+// canceled.
 type fakeTransport struct {
 	started       chan *Attempt
 	mu            sync.Mutex
 	end           map[*Attempt]chan AttemptResult
 	hungUp        []Endpoint
-	ignoresCancel bool // to cancels
+	ignoresCancel bool // attempts continue after they are canceled
 }
 
 func newFakeTransport() *fakeTransport {
@@ -62,7 +63,7 @@
 	f.hungUp = append(f.hungUp, to)
 }
 
-// finish ends an attempt.
+// finish ends attempt a with result e.
 func (f *fakeTransport) finish(a *Attempt, e AttemptResult) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,7 +108,7 @@
 	return e, f
 }
 
-// submit hands a request over; released is closed when its payload is given back.
+// submit submits a request. released is closed when the engine releases its payload.
 func submit(t *testing.T, e *Engine, class, name string) (r *Request, released chan struct{}) {
 	t.Helper()
 	released = make(chan struct{})
@@ -118,7 +119,8 @@
 	return r, released
 }
 
-// TestOneResult: a served request has one result, and its payload is given back once.
+// TestOneResult verifies that a served request gets exactly one result, and that its payload is
+// released once.
 func TestOneResult(t *testing.T) {
 	e, f := startEngine(t, "a")
 	r, released := submit(t, e, "safe", "n")
@@ -127,7 +129,7 @@
 		t.Errorf("attempt %+v", a)
 	}
 	if err := e.Submit(&Request{Class: "safe", ExternalID: "n", Timeout: time.Second}, e.Now()); !errors.Is(err, ErrDuplicateID) {
-		t.Errorf("the name again: %v", err)
+		t.Errorf("same ExternalID while open: error %v, want ErrDuplicateID", err)
 	}
 	f.finish(a, AttemptResult{Status: policy.OK, Reply: "reply"})
 	if got := receive(t, "result", r.Result()); got.Kind != Served || got.Reply != "reply" || got.Server != "a" || got.Attempts != 1 {
@@ -135,14 +137,15 @@
 	}
 	receive(t, "release", released)
 	if e.Withdraw(r) || len(r.Result()) > 0 {
-		t.Error("it is open once more")
+		t.Error("the request is still open, or has a second result")
 	}
 	if s := e.Snapshot(); s.Open != 0 || s.Retained != 0 || s.Accepted != 1 {
 		t.Errorf("snapshot %+v", s)
 	}
 }
 
-// TestRetryAfterError: a safe request goes to another server after an error, an unsafe one does not, and fails.
+// TestRetryAfterError verifies that after an error a safe request is retried at another server, and
+// that an unsafe one fails without a retry.
 func TestRetryAfterError(t *testing.T) {
 	e, f := startEngine(t, "a", "b")
 	r, _ := submit(t, e, "safe", "")
@@ -150,7 +153,7 @@
 	f.finish(first, AttemptResult{Status: policy.Reset})
 	second := receive(t, "second attempt", f.started)
 	if second.Server == first.Server || second.Number != 1 {
-		t.Errorf("second attempt %d at %s after %s", second.Number, second.Server, first.Server)
+		t.Errorf("second attempt has number %d and server %s; the first was at %s", second.Number, second.Server, first.Server)
 	}
 	f.finish(second, AttemptResult{Status: policy.OK})
 	if got := receive(t, "result", r.Result()); got.Kind != Served || got.Attempts != 2 {
@@ -166,7 +169,8 @@
 	}
 }
 
-// TestNotRun: a result says that nothing ran only if no attempt is out and each has proved it.
+// TestNotRun verifies that Result.NotRun is set only if no attempt is in flight and every attempt
+// provably was not executed.
 func TestNotRun(t *testing.T) {
 	e, f := startEngine(t, "a", "b")
 	r, _ := submit(t, e, "unsafe", "")
@@ -174,7 +178,7 @@
 	second := receive(t, "second attempt", f.started)
 	e.RunAsEvent(func(_ policy.Time, act policy.Actions) { act.Fail(r.id) })
 	if got := receive(t, "result", r.Result()); got.NotRun || got.Attempts != 2 || got.LastStatus != policy.ConnectFailed {
-		t.Errorf("with an attempt out: %+v", got)
+		t.Errorf("with an attempt in flight: result %+v", got)
 	}
 	f.finish(second, AttemptResult{Status: policy.Timeout})
 	for _, status := range []policy.Status{policy.ConnectFailed, policy.Reset} {
@@ -185,29 +189,31 @@
 			f.finish(receive(t, "second attempt", f.started), AttemptResult{Status: status})
 		}
 		if got := receive(t, "result", r.Result()); got.NotRun != status.NotRun() {
-			t.Errorf("after %v: %+v", status, got)
+			t.Errorf("after %v: result %+v", status, got)
 		}
 	}
 }
 
-// TestWithdraw: the attempt is called off, its payload is given back only once it has ended, and there is no result.
+// TestWithdraw verifies that withdrawing a request cancels its attempt, releases the payload once
+// the attempt has ended, and yields no result.
 func TestWithdraw(t *testing.T) {
 	e, f := startEngine(t, "a")
 	r, released := submit(t, e, "safe", "n")
 	receive(t, "attempt", f.started)
 	if !e.Withdraw(r) || e.Withdraw(r) {
-		t.Error("it was not open, or is so again")
+		t.Error("Withdraw of an open request returned false, or a second Withdraw returned true")
 	}
 	receive(t, "release", released)
 	if len(r.Result()) > 0 {
-		t.Error("a result after the withdrawal")
+		t.Error("the withdrawn request has a result")
 	}
-	if r, _ := submit(t, e, "safe", "n"); e.Withdraw(r) != true { // its name is free
-		t.Error("the name is not free")
+	if r, _ := submit(t, e, "safe", "n"); e.Withdraw(r) != true { // its ExternalID can be reused
+		t.Error("the second request with the same ExternalID is not open")
 	}
 }
 
-// TestPayloadKeptForOpenAttempt: an attempt that goes on after its request has ended still has the payload.
+// TestPayloadKeptForOpenAttempt verifies that the payload is kept while an attempt continues after
+// its request has ended.
 func TestPayloadKeptForOpenAttempt(t *testing.T) {
 	e, f := startEngine(t, "a")
 	f.ignoresCancel = true
@@ -216,51 +222,53 @@
 	e.Withdraw(r)
 	select {
 	case <-released:
-		t.Error("the payload is given back while an attempt is out")
+		t.Error("the payload is released while an attempt is in flight")
 	default:
 	}
 	if a.Payload() != "payload" {
-		t.Errorf("the payload is %v", a.Payload())
+		t.Errorf("payload %v", a.Payload())
 	}
 	f.finish(a, AttemptResult{Status: policy.OK})
 	receive(t, "release", released)
 	if len(r.Result()) > 0 {
-		t.Error("a result after the withdrawal")
+		t.Error("the withdrawn request has a result")
 	}
 }
 
-// TestUnlistedServer: what a module sends to a server that has gone was never sent.
+// TestUnlistedServer verifies that nothing is sent to a server that has left the list, even if the
+// module asks for it.
 func TestUnlistedServer(t *testing.T) {
 	e, f := startEngine(t, "a")
 	e.SetSource(oneListSource{List{Seq: 2, Full: true}})
 	for end := time.Now().Add(testTimeout); len(e.Snapshot().Servers) > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the server stays listed")
+			t.Fatal("the server is still listed")
 		}
 	}
 	f.mu.Lock()
 	if fmt.Sprint(f.hungUp) != "[a:1]" {
-		t.Errorf("connections hung up: %v", f.hungUp)
+		t.Errorf("idle connections closed to %v, want [a:1]", f.hungUp)
 	}
 	f.mu.Unlock()
 	r, _ := submit(t, e, "safe", "")
 	e.RunAsEvent(func(_ policy.Time, act policy.Actions) { act.Send(r.id, "a", time.Second) })
 	if len(f.started) > 0 {
-		t.Error("an attempt at a server that is not listed")
+		t.Error("an attempt was started at a server that is not listed")
 	}
 	e.Withdraw(r)
 }
 
-// oneListSource tells one list and nothing more.
-type oneListSource struct{ l List }
+// oneListSource is a source that provides a single list and no changes.
+type oneListSource struct{ list List }
 
-func (o oneListSource) Watch(ctx context.Context, _ int64, tell func(List)) error {
-	tell(o.l)
+func (o oneListSource) Watch(ctx context.Context, _ int64, update func(List)) error {
+	update(o.list)
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// TestDrainAndClose: after Drain nothing is taken; Close ends what is open, and nothing runs on.
+// TestDrainAndClose verifies that Drain stops the acceptance of requests, and that Close ends open
+// requests as Dropped and leaves nothing behind.
 func TestDrainAndClose(t *testing.T) {
 	e, f := startEngine(t, "a")
 	r, released := submit(t, e, "unsafe", "")
@@ -271,7 +279,7 @@
 		t.Errorf("Drain with a request open: %v", err)
 	}
 	if err := e.Submit(&Request{Class: "safe", Timeout: time.Second}, e.Now()); !errors.Is(err, ErrClosed) {
-		t.Errorf("Take while draining: %v", err)
+		t.Errorf("Submit while draining: %v", err)
 	}
 	e.Close()
 	if got := receive(t, "result", r.Result()); got.Kind != Dropped {
@@ -286,13 +294,13 @@
 	}
 }
 
-// TestUnknownClass: nothing is taken.
+// TestUnknownClass verifies that a request of an unknown class is rejected.
 func TestUnknownClass(t *testing.T) {
 	e, f := startEngine(t, "a")
 	if err := e.Submit(&Request{Class: "novel", Timeout: time.Second}, e.Now()); !errors.Is(err, ErrUnknownClass) {
 		t.Errorf("error %v", err)
 	}
 	if len(f.started) > 0 || e.Snapshot().Accepted > 0 {
-		t.Error("it was taken")
+		t.Error("the request was accepted")
 	}
 }
--- a/internal/engine/list_bench_test.go
+++ b/internal/engine/list_bench_test.go
@@ -9,12 +9,12 @@
 	"quillfront/policy"
 )
 
-// noopModule is a module that does nothing, so that what is measured is the engine's own.
+// noopModule is a module that does nothing, so that the benchmark measures the engine alone.
 type noopModule struct{ Module }
 
 func (noopModule) UpdateServers(policy.Time, policy.ListKind, []policy.Server, policy.Actions) {}
 
-// unusedTransport is a transport that is never used but for HangUp.
+// unusedTransport is a transport of which only CloseIdle is called.
 type unusedTransport struct{ hungUp int }
 
 func (*unusedTransport) Do(*Attempt, Endpoint) AttemptResult {
@@ -25,7 +25,8 @@
 }
 func (n *unusedTransport) CloseIdle(Endpoint) { n.hungUp++ }
 
-// BenchmarkListChange is one changed entry of the list as the engine takes it, under its lock, without what the module does of it.
+// BenchmarkListChange measures how the engine applies one changed list entry under its lock,
+// without the work of the module.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{128, 1024, 8192, 65_536} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
@@ -43,7 +44,7 @@
 				e.event(func(now policy.Time) { e.updateList(now, policy.ListDelta, List{Servers: []Server{s}}) })
 			}
 			if to.hungUp == 0 {
-				b.Error("nobody was hung up on")
+				b.Error("no idle connections were closed")
 			}
 		})
 	}
--- a/internal/engine/shutdown_test.go
+++ b/internal/engine/shutdown_test.go
@@ -8,8 +8,8 @@
 	"quillfront/policy"
 )
 
-// TestStopSendingCancelsUnsent: an attempt that waits for a connection is called off, proves never to have run, and has no
-// successor; its request is refused at once.
+// TestStopSendingCancelsUnsent verifies that StopSending cancels an attempt that waits for a
+// connection: it counts as not executed, there is no retry, and the request is refused at once.
 func TestStopSendingCancelsUnsent(t *testing.T) {
 	e, f := startEngine(t, "a", "b")
 	r, released := submit(t, e, "unsafe", "n")
@@ -21,15 +21,16 @@
 	receive(t, "release", released)
 }
 
-// TestStopSendingKeepsSentAttempts: an attempt that its server may have seen goes on, and its answer is the request's.
+// TestStopSendingKeepsSentAttempts verifies that an attempt that the server may have received
+// continues, and that its reply becomes the result.
 func TestStopSendingKeepsSentAttempts(t *testing.T) {
 	e, f := startEngine(t, "a", "b")
 	r, _ := submit(t, e, "safe", "n")
 	a := receive(t, "attempt", f.started)
-	a.Sending(func() { t.Error("called off") })
+	a.Sending(func() { t.Error("the attempt was canceled") })
 	e.StopSending(r)
 	if len(r.Result()) > 0 {
-		t.Error("answered before its server did")
+		t.Error("the request has a result before the server replied")
 	}
 	f.finish(a, AttemptResult{Status: policy.OK, Reply: "reply"})
 	if got := receive(t, "result", r.Result()); got.Kind != Served {
@@ -42,7 +43,8 @@
 	}
 }
 
-// TestGiveUpEndsRequestAtOnce: a request whose attempt hangs has its result at once, by the module's word, and only one.
+// TestGiveUpEndsRequestAtOnce verifies that GiveUp ends a request whose attempt hangs at once, with
+// the result that the module chooses, and that a late reply yields no second result.
 func TestGiveUpEndsRequestAtOnce(t *testing.T) {
 	for class, want := range map[string]ResultKind{"safe": Refused, "unsafe": Failed} {
 		e, f := startEngine(t, "a")
@@ -51,7 +53,7 @@
 		a.Sending(func() {})
 		e.GiveUp(r)
 		if got := receive(t, "result", r.Result()); got.Kind != want || got.NotRun {
-			t.Errorf("%s: result %+v, want %v and no promise that it has not run", class, got, want)
+			t.Errorf("%s: result %+v, want %v without NotRun", class, got, want)
 		}
 		f.finish(a, AttemptResult{Status: policy.OK, Reply: "late"})
 		receive(t, "release", released)
@@ -61,27 +63,31 @@
 	}
 }
 
-// TestShutdownBeforeSubmit: a request that was stopped or given up just before it is handed over is not taken.
+// TestShutdownBeforeSubmit verifies that Submit rejects a request for which StopSending or GiveUp
+// was called before.
 func TestShutdownBeforeSubmit(t *testing.T) {
 	e, f := startEngine(t, "a")
 	for _, stop := range []func(*Request){e.StopSending, e.GiveUp} {
 		r := &Request{Class: "safe", Timeout: time.Second}
 		stop(r)
 		if err := e.Submit(r, e.Now()); !errors.Is(err, ErrClosed) {
-			t.Errorf("Take: %v, want ErrClosed", err)
+			t.Errorf("Submit: %v, want ErrClosed", err)
 		}
 	}
 	if len(f.started) > 0 || e.Snapshot().Retained > 0 {
-		t.Error("it was taken")
+		t.Error("the request was accepted")
 	}
 }
 
-// TestShutdownOfDeferredRequest: an adopted request that may not be sent is not handed to the module any more, and one that is given
-// up is told as one that may have run.
+// TestShutdownOfDeferredRequest verifies that a deferred request is not dispatched after
+// StopSending, and that StopSending and GiveUp end it as one that may have run.
 func TestShutdownOfDeferredRequest(t *testing.T) {
 	e, f := startEngine(t, "a")
 	for _, end := range []func(r *Request){
-		func(r *Request) { e.StopSending(r); e.DispatchDeferred(r, e.Now(), func() { t.Error("handed over") }) },
+		func(r *Request) {
+			e.StopSending(r)
+			e.DispatchDeferred(r, e.Now(), func() { t.Error("the request was dispatched") })
+		},
 		func(r *Request) { e.GiveUp(r) },
 	} {
 		r := &Request{Class: "safe", Timeout: time.Second}
@@ -94,16 +100,16 @@
 		}
 	}
 	if len(f.started) > 0 {
-		t.Error("something was sent")
+		t.Error("an attempt was started")
 	}
 }
 
-// giveUpIgnorer leaves open what it is told to give up.
+// giveUpIgnorer is a module that ignores GiveUp.
 type giveUpIgnorer struct{ Module }
 
 func (giveUpIgnorer) GiveUp(policy.Time, policy.RequestID, policy.Actions) {}
 
-// TestGiveUpIgnoredByModule: no request stays open.
+// TestGiveUpIgnoredByModule verifies that GiveUp ends the request even if the module ignores it.
 func TestGiveUpIgnoredByModule(t *testing.T) {
 	e, f := startEngine(t, "a")
 	e.module = giveUpIgnorer{e.module}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,7 +19,7 @@
 "FamilyInfo":{"WarmKeys":false},"Tariffs":{"Connection":0.01,"CrossZone":0.03,"Handshake":0.08,"Probe":0.08},
 "Telemetry":{"Fields":["queue"],"Via":"inline"},"Tenants":[{"Name":"north","AllowancePerS":5}]}`
 
-// countingActions ignores what a module does.
+// countingActions counts the sends of a module and ignores its other actions.
 type countingActions struct{ sent int }
 
 func (a *countingActions) Send(policy.RequestID, policy.ServerID, time.Duration) { a.sent++ }
@@ -32,8 +32,8 @@
 func (*countingActions) Watch(bool)                                              {}
 func (*countingActions) Log(string)                                              {}
 
-// TestMissingKey: settings that lack a key either end in an error of one line that names it, or in a module that serves: what the
-// key is for is off then.
+// TestMissingKey verifies that settings without a key either yield a one-line error that names the
+// key, or a module that serves requests, with the feature of that key disabled.
 func TestMissingKey(t *testing.T) {
 	parse := func() map[string]any {
 		var m map[string]any
@@ -45,15 +45,15 @@
 	if _, err := Parse([]byte(completeSettings)); err != nil {
 		t.Fatal(err)
 	}
-	refused := map[string]bool{}
-	try := func(key string, m map[string]any) {
+	rejected := map[string]bool{}
+	check := func(key string, m map[string]any) {
 		text, err := json.Marshal(m)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s, err := Parse(text)
 		if err != nil {
-			refused[key] = true
+			rejected[key] = true
 			if !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("without %s: error %q", key, err)
 			}
@@ -74,29 +74,29 @@
 			b.Outcome(now+10*time.Millisecond, policy.Outcome{ID: policy.RequestID(i), Server: "s", Status: policy.OK, Delay: 10 * time.Millisecond, Final: true}, act)
 		}
 		if act.sent == 0 {
-			t.Errorf("without %s nothing is sent", key)
+			t.Errorf("without %s: nothing is sent", key)
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(parse())) {
 		m := parse()
 		delete(m, key)
-		try(key, m)
-		part, ok := parse()[key].(map[string]any)
+		check(key, m)
+		section, ok := parse()[key].(map[string]any)
 		if !ok {
 			continue
 		}
-		for _, sub := range slices.Sorted(maps.Keys(part)) {
+		for _, sub := range slices.Sorted(maps.Keys(section)) {
 			m := parse()
 			delete(m[key].(map[string]any), sub)
-			try(sub, m)
+			check(sub, m)
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(parse()["RequestClasses"].([]any)[0].(map[string]any))) {
 		m := parse()
 		delete(m["RequestClasses"].([]any)[0].(map[string]any), key)
-		try(key, m)
+		check(key, m)
 	}
-	if want := map[string]bool{"GroupSize": true, "Limits": true, "SendCap": true, "Effect": true, "AimUs": true, "DeadlineUs": true}; !maps.Equal(refused, want) {
-		t.Errorf("refused without %v, want %v", refused, want)
+	if want := map[string]bool{"GroupSize": true, "Limits": true, "SendCap": true, "Effect": true, "AimUs": true, "DeadlineUs": true}; !maps.Equal(rejected, want) {
+		t.Errorf("settings are rejected without %v, want %v", rejected, want)
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -22,9 +22,11 @@
 {"cmd":"Pool","Page":0,"Lines":[{"Lifecycle":"on","Az":"a","Upstream":"10.0.0.1:80","CapacityHint":1,"Novel":3}]},
 {"cmd":"BackendsChanged","How":"stale_copy","Version":1,"Page":0}]}]}`)
 
+// oneLine removes the line breaks from s.
 func oneLine(s string) string { return strings.ReplaceAll(s, "\n", "") }
 
-func to0(msg string) string {
+// message returns a batch with one message to instance sidecar/0.
+func message(msg string) string {
 	return `{"AtTimeUs":20,"groups":[{"Sidecar":"sidecar/0","msgs":[` + msg + `]}]}`
 }
 
@@ -35,7 +37,7 @@
 }
 
 func TestServe(t *testing.T) {
-	demand := to0(`{"cmd":"Demand","Corr":4503599627370495,"Item":"91f03b7c55d20a64","ExpiresUs":400020,"Type":"q"}`)
+	demand := message(`{"cmd":"Demand","Corr":4503599627370495,"Item":"91f03b7c55d20a64","ExpiresUs":400020,"Type":"q"}`)
 	got, err := serve(`{"AtTimeUs":1,"groups":[]}`, openLine, demand)
 	if err != nil {
 		t.Fatal(err)
@@ -56,15 +58,15 @@
 func TestServeBadInput(t *testing.T) {
 	tests := []struct{ name, line, want string }{
 		{"malformed JSON", `{"AtTimeUs":`, "batch"},
-		{"no clock", `{"groups":[]}`, "AtTimeUs"},
-		{"unknown message", to0(`{"cmd":"Hurray"}`), `"Hurray"`},
+		{"no time", `{"groups":[]}`, "AtTimeUs"},
+		{"unknown message", message(`{"cmd":"Hurray"}`), `"Hurray"`},
 		{"closed instance", `{"AtTimeUs":2,"groups":[{"Sidecar":"sidecar/9","msgs":[{"cmd":"Halt"}]}]}`, "sidecar/9"},
-		{"unknown outcome", to0(`{"cmd":"ReportBack","Corr":1,"Disposition":"lucky"}`), `"lucky"`},
-		{"unknown list kind", to0(`{"cmd":"BackendsChanged","How":"hearsay"}`), `"hearsay"`},
-		{"list out of range", to0(`{"cmd":"Pool","Page":16}`), `"Pool"`},
-		{"unknown state", to0(`{"cmd":"Pool","Lines":[{"Lifecycle":"odd"}]}`), `"odd"`},
-		{"config out of range", to0(`{"cmd":"OpenInstance","Settings":{"GroupSize":0}}`), "OpenInstance"},
-		{"unknown effect", to0(`{"cmd":"OpenInstance","Settings":{"RequestClasses":[{"Effect":"odd"}]}}`), `"odd"`},
+		{"unknown outcome", message(`{"cmd":"ReportBack","Corr":1,"Disposition":"lucky"}`), `"lucky"`},
+		{"unknown list kind", message(`{"cmd":"BackendsChanged","How":"hearsay"}`), `"hearsay"`},
+		{"list out of range", message(`{"cmd":"Pool","Page":16}`), `"Pool"`},
+		{"unknown state", message(`{"cmd":"Pool","Lines":[{"Lifecycle":"odd"}]}`), `"odd"`},
+		{"config out of range", message(`{"cmd":"OpenInstance","Settings":{"GroupSize":0}}`), "OpenInstance"},
+		{"unknown effect", message(`{"cmd":"OpenInstance","Settings":{"RequestClasses":[{"Effect":"odd"}]}}`), `"odd"`},
 	}
 	for _, tt := range tests {
 		if _, err := serve(openLine, tt.line); err == nil || !strings.Contains(err.Error(), tt.want) {
@@ -80,7 +82,7 @@
 		`{"cmd":"HealthResult","Upstream":"10.9.9.9:1","Disposition":"delivered","Metrics":[1]}`,
 		`{"cmd":"Memo","Neighbour":3,"Msg":"AAAA"}`, `{"cmd":"BackendsChanged","How":"broken"}`,
 	} {
-		if got, err := serve(openLine, to0(msg)); err != nil || strings.Contains(got, "Fault") {
+		if got, err := serve(openLine, message(msg)); err != nil || strings.Contains(got, "Fault") {
 			t.Errorf("%s: %v, %s", msg, err, got)
 		}
 	}
@@ -94,7 +96,7 @@
 	}
 }
 
-func TestOrdersRoundTrip(t *testing.T) {
+func TestActionsEncoding(t *testing.T) {
 	i := &instance{}
 	i.Send(5, "10.0.0.1:80", 80*time.Millisecond)
 	i.Refuse(5, time.Second)
@@ -115,7 +117,7 @@
 		`{"cmd":"Ping","Upstream":"10.0.0.1:80"},{"cmd":"HangUp","Upstream":"10.0.0.1:80"},` +
 		`{"cmd":"KeepInformed","Active":false},{"cmd":"JournalLine","Text":"hello"}]`
 	if string(text) != want {
-		t.Errorf("orders = %s\nwant     %s", text, want)
+		t.Errorf("actions = %s\nwant      %s", text, want)
 	}
 }
 
@@ -138,20 +140,21 @@
 	}
 }
 
-// TestSitesWatched: with a watch the instances go by its rules, without one by none.
+// TestSitesWatched verifies that instances apply the rules of the site configuration, if there is
+// one.
 func TestSitesWatched(t *testing.T) {
-	demand := to0(`{"cmd":"Demand","Corr":1,"Item":"k","ExpiresUs":400020,"Type":"q"}`)
+	demand := message(`{"cmd":"Demand","Corr":1,"Item":"k","ExpiresUs":400020,"Type":"q"}`)
 	for _, tt := range []struct {
-		watch *sites.Config
-		want  string
+		siteConfig *sites.Config
+		want       string
 	}{
 		{nil, `"cmd":"Route"`},
 		{&sites.Config{}, `"cmd":"Route"`},
 		{&sites.Config{Rules: []sites.Rule{{Tiers: []sites.Tier{{Sites: []string{"elsewhere"}}}}}}, `"cmd":"OverloadReply"`},
 	} {
 		var out strings.Builder
-		if err := Serve(strings.NewReader(openLine+"\n"+demand+"\n"), &out, tt.watch); err != nil || !strings.Contains(out.String(), tt.want) {
-			t.Errorf("%v: %v, %s lacks %s", tt.watch, err, out.String(), tt.want)
+		if err := Serve(strings.NewReader(openLine+"\n"+demand+"\n"), &out, tt.siteConfig); err != nil || !strings.Contains(out.String(), tt.want) {
+			t.Errorf("%v: %v, %s lacks %s", tt.siteConfig, err, out.String(), tt.want)
 		}
 	}
 }
