--- a/internal/peering/peering.go
+++ b/internal/peering/peering.go
@@ -1,5 +1,5 @@
-// Package peering is the host of a members.Node: one UDP socket, the monotonic clock, the sources of seeds, and bounds on what comes and
-// goes. It decides nothing.
+// Package peering runs a members.Node: it provides one UDP socket, the monotonic clock, the seed
+// sources and the rate limits in both directions. It makes no membership decisions.
 package peering
 
 import (
@@ -22,276 +22,287 @@
 )
 
 const (
-	// usualBytes bounds what a process sends, a second, whatever the fleet does; strangers cause a quarter of it at most.
-	usualBytes, leastBytes = 32 << 10, 4 << 10
-	// perSource bounds the datagrams a second that are read of one address, and mostSources the addresses that are told apart.
-	perSource, mostSources = 400, 4096
-	receiveBuffer          = 512 << 10
-	rebind                 = 200 * time.Millisecond // while another process of this sidecar still has the address
+	// defaultSendRate bounds the bytes per second that a process sends, regardless of the fleet's
+	// size. Unknown senders cause at most a quarter of it.
+	defaultSendRate, minSendRate = 32 << 10, 4 << 10
+	// maxPerSource bounds the datagrams per second accepted from one address. maxSources bounds the
+	// addresses tracked.
+	maxPerSource, maxSources = 400, 4096
+	receiveBuffer            = 512 << 10
+	// while another process of this sidecar still holds the address
+	rebindInterval = 200 * time.Millisecond
 )
 
-// Config is what a Peers is made of.
+// Config configures a Host.
 type Config struct {
-	Node   members.Config // with Address, where others reach this process: the default is Listen. Epoch is the Host's
-	Listen string         // UDP, host:port
+	// Address, where others reach this process, defaults to Listen. New sets Epoch.
+	Node   members.Config
+	Listen string // UDP, host:port
 	Seeds  []netip.AddrPort
-	// Source tells of seeds besides, such as a file or DNS: the addresses of its lists. It may be nil.
+	// SeedSource provides further seeds, such as from a file or DNS, as the addresses of its lists.
+	// It may be nil.
 	SeedSource  engine.Source
-	MaxSendRate int // sent a second, at least 4 KiB; 0: 32 KiB
+	MaxSendRate int // bytes per second, at least 4 KiB; 0: 32 KiB
 }
 
-// WithDefaults returns c with its zero values filled in, and what is wrong with it.
+// WithDefaults returns c with defaults for its zero values, and an error if it is invalid.
 func (c Config) WithDefaults() (Config, error) {
 	at, err := netip.ParseAddrPort(c.Listen)
 	if err != nil {
-		return c, fmt.Errorf("listen: %q is no IP address with a port", c.Listen)
+		return c, fmt.Errorf("listen: %q is not an IP address with a port", c.Listen)
 	}
 	if c.Node.Address == (netip.AddrPort{}) {
 		c.Node.Address = at
 	}
 	c.Node.Epoch = max(c.Node.Epoch, 1)
-	c.MaxSendRate = cmp.Or(c.MaxSendRate, usualBytes)
-	if c.MaxSendRate < leastBytes {
-		return c, fmt.Errorf("most_bytes: %d is below %d", c.MaxSendRate, leastBytes)
+	c.MaxSendRate = cmp.Or(c.MaxSendRate, defaultSendRate)
+	if c.MaxSendRate < minSendRate {
+		return c, fmt.Errorf("most_bytes: %d is below the minimum of %d", c.MaxSendRate, minSendRate)
 	}
 	c.Node, err = c.Node.WithDefaults()
 	return c, err
 }
 
-// Figures are what is told of a Peers for Prometheus.
+// Metrics holds the values that a Host exports to Prometheus.
 type Metrics struct {
-	States                   map[string]int // members by state, this process included
+	States                   map[string]int // members by state, including this process
 	Live, Group              int
 	ViewDigest               uint64
 	Stats                    members.Stats
 	Isolated, Displaced      bool
 	SentBytes, ReceivedBytes uint64
-	SendLimited              uint64 // datagrams not sent as they were over the bound
-	ReceiveLimited           uint64 // datagrams not read as their source sent too many
+	SendLimited              uint64 // datagrams not sent: over the send rate limit, or no socket
+	ReceiveLimited           uint64 // datagrams not read because their source sent too many
 }
 
-// Peers is a process among others.
+// Host runs a members.Node on a UDP socket.
 type Host struct {
-	cfg   Config
-	log   *slog.Logger
-	began time.Time
-	on    Hooks
+	cfg     Config
+	log     *slog.Logger
+	started time.Time
+	hooks   Hooks
 
-	mu      sync.Mutex
-	node    *members.Node
-	conn    *net.UDPConn // nil: not yet bound, or closed
-	all     *rate.Limiter
-	strange *rate.Limiter
-	sources map[netip.AddrPort]int // datagrams read in this second
-	second  int64
-	figures Metrics
-	sharing *members.GroupEstimator
-	group   int
+	mu              sync.Mutex
+	node            *members.Node
+	conn            *net.UDPConn // nil: not bound yet, or closed
+	limiter         *rate.Limiter
+	strangerLimiter *rate.Limiter
+	received        map[netip.AddrPort]int // datagrams read in currentSecond, by source
+	currentSecond   int64
+	metrics         Metrics
+	estimator       *members.GroupEstimator
+	group           int
 
-	telling sync.Mutex // held while Hooks.Group is called
+	notifyMu sync.Mutex // held while Hooks.GroupChanged is called
 }
 
-// Hooks are what a Peers calls, from goroutines of its own. Each may be nil.
+// Hooks are the callbacks of a Host, which calls them from its own goroutines, and its Estimator.
+// Each may be nil.
 type Hooks struct {
-	// Group is told by how many processes that is divided which all may do together, when that changes. Sharing says how.
+	// GroupChanged receives the number of processes that share fleet-wide limits when it changes.
+	// Estimator computes it.
 	GroupChanged func(int)
 	Estimator    *members.GroupEstimator
-	// Hinted is told that another process's list says that a server drains or is gone.
+	// HintReceived receives the id of a server that drains or is gone according to another
+	// process's list.
 	HintReceived func(server string)
 }
 
-// New returns a Peers that knows nobody. cfg is checked.
-func New(cfg Config, on Hooks, log *slog.Logger) (*Host, error) {
+// New returns a Host that knows no other process. It validates cfg.
+func New(cfg Config, hooks Hooks, log *slog.Logger) (*Host, error) {
 	cfg, err := cfg.WithDefaults()
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
-	cfg.Node.Epoch = uint64(began.UnixMilli())
+	started := time.Now()
+	cfg.Node.Epoch = uint64(started.UnixMilli())
 	if cfg.Node.Seed == 0 {
-		cfg.Node.Seed = uint64(began.UnixNano())
+		cfg.Node.Seed = uint64(started.UnixNano())
 	}
 	node, err := members.New(cfg.Node)
 	if err != nil {
 		return nil, err
 	}
 	node.SetSeeds(cfg.Seeds)
-	p := &Host{
-		cfg: cfg, log: log, began: began, on: on, node: node, sources: map[netip.AddrPort]int{},
-		all:     rate.NewLimiter(rate.Limit(cfg.MaxSendRate), cfg.MaxSendRate),
-		strange: rate.NewLimiter(rate.Limit(cfg.MaxSendRate/4), max(cfg.MaxSendRate/4, members.MaxDatagramSize)),
+	h := &Host{
+		cfg: cfg, log: log, started: started, hooks: hooks, node: node, received: map[netip.AddrPort]int{},
+		limiter:         rate.NewLimiter(rate.Limit(cfg.MaxSendRate), cfg.MaxSendRate),
+		strangerLimiter: rate.NewLimiter(rate.Limit(cfg.MaxSendRate/4), max(cfg.MaxSendRate/4, members.MaxDatagramSize)),
 	}
-	if on.Estimator != nil {
-		s := *on.Estimator
-		p.sharing, p.group = &s, s.Configured
+	if hooks.Estimator != nil {
+		estimator := *hooks.Estimator
+		h.estimator, h.group = &estimator, estimator.Configured
 	}
-	return p, nil
+	return h, nil
 }
 
-// now is the node's time. It is monotonic: that of the wall may be set.
-func (p *Host) now() time.Duration { return time.Since(p.began) }
+// now returns the node's time. It is monotonic, as the wall clock may be set.
+func (h *Host) now() time.Duration { return time.Since(h.started) }
 
-// Listen opens the address.
-func (p *Host) Listen() error {
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(p.cfg.Listen)))
+// Listen binds the UDP address.
+func (h *Host) Listen() error {
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(h.cfg.Listen)))
 	if err != nil {
 		return fmt.Errorf("[members] listen: %w", err)
 	}
-	conn.SetReadBuffer(receiveBuffer) // the system's own bound holds where it is lower
-	p.mu.Lock()
-	p.conn = conn
-	p.mu.Unlock()
+	conn.SetReadBuffer(receiveBuffer) // the operating system's limit applies if it is lower
+	h.mu.Lock()
+	h.conn = conn
+	h.mu.Unlock()
 	return nil
 }
 
-// Run takes part until ctx ends, says goodbye and answers for a little longer. Where Listen was not called, or could not open the address,
-// it waits for that: another process of the same sidecar may have it, as in a change of versions.
-func (p *Host) Run(ctx context.Context) {
-	for told := false; p.conn == nil; {
-		err := p.Listen()
-		if err != nil && !told {
-			p.log.Warn("members: the address cannot be had, as long as another process has it", "err", err)
-			told = true
+// Run takes part in the membership until ctx ends, then announces that it leaves and keeps
+// answering for Linger. If Listen was not called or failed, Run retries it: another process of the
+// same sidecar may hold the address, as during an upgrade.
+func (h *Host) Run(ctx context.Context) {
+	for logged := false; h.conn == nil; {
+		err := h.Listen()
+		if err != nil && !logged {
+			h.log.Warn("members: cannot bind the listen address; retrying", "err", err)
+			logged = true
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(rebind):
+		case <-time.After(rebindInterval):
 		}
 	}
-	conn := p.conn
-	p.log.Info("members", "listen", conn.LocalAddr().String(), "advertise", p.cfg.Node.Address.String(), "epoch", p.cfg.Node.Epoch)
-	beside, stop := context.WithCancel(context.Background())
-	var work sync.WaitGroup
-	work.Go(func() { p.read(conn) })
-	work.Go(func() { p.tick(beside) })
-	if p.cfg.SeedSource != nil {
-		work.Go(func() { p.watch(ctx) })
+	conn := h.conn
+	h.log.Info("members", "listen", conn.LocalAddr().String(), "advertise", h.cfg.Node.Address.String(), "epoch", h.cfg.Node.Epoch)
+	tickCtx, stop := context.WithCancel(context.Background())
+	var workers sync.WaitGroup
+	workers.Go(func() { h.read(conn) })
+	workers.Go(func() { h.tick(tickCtx) })
+	if h.cfg.SeedSource != nil {
+		workers.Go(func() { h.watchSeeds(ctx) })
 	}
 	<-ctx.Done()
-	p.do(func(now time.Duration) { p.node.Leave(now) })
-	time.Sleep(p.cfg.Node.Linger)
+	h.do(func(now time.Duration) { h.node.Leave(now) })
+	time.Sleep(h.cfg.Node.Linger)
 	stop()
-	p.mu.Lock()
-	p.conn = nil
-	p.mu.Unlock()
+	h.mu.Lock()
+	h.conn = nil
+	h.mu.Unlock()
 	conn.Close()
-	work.Wait()
+	workers.Wait()
 }
 
-// do has the node take something, and carries out what follows.
-func (p *Host) do(f func(now time.Duration)) {
-	p.mu.Lock()
-	f(p.now())
-	sends, events := p.node.Ready()
+// do applies f to the node, sends the resulting datagrams and reports the events.
+func (h *Host) do(f func(now time.Duration)) {
+	h.mu.Lock()
+	f(h.now())
+	sends, events := h.node.Ready()
 	for _, d := range sends {
-		p.send(d)
+		h.send(d)
 	}
-	regrouped := p.regroup()
-	p.mu.Unlock()
+	changed := h.updateGroup()
+	h.mu.Unlock()
 	for _, e := range events {
-		p.tell(e)
+		h.handleEvent(e)
 	}
-	if regrouped && p.on.GroupChanged != nil {
-		p.telling.Lock() // of two changes at once the later one counts
-		defer p.telling.Unlock()
-		p.mu.Lock()
-		group := p.group
-		p.mu.Unlock()
-		p.on.GroupChanged(group)
+	if changed && h.hooks.GroupChanged != nil {
+		h.notifyMu.Lock() // of two concurrent changes the later one wins
+		defer h.notifyMu.Unlock()
+		h.mu.Lock()
+		group := h.group
+		h.mu.Unlock()
+		h.hooks.GroupChanged(group)
 	}
 }
 
-// send sends within the bounds. Called with the lock held.
-func (p *Host) send(d members.Datagram) {
+// send sends a datagram within the rate limits. The caller holds mu.
+func (h *Host) send(d members.Datagram) {
 	now := time.Now()
-	if p.conn == nil || !d.ToMember && !p.strange.AllowN(now, len(d.Data)) || !p.all.AllowN(now, len(d.Data)) {
-		p.figures.SendLimited++
+	if h.conn == nil || !d.ToMember && !h.strangerLimiter.AllowN(now, len(d.Data)) || !h.limiter.AllowN(now, len(d.Data)) {
+		h.metrics.SendLimited++
 		return
 	}
-	if _, err := p.conn.WriteToUDPAddrPort(d.Data, d.To); err == nil {
-		p.figures.SentBytes += uint64(len(d.Data))
+	if _, err := h.conn.WriteToUDPAddrPort(d.Data, d.To); err == nil {
+		h.metrics.SentBytes += uint64(len(d.Data))
 	}
 }
 
-// regroup renews the number of processes to divide by, and reports whether it has changed by enough to be worth telling. Called with the
-// lock held.
-func (p *Host) regroup() bool {
-	if p.sharing == nil {
+// updateGroup updates the number of processes that share the limits, and reports whether it changed
+// enough to be reported. The caller holds mu.
+func (h *Host) updateGroup() bool {
+	if h.estimator == nil {
 		return false
 	}
-	g := p.sharing.Update(p.now(), p.node.LiveCount())
-	// Growth counts at once, as the others are careful for no longer; a fall in steps, as each costs a new order of the servers.
-	if g > p.group || g < p.group-p.group/20 || g < p.group && g == p.node.LiveCount() {
-		p.group = g
+	group := h.estimator.Update(h.now(), h.node.LiveCount())
+	// Growth is reported at once, as the other processes hold back no longer than that. A decrease
+	// is reported in steps, as each one causes a reordering of the servers.
+	if group > h.group || group < h.group-h.group/20 || group < h.group && group == h.node.LiveCount() {
+		h.group = group
 		return true
 	}
 	return false
 }
 
-func (p *Host) read(conn *net.UDPConn) {
+func (h *Host) read(conn *net.UDPConn) {
 	buf := make([]byte, members.MaxDatagramSize+1)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // such as word that nobody listens where something was sent
+		if err != nil { // such as an ICMP port unreachable for an earlier send
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		if p.crowded(from, n) {
+		if h.overReceiveLimit(from, n) {
 			continue
 		}
-		p.do(func(now time.Duration) { p.node.Receive(now, buf[:n]) })
+		h.do(func(now time.Duration) { h.node.Receive(now, buf[:n]) })
 	}
 }
 
-// crowded counts a datagram, and reports whether its source has sent too many in this second.
-func (p *Host) crowded(from netip.AddrPort, n int) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.figures.ReceivedBytes += uint64(n)
-	if s := int64(p.now() / time.Second); s != p.second {
-		p.second = s
-		clear(p.sources)
+// overReceiveLimit counts a datagram, and reports whether its source exceeded the limit in this
+// second.
+func (h *Host) overReceiveLimit(from netip.AddrPort, n int) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.metrics.ReceivedBytes += uint64(n)
+	if second := int64(h.now() / time.Second); second != h.currentSecond {
+		h.currentSecond = second
+		clear(h.received)
 	}
-	k, known := p.sources[from]
-	if k >= perSource || !known && len(p.sources) >= mostSources {
-		p.figures.ReceiveLimited++
+	count, known := h.received[from]
+	if count >= maxPerSource || !known && len(h.received) >= maxSources {
+		h.metrics.ReceiveLimited++
 		return true
 	}
-	p.sources[from] = k + 1
+	h.received[from] = count + 1
 	return false
 }
 
-func (p *Host) tick(ctx context.Context) {
-	t := time.NewTicker(p.cfg.Node.Retry / 5)
+func (h *Host) tick(ctx context.Context) {
+	t := time.NewTicker(h.cfg.Node.Retry / 5)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			p.do(p.node.Tick)
+			h.do(h.node.Tick)
 		}
 	}
 }
 
-// watch takes seeds from the source, beside those that are fixed.
-func (p *Host) watch(ctx context.Context) {
+// watchSeeds adds the seeds of the source to the fixed ones.
+func (h *Host) watchSeeds(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := p.cfg.SeedSource.Watch(ctx, engine.UnknownSeq, func(l engine.List) {
-			seeds := append([]netip.AddrPort(nil), p.cfg.Seeds...)
+		err := h.cfg.SeedSource.Watch(ctx, engine.UnknownSeq, func(l engine.List) {
+			seeds := append([]netip.AddrPort(nil), h.cfg.Seeds...)
 			for _, s := range l.Servers {
 				if at, err := netip.ParseAddrPort(s.Addr); err == nil {
 					seeds = append(seeds, at)
 				}
 			}
-			p.do(func(time.Duration) { p.node.SetSeeds(seeds) })
+			h.do(func(time.Duration) { h.node.SetSeeds(seeds) })
 		})
 		if ctx.Err() == nil {
-			p.log.Warn("members: the source of seeds", "err", err)
+			h.log.Warn("members: watching the seed source failed; retrying", "err", err)
 			select {
 			case <-ctx.Done():
 			case <-time.After(time.Second):
@@ -300,33 +311,33 @@
 	}
 }
 
-// Hint tells the others that a server drains or is gone.
-func (p *Host) Hint(server string) {
-	p.do(func(now time.Duration) { p.node.Hint(now, server) })
+// Hint tells the other members that a server drains or is gone.
+func (h *Host) Hint(server string) {
+	h.do(func(now time.Duration) { h.node.Hint(now, server) })
 }
 
-// tell logs an event, a line each, and hands hints on.
-func (p *Host) tell(e members.Event) {
+// handleEvent logs an event on one line, or forwards a hint.
+func (h *Host) handleEvent(e members.Event) {
 	m := e.Member
 	switch e.Kind {
 	case members.Hinted:
-		if p.on.HintReceived != nil {
-			p.on.HintReceived(e.Server)
+		if h.hooks.HintReceived != nil {
+			h.hooks.HintReceived(e.Server)
 		}
 	case members.Stalled:
-		p.log.Warn("members", "event", e.Kind.String(), "for", e.Duration.Round(time.Millisecond))
+		h.log.Warn("members", "event", e.Kind.String(), "for", e.Duration.Round(time.Millisecond))
 	case members.Suspected, members.DeclaredGone:
-		p.log.Warn("members", "event", e.Kind.String(), "name", m.Name, "epoch", m.Epoch, "incarnation", m.Incarnation, "witnesses", e.Witnesses)
+		h.log.Warn("members", "event", e.Kind.String(), "name", m.Name, "epoch", m.Epoch, "incarnation", m.Incarnation, "witnesses", e.Witnesses)
 	case members.Displaced:
-		p.log.Error("members: a later process has this one's name: this one takes no part any more", "event", e.Kind.String(), "name", m.Name)
+		h.log.Error("members: a process with the same name started later; this process no longer takes part", "event", e.Kind.String(), "name", m.Name)
 	case members.NameConflict:
-		p.log.Error("members: an earlier process has this one's name, and gives way", "event", e.Kind.String(), "name", m.Name, "at", m.Address.String())
+		h.log.Error("members: an earlier process with the same name gives way", "event", e.Kind.String(), "name", m.Name, "at", m.Address.String())
 	default:
-		p.log.Info("members", "event", e.Kind.String(), "name", m.Name, "epoch", m.Epoch, "incarnation", m.Incarnation)
+		h.log.Info("members", "event", e.Kind.String(), "name", m.Name, "epoch", m.Epoch, "incarnation", m.Incarnation)
 	}
 }
 
-// Member is one of a View.
+// Member is an entry of a View.
 type Member struct {
 	Name        string `json:"name"`
 	Address     string `json:"address"`
@@ -334,53 +345,53 @@
 	State       string `json:"state"`
 	Epoch       uint64 `json:"epoch"`
 	Incarnation uint32 `json:"incarnation"`
-	SinceMs     int64  `json:"since_ms"` // how long it has been as it is
+	SinceMs     int64  `json:"since_ms"` // time in the present state
 }
 
-// View is what a process holds of all, as GET /api/members tells it.
+// View is a process's view of the membership, as returned by GET /api/members.
 type View struct {
 	Self      string   `json:"self"`
 	Epoch     uint64   `json:"epoch"`
-	Digest    string   `json:"view"` // equal where processes know just the same members
+	Digest    string   `json:"view"` // digest, equal in processes that know the same members
 	Live      int      `json:"living"`
 	Group     int      `json:"group,omitempty"`
 	Isolated  bool     `json:"isolated"`
-	Displaced bool     `json:"out"` // it has given way to a later process of its name
+	Displaced bool     `json:"out"` // displaced by a later process with the same name
 	Health    float64  `json:"health"`
 	Members   []Member `json:"members"`
 }
 
-// View returns what this process holds of all.
-func (p *Host) View() View {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now := p.now()
+// View returns this process's view of the membership.
+func (h *Host) View() View {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	now := h.now()
 	v := View{
-		Self: p.node.Self().Name, Epoch: p.node.Self().Epoch, Digest: fmt.Sprintf("%016x", p.node.ViewDigest()), Live: p.node.LiveCount(), Group: p.group,
-		Isolated: p.node.Isolated(), Displaced: p.node.Displaced(), Health: p.node.Stats().Health,
+		Self: h.node.Self().Name, Epoch: h.node.Self().Epoch, Digest: fmt.Sprintf("%016x", h.node.ViewDigest()), Live: h.node.LiveCount(), Group: h.group,
+		Isolated: h.node.Isolated(), Displaced: h.node.Displaced(), Health: h.node.Stats().Health,
 	}
-	for _, m := range p.node.Members() {
+	for _, m := range h.node.Members() {
 		v.Members = append(v.Members, Member{m.Name, m.Address.String(), m.Zone, m.State.String(), m.Epoch, m.Incarnation, (now - m.Since).Milliseconds()})
 	}
 	return v
 }
 
-// ServeHTTP answers with the View as JSON.
-func (p *Host) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+// ServeHTTP responds with the View as JSON.
+func (h *Host) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(p.View())
+	json.NewEncoder(w).Encode(h.View())
 }
 
-// Figures returns what is counted.
-func (p *Host) Metrics() Metrics {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	f := p.figures
+// Metrics returns the current metrics.
+func (h *Host) Metrics() Metrics {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	f := h.metrics
 	f.States = map[string]int{}
-	for _, m := range p.node.Members() {
+	for _, m := range h.node.Members() {
 		f.States[m.State.String()]++
 	}
-	f.Live, f.Group, f.ViewDigest, f.Stats = p.node.LiveCount(), p.group, p.node.ViewDigest(), p.node.Stats()
-	f.Isolated, f.Displaced = p.node.Isolated(), p.node.Displaced()
+	f.Live, f.Group, f.ViewDigest, f.Stats = h.node.LiveCount(), h.group, h.node.ViewDigest(), h.node.Stats()
+	f.Isolated, f.Displaced = h.node.Isolated(), h.node.Displaced()
 	return f
 }
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -24,7 +24,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // free returns an address that was free a moment ago.
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -43,21 +43,21 @@
 }
 
 // run starts a Peers, and returns what ends it.
-func run(t *testing.T, c Config, on Hooks) (*Host, func()) {
+func start(t *testing.T, c Config, hooks Hooks) (*Host, func()) {
 	t.Helper()
-	p, err := New(c, on, slog.New(slog.DiscardHandler))
+	h, err := New(c, hooks, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Listen(); err != nil {
+	if err := h.Listen(); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); p.Run(ctx) }()
-	end := sync.OnceFunc(func() { cancel(); <-done })
-	t.Cleanup(end)
-	return p, end
+	go func() { defer close(done); h.Run(ctx) }()
+	stop := sync.OnceFunc(func() { cancel(); <-done })
+	t.Cleanup(stop)
+	return h, stop
 }
 
 func await(t *testing.T, what string, f func() bool) {
@@ -72,19 +72,19 @@
 // TestPeers: processes find one another by a seed and by a file that comes later, share by their number, hear of servers that leave, and
 // hold for left who says goodbye.
 func TestPeers(t *testing.T) {
-	at := []string{free(t), free(t), free(t)}
+	at := []string{freeAddress(t), freeAddress(t), freeAddress(t)}
 	file := filepath.Join(t.TempDir(), "seeds.json")
 	var mu sync.Mutex
 	var groups []int
 	hinted := make(chan string, 8)
-	a, _ := run(t, config("a", at[0]), Hooks{
+	a, _ := start(t, config("a", at[0]), Hooks{
 		Estimator: &members.GroupEstimator{Configured: 2, MaxShareFactor: 2, HalfLife: time.Hour}, GroupChanged: func(g int) { mu.Lock(); groups = append(groups, g); mu.Unlock() },
 		HintReceived: func(server string) { hinted <- server },
 	})
-	_, endB := run(t, config("b", at[1], at[0]), Hooks{})
+	_, endB := start(t, config("b", at[1], at[0]), Hooks{})
 	c := config("c", at[2])
 	c.SeedSource = filelist.Source{Path: file, Every: 10 * time.Millisecond, Log: slog.New(slog.DiscardHandler)}
-	pc, _ := run(t, c, Hooks{})
+	pc, _ := start(t, c, Hooks{})
 	await(t, "two", func() bool { return a.View().Live == 2 })
 	if err := os.WriteFile(file, []byte(fmt.Sprintf(`{"servers":[{"id":"s","addr":%q}]}`, at[1])), 0o600); err != nil {
 		t.Fatal(err)
@@ -129,10 +129,10 @@
 
 // TestBounds: who sends too much is not read, and what a process sends stays within its bound, strangers' part within a quarter of that.
 func TestBounds(t *testing.T) {
-	at := free(t)
+	at := freeAddress(t)
 	c := config("a", at)
-	c.MaxSendRate = leastBytes
-	p, _ := run(t, c, Hooks{})
+	c.MaxSendRate = minSendRate
+	p, _ := start(t, c, Hooks{})
 	s, err := net.Dial("udp", at)
 	if err != nil {
 		t.Fatal(err)
@@ -146,14 +146,14 @@
 	q.SetSeeds([]netip.AddrPort{netip.MustParseAddrPort(at)})
 	q.Tick(time.Second)
 	sends, _ := q.Ready()
-	for range 5 * perSource {
+	for range 5 * maxPerSource {
 		s.Write(sends[0].Data)
 		time.Sleep(20 * time.Microsecond)
 	}
 	await(t, "the flood", func() bool { return p.Metrics().ReceiveLimited > 0 })
 	f := p.Metrics()
 	took := p.now().Seconds()
-	if f.SendLimited == 0 || float64(f.SentBytes) > leastBytes/4*(took+2) {
+	if f.SendLimited == 0 || float64(f.SentBytes) > minSendRate/4*(took+2) {
 		t.Errorf("%d bytes in %.1f s, %d over", f.SentBytes, took, f.SendLimited)
 	}
 }
--- a/members/antientropy.go
+++ b/members/antientropy.go
@@ -3,12 +3,13 @@
 import "math"
 
 const (
-	// fewRecords is how many records of a part are sent unasked where views differ, mostRecords how many when asked for.
-	fewRecords, mostRecords = 6, 64
-	mostDepth               = 15
+	// maxUnsolicitedRecords is how many records of a part are sent without a request where views
+	// differ. maxRequestedRecords is the limit for requested records.
+	maxUnsolicitedRecords, maxRequestedRecords = 6, 64
+	maxDepth                                   = 15
 )
 
-// span is a range of the ring: all ids with that many nibbles in common.
+// span is a range of the ring: all ids that share a prefix of depth nibbles.
 type span struct {
 	depth  byte
 	prefix ID
@@ -16,8 +17,8 @@
 
 func (r *reader) span() *span {
 	s := &span{depth: r.byte(), prefix: ID(r.u64())}
-	if s.depth > mostDepth || s.prefix&^s.mask() != 0 {
-		r.err = errShort
+	if s.depth > maxDepth || s.prefix&^s.mask() != 0 {
+		r.err = errMalformed
 	}
 	return s
 }
@@ -33,70 +34,72 @@
 	return span{s.depth + 1, s.prefix | ID(i)<<(60-4*s.depth)}
 }
 
-// within returns those of the view in a range, this process included.
-func (n *Node) within(s span) (all []*member) {
+// membersIn returns the live members in a range, including this process.
+func (n *Node) membersIn(s span) (all []*member) {
 	_, at := n.find(s.prefix)
 	for ; at < len(n.table) && n.table[at].id&s.mask() == s.prefix; at++ {
-		if n.table[at].there() {
+		if n.table[at].present() {
 			all = append(all, n.table[at])
 		}
 	}
-	if n.self.id&s.mask() == s.prefix && n.self.there() {
+	if n.self.id&s.mask() == s.prefix && n.self.present() {
 		all = append(all, &n.self)
 	}
 	return all
 }
 
-// parts are the digests of the sixteen parts of a range.
-func (n *Node) parts(s span) (d [16]uint64) {
-	for _, m := range n.within(s) {
-		d[m.id>>(60-4*s.depth)&15] += mark(m)
+// partDigests returns the digests of the sixteen parts of a range.
+func (n *Node) partDigests(s span) (d [16]uint64) {
+	for _, m := range n.membersIn(s) {
+		d[m.id>>(60-4*s.depth)&15] += digestOf(m)
 	}
 	return d
 }
 
-// sum tells a member what this one's view of a range comes to.
-func (n *Node) sum(m *member, s span) {
-	w := n.begin(sums, 0, 0)
-	w.add(rangeItem(s, n.parts(s)))
+// sendDigests sends the digests of this process's view of a range.
+func (n *Node) sendDigests(m *member, s span) {
+	w := n.newDatagram(kindDigests, 0, 0)
+	w.add(rangeDigestsItem(s, n.partDigests(s)))
 	n.send(w, m.addr, true)
 }
 
-// compare holds another's view of a range against this one's, and goes on with what differs.
-func (n *Node) compare(m *member, s span, theirs [16]uint64) {
-	ours := n.parts(s)
+// compareDigests compares another member's digests of a range with this view and resolves the parts
+// that differ.
+func (n *Node) compareDigests(m *member, s span, theirs [16]uint64) {
+	ours := n.partDigests(s)
 	for i := range ours {
 		if ours[i] == theirs[i] {
 			continue
 		}
 		part := s.part(i)
-		here := n.within(part)
-		if len(here) > fewRecords && part.depth < mostDepth && theirs[i] != 0 {
-			n.sum(m, part)
+		local := n.membersIn(part)
+		if len(local) > maxUnsolicitedRecords && part.depth < maxDepth && theirs[i] != 0 {
+			n.sendDigests(m, part)
 			continue
 		}
-		n.give(m, here)
+		n.sendRecords(m, local)
 		if theirs[i] != 0 {
-			w := n.begin(want, 0, 0)
-			w.add(wantItem(part))
+			w := n.newDatagram(kindRecordRequest, 0, 0)
+			w.add(recordRequestItem(part))
 			n.send(w, m.addr, true)
 		}
 	}
 }
 
-// hand gives what was asked for, or says how its parts differ where that is too much.
-func (n *Node) hand(m *member, s span) {
-	if here := n.within(s); len(here) <= mostRecords || s.depth == mostDepth {
-		n.give(m, here[:min(len(here), mostRecords)])
+// handleRecordRequest sends the requested records, or the digests of the parts if there are too
+// many.
+func (n *Node) handleRecordRequest(m *member, s span) {
+	if records := n.membersIn(s); len(records) <= maxRequestedRecords || s.depth == maxDepth {
+		n.sendRecords(m, records[:min(len(records), maxRequestedRecords)])
 	} else {
-		n.sum(m, s)
+		n.sendDigests(m, s)
 	}
 }
 
-// give sends records.
-func (n *Node) give(m *member, all []*member) {
+// sendRecords sends records in as many datagrams as are needed.
+func (n *Node) sendRecords(m *member, all []*member) {
 	for len(all) > 0 {
-		w := n.begin(records, 0, 0)
+		w := n.newDatagram(kindRecords, 0, 0)
 		k := 0
 		for k < len(all) && w.add(recordItem(all[k])) {
 			k++
--- a/members/detect.go
+++ b/members/detect.go
@@ -7,329 +7,347 @@
 	"time"
 )
 
-// vote is what an observer says of a member, by what it has found out itself.
+// vote is an observer's answer about a member, based only on its own observations.
 type vote uint8
 
 const (
-	unsure   vote = iota
-	up            // it answers me
-	down          // it is silent to me, and I have reason to trust that
-	departed      // it has told me that it leaves
-	votes
+	voteUnknown vote = iota
+	voteAlive        // the member answers the observer's pings
+	voteSilent       // the member does not answer, and the observer trusts that finding
+	voteLeft         // the member told the observer that it leaves
+	voteCount
 )
 
-// mostUnsound is by how many Silences longer a member has to be silent while all the others are.
-const mostUnsound = 2.0
+// maxSilenceExtension is how many further Silence timeouts a member must stay silent when all the
+// other monitored members are silent too.
+const maxSilenceExtension = 2.0
 
-// chance is how often as many pings in a row as make one silent may stay unanswered though it is there, and healthOf over how many pings
-// the part that is answered is taken.
-const chance, healthOf = 1e-6, 24
+// maxFalseAlarm is the accepted probability that as many consecutive pings as make a member silent
+// are lost although it is up. healthWindow is the number of pings over which the acknowledged
+// fraction is averaged.
+const maxFalseAlarm, healthWindow = 1e-6, 24
 
-// Bounds of time, as parts of the configured ones.
+// Limits. Those on time without a unit are multiples of the configured intervals.
 const (
-	pendingAge            = 5  // Periods for which a question may be answered
-	voteAge               = 5  // Periods for which a vote counts
-	patience              = 10 // Silences after which a trial that nobody else shares is over
-	mostSeedGap           = 30 * time.Second
-	mostAskers            = 16    // that are told of one member
-	mostUnheard           = 2     // questions to an observer without an answer
-	leastTries, mostTries = 4, 60 // pings without an answer that make one silent
-	mostSkipped           = 3     // times Observed: whom a process observes at most while many are silent
+	requestLifetime = 5 // Periods during which a request may be answered
+	voteLifetime    = 5 // Periods during which a vote counts
+	// Silence timeouts after which an investigation that no other observer supports ends
+	investigationTimeout = 10
+	maxSeedInterval      = 30 * time.Second
+	maxAskers            = 16    // observers told about one member
+	maxUnansweredQueries = 2     // consecutive queries to one observer without a vote
+	minPings, maxPings   = 4, 60 // unanswered pings that make a member silent
+	// times ObserverCount: members a process monitors at most while many are unreliable
+	maxMonitorFactor = 3
 )
 
-// question is one that was sent and not answered.
-type question struct {
-	to    ID // 0: whoever answers
-	kind  byte
-	sent  time.Duration
-	tells bool // of this process's own health
-	late  bool // that was counted as unanswered
-}
-
-// watch is what a process finds out of one member itself, and the trial of it.
-type watch struct {
-	m     *member
-	duty  bool // this process observes it
-	asked bool // it began with somebody else's word
-	// rumoured has this process ask others, and judge, though it does not observe the member. A mere question does not: questions would
-	// beget questions.
-	rumoured bool
-	// wanted has one more ping sent though this process does not observe it.
-	wanted bool
-	next   time.Duration
-	first  time.Duration // sending of the oldest ping since which none was answered; below 0: there is none
-	tries  int           // pings since then
-	heard  time.Duration
-	begun  time.Duration
-
-	open     bool // there is a trial
-	since    time.Duration
-	askAt    time.Duration
-	askGap   time.Duration
-	says     map[ID]said
-	sure     bool          // this process has said so itself
-	doubtful bool          // it no longer counts as an observer of others
-	askers   map[ID]uint32 // who has asked and is to be told, with the nonce of the question
-	unheard  map[ID]int    // questions to observers that were not answered, in a row
-	enough   time.Duration
-	downs    int
-	high     int
-}
-
-type said struct {
-	v  vote
-	at time.Duration
-}
-
-// Tick tells the time, at least every fifth of Config.Retry. Verdicts come from here only.
+// request is a sent datagram that awaits an answer.
+type request struct {
+	target         ID // 0: any sender
+	kind           byte
+	sent           time.Duration
+	measuresHealth bool // whether the answer counts towards this process's own health
+	countedLost    bool // already counted as unanswered
+}
+
+// monitor holds this process's own observations of one member and its investigation.
+type monitor struct {
+	member    *member
+	assigned  bool // this process is an observer of the member
+	onRequest bool // created because of another process's query or report
+	// reported makes this process query the observers and decide although it is not an observer of
+	// the member. A query alone does not set it: queries would cause more queries.
+	reported bool
+	// pingWanted requests one more ping although this process is not an observer of the member.
+	pingWanted bool
+	nextPing   time.Duration
+	// send time of the oldest ping since the last ack; negative: no ping is unanswered
+	silentSince time.Duration
+	pings       int // pings sent since then
+	lastAck     time.Duration
+	started     time.Duration
+
+	investigating      bool // an investigation is open
+	investigatingSince time.Duration
+	nextQuery          time.Duration
+	queryInterval      time.Duration
+	votes              map[ID]receivedVote
+	declaredSilent     bool // this process has found the member silent itself
+	unreliable         bool // no longer counts as an observer of other members
+	// nonce of the query by the observer that awaits this process's vote
+	askers            map[ID]uint32
+	unansweredQueries map[ID]int // consecutive queries per observer without a vote
+	quorumSince       time.Duration
+	silentVotes       int
+	quorum            int
+}
+
+type receivedVote struct {
+	vote vote
+	at   time.Duration
+}
+
+// Tick advances the time. Call it at least every fifth of Config.Retry. Only Tick declares members
+// gone by verdict.
 func (n *Node) Tick(now time.Duration) {
 	n.advance(now)
-	n.ticked = now
-	if n.out || n.self.state == Left {
+	n.lastTick = now
+	if n.displaced || n.self.state == Left {
 		return
 	}
-	n.expire()
-	n.seek()
-	n.mingle()
-	n.verify()
-	if !n.ringed {
-		n.duties()
+	n.expireRequests()
+	n.contactSeeds()
+	n.pingRandom()
+	n.verifyCandidates()
+	if !n.monitorsCurrent {
+		n.assignMonitors()
 	}
-	asks := map[ID][]*member{}
-	ids := slices.Sorted(maps.Keys(n.watches))
+	queries := map[ID][]*member{}
+	ids := slices.Sorted(maps.Keys(n.monitors))
 	for _, id := range ids {
-		n.look(n.watches[id], asks)
+		n.runMonitor(n.monitors[id], queries)
 	}
-	for _, id := range slices.Sorted(maps.Keys(asks)) {
-		n.ask(id, asks[id])
+	for _, id := range slices.Sorted(maps.Keys(queries)) {
+		n.sendQueries(id, queries[id])
 	}
 	for _, id := range ids {
-		if w := n.watches[id]; w != nil {
-			n.judge(w)
+		if mon := n.monitors[id]; mon != nil {
+			n.decide(mon)
 		}
 	}
-	if alone := n.living > 0 && n.heard > 0 && now-n.heard > 2*n.cfg.Silence; alone && !n.isolated {
-		n.isolated, n.seedGap = true, n.cfg.Period/2
-		n.tell(Isolated, &n.self, 0)
+	if alone := n.liveCount > 0 && n.lastAck > 0 && now-n.lastAck > 2*n.cfg.Silence; alone && !n.isolated {
+		n.isolated, n.seedInterval = true, n.cfg.Period/2
+		n.emit(Isolated, &n.self, 0)
 	}
 }
 
-// advance takes the time over, and notices that this process stood still: what it took for others' silence was its own.
+// advance moves the clock forward and detects that this process itself was stalled. What looked
+// like silence of other members was then its own, so that observations and votes are discarded.
 func (n *Node) advance(now time.Duration) {
-	if !n.begun {
-		n.begun, n.ticked, n.started, n.now = true, now, now, now
+	if !n.ticking {
+		n.ticking, n.lastTick, n.started, n.now = true, now, now, now
 	}
 	n.now = max(n.now, now)
-	gap := now - n.ticked
-	if n.steady || gap <= 2*n.cfg.Retry {
+	elapsed := now - n.lastTick
+	if n.ignoreStalls || elapsed <= 2*n.cfg.Retry {
 		return
 	}
-	n.ticked = now
+	n.lastTick = now
 	n.stats.Stalls++
 	clear(n.pending)
-	n.expiry, n.owed = n.expiry[:0], n.owed[:0]
-	n.trust = now + n.cfg.Period
-	for _, w := range n.watches {
-		w.first, w.tries, w.next, w.sure, w.enough = -1, 0, now, false, -1
-		clear(w.says)
+	n.pendingOrder, n.healthOrder = n.pendingOrder[:0], n.healthOrder[:0]
+	n.trustAfter = now + n.cfg.Period
+	for _, mon := range n.monitors {
+		mon.silentSince, mon.pings, mon.nextPing, mon.declaredSilent, mon.quorumSince = -1, 0, now, false, -1
+		clear(mon.votes)
 	}
-	if gap > n.cfg.Period {
-		n.events = append(n.events, Event{Kind: Stalled, Member: n.self.told(), Duration: gap})
+	if elapsed > n.cfg.Period {
+		n.events = append(n.events, Event{Kind: Stalled, Member: n.self.snapshot(), Duration: elapsed})
 	}
 }
 
-// expire forgets questions that are too old to be answered.
-func (n *Node) expire() {
+// expireRequests forgets requests that are too old to be answered.
+func (n *Node) expireRequests() {
 	i := 0
-	for ; i < len(n.expiry); i++ {
-		q, ok := n.pending[n.expiry[i]]
+	for ; i < len(n.pendingOrder); i++ {
+		req, ok := n.pending[n.pendingOrder[i]]
 		if !ok {
 			continue
 		}
-		if n.now-q.sent < pendingAge*n.cfg.Period && len(n.pending) < mostPending {
+		if n.now-req.sent < requestLifetime*n.cfg.Period && len(n.pending) < maxPending {
 			break
 		}
-		delete(n.pending, n.expiry[i])
+		delete(n.pending, n.pendingOrder[i])
 	}
-	n.expiry = append(n.expiry[:0], n.expiry[i:]...)
-	// Whether answers come is to be known before anybody is judged by it: what is late counts as none until it comes.
-	wait := max(n.cfg.Period, n.retry())
-	for i = 0; i < len(n.owed); i++ {
-		q, ok := n.pending[n.owed[i]]
-		if ok && n.now-q.sent < wait {
+	n.pendingOrder = append(n.pendingOrder[:0], n.pendingOrder[i:]...)
+	// The health of this process must be known before members are judged by it, so a late answer
+	// counts as lost until it arrives.
+	wait := max(n.cfg.Period, n.retryInterval())
+	for i = 0; i < len(n.healthOrder); i++ {
+		req, ok := n.pending[n.healthOrder[i]]
+		if ok && n.now-req.sent < wait {
 			break
 		}
 		if ok {
-			q.tells, q.late = false, true
-			n.pending[n.owed[i]] = q
-			n.answered -= n.answered / healthOf
+			req.measuresHealth, req.countedLost = false, true
+			n.pending[n.healthOrder[i]] = req
+			n.ackRate -= n.ackRate / healthWindow
 		}
 	}
-	n.owed = append(n.owed[:0], n.owed[i:]...)
+	n.healthOrder = append(n.healthOrder[:0], n.healthOrder[i:]...)
 }
 
-// needed is how many pings in a row have to stay unanswered until that is no accident, by what part of them is answered at present: on a
-// lossy link, or at a process that is itself to blame, more.
-func (n *Node) needed() int {
-	if n.steady {
-		return leastTries
+// requiredPings returns how many consecutive pings must stay unanswered to rule out chance, given
+// the currently acknowledged fraction. It is higher on a lossy link or when this process itself is
+// at fault.
+func (n *Node) requiredPings() int {
+	if n.ignoreStalls {
+		return minPings
 	}
-	p := min(max(n.answered, 0.05), 0.9)
-	return min(max(int(math.Ceil(math.Log(chance)/math.Log(1-p))), leastTries), mostTries)
+	p := min(max(n.ackRate, 0.05), 0.9)
+	return min(max(int(math.Ceil(math.Log(maxFalseAlarm)/math.Log(1-p))), minPings), maxPings)
 }
 
-// question remembers one that is about to be sent.
-func (n *Node) question(q question) uint32 {
-	q.sent = n.now
+// newRequest records a request that is about to be sent and returns its nonce.
+func (n *Node) newRequest(req request) uint32 {
+	req.sent = n.now
 	for {
 		nonce := n.rng.Uint32()
 		if _, ok := n.pending[nonce]; !ok && nonce != 0 {
-			n.pending[nonce] = q
-			n.expiry = append(n.expiry, nonce)
-			if q.tells {
-				n.owed = append(n.owed, nonce)
+			n.pending[nonce] = req
+			n.pendingOrder = append(n.pendingOrder, nonce)
+			if req.measuresHealth {
+				n.healthOrder = append(n.healthOrder, nonce)
 			}
 			return nonce
 		}
 	}
 }
 
-// ping asks a member whether it is there. Whoever has not answered is told who asks, as it may not know.
+// ping checks whether a member is up. If an earlier ping is unanswered, the ping carries this
+// process's record, as the member may not know the sender.
 func (n *Node) ping(m *member, first bool) {
 	var flags byte
 	if m.state == Left {
 		flags = flagRecord
 	}
-	w := n.begin(ping, flags, n.question(question{to: m.id, kind: ping, tells: m.there() && n.fresh(m)}))
+	w := n.newDatagram(kindPing, flags, n.newRequest(request{target: m.id, kind: kindPing, measuresHealth: m.present() && n.pingMeasuresHealth(m)}))
 	w.add(digestItem(n.digest))
 	if m.state != Alive {
-		w.add(aboutItem(m))
+		w.add(aboutReceiverItem(m))
 	}
 	if !first {
 		w.add(recordItem(&n.self))
 	}
-	n.pass(w)
-	n.send(w, m.addr, m.there())
+	n.appendGossip(w)
+	n.send(w, m.addr, m.present())
 }
 
-// fresh reports whether a ping to m tells of this process's own health: those to one that is silent already do not.
-func (n *Node) fresh(m *member) bool {
-	w := n.watches[m.id]
-	return w == nil || w.first < 0 || w.tries <= 2
+// pingMeasuresHealth reports whether a ping to m tells anything about this process's own health.
+// Pings to a member that is already silent do not.
+func (n *Node) pingMeasuresHealth(m *member) bool {
+	mon := n.monitors[m.id]
+	return mon == nil || mon.silentSince < 0 || mon.pings <= 2
 }
 
-// call pings somebody of whom only others have told, or a seed if id is 0, and asks it who it is.
-func (n *Node) call(id ID, m *member) {
-	w := n.begin(ping, flagRecord, n.question(question{to: id, kind: ping}))
+// pingUnverified pings a process known only from other processes, or a seed if id is 0, and asks
+// for its record.
+func (n *Node) pingUnverified(id ID, m *member) {
+	w := n.newDatagram(kindPing, flagRecord, n.newRequest(request{target: id, kind: kindPing}))
 	w.add(recordItem(&n.self))
 	w.add(digestItem(n.digest))
 	n.send(w, m.addr, false)
 }
 
-// duties finds out whom this process observes: the next ones on the ring, those it doubts besides.
-func (n *Node) duties() {
-	n.ringed = true
-	for _, w := range n.watches {
-		w.duty = false
+// assignMonitors selects the members that this process observes: its successors on the ring, and as
+// many more as are needed to replace unreliable ones.
+func (n *Node) assignMonitors() {
+	n.monitorsCurrent = true
+	for _, mon := range n.monitors {
+		mon.assigned = false
 	}
-	sound, all := 0, 0
-	n.around(n.self.id, 1, func(m *member) bool {
+	reliable, total := 0, 0
+	n.walkRing(n.self.id, 1, func(m *member) bool {
 		if m == &n.self {
 			return false
 		}
-		if !m.there() {
+		if !m.present() {
 			return true
 		}
-		w := n.watches[m.id]
-		if w == nil {
-			w = n.watch(m)
-			// Spread over a period, so that a member does not hear of all its observers at once.
-			w.next = n.now + time.Duration(n.rng.Int64N(int64(n.cfg.Period)))
+		mon := n.monitors[m.id]
+		if mon == nil {
+			mon = n.startMonitor(m)
+			// Spread over a period, so that the observers of a member do not all ping it at once.
+			mon.nextPing = n.now + time.Duration(n.rng.Int64N(int64(n.cfg.Period)))
 		}
-		if w.asked {
-			w.asked = false
-			n.asked--
+		if mon.onRequest {
+			mon.onRequest = false
+			n.requestedMonitors--
 		}
-		w.duty = true
-		if all++; !w.doubtful {
-			sound++
+		mon.assigned = true
+		if total++; !mon.unreliable {
+			reliable++
 		}
-		return sound < n.cfg.ObserverCount && all < mostSkipped*n.cfg.ObserverCount
+		return reliable < n.cfg.ObserverCount && total < maxMonitorFactor*n.cfg.ObserverCount
 	})
 }
 
-// period is the time between two pings to one member: less where there are few, who then find one another silent sooner at no more cost.
-func (n *Node) period() time.Duration {
-	return max(n.cfg.Period*time.Duration(min(n.living, n.cfg.ObserverCount))/time.Duration(n.cfg.ObserverCount), n.cfg.Period/2)
+// pingInterval returns the time between two pings to one member. It is shorter in small fleets,
+// which detect failures sooner at no higher cost.
+func (n *Node) pingInterval() time.Duration {
+	return max(n.cfg.Period*time.Duration(min(n.liveCount, n.cfg.ObserverCount))/time.Duration(n.cfg.ObserverCount), n.cfg.Period/2)
 }
 
-// retry is the time until a ping is sent again: longer where answers take long, as a ping that is under way is not lost.
-func (n *Node) retry() time.Duration {
-	return min(max(n.cfg.Retry, n.rtt+4*n.swing), n.cfg.Period)
+// retryInterval returns the time until a ping is repeated. It grows with the round-trip time, as a
+// ping still under way is not lost.
+func (n *Node) retryInterval() time.Duration {
+	return min(max(n.cfg.Retry, n.rtt+4*n.rttVar), n.cfg.Period)
 }
 
-// again is the time until one that has been silent for that long is pinged again: towards the end of its time twice as often, so that
-// chance has less to do with it.
-func (n *Node) again(silent time.Duration) time.Duration {
+// retryIntervalAfter returns the time until a member that has been silent for that long is pinged
+// again. It is halved towards the end of the Silence timeout, so that the result depends less on
+// chance.
+func (n *Node) retryIntervalAfter(silent time.Duration) time.Duration {
 	switch {
 	case silent > 3*n.cfg.Silence:
 		return n.cfg.Period
 	case silent > n.cfg.Silence/2:
-		return min(max(n.cfg.Retry/2, n.rtt+4*n.swing), n.retry())
+		return min(max(n.cfg.Retry/2, n.rtt+4*n.rttVar), n.retryInterval())
 	}
-	return n.retry()
+	return n.retryInterval()
 }
 
-// took takes note of how long an answer took, as RFC 6298 has it.
-func (n *Node) took(d time.Duration) {
-	n.swing += ((n.rtt - d).Abs() - n.swing) / 4
+// updateRTT updates the round-trip estimate and its deviation as in RFC 6298.
+func (n *Node) updateRTT(d time.Duration) {
+	n.rttVar += ((n.rtt - d).Abs() - n.rttVar) / 4
 	n.rtt += (d - n.rtt) / 8
 }
 
-func (n *Node) watch(m *member) *watch {
-	w := &watch{m: m, first: -1, enough: -1, next: n.now, begun: n.now, says: map[ID]said{}, unheard: map[ID]int{}, askers: map[ID]uint32{}}
-	n.watches[m.id] = w
-	return w
+func (n *Node) startMonitor(m *member) *monitor {
+	mon := &monitor{member: m, silentSince: -1, quorumSince: -1, nextPing: n.now, started: n.now, votes: map[ID]receivedVote{}, unansweredQueries: map[ID]int{}, askers: map[ID]uint32{}}
+	n.monitors[m.id] = mon
+	return mon
 }
 
-func (n *Node) unwatch(w *watch) {
-	if w.asked {
-		n.asked--
+func (n *Node) stopMonitor(mon *monitor) {
+	if mon.onRequest {
+		n.requestedMonitors--
 	}
-	delete(n.watches, w.m.id)
+	delete(n.monitors, mon.member.id)
 }
 
-// doubt has this process look after m by itself, as somebody else finds it silent, where there is room.
-func (n *Node) doubt(m *member, rumoured bool) {
-	w := n.watches[m.id]
-	if w == nil {
-		if n.asked >= mostAsked {
+// investigate makes this process check m itself after another process reported or asked about it,
+// if there is room.
+func (n *Node) investigate(m *member, reported bool) {
+	mon := n.monitors[m.id]
+	if mon == nil {
+		if n.requestedMonitors >= maxRequestedMonitors {
 			n.stats.Refused++
 			return
 		}
-		w = n.watch(m)
-		w.asked = true
-		n.asked++
+		mon = n.startMonitor(m)
+		mon.onRequest = true
+		n.requestedMonitors++
 	}
-	w.rumoured = w.rumoured || rumoured
-	if w.first < 0 && (w.heard == 0 || n.now-w.heard >= n.cfg.Retry) {
-		w.wanted, w.next = true, n.now
+	mon.reported = mon.reported || reported
+	if mon.silentSince < 0 && (mon.lastAck == 0 || n.now-mon.lastAck >= n.cfg.Retry) {
+		mon.pingWanted, mon.nextPing = true, n.now
 	}
-	if w.open {
-		w.askGap, w.askAt = n.cfg.Retry, min(w.askAt, n.now+n.cfg.Retry)
+	if mon.investigating {
+		mon.queryInterval, mon.nextQuery = n.cfg.Retry, min(mon.nextQuery, n.now+n.cfg.Retry)
 	}
 }
 
-// around walks the ring from the place of id, without id itself, forwards or backwards, until f reports false. This process stands in
-// its place as &n.self.
-func (n *Node) around(id ID, step int, f func(*member) bool) {
-	_, mine := n.find(n.self.id)
-	all := len(n.table) + 1
-	at := func(i int) *member {
+// walkRing visits the members from the position of id, excluding id itself, forwards or backwards
+// (step) until visit returns false. This process is passed as &n.self.
+func (n *Node) walkRing(id ID, step int, visit func(*member) bool) {
+	_, selfIndex := n.find(n.self.id)
+	total := len(n.table) + 1
+	memberAt := func(i int) *member {
 		switch {
-		case i < mine:
+		case i < selfIndex:
 			return n.table[i]
-		case i == mine:
+		case i == selfIndex:
 			return &n.self
 		}
 		return n.table[i-1]
@@ -338,289 +356,298 @@
 	if id > n.self.id {
 		i++
 	}
-	for range all - 1 {
-		if i = (i + step + all) % all; at(i).id == id || !f(at(i)) {
+	for range total - 1 {
+		if i = (i + step + total) % total; memberAt(i).id == id || !visit(memberAt(i)) {
 			return
 		}
 	}
 }
 
-// observers returns who observes m: the nearest ones before it on the ring that this process does not doubt itself.
+// observers returns the observers of m: its nearest predecessors on the ring that this process does
+// not consider unreliable.
 func (n *Node) observers(m *member) []*member {
-	var all []*member
-	n.around(m.id, -1, func(o *member) bool {
-		if o.there() {
-			if w := n.watches[o.id]; w == nil || !w.doubtful {
-				all = append(all, o)
+	var observers []*member
+	n.walkRing(m.id, -1, func(o *member) bool {
+		if o.present() {
+			if mon := n.monitors[o.id]; mon == nil || !mon.unreliable {
+				observers = append(observers, o)
 			}
 		}
-		return len(all) < n.cfg.ObserverCount
+		return len(observers) < n.cfg.ObserverCount
 	})
-	return all
+	return observers
 }
 
-// say is what this process says of a member, by its own knowledge alone.
-func (n *Node) say(m *member) vote {
+// ownVote returns this process's vote on a member, based only on its own observations.
+func (n *Node) ownVote(m *member) vote {
 	if m == &n.self {
-		return up
+		return voteAlive
 	}
 	switch m.state {
 	case Gone:
-		return down
+		return voteSilent
 	case Left:
-		return departed
+		return voteLeft
 	}
-	w := n.watches[m.id]
+	mon := n.monitors[m.id]
 	switch {
-	case w == nil:
-		return unsure
-	case n.silent(w):
-		return down
-	case w.first < 0 && w.heard > 0 && n.now-w.heard < 2*n.cfg.Period:
-		return up
+	case mon == nil:
+		return voteUnknown
+	case n.isSilent(mon):
+		return voteSilent
+	case mon.silentSince < 0 && mon.lastAck > 0 && n.now-mon.lastAck < 2*n.cfg.Period:
+		return voteAlive
 	}
-	return unsure
+	return voteUnknown
 }
 
-// silent reports whether a member is silent to this process, and whether that can be trusted: for long enough, often enough, while
-// others did answer, and not by a process that has just stood still.
-func (n *Node) silent(w *watch) bool {
-	if !n.steady && (n.now < n.trust || n.heard <= w.first) {
+// isSilent reports whether a member is silent and that finding can be trusted: it was silent long
+// enough and over enough pings while other members did answer, and this process has not just been
+// stalled.
+func (n *Node) isSilent(mon *monitor) bool {
+	if !n.ignoreStalls && (n.now < n.trustAfter || n.lastAck <= mon.silentSince) {
 		return false
 	}
-	if w.first < 0 || n.now-w.first < n.cfg.Silence {
+	if mon.silentSince < 0 || n.now-mon.silentSince < n.cfg.Silence {
 		return false
 	}
-	f := n.unsound(w)
-	return n.now-w.first >= time.Duration(f*float64(n.cfg.Silence)) && float64(w.tries) >= f*float64(n.needed())
+	factor := n.silenceFactor(mon)
+	return n.now-mon.silentSince >= time.Duration(factor*float64(n.cfg.Silence)) && float64(mon.pings) >= factor*float64(n.requiredPings())
 }
 
-// unsound is by how much longer than usual a member has to be silent: where half or more of those that this process watches besides are
-// silent too, the fault may be its own, and there is no hurry.
-func (n *Node) unsound(w *watch) float64 {
-	if n.steady {
+// silenceFactor returns the factor by which the Silence timeout is extended. If half or more of the
+// other members that this process observes are silent too, the fault may be its own.
+func (n *Node) silenceFactor(mon *monitor) float64 {
+	if n.ignoreStalls {
 		return 1
 	}
-	all, silent := 0.0, 0.0
-	for _, o := range n.watches {
-		if o != w && o.duty {
-			all++
-			if o.first >= 0 && n.now-o.first >= 2*n.retry() {
+	total, silent := 0.0, 0.0
+	for _, other := range n.monitors {
+		if other != mon && other.assigned {
+			total++
+			if other.silentSince >= 0 && n.now-other.silentSince >= 2*n.retryInterval() {
 				silent++
 			}
 		}
 	}
-	if 2*silent < all || all == 0 {
+	if 2*silent < total || total == 0 {
 		return 1
 	}
-	return 1 + mostUnsound*silent/all
+	return 1 + maxSilenceExtension*silent/total
 }
 
-// look pings a member when it is time, and asks its other observers while it is silent.
-func (n *Node) look(w *watch, asks map[ID][]*member) {
+// runMonitor pings a member when due and queries its other observers while it is silent.
+func (n *Node) runMonitor(mon *monitor, queries map[ID][]*member) {
 	now := n.now
-	if !w.duty && !w.rumoured && w.open && now-w.since > patience*n.cfg.Silence {
-		n.unwatch(w)
+	if !mon.assigned && !mon.reported && mon.investigating && now-mon.investigatingSince > investigationTimeout*n.cfg.Silence {
+		n.stopMonitor(mon)
 		return
 	}
-	if !w.m.there() || !w.duty && !w.open && w.first < 0 && now-max(w.heard, w.begun) > 2*n.cfg.Period {
-		n.unwatch(w)
+	if !mon.member.present() || !mon.assigned && !mon.investigating && mon.silentSince < 0 && now-max(mon.lastAck, mon.started) > 2*n.cfg.Period {
+		n.stopMonitor(mon)
 		return
 	}
-	if now >= w.next && (w.duty || w.wanted || w.first >= 0) {
-		w.wanted = false
-		first := w.first < 0
+	if now >= mon.nextPing && (mon.assigned || mon.pingWanted || mon.silentSince >= 0) {
+		mon.pingWanted = false
+		first := mon.silentSince < 0
 		if first {
-			w.first, w.tries = now, 0
+			mon.silentSince, mon.pings = now, 0
 		}
-		w.tries++
-		n.ping(w.m, first)
-		w.next = now + n.again(now-w.first)
+		mon.pings++
+		n.ping(mon.member, first)
+		mon.nextPing = now + n.retryIntervalAfter(now-mon.silentSince)
 	}
-	if w.first < 0 || now-w.first < n.retry() {
+	if mon.silentSince < 0 || now-mon.silentSince < n.retryInterval() {
 		return
 	}
-	if !w.open {
-		w.open, w.since, w.askAt, w.askGap, w.enough = true, now, now, n.retry(), -1
+	if !mon.investigating {
+		mon.investigating, mon.investigatingSince, mon.nextQuery, mon.queryInterval, mon.quorumSince = true, now, now, n.retryInterval(), -1
 	}
-	if !w.sure && n.silent(w) {
-		w.sure, w.askAt, w.askGap = true, now, n.retry()
-		n.tellAskers(w)
+	if !mon.declaredSilent && n.isSilent(mon) {
+		mon.declaredSilent, mon.nextQuery, mon.queryInterval = true, now, n.retryInterval()
+		n.answerAskers(mon)
 	}
-	if !w.doubtful && (w.sure || now-w.since > 2*n.cfg.Silence) {
-		w.doubtful, n.ringed = true, false
+	if !mon.unreliable && (mon.declaredSilent || now-mon.investigatingSince > 2*n.cfg.Silence) {
+		mon.unreliable, n.monitorsCurrent = true, false
 	}
-	if now < w.askAt || !w.duty && !w.rumoured {
+	if now < mon.nextQuery || !mon.assigned && !mon.reported {
 		return
 	}
-	// Once at the beginning, so that the others look for themselves, and again when they may have found out.
-	w.askAt = now + w.askGap
-	if w.sure && now-w.since < 2*n.cfg.Silence {
-		w.askAt = now + n.retry()/2
+	// Query once at the start, so that the others check for themselves, and again when they may
+	// have a result.
+	mon.nextQuery = now + mon.queryInterval
+	if mon.declaredSilent && now-mon.investigatingSince < 2*n.cfg.Silence {
+		mon.nextQuery = now + n.retryInterval()/2
 	}
-	if !w.sure && w.duty {
-		w.askAt = now + n.cfg.Period
+	if !mon.declaredSilent && mon.assigned {
+		mon.nextQuery = now + n.cfg.Period
 	}
-	if now-w.since > 2*n.cfg.Silence {
-		w.askGap = min(2*w.askGap, 4*n.cfg.Period)
+	if now-mon.investigatingSince > 2*n.cfg.Silence {
+		mon.queryInterval = min(2*mon.queryInterval, 4*n.cfg.Period)
 	}
-	all := n.observers(w.m)
-	want := len(all)
-	if !w.duty {
-		want = mark2(len(all)) + 1
-		n.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	observers := n.observers(mon.member)
+	wanted := len(observers)
+	if !mon.assigned {
+		wanted = quorum(len(observers)) + 1
+		n.rng.Shuffle(len(observers), func(i, j int) { observers[i], observers[j] = observers[j], observers[i] })
 	}
-	for _, o := range all {
-		if s, ok := w.says[o.id]; o == &n.self || ok && s.v >= down && now-s.at < n.cfg.Period {
-			want--
+	for _, observer := range observers {
+		if s, ok := mon.votes[observer.id]; observer == &n.self || ok && s.vote >= voteSilent && now-s.at < n.cfg.Period {
+			wanted--
 			continue
 		}
-		if want <= 0 {
+		if wanted <= 0 {
 			break
 		}
-		want--
-		asks[o.id] = append(asks[o.id], w.m)
-		if w.unheard[o.id]++; w.unheard[o.id] > mostUnheard {
-			n.doubt(o, false) // it may be silent itself, and others are to be asked in its place
+		wanted--
+		queries[observer.id] = append(queries[observer.id], mon.member)
+		if mon.unansweredQueries[observer.id]++; mon.unansweredQueries[observer.id] > maxUnansweredQueries {
+			// it may be down itself; others then replace it as observers
+			n.investigate(observer, false)
 		}
 	}
 }
 
-// tellAskers answers those who have asked before this process knew, so that they need not ask again at the right moment.
-func (n *Node) tellAskers(w *watch) {
-	for _, id := range slices.Sorted(maps.Keys(w.askers)) {
-		if o, _ := n.find(id); o != nil && o.there() {
-			d := n.begin(answer, 0, w.askers[id])
-			d.add(voteItem(w.m.id, n.say(w.m), w.m.epoch, w.m.inc))
+// answerAskers sends the vote to the observers that queried before this process had a result, so
+// that they need not query again at the right moment.
+func (n *Node) answerAskers(mon *monitor) {
+	for _, id := range slices.Sorted(maps.Keys(mon.askers)) {
+		if o, _ := n.find(id); o != nil && o.present() {
+			d := n.newDatagram(kindVotes, 0, mon.askers[id])
+			d.add(voteItem(mon.member.id, n.ownVote(mon.member), mon.member.epoch, mon.member.incarnation))
 			n.send(d, o.addr, true)
 		}
 	}
-	clear(w.askers)
+	clear(mon.askers)
 }
 
-// mark2 is the high mark: how many of k observers have to say for themselves that a member is silent. The low mark, from which on it
-// counts as suspect, is leastWitnesses.
-func mark2(k int) int { return max(leastWitnesses, k/2+1) }
+// quorum returns how many observers of a member must each find it silent before it is declared
+// gone. From minWitnesses on it is suspect.
+func quorum(observers int) int { return max(minWitnesses, observers/2+1) }
 
-// count counts who finds a member silent, as far as this process may believe it. It needs to have found it silent itself.
-func (n *Node) count(w *watch) (downs, left, k int) {
-	all := n.observers(w.m)
-	mine := false
-	for _, o := range all {
+// countVotes counts the observers that find a member silent. Without an own observation that
+// confirms the silence, the count stays below minWitnesses.
+func (n *Node) countVotes(mon *monitor) (silentVotes, leftVotes, total int) {
+	observers := n.observers(mon.member)
+	observing := false
+	for _, o := range observers {
 		if o == &n.self {
-			mine = true
-			if n.silent(w) {
-				downs++
+			observing = true
+			if n.isSilent(mon) {
+				silentVotes++
 			}
 			continue
 		}
-		if s, ok := w.says[o.id]; ok && n.now-s.at < voteAge*n.cfg.Period {
-			switch s.v {
-			case down:
-				downs++
-			case departed:
-				downs++
-				left++
+		if s, ok := mon.votes[o.id]; ok && n.now-s.at < voteLifetime*n.cfg.Period {
+			switch s.vote {
+			case voteSilent:
+				silentVotes++
+			case voteLeft:
+				silentVotes++
+				leftVotes++
 			}
 		}
 	}
-	own := n.silent(w) || (!mine || left > 0) && w.first >= 0 && w.tries >= 2 && n.now-w.first >= n.cfg.Retry+n.cfg.Retry/2 && (n.steady || n.now >= n.trust)
-	if !own {
-		downs = min(downs, leastWitnesses-1)
+	confirmed := n.isSilent(mon) || (!observing || leftVotes > 0) && mon.silentSince >= 0 && mon.pings >= 2 && n.now-mon.silentSince >= n.cfg.Retry+n.cfg.Retry/2 && (n.ignoreStalls || n.now >= n.trustAfter)
+	if !confirmed {
+		silentVotes = min(silentVotes, minWitnesses-1)
 	}
-	return downs, left, len(all)
+	return silentVotes, leftVotes, len(observers)
 }
 
-// judge holds what observers have said of a member against the two marks.
-func (n *Node) judge(w *watch) {
-	if !w.open || w.first < 0 || !w.m.there() || !w.duty && !w.rumoured {
+// decide compares the votes on a member with minWitnesses and the quorum.
+func (n *Node) decide(mon *monitor) {
+	if !mon.investigating || mon.silentSince < 0 || !mon.member.present() || !mon.assigned && !mon.reported {
 		return
 	}
-	downs, left, k := n.count(w)
-	w.downs, w.high = downs, mark2(k)
-	if n.lone {
-		w.high = 1
-		if n.silent(w) {
-			w.downs = max(downs, 1)
+	silentVotes, leftVotes, total := n.countVotes(mon)
+	mon.silentVotes, mon.quorum = silentVotes, quorum(total)
+	if n.singleWitness {
+		mon.quorum = 1
+		if n.isSilent(mon) {
+			mon.silentVotes = max(silentVotes, 1)
 		}
 	}
-	if w.downs >= leastWitnesses && w.m.state == Alive {
-		w.m.state = Suspect
-		n.tell(Suspected, w.m, downs)
+	if mon.silentVotes >= minWitnesses && mon.member.state == Alive {
+		mon.member.state = Suspect
+		n.emit(Suspected, mon.member, silentVotes)
 	}
-	if w.downs < w.high {
-		w.enough = -1
-		if !w.duty && n.now-w.since > patience*n.cfg.Silence {
-			n.unwatch(w)
+	if mon.silentVotes < mon.quorum {
+		mon.quorumSince = -1
+		if !mon.assigned && n.now-mon.investigatingSince > investigationTimeout*n.cfg.Silence {
+			n.stopMonitor(mon)
 		}
 		return
 	}
-	if w.enough < 0 {
-		w.enough = n.now
+	if mon.quorumSince < 0 {
+		mon.quorumSince = n.now
 	}
-	// Who goes at the same time is to go in one cut: as long as another one is between the marks, wait a little.
-	if n.now-w.enough < 2*n.cfg.Retry {
-		for _, o := range n.watches {
-			if o != w && o.open && o.m.there() && o.downs >= leastWitnesses && o.downs < o.high {
+	// Members that fail together should be removed in one step: wait briefly while another one is
+	// between minWitnesses and its quorum.
+	if n.now-mon.quorumSince < 2*n.cfg.Retry {
+		for _, other := range n.monitors {
+			if other != mon && other.investigating && other.member.present() && other.silentVotes >= minWitnesses && other.silentVotes < other.quorum {
 				return
 			}
 		}
 	}
 	state, kind := Gone, DeclaredGone
-	if 2*left > w.downs {
+	if 2*leftVotes > mon.silentVotes {
 		state, kind = Left, Departed
 	}
-	n.end(w.m, state, kind, w.downs)
-	n.unwatch(w)
+	n.remove(mon.member, state, kind, mon.silentVotes)
+	n.stopMonitor(mon)
 }
 
-// end takes a member out of the view.
-func (n *Node) end(m *member, s State, kind EventKind, witnesses int) {
-	n.set(m, func() { m.state = s })
+// remove takes a member out of the view.
+func (n *Node) remove(m *member, s State, kind EventKind, witnesses int) {
+	n.update(m, func() { m.state = s })
 	if kind == DeclaredGone {
 		n.stats.Verdicts++
 	}
-	n.tell(kind, m, witnesses)
-	n.spread(m.id)
+	n.emit(kind, m, witnesses)
+	n.enqueueGossip(m.id)
 }
 
-// answeredBy takes note that a member has answered a ping that was sent at sent.
-func (n *Node) answeredBy(m *member, sent time.Duration) {
-	w := n.watches[m.id]
-	if w == nil {
+// confirmAlive records that a member acknowledged a ping sent at sent.
+func (n *Node) confirmAlive(m *member, sent time.Duration) {
+	mon := n.monitors[m.id]
+	if mon == nil {
 		return
 	}
-	w.heard = n.now
-	if w.first < 0 || sent < w.first {
-		// An old ping: the member lived after it was sent, which does not tell whether it does now.
-		if w.first >= 0 && n.now-sent > n.cfg.Silence {
+	mon.lastAck = n.now
+	if mon.silentSince < 0 || sent < mon.silentSince {
+		// An old ping proves that the member was up after it was sent, but not that it is up now.
+		if mon.silentSince >= 0 && n.now-sent > n.cfg.Silence {
 			return
 		}
 	}
-	w.first, w.tries, w.open, w.sure, w.enough, w.downs, w.rumoured = -1, 0, false, false, -1, 0, false
-	clear(w.says)
-	clear(w.unheard)
-	clear(w.askers)
-	w.next = n.now + n.period()
-	if w.doubtful {
-		w.doubtful, n.ringed = false, false
+	mon.silentSince, mon.pings, mon.investigating, mon.declaredSilent, mon.quorumSince, mon.silentVotes, mon.reported = -1, 0, false, false, -1, 0, false
+	clear(mon.votes)
+	clear(mon.unansweredQueries)
+	clear(mon.askers)
+	mon.nextPing = n.now + n.pingInterval()
+	if mon.unreliable {
+		mon.unreliable, n.monitorsCurrent = false, false
 	}
 	if m.state == Suspect {
 		m.state = Alive
-		n.tell(Cleared, m, 0)
+		n.emit(Cleared, m, 0)
 	}
 }
 
-// mingle keeps news going between parts of the ring, and tries whoever is gone: it may be back.
-func (n *Node) mingle() {
-	if n.now < n.mixAt {
+// pingRandom pings a random member, so that gossip spreads across the ring, and a random gone
+// member, which may be back. It also drops members that have been out of the view for longer than
+// Forget.
+func (n *Node) pingRandom() {
+	if n.now < n.nextRandomPing {
 		return
 	}
-	n.mixAt = n.now + n.cfg.Period
+	n.nextRandomPing = n.now + n.cfg.Period
 	var gone []*member
 	for i := 0; i < len(n.table); i++ {
 		m := n.table[i]
-		if m.there() {
+		if m.present() {
 			continue
 		}
 		if n.now-m.since > n.cfg.Forget {
@@ -635,9 +662,9 @@
 	if len(gone) > 0 {
 		n.ping(gone[n.rng.IntN(len(gone))], false)
 	}
-	if n.living > n.cfg.ObserverCount { // otherwise all are observed anyway
+	if n.liveCount > n.cfg.ObserverCount { // otherwise every member is monitored anyway
 		for range 8 {
-			if m := n.table[n.rng.IntN(len(n.table))]; m.there() {
+			if m := n.table[n.rng.IntN(len(n.table))]; m.present() {
 				n.ping(m, true)
 				break
 			}
@@ -645,23 +672,23 @@
 	}
 }
 
-// seek asks seeds: often while nobody is known or answers, else now and then those that are no members, as the fleet may have
-// parted and forgotten.
-func (n *Node) seek() {
-	if n.now < n.seedAt || len(n.seeds) == 0 {
+// contactSeeds pings seeds: often while no member is known or answers, otherwise occasionally those
+// seeds that are not members, as the fleet may have split for longer than Forget.
+func (n *Node) contactSeeds() {
+	if n.now < n.nextSeedContact || len(n.seeds) == 0 {
 		return
 	}
-	alone := n.living == 0 || n.isolated
-	n.seedAt = n.now + n.seedGap + time.Duration(n.rng.Int64N(int64(n.seedGap)/4+1))
-	n.seedGap = min(2*n.seedGap, mostSeedGap)
-	asked := 0
+	alone := n.liveCount == 0 || n.isolated
+	n.nextSeedContact = n.now + n.seedInterval + time.Duration(n.rng.Int64N(int64(n.seedInterval)/4+1))
+	n.seedInterval = min(2*n.seedInterval, maxSeedInterval)
+	contacted := 0
 	for _, i := range n.rng.Perm(len(n.seeds)) {
 		s := n.seeds[i]
-		if s == n.self.addr || !alone && slices.ContainsFunc(n.table, func(m *member) bool { return m.addr == s && m.there() }) {
+		if s == n.self.addr || !alone && slices.ContainsFunc(n.table, func(m *member) bool { return m.addr == s && m.present() }) {
 			continue
 		}
-		n.call(0, &member{addr: s})
-		if asked++; asked == 2 {
+		n.pingUnverified(0, &member{addr: s})
+		if contacted++; contacted == 2 {
 			return
 		}
 	}
--- a/members/group.go
+++ b/members/group.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// Sharing decides by how many processes that is divided which all may do together: probes, connections, what a cold server or another
-// site bears. It has no clock.
+// GroupEstimator estimates the number of processes that share fleet-wide limits: probes,
+// connections, and the load on a cold server or another site. It has no clock.
 //
-// The number follows those who live at once where they are more, which makes each one more careful. Where they are fewer it falls by half
-// in Fall at most, and never below Group divided by Bolder: so that a split, in which each part believes that it is alone, makes nobody
-// take more than Bolder times his share by the settings.
+// The estimate follows an increase of live processes at once, which makes each one more careful. It
+// falls by at most half per HalfLife, and never below Configured/MaxShareFactor. So a network
+// split, in which each part believes that it is alone, lets no process use more than MaxShareFactor
+// times its configured share.
 type GroupEstimator struct {
-	Configured     int           // by the settings; at least 1
+	Configured     int           // the configured number of processes; at least 1
 	MaxShareFactor float64       // at least 1
 	HalfLife       time.Duration // above 0
 
-	at    time.Duration
-	value float64
+	updatedAt time.Duration
+	value     float64
 }
 
-// Next returns the number, given how many live at present. Times must not go back.
+// Update returns the estimate for the current number of live processes. Times must not decrease.
 func (s *GroupEstimator) Update(now time.Duration, living int) int {
 	if s.value == 0 {
-		s.value, s.at = float64(s.Configured), now
+		s.value, s.updatedAt = float64(s.Configured), now
 	}
-	fallen := s.value * math.Exp2(-float64(max(now-s.at, 0))/float64(s.HalfLife))
-	s.at = now
-	least := math.Ceil(float64(s.Configured) / max(s.MaxShareFactor, 1))
-	s.value = max(fallen, float64(living), least, 1)
+	decayed := s.value * math.Exp2(-float64(max(now-s.updatedAt, 0))/float64(s.HalfLife))
+	s.updatedAt = now
+	minimum := math.Ceil(float64(s.Configured) / max(s.MaxShareFactor, 1))
+	s.value = max(decayed, float64(living), minimum, 1)
 	return int(math.Ceil(s.value - 1e-9))
 }
 
-// Number is the place of a process that has the place ordinal of group by the settings, where it is one of now. Others may have the
-// same: it only spreads them.
+// ScaleOrdinal maps a process's ordinal in a configured group to a group of now processes. The
+// results need not be unique: they only spread the processes.
 func ScaleOrdinal(ordinal, group, now int) int {
 	if now >= group {
 		return ordinal
--- a/members/group_test.go
+++ b/members/group_test.go
@@ -33,14 +33,14 @@
 
 // TestHints: what one process's list says of a server reaches all, once each, and is over after a while.
 func TestHints(t *testing.T) {
-	w := settled(t, 20, 1)
+	w := newConverged(t, 20, 1)
 	heard := map[int]int{}
 	w.onEvent = func(of int, e Event) {
 		if e.Kind == Hinted && e.Server == "box-7" {
 			heard[of]++
 		}
 	}
-	w.all[3].n.Hint(w.now, "box-7")
+	w.processes[3].n.Hint(w.now, "box-7")
 	d := w.until(3*sec, func() bool { return len(heard) == 19 })
 	w.run(40 * sec)
 	for of, k := range heard {
@@ -49,9 +49,9 @@
 		}
 	}
 	for i := range 2 * MaxHints {
-		w.all[3].n.Hint(w.now, string(rune('a'+i%26))+string(rune('a'+i/26)))
+		w.processes[3].n.Hint(w.now, string(rune('a'+i%26))+string(rune('a'+i/26)))
 	}
-	if n := len(w.all[3].n.hintsOf); n != MaxHints {
+	if n := len(w.processes[3].n.hints); n != MaxHints {
 		t.Errorf("%d hints are held", n)
 	}
 	t.Logf("heard by all after %v", d)
--- a/members/hint.go
+++ b/members/hint.go
@@ -6,65 +6,66 @@
 	"time"
 )
 
-// hintAge is how long a hint is passed on. The same may be told again after it.
-const hintAge = 30 * time.Second
+// hintLifetime is how long a hint is sent on. After it the same hint may be issued again.
+const hintLifetime = 30 * time.Second
 
-// serverHint is what a datagram says of a server.
+// serverHint is a datagram's hint about a server.
 type serverHint struct {
 	server string
 	age    time.Duration
 }
 
 type hint struct {
-	born time.Duration
-	left int
+	created   time.Duration
+	remaining int
 }
 
-// Hint passes on that a server drains or is gone, as this process's own list says. Whoever hears of it may be more careful with that
-// server for a while, and no more: it is one process's word.
+// Hint tells the other members that a server drains or is gone according to this process's own
+// server list. A receiver may treat the server more carefully for a while, but no more than that,
+// as it is one process's word.
 func (n *Node) Hint(now time.Duration, server string) {
 	n.advance(now)
-	n.learn(serverHint{server: server})
+	n.addHint(serverHint{server: server})
 }
 
-// learn takes a hint over, and reports whether it is new.
-func (n *Node) learn(h serverHint) bool {
-	if h.server == "" || len(h.server) > MaxServerIDLen || h.age >= hintAge || n.hintsOf[h.server] != nil {
+// addHint stores a hint and reports whether it is new.
+func (n *Node) addHint(h serverHint) bool {
+	if h.server == "" || len(h.server) > MaxServerIDLen || h.age >= hintLifetime || n.hints[h.server] != nil {
 		return false
 	}
-	if len(n.hintsOf) >= MaxHints {
+	if len(n.hints) >= MaxHints {
 		n.stats.Refused++
 		return false
 	}
-	n.hintsOf[h.server] = &hint{born: n.now - h.age, left: n.share()}
+	n.hints[h.server] = &hint{created: n.now - h.age, remaining: n.gossipLimit()}
 	return true
 }
 
-// hinted takes the hints of a member, in an answer of its own.
-func (n *Node) hinted(m *member, msg *message) {
-	if m == nil || !m.there() {
+// handleHints stores the hints in an ack from a member.
+func (n *Node) handleHints(m *member, msg *message) {
+	if m == nil || !m.present() {
 		return
 	}
-	for _, h := range msg.servers {
-		if n.learn(h) {
-			n.events = append(n.events, Event{Kind: Hinted, Member: m.told(), Server: h.server})
+	for _, h := range msg.hints {
+		if n.addHint(h) {
+			n.events = append(n.events, Event{Kind: Hinted, Member: m.snapshot(), Server: h.server})
 		}
 	}
 }
 
-// passHints adds hints to a datagram, before anything else: they are the most urgent news.
-func (n *Node) passHints(w *writer) {
-	if len(n.hintsOf) == 0 {
+// appendHints adds hints to a datagram before any other update, as they are the most urgent.
+func (n *Node) appendHints(w *writer) {
+	if len(n.hints) == 0 {
 		return
 	}
-	for _, server := range slices.Sorted(maps.Keys(n.hintsOf)) {
-		h := n.hintsOf[server]
-		if n.now-h.born >= hintAge {
-			delete(n.hintsOf, server)
+	for _, server := range slices.Sorted(maps.Keys(n.hints)) {
+		h := n.hints[server]
+		if n.now-h.created >= hintLifetime {
+			delete(n.hints, server)
 			continue
 		}
-		if h.left > 0 && w.add(hintItem(server, n.now-h.born)) {
-			h.left--
+		if h.remaining > 0 && w.add(serverHintItem(server, n.now-h.created)) {
+			h.remaining--
 		}
 	}
 }
--- a/members/members.go
+++ b/members/members.go
@@ -1,10 +1,14 @@
-// Package members is how processes of the program know who else is there. A Node has no clock and does no I/O: it is told the
-// time by Tick, datagrams by Receive and the wish to go by Leave, and what it wants sent and has to tell is fetched by Ready.
-// docs/design/members.md has the ways weighed and the bounds.
+// Package members implements the membership protocol between the processes of the program. A Node
+// has no clock and does no I/O: the host passes it the time (Tick), datagrams (Receive) and the
+// request to leave (Leave), and takes datagrams to send and events from Ready.
 //
-// In short: names stand on a ring by their hashes. Each process pings the Observed next ones on it. Who does not answer is asked
-// about at its other observers, and goes only when more than half of them say for themselves that it is silent. What others
-// tell of third ones is a hint: it is never believed, but has the node ask whoever it concerns.
+// Members are placed on a hash ring by their names. Each process pings the next ObserverCount
+// members on the ring. A member that does not answer is queried at its other observers, and it is
+// declared gone only by a quorum of more than half of its observers, each of which has found it
+// silent itself. Reports about third parties are never trusted: they only make a node ping the
+// process concerned.
+//
+// docs/design/members.md describes the alternatives and the bounds.
 package members
 
 import (
@@ -20,42 +24,45 @@
 	"time"
 )
 
-// The bounds of a Node's configuration and state.
+// Limits of a Node's configuration and state.
 const (
-	// MinDatagramSize and MaxDatagramSize bound Config.DatagramSize. The platform passes 256 bytes.
+	// MinDatagramSize and MaxDatagramSize bound Config.DatagramSize. The platform allows 256 bytes.
 	MinDatagramSize, MaxDatagramSize = 256, 1200
-	// MaxNameLen and MaxZoneLen bound texts, in bytes.
+	// MaxNameLen and MaxZoneLen bound the name and the zone of a member, in bytes.
 	MaxNameLen, MaxZoneLen = 48, 24
 	// MaxServerIDLen bounds a server id, in bytes. MaxHints bounds the hints held at one time.
 	MaxServerIDLen, MaxHints = 64, 64
-	// mostCandidates bounds those of whom others have told and who have not answered yet.
-	mostCandidates = 1024
-	// mostAsked bounds the watches that others' questions have begun.
-	mostAsked = 256
-	// mostPending bounds the questions without an answer that are remembered.
-	mostPending = 8192
-	// mostNews bounds what is passed on at one time.
-	mostNews = 1024
-	// leastWitnesses is how many have to say that a member is silent, however few there are.
-	leastWitnesses = 2
-	// mostInc is the highest incarnation that is believed. Whoever gets there begins a new epoch.
-	mostInc = 1 << 30
-	// mostEpoch bounds epochs, which are milliseconds since 1970 at the most.
-	mostEpoch = 1 << 47
+	// maxCandidates bounds the processes that were reported by others and have not answered yet.
+	maxCandidates = 1024
+	// maxRequestedMonitors bounds the monitors that other processes' queries and reports have
+	// created.
+	maxRequestedMonitors = 256
+	// maxPending bounds the unanswered requests that are kept.
+	maxPending = 8192
+	// maxGossip bounds the updates that are gossiped at one time.
+	maxGossip = 1024
+	// minWitnesses is the minimum number of observers that must find a member silent, in fleets of
+	// any size.
+	minWitnesses = 2
+	// maxIncarnation is the highest accepted incarnation. A process that reaches it starts a new
+	// epoch.
+	maxIncarnation = 1 << 30
+	// maxEpoch bounds epochs, which are milliseconds since 1970 at most.
+	maxEpoch = 1 << 47
 )
 
-// State is what a member is held for.
+// State is the state of a member in a node's view.
 type State uint8
 
-// The states of a member.
+// States of a member.
 const (
 	Alive   State = iota
-	Suspect       // at least two observers say that it is silent
-	Gone          // by verdict
-	Left          // by its own word
+	Suspect       // at least two observers find it silent
+	Gone          // declared gone by its observers
+	Left          // left voluntarily
 )
 
-// String returns the state's name as it is shown.
+// String returns the name shown to operators.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -65,18 +72,19 @@
 
 var stateNames = [...]string{"alive", "suspect", "gone", "left"}
 
-// ID is a member's place on the ring: the hash of its name.
+// ID is a member's position on the ring: the hash of its name.
 type ID uint64
 
 // IDOf returns the ID of a name.
 func IDOf(name string) ID {
 	h := fnv.New64a()
 	io.WriteString(h, name)
-	return ID(mix(h.Sum64()))
+	return ID(mix64(h.Sum64()))
 }
 
-// mix is the finalizer of splitmix64: fnv alone leaves names that differ in their last letter close together.
-func mix(x uint64) uint64 {
+// mix64 is the finalizer of splitmix64. FNV alone places names that differ only in their last
+// character close together.
+func mix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
@@ -84,32 +92,34 @@
 	return x ^ x>>31
 }
 
-// Config is what a Node is made of. The zero value of a time or number is the default that it names.
+// Config configures a Node. Zero times and numbers stand for the defaults given at each field.
 type Config struct {
 	Name, Zone string
-	Cluster    string         // whose datagrams count
-	Address    netip.AddrPort // where others reach this process
-	Epoch      uint64         // of this start: higher than those before, such as milliseconds since 1970
-	Seed       uint64         // of all that is drawn
+	Cluster    string         // datagrams of other clusters are dropped
+	Address    netip.AddrPort // where other processes reach this one
+	// of this start; must exceed the epochs of earlier starts, such as milliseconds since 1970
+	Epoch uint64
+	Seed  uint64 // of the random number generator
 
-	ObserverCount int           // whom each process observes: 8, of 3 to 16
+	ObserverCount int           // members that each process observes: 8, from 3 to 16
 	Period        time.Duration // between two pings to one member: 800 ms
-	Retry         time.Duration // until a ping is sent again: 200 ms
-	Silence       time.Duration // until an observer says that a member is silent: 2 s
-	Linger        time.Duration // how long one that leaves says so: 1 s
-	Forget        time.Duration // how long those who are gone are remembered, and tried: 10 min
-	MaxMembers    int           // members: 10,000
+	Retry         time.Duration // until a ping is repeated: 200 ms
+	Silence       time.Duration // until an observer considers a member silent: 2 s
+	Linger        time.Duration // how long a leaving process keeps answering: 1 s
+	Forget        time.Duration // how long gone members are remembered and pinged: 10 min
+	MaxMembers    int           // members in the table: 10,000
 	DatagramSize  int           // bytes: 256
 }
 
-// MaxPause is how long a process may stand still without being held for gone by anybody, whatever else befalls it.
+// MaxPause returns how long a process may be stalled without being declared gone by any other,
+// whatever other faults occur.
 func (c Config) MaxPause() time.Duration { return c.Silence }
 
-// WithDefaults returns c with its zero values filled in, and what is wrong with it.
+// WithDefaults returns c with defaults for its zero values, and an error if it is invalid.
 func (c Config) WithDefaults() (Config, error) {
-	fill := func(d *time.Duration, usual time.Duration) {
+	fill := func(d *time.Duration, value time.Duration) {
 		if *d == 0 {
-			*d = usual
+			*d = value
 		}
 	}
 	fill(&c.Period, 800*time.Millisecond)
@@ -128,21 +138,21 @@
 	}
 	switch {
 	case c.Name == "" || len(c.Name) > MaxNameLen:
-		return c, fmt.Errorf("name: %.60q has to have 1 to %d bytes", c.Name, MaxNameLen)
+		return c, fmt.Errorf("name: %.60q must have 1 to %d bytes", c.Name, MaxNameLen)
 	case len(c.Zone) > MaxZoneLen:
 		return c, fmt.Errorf("zone: %.60q has more than %d bytes", c.Zone, MaxZoneLen)
 	case c.Cluster == "":
 		return c, errors.New("cluster: not set")
 	case !c.Address.IsValid() || c.Address.Port() == 0 || c.Address.Addr().IsUnspecified():
 		return c, fmt.Errorf("address: %v cannot be reached by others", c.Address)
-	case c.Epoch == 0 || c.Epoch >= mostEpoch:
-		return c, fmt.Errorf("epoch: %d is outside 1 to %d", c.Epoch, uint64(mostEpoch-1))
+	case c.Epoch == 0 || c.Epoch >= maxEpoch:
+		return c, fmt.Errorf("epoch: %d is outside 1 to %d", c.Epoch, uint64(maxEpoch-1))
 	case c.ObserverCount < 3 || c.ObserverCount > 16:
 		return c, fmt.Errorf("observed: %d is outside 3 to 16", c.ObserverCount)
 	case c.Retry < 10*time.Millisecond || c.Period < 2*c.Retry || c.Silence < 2*c.Period || c.Silence > time.Minute:
-		return c, fmt.Errorf("retry %v, period %v, silence %v: a period is at least 2 retries of at least 10ms, silence 2 periods and at most 1m", c.Retry, c.Period, c.Silence)
+		return c, fmt.Errorf("retry %v, period %v, silence %v: retry must be at least 10ms, period at least 2 retries, and silence at least 2 periods and at most 1m", c.Retry, c.Period, c.Silence)
 	case c.Linger < 0 || c.Forget < 10*c.Silence:
-		return c, fmt.Errorf("linger %v, forget %v: forget is at least 10 times silence", c.Linger, c.Forget)
+		return c, fmt.Errorf("linger %v, forget %v: linger must not be negative and forget must be at least 10 times silence", c.Linger, c.Forget)
 	case c.MaxMembers < 2 || c.MaxMembers > 100_000:
 		return c, fmt.Errorf("most: %d is outside 2 to 100000", c.MaxMembers)
 	case c.DatagramSize < MinDatagramSize || c.DatagramSize > MaxDatagramSize:
@@ -151,134 +161,141 @@
 	return c, nil
 }
 
-// Member is one of those that a Node knows.
+// Member describes a member known to a Node.
 type Member struct {
 	Name, Zone  string
 	Address     netip.AddrPort
 	State       State
 	Epoch       uint64
 	Incarnation uint32
-	Since       time.Duration // when it came to be as it is, by the Node's time
+	Since       time.Duration // when it entered the present state, in the Node's time
 }
 
-// EventKind is what an Event tells.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// The kinds of events.
+// Kinds of events.
 const (
-	Joined       EventKind = iota // a member came, or came back
-	Suspected                     // several find it silent
-	Cleared                       // it has answered after that
-	DeclaredGone                  // it is gone, by the verdict of its observers
-	Departed                      // it has left by its own word
-	Stalled                       // this process stood still for Event.For, and mistrusts what it thought before
-	Isolated                      // nobody answers this process
-	Reconnected                   // somebody does again
-	Refuted                       // others held this process for gone: it has a new incarnation
-	Displaced                     // another process has this one's name and began later: this one gives way
-	Hinted                        // somebody says that the server of Event.Server drains or is gone
-	NameConflict                  // another process had this one's name and gives way
+	Joined       EventKind = iota // a member joined or came back
+	Suspected                     // several observers find the member silent
+	Cleared                       // a suspected member has answered
+	DeclaredGone                  // declared gone by a quorum of its observers
+	Departed                      // the member left voluntarily
+	// this process was stalled for Event.Duration and discarded its earlier observations
+	Stalled
+	Isolated    // no member answers this process
+	Reconnected // a member answers again after Isolated
+	// others declared this process gone; it has taken a new incarnation
+	Refuted
+	Displaced    // a process with the same name started later; this one gives way
+	Hinted       // a member reports that Event.Server drains or is gone
+	NameConflict // another process with this name started earlier and gives way
 )
 
 var eventNames = [...]string{"joined", "suspected", "cleared", "condemned", "departed", "stalled", "isolated", "reached", "returned", "displaced", "hinted", "rival"}
 
-// String returns the kind's name as the log has it.
+// String returns the name used in the log.
 func (k EventKind) String() string { return eventNames[k] }
 
-// Event is something to tell.
+// Event is a change that a Node reports to its host.
 type Event struct {
-	Kind      EventKind
-	Member    Member        // whom it concerns; this process's own from Stalled on
-	Witnesses int           // with Suspected and Condemned
-	Duration  time.Duration // with Stalled
-	Server    string        // with Hinted
+	Kind EventKind
+	// the member concerned; this process itself from Stalled on, except for Hinted (the sender) and
+	// NameConflict (the other process)
+	Member    Member
+	Witnesses int           // for Suspected and DeclaredGone
+	Duration  time.Duration // for Stalled
+	Server    string        // for Hinted
 }
 
-// Datagram is something to send.
+// Datagram is a datagram to send.
 type Datagram struct {
 	To   netip.AddrPort
 	Data []byte
-	// Known tells that it goes to a member, so that it comes before what strangers cause.
+	// ToMember reports whether the receiver is a member. Such datagrams take precedence over those
+	// caused by unknown senders.
 	ToMember bool
 }
 
-// Stats counts what a Node has done since its start.
+// Stats counts a Node's activity since its start.
 type Stats struct {
-	Dropped     map[string]uint64 // datagrams, by why
-	Refused     uint64            // hints and questions for which there was no room
+	Dropped map[string]uint64 // datagrams by reason
+	// updates, hints, candidates and monitors for which there was no room
+	Refused     uint64
 	Verdicts    uint64
 	Refutations uint64
 	Stalls      uint64
 	Sent        uint64
-	Health      float64 // part of first pings that are answered
+	Health      float64 // fraction of first pings that are answered
 	Candidates  int
 	Tombstones  int
 }
 
-// member is what is held of one. A process of 5,000 holds as many.
+// member is a node's entry for one process. A process in a fleet of 5,000 holds as many of them.
 type member struct {
-	id    ID
-	epoch uint64
-	since time.Duration
-	name  string
-	zone  string
-	addr  netip.AddrPort
-	inc   uint32
-	state State
+	id          ID
+	epoch       uint64
+	since       time.Duration
+	name        string
+	zone        string
+	addr        netip.AddrPort
+	incarnation uint32
+	state       State
 }
 
-// Node is one process's view of the others. It is not safe for concurrent use.
+// Node is one process's view of the membership. It is not safe for concurrent use.
 type Node struct {
-	cfg     Config
-	cluster uint32
-	rng     *rand.Rand
-	now     time.Duration
-	ticked  time.Duration
-	started time.Duration
-
-	self  member
-	out   bool // displaced: it takes no part any more
-	begun bool // Tick was called
-
-	table    []*member // by id, without self
-	living   int       // of table, alive or suspect
-	digest   uint64    // of those and self
-	zones    map[string]string
-	watches  map[ID]*watch
-	asked    int // watches that others' questions have begun
-	pending  map[uint32]question
-	expiry   []uint32    // of pending, oldest first
-	owed     []uint32    // those of pending whose answers tell of this process's own health, oldest first
-	cands    []candidate // in no order that matters
-	news     map[ID]*item
-	tellers  map[ID]bool // who say that a later process has this one's name
-	rivals   map[uint64]bool
-	hintsOf  map[string]*hint // by server
-	seeds    []netip.AddrPort
-	seedAt   time.Duration
-	seedGap  time.Duration
-	mixAt    time.Duration
-	repairAt time.Duration
-	hurried  time.Duration
-	ringed   bool // duties are as the table has it
-
-	answered float64       // part of first pings that are answered
-	rtt      time.Duration // of answers, and how far they are off it
-	swing    time.Duration
-	heard    time.Duration
-	isolated bool
-	trust    time.Duration // until then this process says of nobody that it is silent
+	cfg      Config
+	cluster  uint32
+	rng      *rand.Rand
+	now      time.Duration
+	lastTick time.Duration
+	started  time.Duration
+
+	self      member
+	displaced bool // a later process has the same name; this one no longer takes part
+	ticking   bool // Tick was called
+
+	table             []*member // sorted by id, without self
+	liveCount         int       // members of table that are Alive or Suspect
+	digest            uint64    // of these members and self
+	zones             map[string]string
+	monitors          map[ID]*monitor
+	requestedMonitors int // monitors created by other processes' queries and reports
+	pending           map[uint32]request
+	pendingOrder      []uint32 // nonces of pending, oldest first
+	// nonces of pending requests that measure this process's health, oldest first
+	healthOrder         []uint32
+	candidates          []candidate // in no particular order
+	gossip              map[ID]*gossipItem
+	laterEpochReporters map[ID]bool // members that report a later process with this name
+	conflictingEpochs   map[uint64]bool
+	hints               map[string]*hint // by server
+	seeds               []netip.AddrPort
+	nextSeedContact     time.Duration
+	seedInterval        time.Duration
+	nextRandomPing      time.Duration
+	nextRepair          time.Duration
+	lastExpedite        time.Duration
+	monitorsCurrent     bool // the assigned monitors match the table
+
+	ackRate    float64       // fraction of first pings that are answered
+	rtt        time.Duration // smoothed round-trip time and its deviation (rttVar)
+	rttVar     time.Duration
+	lastAck    time.Duration
+	isolated   bool
+	trustAfter time.Duration // until then this process finds no member silent
 
 	sends  []Datagram
 	events []Event
 	stats  Stats
 
-	// For tests, which show what these guard.
-	lone   bool // one witness is enough
-	steady bool // stalls are not noticed
+	// Set by tests to show what these safeguards prevent.
+	singleWitness bool // one witness is enough
+	ignoreStalls  bool // stalls are not detected
 }
 
-// New returns a node that knows nobody. cfg is checked.
+// New returns a Node that knows no other process. It validates cfg.
 func New(cfg Config) (*Node, error) {
 	cfg, err := cfg.WithDefaults()
 	if err != nil {
@@ -286,82 +303,86 @@
 	}
 	n := &Node{
 		cfg: cfg, cluster: crc32.ChecksumIEEE([]byte(cfg.Cluster)), rng: rand.New(rand.NewPCG(cfg.Seed, 42)),
-		zones: map[string]string{}, watches: map[ID]*watch{}, pending: map[uint32]question{},
-		news: map[ID]*item{}, tellers: map[ID]bool{}, rivals: map[uint64]bool{}, hintsOf: map[string]*hint{}, answered: 0.98, stats: Stats{Dropped: map[string]uint64{}},
-		seedGap: cfg.Period / 2,
+		zones: map[string]string{}, monitors: map[ID]*monitor{}, pending: map[uint32]request{},
+		gossip: map[ID]*gossipItem{}, laterEpochReporters: map[ID]bool{}, conflictingEpochs: map[uint64]bool{}, hints: map[string]*hint{}, ackRate: 0.98, stats: Stats{Dropped: map[string]uint64{}},
+		seedInterval: cfg.Period / 2,
 	}
 	n.self = member{id: IDOf(cfg.Name), name: cfg.Name, zone: cfg.Zone, addr: cfg.Address, epoch: cfg.Epoch}
-	n.digest = mark(&n.self)
+	n.digest = digestOf(&n.self)
 	return n, nil
 }
 
-// SetSeeds names where others may be found. They are asked again for ever, at a falling rate, unless they are members.
+// SetSeeds sets the addresses where others may be found. Those that are not members are contacted
+// forever, at a falling rate.
 func (n *Node) SetSeeds(seeds []netip.AddrPort) {
 	if !slices.Equal(seeds, n.seeds) {
-		n.seeds, n.seedGap, n.seedAt = slices.Clone(seeds), n.cfg.Period/2, n.now
+		n.seeds, n.seedInterval, n.nextSeedContact = slices.Clone(seeds), n.cfg.Period/2, n.now
 	}
 }
 
-// Ready returns what is to be sent and told since it was called last.
+// Ready returns the datagrams to send and the events since the last call.
 func (n *Node) Ready() ([]Datagram, []Event) {
 	s, e := n.sends, n.events
 	n.sends, n.events = nil, nil
 	return s, e
 }
 
-// Self is this process as others are told of it.
-func (n *Node) Self() Member { return n.self.told() }
+// Self returns this process as other members see it.
+func (n *Node) Self() Member { return n.self.snapshot() }
 
-// Out reports whether this process has given way to a later one of its name.
-func (n *Node) Displaced() bool { return n.out }
+// Displaced reports whether this process has given way to a later one with the same name.
+func (n *Node) Displaced() bool { return n.displaced }
 
-// Living is how many count as there, this process included. Those that are suspect count: they may be there.
-func (n *Node) LiveCount() int { return n.living + 1 }
+// LiveCount returns the number of live members, including this process. Suspect members count, as
+// they may be up.
+func (n *Node) LiveCount() int { return n.liveCount + 1 }
 
-// Isolated reports whether nobody answers though there were others.
+// Isolated reports whether no member answers although others were known.
 func (n *Node) Isolated() bool { return n.isolated }
 
-// View is a number that two processes have in common when they know the same members.
+// ViewDigest returns a digest of the live members, equal in processes that know the same ones.
 func (n *Node) ViewDigest() uint64 { return n.digest }
 
-// Members returns all that are known, this process included, by name.
+// Members returns all known members by name, including this process.
 func (n *Node) Members() []Member {
-	all := []Member{n.self.told()}
+	members := []Member{n.self.snapshot()}
 	for _, m := range n.table {
-		all = append(all, m.told())
+		members = append(members, m.snapshot())
 	}
-	slices.SortFunc(all, func(a, b Member) int {
+	slices.SortFunc(members, func(a, b Member) int {
 		if a.Name < b.Name {
 			return -1
 		}
 		return 1
 	})
-	return all
+	return members
 }
 
-// Stats returns what was counted.
+// Stats returns a copy of the counters.
 func (n *Node) Stats() Stats {
 	s := n.stats
 	s.Dropped = make(map[string]uint64, len(n.stats.Dropped))
 	for k, v := range n.stats.Dropped {
 		s.Dropped[k] = v
 	}
-	s.Health, s.Candidates = n.answered, len(n.cands)
-	s.Tombstones = len(n.table) - n.living
+	s.Health, s.Candidates = n.ackRate, len(n.candidates)
+	s.Tombstones = len(n.table) - n.liveCount
 	return s
 }
 
-func (m *member) told() Member {
-	return Member{Name: m.name, Zone: m.zone, Address: m.addr, State: m.state, Epoch: m.epoch, Incarnation: m.inc, Since: m.since}
+func (m *member) snapshot() Member {
+	return Member{Name: m.name, Zone: m.zone, Address: m.addr, State: m.state, Epoch: m.epoch, Incarnation: m.incarnation, Since: m.since}
 }
 
-// there reports whether a member counts.
-func (m *member) there() bool { return m.state == Alive || m.state == Suspect }
+// present reports whether a member belongs to the view.
+func (m *member) present() bool { return m.state == Alive || m.state == Suspect }
 
-// mark is what a member adds to the digest of a view.
-func mark(m *member) uint64 { return mix(uint64(m.id) ^ mix(m.epoch<<24^uint64(m.inc))) }
+// digestOf returns a member's contribution to the digest of a view.
+func digestOf(m *member) uint64 {
+	return mix64(uint64(m.id) ^ mix64(m.epoch<<24^uint64(m.incarnation)))
+}
 
-// find returns the member of that id, and where in the table it is or would be.
+// find returns the member with that id, or nil, and its index or insertion point in the table.
 func (n *Node) find(id ID) (*member, int) {
 	i, ok := slices.BinarySearchFunc(n.table, id, func(m *member, id ID) int {
 		switch {
@@ -378,30 +399,31 @@
 	return nil, i
 }
 
-// set changes what is held of m, by whose leave the digest and the ring are kept true.
-func (n *Node) set(m *member, change func()) {
-	if m != &n.self && m.there() {
-		n.living--
-		n.digest -= mark(m)
-	} else if m == &n.self && m.there() {
-		n.digest -= mark(m)
+// update applies a change to m and keeps the digest, the live count and the ring consistent.
+func (n *Node) update(m *member, change func()) {
+	if m != &n.self && m.present() {
+		n.liveCount--
+		n.digest -= digestOf(m)
+	} else if m == &n.self && m.present() {
+		n.digest -= digestOf(m)
 	}
-	was := m.there()
+	wasPresent := m.present()
 	change()
-	if m.there() {
-		n.digest += mark(m)
+	if m.present() {
+		n.digest += digestOf(m)
 		if m != &n.self {
-			n.living++
+			n.liveCount++
 		}
 	}
-	if was != m.there() {
-		m.since, n.ringed = n.now, false
+	if wasPresent != m.present() {
+		m.since, n.monitorsCurrent = n.now, false
 	}
 }
 
-func (n *Node) tell(k EventKind, m *member, witnesses int) {
-	n.events = append(n.events, Event{Kind: k, Member: m.told(), Witnesses: witnesses})
+func (n *Node) emit(k EventKind, m *member, witnesses int) {
+	n.events = append(n.events, Event{Kind: k, Member: m.snapshot(), Witnesses: witnesses})
 }
 
-// share is how many times each passes news on: more often in larger fleets, so that it reaches nearly everybody. The digests find the rest.
-func (n *Node) share() int { return 3 + int(math.Log2(float64(n.living+2))) }
+// gossipLimit returns how often each process sends an update. It grows with the fleet so that
+// nearly all members receive it; anti-entropy by digests covers the rest.
+func (n *Node) gossipLimit() int { return 3 + int(math.Log2(float64(n.liveCount+2))) }
--- a/members/protocol.go
+++ b/members/protocol.go
@@ -9,46 +9,48 @@
 )
 
 const (
-	// verifyAtOnce is how many of those that others have told of are called at each tick.
-	verifyAtOnce = 32
-	// mostOfName bounds the candidates of one name.
-	mostOfName = 4
-	// verifyTries is how often one is, at doubling distances.
-	verifyTries = 5
-	// mostRivals bounds the other processes of this one's name, and who tells of them, that are told apart.
-	mostRivals = 64
-	// youth is for how many periods after its start a process whose name is known at a later epoch takes that for its own former start.
-	youth = 5
+	// maxVerifyPerTick bounds the candidates that are pinged in each tick.
+	maxVerifyPerTick = 32
+	// maxCandidatesPerName bounds the candidates of one name.
+	maxCandidatesPerName = 4
+	// maxVerifyAttempts bounds the pings to one candidate, which follow at doubling intervals.
+	maxVerifyAttempts = 5
+	// maxConflicts bounds the conflicting epochs of this process's name and the processes that
+	// report a later one.
+	maxConflicts = 64
+	// startupPeriods is the number of periods after the start during which a later epoch of this
+	// process's name is taken to be an earlier start of this process.
+	startupPeriods = 5
 )
 
-// candidate is somebody of whom others have told.
+// candidate is a process reported by others that has not been verified by a ping of its own.
 type candidate struct {
-	m     member
-	tries int
-	next  time.Duration
+	member   member
+	attempts int
+	next     time.Duration
 }
 
-// item is news: how often it was passed on, and how often it is to be.
-type item struct{ sent, left int }
+// gossipItem counts how often an update was sent and how often it is to be sent.
+type gossipItem struct{ sent, limit int }
 
-// claim is what a datagram says of a member.
+// claim is a datagram's statement about a member.
 type claim struct {
-	id    ID
-	state State
-	v     vote
-	epoch uint64
-	inc   uint32
+	id          ID
+	state       State
+	vote        vote
+	epoch       uint64
+	incarnation uint32
 }
 
-// message is what a datagram holds.
+// message holds the decoded items of a datagram.
 type message struct {
-	records       []member
-	rumours, says []claim
-	about         *claim
-	digest        *uint64
-	span          *span // of parts, or wanted
-	servers       []serverHint
-	parts         [16]uint64
+	records         []member
+	statuses, votes []claim
+	aboutReceiver   *claim
+	digest          *uint64
+	span            *span // of partDigests, or of the requested records
+	hints           []serverHint
+	parts           [16]uint64
 }
 
 func (r *reader) message() (m message) {
@@ -56,213 +58,216 @@
 		switch r.byte() {
 		case itemRecord:
 			m.records = append(m.records, r.record())
-		case itemRumour:
+		case itemStatus:
 			c := claim{id: ID(r.u64()), state: r.state()}
-			c.epoch, c.inc = r.stamp()
-			m.rumours = append(m.rumours, c)
-		case itemAbout:
+			c.epoch, c.incarnation = r.epoch()
+			m.statuses = append(m.statuses, c)
+		case itemAboutReceiver:
 			c := claim{state: r.state()}
-			c.epoch, c.inc = r.stamp()
-			m.about = &c
+			c.epoch, c.incarnation = r.epoch()
+			m.aboutReceiver = &c
 		case itemDigest:
 			d := r.u64()
 			m.digest = &d
 		case itemVote:
-			c := claim{id: ID(r.u64()), v: vote(r.byte())}
-			c.epoch, c.inc = r.stamp()
-			if c.v >= votes {
-				r.err = errShort
+			c := claim{id: ID(r.u64()), vote: vote(r.byte())}
+			c.epoch, c.incarnation = r.epoch()
+			if c.vote >= voteCount {
+				r.err = errMalformed
 			}
-			m.says = append(m.says, c)
-		case itemRange:
+			m.votes = append(m.votes, c)
+		case itemRangeDigests:
 			m.span = r.span()
 			for i := range m.parts {
 				m.parts[i] = r.u64()
 			}
-		case itemWant:
+		case itemRecordRequest:
 			m.span = r.span()
-		case itemHint:
+		case itemServerHint:
 			age := time.Duration(binary.BigEndian.Uint16(r.take(2))) * 100 * time.Millisecond
-			m.servers = append(m.servers, serverHint{r.text(MaxServerIDLen), age})
+			m.hints = append(m.hints, serverHint{r.text(MaxServerIDLen), age})
 		default:
-			r.err = errShort
+			r.err = errMalformed
 		}
 	}
 	for _, c := range m.records {
-		if c.epoch == 0 || c.epoch >= mostEpoch || c.inc > mostInc {
-			r.err = errShort
+		if c.epoch == 0 || c.epoch >= maxEpoch || c.incarnation > maxIncarnation {
+			r.err = errMalformed
 		}
 	}
 	return m
 }
 
-// Receive takes a datagram. What cannot be used is counted and dropped. b is not kept.
+// Receive processes a datagram. A datagram that cannot be used is counted and dropped. b is not
+// retained.
 func (n *Node) Receive(now time.Duration, b []byte) {
 	n.advance(now)
-	h, r, why := n.open(b)
+	h, r, reason := n.parseHeader(b)
 	var msg message
-	if why == "" {
+	if reason == "" {
 		if msg = r.message(); r.err != nil {
-			why = "items"
+			reason = "items"
 		}
 	}
-	if why == "" && h.from == n.self.id && h.epoch == n.self.epoch {
-		why = "own"
+	if reason == "" && h.sender == n.self.id && h.epoch == n.self.epoch {
+		reason = "own"
 	}
-	if n.out {
-		why = "out"
+	if n.displaced {
+		reason = "out"
 	}
-	if why != "" {
-		n.stats.Dropped[why]++
+	if reason != "" {
+		n.stats.Dropped[reason]++
 		return
 	}
-	m, _ := n.find(h.from)
-	if h.kind != ping && h.kind != ack && (m == nil || !m.there() || m.epoch != h.epoch) {
+	m, _ := n.find(h.sender)
+	if h.kind != kindPing && h.kind != kindAck && (m == nil || !m.present() || m.epoch != h.epoch) {
 		n.stats.Dropped["stranger"]++
 		return
 	}
 	switch h.kind {
-	case ping:
-		n.pinged(h, m, &msg)
-	case ack:
-		n.acked(h, &msg)
-	case ask:
-		w := n.begin(answer, 0, h.nonce)
-		for _, c := range msg.says {
-			n.replied(w, c, h)
+	case kindPing:
+		n.handlePing(h, m, &msg)
+	case kindAck:
+		n.handleAck(h, &msg)
+	case kindQuery:
+		w := n.newDatagram(kindVotes, 0, h.nonce)
+		for _, c := range msg.votes {
+			n.answerQuery(w, c, h)
 		}
 		n.send(w, m.addr, true)
-	case answer:
-		q, ok := n.pending[h.nonce]
-		if !ok || q.kind != ask || q.to != h.from {
+	case kindVotes:
+		req, ok := n.pending[h.nonce]
+		if !ok || req.kind != kindQuery || req.target != h.sender {
 			n.stats.Dropped["unasked"]++
 			return
 		}
-		for _, c := range msg.says { // another answer may follow: the question is forgotten by its age
-			n.voted(h.from, c)
+		// The request stays pending until it expires, as further votes may follow.
+		for _, c := range msg.votes {
+			n.recordVote(h.sender, c)
 		}
-	case sums:
+	case kindDigests:
 		if msg.span != nil {
-			n.compare(m, *msg.span, msg.parts)
+			n.compareDigests(m, *msg.span, msg.parts)
 		}
-	case want:
+	case kindRecordRequest:
 		if msg.span != nil {
-			n.hand(m, *msg.span)
+			n.handleRecordRequest(m, *msg.span)
 		}
-	case records:
-		n.hints(m, &msg)
+	case kindRecords:
+		n.handleRecords(m, &msg)
 	}
 }
 
-// own returns the record of the sender itself, if the datagram holds it.
-func (msg *message) own(h head) *member {
+// senderRecord returns the sender's own record if the datagram contains it.
+func (msg *message) senderRecord(h header) *member {
 	for i := range msg.records {
-		if r := &msg.records[i]; r.id == h.from && r.epoch == h.epoch && r.inc == h.inc {
+		if r := &msg.records[i]; r.id == h.sender && r.epoch == h.epoch && r.incarnation == h.incarnation {
 			return r
 		}
 	}
 	return nil
 }
 
-// pinged answers a ping. Nothing that it says of its sender is believed: whoever is new is called back first.
-func (n *Node) pinged(h head, m *member, msg *message) {
-	rec := msg.own(h)
+// handlePing answers a ping. Nothing that it claims about its sender is trusted: an unknown sender
+// is first pinged in turn.
+func (n *Node) handlePing(h header, m *member, msg *message) {
+	rec := msg.senderRecord(h)
 	to := n.self.addr
 	switch {
-	case h.from == n.self.id && rec == nil:
+	case h.sender == n.self.id && rec == nil:
 		return
-	case m != nil && m.epoch >= h.epoch && (rec == nil || m.there() && m.epoch == h.epoch):
+	case m != nil && m.epoch >= h.epoch && (rec == nil || m.present() && m.epoch == h.epoch):
 		to = m.addr
 	case rec != nil:
 		to = rec.addr
-	default: // it will say who it is when it asks again
+	default: // an unknown sender includes its record in the next ping
 		n.stats.Dropped["stranger"]++
 		return
 	}
-	if h.from == n.self.id { // another process of this name
+	if h.sender == n.self.id { // another process with this name
 		if h.epoch > n.self.epoch {
-			n.rivalled(rec)
+			n.pingNamesake(rec)
 			return
 		}
-		if !n.rivals[h.epoch] && len(n.rivals) < mostRivals {
-			n.rivals[h.epoch] = true
-			n.events = append(n.events, Event{Kind: NameConflict, Member: rec.told()})
+		if !n.conflictingEpochs[h.epoch] && len(n.conflictingEpochs) < maxConflicts {
+			n.conflictingEpochs[h.epoch] = true
+			n.events = append(n.events, Event{Kind: NameConflict, Member: rec.snapshot()})
 		}
 	}
-	w := n.begin(ack, 0, h.nonce)
+	w := n.newDatagram(kindAck, 0, h.nonce)
 	if h.flags&flagRecord != 0 || n.self.state == Left {
 		w.add(recordItem(&n.self))
 	}
-	if m != nil && (m.epoch > h.epoch || m.epoch == h.epoch && m.inc >= h.inc && m.state != Alive) {
-		w.add(aboutItem(m))
-		if m.epoch > h.epoch && m.there() {
-			w.add(recordItem(m)) // so that it can ask that process itself
+	if m != nil && (m.epoch > h.epoch || m.epoch == h.epoch && m.incarnation >= h.incarnation && m.state != Alive) {
+		w.add(aboutReceiverItem(m))
+		if m.epoch > h.epoch && m.present() {
+			w.add(recordItem(m)) // so that the sender can ping that process itself
 		}
 	}
-	n.pass(w)
-	n.send(w, to, m != nil && m.there())
-	if h.from == n.self.id || n.self.state == Left {
+	n.appendGossip(w)
+	n.send(w, to, m != nil && m.present())
+	if h.sender == n.self.id || n.self.state == Left {
 		return
 	}
-	if m == nil || h.epoch > m.epoch || h.epoch == m.epoch && h.inc > m.inc && !m.there() || rec != nil && rec.state == Left && m.there() {
+	if m == nil || h.epoch > m.epoch || h.epoch == m.epoch && h.incarnation > m.incarnation && !m.present() || rec != nil && rec.state == Left && m.present() {
 		if rec != nil {
-			n.candidate(rec)
+			n.addCandidate(rec)
 		}
 	}
-	if msg.about != nil {
-		n.told(msg.about)
+	if msg.aboutReceiver != nil {
+		n.refute(msg.aboutReceiver)
 	}
-	n.hints(m, msg)
-	if msg.digest != nil && *msg.digest != n.digest && m != nil && m.there() && m.epoch == h.epoch && n.now >= n.repairAt {
-		n.repairAt = n.now + n.cfg.Period
-		n.sum(m, span{})
+	n.handleRecords(m, msg)
+	if msg.digest != nil && *msg.digest != n.digest && m != nil && m.present() && m.epoch == h.epoch && n.now >= n.nextRepair {
+		n.nextRepair = n.now + n.cfg.Period
+		n.sendDigests(m, span{})
 	}
 }
 
-// acked takes an answer to a ping: the only thing that is believed, and of its sender alone.
-func (n *Node) acked(h head, msg *message) {
-	q, ok := n.pending[h.nonce]
-	if !ok || q.kind != ping || q.to != 0 && q.to != h.from {
+// handleAck processes an ack. It is the only trusted statement, and only about its sender.
+func (n *Node) handleAck(h header, msg *message) {
+	req, ok := n.pending[h.nonce]
+	if !ok || req.kind != kindPing || req.target != 0 && req.target != h.sender {
 		n.stats.Dropped["unasked"]++
 		return
 	}
 	delete(n.pending, h.nonce)
-	rec := msg.own(h)
-	if h.from == n.self.id {
+	rec := msg.senderRecord(h)
+	if h.sender == n.self.id {
 		if h.epoch > n.self.epoch {
-			n.later(h.epoch, 0)
+			n.handleLaterEpoch(h.epoch, 0)
 		}
 		return
 	}
-	n.heard = n.now
-	n.took(n.now - q.sent)
+	n.lastAck = n.now
+	n.updateRTT(n.now - req.sent)
 	if n.isolated {
 		n.isolated = false
-		n.tell(Reconnected, &n.self, 0)
+		n.emit(Reconnected, &n.self, 0)
 	}
-	if q.tells || q.late {
-		n.answered += (1 - n.answered) / healthOf
+	if req.measuresHealth || req.countedLost {
+		n.ackRate += (1 - n.ackRate) / healthWindow
 	}
-	if c := msg.about; c != nil {
-		if c.epoch > n.self.epoch && c.epoch < mostEpoch && n.self.state != Left {
-			n.later(c.epoch, h.from)
+	if c := msg.aboutReceiver; c != nil {
+		if c.epoch > n.self.epoch && c.epoch < maxEpoch && n.self.state != Left {
+			n.handleLaterEpoch(c.epoch, h.sender)
 		} else {
-			n.told(c)
+			n.refute(c)
 		}
 	}
-	m := n.accept(h, rec)
-	if m != nil && m.epoch == h.epoch && m.there() {
-		n.answeredBy(m, q.sent)
+	m := n.applySelfReport(h, rec)
+	if m != nil && m.epoch == h.epoch && m.present() {
+		n.confirmAlive(m, req.sent)
 	}
-	n.hints(m, msg)
-	n.hinted(m, msg)
+	n.handleRecords(m, msg)
+	n.handleHints(m, msg)
 }
 
-// accept takes over what a process has said of itself.
-func (n *Node) accept(h head, rec *member) *member {
-	m, at := n.find(h.from)
+// applySelfReport updates the table with what a process has reported about itself.
+func (n *Node) applySelfReport(h header, rec *member) *member {
+	m, at := n.find(h.sender)
 	if rec != nil || m != nil && m.epoch == h.epoch {
-		n.cands = slices.DeleteFunc(n.cands, func(c candidate) bool { return c.m.id == h.from && c.m.epoch <= h.epoch })
+		n.candidates = slices.DeleteFunc(n.candidates, func(c candidate) bool { return c.member.id == h.sender && c.member.epoch <= h.epoch })
 	}
 	left := rec != nil && rec.state == Left
 	switch {
@@ -275,61 +280,61 @@
 			return nil
 		}
 		m = &member{state: Left}
-		n.adopt(m, rec)
+		n.applyRecord(m, rec)
 		n.table = slices.Insert(n.table, at, m)
 	case h.epoch > m.epoch:
 		if rec == nil {
 			again := *m
-			again.epoch, again.inc = h.epoch, h.inc
-			n.candidate(&again)
+			again.epoch, again.incarnation = h.epoch, h.incarnation
+			n.addCandidate(&again)
 			return nil
 		}
-		n.adopt(m, rec)
-		if w := n.watches[m.id]; w != nil {
-			n.unwatch(w)
+		n.applyRecord(m, rec)
+		if mon := n.monitors[m.id]; mon != nil {
+			n.stopMonitor(mon)
 		}
-		n.ringed = false
+		n.monitorsCurrent = false
 		if left {
-			n.end(m, Left, Departed, 0)
+			n.remove(m, Left, Departed, 0)
 			return m
 		}
 	case h.epoch < m.epoch:
 		return m
 	case left:
-		if m.there() {
-			n.end(m, Left, Departed, 0)
+		if m.present() {
+			n.remove(m, Left, Departed, 0)
 		}
 		return m
-	case h.inc > m.inc:
-		was := m.there()
-		n.set(m, func() {
-			m.inc = h.inc
-			if !was {
+	case h.incarnation > m.incarnation:
+		wasPresent := m.present()
+		n.update(m, func() {
+			m.incarnation = h.incarnation
+			if !wasPresent {
 				m.state = Alive
 			}
 		})
-		n.spread(m.id)
-		if was {
+		n.enqueueGossip(m.id)
+		if wasPresent {
 			return m
 		}
 	default:
 		return m
 	}
-	n.tell(Joined, m, 0)
-	n.spread(m.id)
+	n.emit(Joined, m, 0)
+	n.enqueueGossip(m.id)
 	return m
 }
 
-// adopt makes m what the record of a start says.
-func (n *Node) adopt(m *member, rec *member) {
-	n.set(m, func() {
-		m.id, m.name, m.zone, m.addr, m.epoch, m.inc, m.state = rec.id, rec.name, n.interned(rec.zone), rec.addr, rec.epoch, rec.inc, Alive
+// applyRecord sets m to the record of a new start.
+func (n *Node) applyRecord(m *member, rec *member) {
+	n.update(m, func() {
+		m.id, m.name, m.zone, m.addr, m.epoch, m.incarnation, m.state = rec.id, rec.name, n.internZone(rec.zone), rec.addr, rec.epoch, rec.incarnation, Alive
 	})
 	m.since = n.now
 }
 
-// interned keeps one copy of each zone's name.
-func (n *Node) interned(zone string) string {
+// internZone keeps one copy of each zone name.
+func (n *Node) internZone(zone string) string {
 	if z, ok := n.zones[zone]; ok {
 		return z
 	}
@@ -339,159 +344,162 @@
 	return zone
 }
 
-// candidate remembers to call somebody. Where there is no room it takes the place of another, drawn by chance: so nobody who tells of many
-// keeps those out who are there, as each is called at the next tick.
-func (n *Node) candidate(rec *member) {
+// addCandidate schedules a process for verification. If there is no room, it replaces a random
+// candidate. As candidates are pinged in the next tick, a sender that reports many of them cannot
+// keep out processes that exist.
+func (n *Node) addCandidate(rec *member) {
 	named, victim := 0, -1
-	for i, c := range n.cands {
-		if c.m.id != rec.id {
+	for i, c := range n.candidates {
+		if c.member.id != rec.id {
 			continue
 		}
-		if c.m.epoch == rec.epoch && c.m.inc == rec.inc && c.m.addr == rec.addr {
+		if c.member.epoch == rec.epoch && c.member.incarnation == rec.incarnation && c.member.addr == rec.addr {
 			return
 		}
 		if named++; n.rng.IntN(named) == 0 {
 			victim = i
 		}
 	}
-	switch c := (candidate{m: *rec, next: n.now}); {
-	case named >= mostOfName:
+	switch c := (candidate{member: *rec, next: n.now}); {
+	case named >= maxCandidatesPerName:
 		n.stats.Refused++
-		n.cands[victim] = c
-	case len(n.cands) >= mostCandidates:
+		n.candidates[victim] = c
+	case len(n.candidates) >= maxCandidates:
 		n.stats.Refused++
-		n.cands[n.rng.IntN(len(n.cands))] = c
+		n.candidates[n.rng.IntN(len(n.candidates))] = c
 	default:
-		n.cands = append(n.cands, c)
+		n.candidates = append(n.candidates, c)
 	}
 }
 
-// verify calls those of whom others have told.
-func (n *Node) verify() {
-	n.cands = slices.DeleteFunc(n.cands, func(c candidate) bool { return c.tries >= verifyTries && n.now >= c.next })
+// verifyCandidates pings the candidates that are due.
+func (n *Node) verifyCandidates() {
+	n.candidates = slices.DeleteFunc(n.candidates, func(c candidate) bool { return c.attempts >= maxVerifyAttempts && n.now >= c.next })
 	calls := 0
-	for i := range n.cands {
-		c := &n.cands[i]
+	for i := range n.candidates {
+		c := &n.candidates[i]
 		if n.now < c.next {
 			continue
 		}
-		if calls++; calls > verifyAtOnce {
+		if calls++; calls > maxVerifyPerTick {
 			return
 		}
-		n.call(c.m.id, &c.m)
-		c.next = n.now + n.cfg.Retry<<c.tries
-		c.tries++
+		n.pingUnverified(c.member.id, &c.member)
+		c.next = n.now + n.cfg.Retry<<c.attempts
+		c.attempts++
 	}
 }
 
-// told takes what another is said to hold of this process: that costs an incarnation at most. Word of a later epoch counts in answers only,
-// as anybody can write a ping in another's name.
-func (n *Node) told(c *claim) {
+// refute handles another process's claim about this one, which costs at most one incarnation. A
+// later epoch is accepted only from acks, as anybody can forge a ping in another process's name.
+func (n *Node) refute(c *claim) {
 	switch {
 	case n.self.state == Left:
-	case c.epoch == n.self.epoch && !(&member{state: c.state}).there() && c.inc >= n.self.inc:
-		if c.inc > n.self.inc || n.self.inc >= mostInc {
-			n.restart(n.self.epoch + 1) // nobody can have heard that from here
+	case c.epoch == n.self.epoch && !(&member{state: c.state}).present() && c.incarnation >= n.self.incarnation:
+		if c.incarnation > n.self.incarnation || n.self.incarnation >= maxIncarnation {
+			n.startNewEpoch(n.self.epoch + 1) // this process never sent that incarnation
 			return
 		}
-		n.set(&n.self, func() { n.self.inc++ })
+		n.update(&n.self, func() { n.self.incarnation++ })
 		n.stats.Refutations++
-		n.tell(Refuted, &n.self, 0)
-		n.spread(n.self.id)
+		n.emit(Refuted, &n.self, 0)
+		n.enqueueGossip(n.self.id)
 	}
 }
 
-// restart has this process begin a new epoch.
-func (n *Node) restart(epoch uint64) {
-	n.set(&n.self, func() { n.self.epoch, n.self.inc = min(epoch, mostEpoch-1), 0 })
-	n.spread(n.self.id)
+// startNewEpoch starts a new epoch of this process.
+func (n *Node) startNewEpoch(epoch uint64) {
+	n.update(&n.self, func() { n.self.epoch, n.self.incarnation = min(epoch, maxEpoch-1), 0 })
+	n.enqueueGossip(n.self.id)
 }
 
-// later takes word that a process of this name has a later epoch: from that process itself (teller 0), or from another. Soon after a
-// start that is a former start of this process, whose clock was ahead; else this process gives way, though not on one other's word.
-func (n *Node) later(epoch uint64, teller ID) {
-	if n.now-n.started < youth*n.cfg.Period && teller != 0 {
-		n.restart(epoch + 1)
+// handleLaterEpoch handles a report that a process of this name has a later epoch: from that
+// process itself (reporter 0) or from another member. Shortly after a start the later epoch is
+// taken to be an earlier start of this process, whose clock was ahead. Later this process gives
+// way, but not on the word of a single member.
+func (n *Node) handleLaterEpoch(epoch uint64, reporter ID) {
+	if n.now-n.started < startupPeriods*n.cfg.Period && reporter != 0 {
+		n.startNewEpoch(epoch + 1)
 		return
 	}
-	if teller != 0 {
-		if len(n.tellers) < mostRivals {
-			n.tellers[teller] = true
+	if reporter != 0 {
+		if len(n.laterEpochReporters) < maxConflicts {
+			n.laterEpochReporters[reporter] = true
 		}
-		if len(n.tellers) < leastWitnesses {
+		if len(n.laterEpochReporters) < minWitnesses {
 			return
 		}
 	}
-	n.out = true
-	n.tell(Displaced, &n.self, 0)
+	n.displaced = true
+	n.emit(Displaced, &n.self, 0)
 }
 
-// rivalled calls a process that claims this one's name.
-func (n *Node) rivalled(rec *member) {
+// pingNamesake pings a process that claims this process's name with a later epoch.
+func (n *Node) pingNamesake(rec *member) {
 	if rec.addr != n.self.addr && rec.epoch > n.self.epoch {
-		n.call(n.self.id, rec)
+		n.pingUnverified(n.self.id, rec)
 	}
 }
 
-// hints takes what a member tells of others: as a reason to ask them.
-func (n *Node) hints(teller *member, msg *message) {
+// handleRecords treats the records and statuses of other members as reasons to verify them.
+func (n *Node) handleRecords(sender *member, msg *message) {
 	var stale []*member
 	for i := range msg.records {
 		rec := &msg.records[i]
 		m, _ := n.find(rec.id)
 		switch {
-		case teller != nil && rec.id == teller.id: // its own, taken already
+		case sender != nil && rec.id == sender.id: // already handled as the sender's own record
 		case rec.id == n.self.id:
 			if rec.epoch > n.self.epoch {
-				n.rivalled(rec)
-			} else if rec.epoch == n.self.epoch && rec.inc > n.self.inc {
-				n.restart(n.self.epoch + 1)
+				n.pingNamesake(rec)
+			} else if rec.epoch == n.self.epoch && rec.incarnation > n.self.incarnation {
+				n.startNewEpoch(n.self.epoch + 1)
 			}
-		case !rec.there():
-			n.rumour(claim{id: rec.id, state: rec.state, epoch: rec.epoch, inc: rec.inc})
+		case !rec.present():
+			n.handleStatus(claim{id: rec.id, state: rec.state, epoch: rec.epoch, incarnation: rec.incarnation})
 		case m == nil || rec.epoch > m.epoch:
-			n.candidate(rec)
-		case rec.epoch < m.epoch || rec.inc <= m.inc:
-			if !m.there() {
+			n.addCandidate(rec)
+		case rec.epoch < m.epoch || rec.incarnation <= m.incarnation:
+			if !m.present() {
 				stale = append(stale, m)
 			}
 		default:
-			n.candidate(rec)
+			n.addCandidate(rec)
 		}
 	}
-	for _, c := range msg.rumours {
-		n.rumour(c)
+	for _, c := range msg.statuses {
+		n.handleStatus(c)
 	}
-	if teller != nil && len(stale) > 0 {
-		w := n.begin(records, 0, 0)
+	if sender != nil && len(stale) > 0 {
+		w := n.newDatagram(kindRecords, 0, 0)
 		for _, m := range stale {
-			w.add(rumourItem(m))
+			w.add(statusItem(m))
 		}
-		n.send(w, teller.addr, true)
+		n.send(w, sender.addr, true)
 	}
 }
 
-// rumour takes another's word that a member is gone: as a reason to look.
-func (n *Node) rumour(c claim) {
+// handleStatus treats a report that a member is gone as a reason to check it.
+func (n *Node) handleStatus(c claim) {
 	if c.id == n.self.id {
 		if c.state == Gone {
-			n.told(&c)
+			n.refute(&c)
 		}
 		return
 	}
 	m, _ := n.find(c.id)
-	if m != nil && m.there() && c.epoch == m.epoch && c.inc >= m.inc && (c.state == Gone || c.state == Left) {
-		n.doubt(m, true)
+	if m != nil && m.present() && c.epoch == m.epoch && c.incarnation >= m.incarnation && (c.state == Gone || c.state == Left) {
+		n.investigate(m, true)
 	}
 }
 
-// ask asks a member what it has found out of others.
-func (n *Node) ask(id ID, about []*member) {
+// sendQueries asks an observer for its votes on members.
+func (n *Node) sendQueries(id ID, about []*member) {
 	o, _ := n.find(id)
 	for len(about) > 0 {
-		w := n.begin(ask, 0, n.question(question{to: id, kind: ask}))
+		w := n.newDatagram(kindQuery, 0, n.newRequest(request{target: id, kind: kindQuery}))
 		k := 0
-		for k < len(about) && w.add(voteItem(about[k].id, unsure, about[k].epoch, about[k].inc)) {
+		for k < len(about) && w.add(voteItem(about[k].id, voteUnknown, about[k].epoch, about[k].incarnation)) {
 			k++
 		}
 		about = about[k:]
@@ -499,8 +507,9 @@
 	}
 }
 
-// replied answers one question, by what this process knows itself, and has it look if it does not.
-func (n *Node) replied(w *writer, c claim, h head) {
+// answerQuery adds this process's vote on a member, and starts to check the member if it has no
+// result.
+func (n *Node) answerQuery(w *writer, c claim, h header) {
 	m, _ := n.find(c.id)
 	if c.id == n.self.id {
 		m = &n.self
@@ -508,51 +517,52 @@
 	if m == nil || m.epoch < c.epoch {
 		return
 	}
-	v := n.say(m)
-	if v == unsure && m.there() && n.self.state != Left {
-		n.doubt(m, false)
-		if w := n.watches[m.id]; w != nil && len(w.askers) < mostAskers {
-			w.askers[h.from] = h.nonce
+	own := n.ownVote(m)
+	if own == voteUnknown && m.present() && n.self.state != Left {
+		n.investigate(m, false)
+		if w := n.monitors[m.id]; w != nil && len(w.askers) < maxAskers {
+			w.askers[h.sender] = h.nonce
 		}
 	}
-	w.add(voteItem(m.id, v, m.epoch, m.inc))
+	w.add(voteItem(m.id, own, m.epoch, m.incarnation))
 }
 
-// voted takes an observer's word for what it has found out itself. It counts while there is a trial, of that start and incarnation.
-func (n *Node) voted(from ID, c claim) {
+// recordVote stores an observer's vote. It counts only during an investigation of that epoch and
+// incarnation.
+func (n *Node) recordVote(from ID, c claim) {
 	m, _ := n.find(c.id)
-	if w := n.watches[c.id]; m != nil && w != nil && w.open && c.epoch == m.epoch && c.inc >= m.inc {
-		w.says[from] = said{c.v, n.now}
-		delete(w.unheard, from)
+	if mon := n.monitors[c.id]; m != nil && mon != nil && mon.investigating && c.epoch == m.epoch && c.incarnation >= m.incarnation {
+		mon.votes[from] = receivedVote{c.vote, n.now}
+		delete(mon.unansweredQueries, from)
 	}
 }
 
-// spread makes something news, and has it go out soon.
-func (n *Node) spread(id ID) {
-	if len(n.news) >= mostNews && n.news[id] == nil {
+// enqueueGossip schedules a member's state for gossip and makes pings that carry it due now.
+func (n *Node) enqueueGossip(id ID) {
+	if len(n.gossip) >= maxGossip && n.gossip[id] == nil {
 		n.stats.Refused++
 		return
 	}
-	n.news[id] = &item{left: n.share()}
-	if n.now-n.hurried < n.cfg.Retry {
+	n.gossip[id] = &gossipItem{limit: n.gossipLimit()}
+	if n.now-n.lastExpedite < n.cfg.Retry {
 		return
 	}
-	n.hurried = n.now
-	for _, w := range n.watches {
-		if w.duty && w.first < 0 {
-			w.next = n.now
+	n.lastExpedite = n.now
+	for _, mon := range n.monitors {
+		if mon.assigned && mon.silentSince < 0 {
+			mon.nextPing = n.now
 		}
 	}
 }
 
-// pass adds news to a datagram, what was passed on least first.
-func (n *Node) pass(w *writer) {
-	n.passHints(w)
-	if len(n.news) == 0 {
+// appendGossip adds updates to a datagram, those sent least often first.
+func (n *Node) appendGossip(w *writer) {
+	n.appendHints(w)
+	if len(n.gossip) == 0 {
 		return
 	}
-	keys := slices.SortedFunc(maps.Keys(n.news), func(a, b ID) int {
-		return cmp.Or(cmp.Compare(n.news[a].sent, n.news[b].sent), cmp.Compare(a, b))
+	keys := slices.SortedFunc(maps.Keys(n.gossip), func(a, b ID) int {
+		return cmp.Or(cmp.Compare(n.gossip[a].sent, n.gossip[b].sent), cmp.Compare(a, b))
 	})
 	for _, id := range keys {
 		m, _ := n.find(id)
@@ -560,37 +570,38 @@
 			m = &n.self
 		}
 		if m == nil {
-			delete(n.news, id)
+			delete(n.gossip, id)
 			continue
 		}
-		text := rumourItem(m)
-		if m.there() || m == &n.self {
-			text = recordItem(m)
+		encoded := statusItem(m)
+		if m.present() || m == &n.self {
+			encoded = recordItem(m)
 		}
-		if !w.add(text) {
+		if !w.add(encoded) {
 			return
 		}
-		it := n.news[id]
-		if it.sent++; it.sent >= it.left {
-			delete(n.news, id)
+		entry := n.gossip[id]
+		if entry.sent++; entry.sent >= entry.limit {
+			delete(n.gossip, id)
 		}
 	}
 }
 
-// Leave tells some that this process goes. It answers for Config.Linger more, if it is let.
+// Leave announces to some members that this process leaves. It keeps answering while its host runs
+// it, which should be for Config.Linger.
 func (n *Node) Leave(now time.Duration) {
 	n.advance(now)
-	if n.out || n.self.state == Left {
+	if n.displaced || n.self.state == Left {
 		return
 	}
-	n.set(&n.self, func() { n.self.state = Left })
-	tellTo := n.observers(&n.self)
+	n.update(&n.self, func() { n.self.state = Left })
+	recipients := n.observers(&n.self)
 	for range min(len(n.table), n.cfg.ObserverCount) {
-		tellTo = append(tellTo, n.table[n.rng.IntN(len(n.table))])
+		recipients = append(recipients, n.table[n.rng.IntN(len(n.table))])
 	}
-	for _, m := range tellTo {
-		if m.there() && m != &n.self {
-			w := n.begin(ping, 0, n.question(question{to: m.id, kind: ping}))
+	for _, m := range recipients {
+		if m.present() && m != &n.self {
+			w := n.newDatagram(kindPing, 0, n.newRequest(request{target: m.id, kind: kindPing}))
 			w.add(recordItem(&n.self))
 			n.send(w, m.addr, true)
 		}
--- a/members/swim_test.go
+++ b/members/swim_test.go
@@ -13,20 +13,20 @@
 // first directly and then through three others; who does not answer is suspect, and gone when it does not say otherwise in time. What
 // anybody tells is believed. All processes are known from the start.
 type swim struct {
-	me, n  int
-	rng    *rand.Rand
-	now    time.Duration
-	known  []swimMember
-	order  []int
-	probe  int // who is pinged in this period
-	acked  bool
-	asked  bool
-	period time.Duration // its beginning
-	begun  bool
-	for_   map[[2]int]bool // asker and target of indirect pings under way
-	news   map[int]int     // of whom, how often it is still told
-	sends  []Datagram
-	events []Event
+	self, n      int
+	rng          *rand.Rand
+	now          time.Duration
+	known        []swimMember
+	order        []int
+	target       int // who is pinged in this period
+	acked        bool
+	indirectSent bool
+	periodStart  time.Duration // its beginning
+	started      bool
+	indirect     map[[2]int]bool // asker and target of indirect pings under way
+	gossip       map[int]int     // of whom, how often it is still told
+	sends        []Datagram
+	events       []Event
 }
 
 type swimMember struct {
@@ -42,7 +42,7 @@
 )
 
 func newSWIM(me, n int, seed uint64) *swim {
-	return &swim{me: me, n: n, rng: rand.New(rand.NewPCG(seed, 5)), known: make([]swimMember, n), for_: map[[2]int]bool{}, news: map[int]int{}, probe: -1}
+	return &swim{self: me, n: n, rng: rand.New(rand.NewPCG(seed, 5)), known: make([]swimMember, n), indirect: map[[2]int]bool{}, gossip: map[int]int{}, target: -1}
 }
 
 func (s *swim) Ready() ([]Datagram, []Event) {
@@ -53,11 +53,11 @@
 
 // send sends a message about a target, with news.
 func (s *swim) send(to int, kind byte, target int) {
-	b := []byte{kind, byte(s.me), byte(target), byte(s.known[to].state)}
+	b := []byte{kind, byte(s.self), byte(target), byte(s.known[to].state)}
 	b = binary.BigEndian.AppendUint32(b, s.known[to].inc) // so that one that is held for gone can say otherwise
 	for i := range s.n {
-		if left := s.news[i]; left > 0 && len(b) < 200 {
-			s.news[i]--
+		if left := s.gossip[i]; left > 0 && len(b) < 200 {
+			s.gossip[i]--
 			b = append(b, byte(i), byte(s.known[i].state))
 			b = binary.BigEndian.AppendUint32(b, s.known[i].inc)
 		}
@@ -65,7 +65,7 @@
 	s.sends = append(s.sends, Datagram{To: addrOf(to), Data: b})
 }
 
-func (s *swim) spread(i int) { s.news[i] = 4 * int(1+math.Log2(float64(s.n))) }
+func (s *swim) enqueueGossip(i int) { s.gossip[i] = 4 * int(1+math.Log2(float64(s.n))) }
 
 // suspicion is how long a suspect has to say otherwise, as hashicorp/memberlist has it by default.
 func (s *swim) suspicion() time.Duration {
@@ -74,51 +74,51 @@
 
 func (s *swim) Tick(now time.Duration) {
 	s.now = now
-	if !s.begun {
-		s.begun, s.period = true, now
+	if !s.started {
+		s.started, s.periodStart = true, now
 	}
 	for i := range s.known {
 		if m := &s.known[i]; m.state == Suspect && now-m.since > s.suspicion() {
-			s.learn(i, Gone, m.inc)
+			s.apply(i, Gone, m.inc)
 		}
 	}
-	if s.probe >= 0 && !s.acked && !s.asked && now-s.period > swimTimeout {
-		s.asked = true
+	if s.target >= 0 && !s.acked && !s.indirectSent && now-s.periodStart > swimTimeout {
+		s.indirectSent = true
 		for range 3 {
-			if via := s.rng.IntN(s.n); via != s.me && via != s.probe {
-				s.send(via, swimAsk, s.probe)
+			if via := s.rng.IntN(s.n); via != s.self && via != s.target {
+				s.send(via, swimAsk, s.target)
 			}
 		}
 	}
-	if now-s.period < swimPeriod && s.probe >= 0 {
+	if now-s.periodStart < swimPeriod && s.target >= 0 {
 		return
 	}
-	if s.probe >= 0 && !s.acked && s.known[s.probe].state == Alive {
-		s.learn(s.probe, Suspect, s.known[s.probe].inc)
+	if s.target >= 0 && !s.acked && s.known[s.target].state == Alive {
+		s.apply(s.target, Suspect, s.known[s.target].inc)
 	}
-	s.period, s.acked, s.asked = now, false, false
+	s.periodStart, s.acked, s.indirectSent = now, false, false
 	for tries := 0; ; tries++ {
 		if len(s.order) == 0 {
 			s.order = s.rng.Perm(s.n)
 		}
-		s.probe = s.order[0]
+		s.target = s.order[0]
 		s.order = s.order[1:]
-		if s.probe != s.me && (s.known[s.probe].state != Gone || tries > s.n) {
+		if s.target != s.self && (s.known[s.target].state != Gone || tries > s.n) {
 			break
 		}
 	}
-	s.send(s.probe, swimPing, s.probe)
+	s.send(s.target, swimPing, s.target)
 	if gone := s.rng.IntN(s.n); s.known[gone].state == Gone {
 		s.send(gone, swimPing, gone)
 	}
 }
 
-func (s *swim) learn(i int, state State, inc uint32) {
+func (s *swim) apply(i int, state State, inc uint32) {
 	m := &s.known[i]
-	if i == s.me {
+	if i == s.self {
 		if state != Alive && inc >= m.inc {
 			m.inc = inc + 1
-			s.spread(i)
+			s.enqueueGossip(i)
 		}
 		return
 	}
@@ -129,29 +129,29 @@
 		s.events = append(s.events, Event{Kind: DeclaredGone, Member: Member{Name: fmt.Sprintf("p%d", i)}})
 	}
 	m.state, m.inc, m.since = state, inc, s.now
-	s.spread(i)
+	s.enqueueGossip(i)
 }
 
 func (s *swim) Receive(now time.Duration, b []byte) {
 	s.now = max(s.now, now)
 	kind, from, target := b[0], int(b[1]), int(b[2])
-	s.learn(s.me, State(b[3]), binary.BigEndian.Uint32(b[4:]))
+	s.apply(s.self, State(b[3]), binary.BigEndian.Uint32(b[4:]))
 	for b := b[8:]; len(b) >= 6; b = b[6:] {
-		s.learn(int(b[0]), State(b[1]), binary.BigEndian.Uint32(b[2:]))
+		s.apply(int(b[0]), State(b[1]), binary.BigEndian.Uint32(b[2:]))
 	}
 	switch kind {
 	case swimPing:
-		s.send(from, swimAck, s.me)
+		s.send(from, swimAck, s.self)
 	case swimAsk:
-		s.for_[[2]int{from, target}] = true
+		s.indirect[[2]int{from, target}] = true
 		s.send(target, swimPing, target)
 	case swimAck, swimToldAck:
-		if target == s.probe {
+		if target == s.target {
 			s.acked = true
 		}
 		for asker := range s.n {
-			if kind == swimAck && s.for_[[2]int{asker, from}] {
-				delete(s.for_, [2]int{asker, from})
+			if kind == swimAck && s.indirect[[2]int{asker, from}] {
+				delete(s.indirect, [2]int{asker, from})
 				s.send(asker, swimToldAck, from)
 			}
 		}
@@ -162,8 +162,8 @@
 func TestBesidePlainSWIM(t *testing.T) {
 	t.Parallel()
 	play := func(baseline int, seed uint64) (false_, verdicts int) {
-		w := newWorld(t, seed)
-		w.baseline = baseline
+		w := newSimulation(t, seed)
+		w.swimSize = baseline
 		w.add(20)
 		w.run(20 * sec)
 		rng := rand.New(rand.NewPCG(seed, 11))
@@ -174,18 +174,18 @@
 		}
 		for w.now < 30*time.Minute {
 			who, other := rng.IntN(20), rng.IntN(20)
-			clear(w.fault)
+			clear(w.faulty)
 			switch rng.IntN(6) {
 			case 0:
-				w.link = func(from, to int) link { return link{cut: from == who && to == other, least: ms} }
+				w.link = func(from, to int) link { return link{cut: from == who && to == other, minDelay: ms} }
 			case 1:
-				w.fault[who] = true
-				w.link = func(from, to int) link { return link{cut: to == who, least: ms} }
+				w.faulty[who] = true
+				w.link = func(from, to int) link { return link{cut: to == who, minDelay: ms} }
 			case 2:
-				w.fault[who] = true
-				w.link = func(from, to int) link { return link{cut: from == who, loss: 0.1, least: ms} }
+				w.faulty[who] = true
+				w.link = func(from, to int) link { return link{cut: from == who, loss: 0.1, minDelay: ms} }
 			case 3:
-				w.link = func(int, int) link { return link{loss: 0.3, var_: 500 * ms} }
+				w.link = func(int, int) link { return link{loss: 0.3, jitter: 500 * ms} }
 			case 4:
 				for i := range 20 {
 					if i%3 == who%3 {
@@ -193,14 +193,14 @@
 					}
 				}
 			case 5:
-				w.fault[who] = true
+				w.faulty[who] = true
 				w.freeze(who, 8*sec)
 			}
 			w.run(15 * sec)
 			w.link = lossy(0)
 			w.run(15 * sec)
 		}
-		return w.false_, verdicts
+		return w.falseVerdicts, verdicts
 	}
 	ours, theirs, of := 0, 0, [2]int{}
 	for seed := range uint64(2) {
--- a/members/wire.go
+++ b/members/wire.go
@@ -8,80 +8,84 @@
 	"time"
 )
 
-// A datagram is, in big endian:
+// Layout of a datagram (big endian), with sizes in bytes:
 //
-//	magic 1, version 1, kind 1, flags 1, cluster 4, sender 8, its epoch 6, its incarnation 4, nonce 4,
-//	items, each with its kind first, and a checksum of all before, 4.
+//	magic 1, version 1, kind 1, flags 1, cluster 4, sender 8, epoch 6, incarnation 4, nonce 4,
+//	items, each starting with its kind, and a checksum of all preceding bytes, 4.
 const (
-	magic   = 'q'
-	version = 1
-	headLen = 30
-	sumLen  = 4
+	magic       = 'q'
+	version     = 1
+	headerLen   = 30
+	checksumLen = 4
 )
 
-// The kinds of datagrams.
+// Kinds of datagrams.
 const (
-	ping    = 1 + iota // answered by an ack with the same nonce
-	ack                //
-	ask                // what do you know yourself of these? answered by an answer with the same nonce
-	answer             //
-	sums               // digests of the sixteen parts of a range of the ring
-	want               // the records of a range are asked for
-	records            //
-	kinds
+	kindPing = 1 + iota // answered by kindAck with the same nonce
+	kindAck             // answers kindPing
+	// asks for the receiver's own votes on members; answered by kindVotes with the same nonce
+	kindQuery
+	kindVotes         // answers kindQuery
+	kindDigests       // digests of the sixteen parts of a range of the ring
+	kindRecordRequest // asks for the records of a range
+	kindRecords       // records or statuses of members
+	kindCount
 )
 
-// flagRecord asks for the sender's record in the ack.
+// flagRecord requests the receiver's record in the ack.
 const flagRecord = 1
 
-// The kinds of items.
+// Kinds of items, with their fields and sizes in bytes.
 const (
-	itemRecord = 1 + iota // state 1, epoch 6, incarnation 4, address 4 or 16 with its length before, port 2, name, zone
-	itemRumour            // id 8, state 1, epoch 6, incarnation 4
-	itemAbout             // state 1, epoch 6, incarnation 4: what the sender holds of the receiver
-	itemDigest            // 8: of the sender's view
-	itemVote              // id 8, vote 1, epoch 6, incarnation 4
-	itemRange             // depth 1, prefix 8, sixteen digests of 8
-	itemWant              // depth 1, prefix 8
-	itemHint              // age in tenths of a second 2, id of a server: it drains or is gone
+	// state 1, epoch 6, incarnation 4, address 4 or 16 preceded by its length, port 2, name, zone
+	itemRecord = 1 + iota
+	itemStatus // id 8, state 1, epoch 6, incarnation 4
+	// state 1, epoch 6, incarnation 4: the sender's entry for the receiver
+	itemAboutReceiver
+	itemDigest        // 8: digest of the sender's view
+	itemVote          // id 8, vote 1, epoch 6, incarnation 4
+	itemRangeDigests  // depth 1, prefix 8, sixteen digests of 8
+	itemRecordRequest // depth 1, prefix 8
+	// age 2 in tenths of a second, id of a server that drains or is gone
+	itemServerHint
 )
 
-var errShort = errors.New("truncated")
+var errMalformed = errors.New("truncated")
 
-// head is what each datagram begins with.
-type head struct {
+// header is the fixed part at the start of each datagram.
+type header struct {
 	kind, flags byte
-	from        ID
+	sender      ID
 	epoch       uint64
-	inc         uint32
+	incarnation uint32
 	nonce       uint32
 }
 
-// writer fills a datagram.
+// writer builds a datagram.
 type writer struct {
-	b    []byte
-	most int
+	b     []byte
+	limit int
 }
 
-func (n *Node) begin(kind, flags byte, nonce uint32) *writer {
-	w := &writer{b: make([]byte, 0, n.cfg.DatagramSize), most: n.cfg.DatagramSize - sumLen}
+func (n *Node) newDatagram(kind, flags byte, nonce uint32) *writer {
+	w := &writer{b: make([]byte, 0, n.cfg.DatagramSize), limit: n.cfg.DatagramSize - checksumLen}
 	w.b = append(w.b, magic, version, kind, flags)
 	w.b = binary.BigEndian.AppendUint32(w.b, n.cluster)
 	w.b = binary.BigEndian.AppendUint64(w.b, uint64(n.self.id))
-	w.b = stamped(w.b, n.self.epoch, n.self.inc)
+	w.b = appendEpoch(w.b, n.self.epoch, n.self.incarnation)
 	w.b = binary.BigEndian.AppendUint32(w.b, nonce)
 	return w
 }
 
-func stamped(b []byte, epoch uint64, inc uint32) []byte {
+func appendEpoch(b []byte, epoch uint64, inc uint32) []byte {
 	b = append(b, byte(epoch>>40), byte(epoch>>32))
 	b = binary.BigEndian.AppendUint32(b, uint32(epoch))
 	return binary.BigEndian.AppendUint32(b, inc)
 }
 
-// add adds an item if there is room for it.
+// add appends an item if there is room for it, and reports whether there was.
 func (w *writer) add(item []byte) bool {
-	if len(w.b)+len(item) > w.most {
+	if len(w.b)+len(item) > w.limit {
 		return false
 	}
 	w.b = append(w.b, item...)
@@ -97,7 +101,7 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 func recordItem(m *member) []byte {
-	b := stamped([]byte{itemRecord, byte(m.state)}, m.epoch, m.inc)
+	b := appendEpoch([]byte{itemRecord, byte(m.state)}, m.epoch, m.incarnation)
 	a := m.addr.Addr().Unmap()
 	b = append(append(b, byte(a.BitLen()/8)), a.AsSlice()...)
 	b = binary.BigEndian.AppendUint16(b, m.addr.Port())
@@ -105,40 +109,40 @@
 	return append(append(b, byte(len(m.zone))), m.zone...)
 }
 
-func rumourItem(m *member) []byte {
-	b := binary.BigEndian.AppendUint64([]byte{itemRumour}, uint64(m.id))
-	return stamped(append(b, byte(m.state)), m.epoch, m.inc)
+func statusItem(m *member) []byte {
+	b := binary.BigEndian.AppendUint64([]byte{itemStatus}, uint64(m.id))
+	return appendEpoch(append(b, byte(m.state)), m.epoch, m.incarnation)
 }
 
-func aboutItem(m *member) []byte {
-	return stamped([]byte{itemAbout, byte(m.state)}, m.epoch, m.inc)
+func aboutReceiverItem(m *member) []byte {
+	return appendEpoch([]byte{itemAboutReceiver, byte(m.state)}, m.epoch, m.incarnation)
 }
 
 func digestItem(d uint64) []byte { return binary.BigEndian.AppendUint64([]byte{itemDigest}, d) }
 
 func voteItem(id ID, v vote, epoch uint64, inc uint32) []byte {
 	b := binary.BigEndian.AppendUint64([]byte{itemVote}, uint64(id))
-	return stamped(append(b, byte(v)), epoch, inc)
+	return appendEpoch(append(b, byte(v)), epoch, inc)
 }
 
-func hintItem(server string, age time.Duration) []byte {
-	b := binary.BigEndian.AppendUint16([]byte{itemHint}, uint16(age/(100*time.Millisecond)))
+func serverHintItem(server string, age time.Duration) []byte {
+	b := binary.BigEndian.AppendUint16([]byte{itemServerHint}, uint16(age/(100*time.Millisecond)))
 	return append(append(b, byte(len(server))), server...)
 }
 
-func wantItem(r span) []byte {
-	return binary.BigEndian.AppendUint64([]byte{itemWant, r.depth}, uint64(r.prefix))
+func recordRequestItem(r span) []byte {
+	return binary.BigEndian.AppendUint64([]byte{itemRecordRequest, r.depth}, uint64(r.prefix))
 }
 
-func rangeItem(r span, parts [16]uint64) []byte {
-	b := binary.BigEndian.AppendUint64([]byte{itemRange, r.depth}, uint64(r.prefix))
+func rangeDigestsItem(r span, parts [16]uint64) []byte {
+	b := binary.BigEndian.AppendUint64([]byte{itemRangeDigests, r.depth}, uint64(r.prefix))
 	for _, p := range parts {
 		b = binary.BigEndian.AppendUint64(b, p)
 	}
 	return b
 }
 
-// reader takes a datagram apart. After an error all that it returns is zero.
+// reader decodes a datagram. After an error all further values are zero.
 type reader struct {
 	b   []byte
 	err error
@@ -146,7 +150,7 @@
 
 func (r *reader) take(n int) []byte {
 	if r.err != nil || len(r.b) < n {
-		r.err, r.b = errShort, nil
+		r.err, r.b = errMalformed, nil
 		return make([]byte, n)
 	}
 	b := r.b[:n]
@@ -157,7 +161,7 @@
 func (r *reader) byte() byte  { return r.take(1)[0] }
 func (r *reader) u64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
 
-func (r *reader) stamp() (epoch uint64, inc uint32) {
+func (r *reader) epoch() (epoch uint64, inc uint32) {
 	b := r.take(6)
 	epoch = uint64(b[0])<<40 | uint64(b[1])<<32 | uint64(binary.BigEndian.Uint32(b[2:]))
 	return epoch, binary.BigEndian.Uint32(r.take(4))
@@ -183,7 +187,7 @@
 
 func (r *reader) record() (m member) {
 	m.state = r.state()
-	m.epoch, m.inc = r.stamp()
+	m.epoch, m.incarnation = r.epoch()
 	n := int(r.byte())
 	if n != 4 && n != 16 {
 		r.err = errors.New("no address")
@@ -199,9 +203,10 @@
 	return m
 }
 
-// open checks a datagram and returns its head and the rest. why is empty, or names why it is not for this node.
-func (n *Node) open(b []byte) (h head, r reader, why string) {
-	if len(b) < headLen+sumLen || len(b) > MaxDatagramSize {
+// parseHeader validates a datagram and returns its header and a reader of its items. A non-empty
+// reason states why the datagram is dropped.
+func (n *Node) parseHeader(b []byte) (h header, r reader, reason string) {
+	if len(b) < headerLen+checksumLen || len(b) > MaxDatagramSize {
 		return h, r, "length"
 	}
 	switch {
@@ -210,22 +215,22 @@
 	case b[1] != version:
 		return h, r, "version"
 	}
-	body := b[:len(b)-sumLen]
+	body := b[:len(b)-checksumLen]
 	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(b[len(body):]) {
 		return h, r, "checksum"
 	}
 	r.b = body[2:]
 	h.kind, h.flags = r.byte(), r.byte()
 	cluster := binary.BigEndian.Uint32(r.take(4))
-	h.from = ID(r.u64())
-	h.epoch, h.inc = r.stamp()
+	h.sender = ID(r.u64())
+	h.epoch, h.incarnation = r.epoch()
 	h.nonce = binary.BigEndian.Uint32(r.take(4))
 	switch {
 	case cluster != n.cluster:
 		return h, r, "cluster"
-	case h.kind == 0 || h.kind >= kinds:
+	case h.kind == 0 || h.kind >= kindCount:
 		return h, r, "kind"
-	case h.epoch == 0 || h.epoch >= mostEpoch || h.inc > mostInc:
+	case h.epoch == 0 || h.epoch >= maxEpoch || h.incarnation > maxIncarnation:
 		return h, r, "limits"
 	}
 	return h, r, ""
