--- a/balancer.go
+++ b/balancer.go
@@ -82,9 +82,9 @@
 func (e *FailedError) Timeout() bool { return e.Last == outcomes[policy.Timeout] }
 
 var outcomes = map[policy.Status]string{
-	policy.OK: "served", policy.AppError: "answered with an error", policy.Full: "turned away", policy.Timeout: "timed out",
+	policy.OK: "served", policy.AppError: "answered with an error", policy.Overloaded: "turned away", policy.Timeout: "timed out",
 	policy.ConnectFailed: "could not connect", policy.Reset: "was reset or answered with nonsense",
-	policy.Canceled: "was called off", policy.Moot: "was never sent", policy.Rejected: "was rejected as unusable",
+	policy.Canceled: "was called off", policy.NotSent: "was never sent", policy.Rejected: "was rejected as unusable",
 }
 
 // RequestError tells that a request cannot be served as it is: nothing was sent. Asking again will not help.
@@ -170,12 +170,12 @@
 		module = m
 	}
 	b := &Balancer{
-		sockets: sockets.New(p.limits.Connections + sockets.Spare),
+		sockets: sockets.New(p.limits.Connections + sockets.Reserved),
 		room:    semaphore.NewWeighted(p.limits.BodyBytes), places: semaphore.NewWeighted(int64(p.limits.Requests)),
 		log: o.log,
 	}
 	b.transport = upstream.New(p.settings, b.sockets, o.log)
-	b.sockets.OnShortage(b.transport.MakeRoom, nil)
+	b.sockets.OnShortage(b.transport.EvictIdle, nil)
 	var transport engine.Transport = b.transport
 	var book orders.Book
 	var retention func(string) time.Duration
@@ -188,7 +188,7 @@
 		transport = orders.Transport(transport)
 	}
 	engineOptions := engine.Options{
-		Config: p.settings.Config, Module: module, Transport: transport, Source: p.source, Known: p.known, Log: o.log,
+		Config: p.settings.Config, Module: module, Transport: transport, Source: p.source, CachedList: p.known, Log: o.log,
 	}
 	if err := o.watchSites(&engineOptions); err != nil {
 		b.transport.Close()
@@ -202,7 +202,7 @@
 		b.desk = orders.New(orders.Options{Engine: b.engine, Book: book, Codec: httpmsg.Codec{}, Retention: retention, Log: o.log})
 	}
 	if p.move {
-		b.engine.Move(p.source)
+		b.engine.SetSource(p.source)
 	}
 	return b, nil
 }
--- a/config.go
+++ b/config.go
@@ -205,10 +205,10 @@
 	}
 	p := policy.Config{
 		Ordinal: c.Instance, GroupSize: cmp.Or(c.Instances, 1), Zone: c.Zone,
-		MayProbe: c.Reports != Never, MayCancel: !c.NoCancel, MayDuplicate: !c.NoSecondCopies, HintsRetry: true,
+		MayProbe: c.Reports != Never, MayCancel: !c.NoCancel, MayDuplicate: !c.NoSecondCopies, ClientsHonorRetryAfter: true,
 		MaxAttempts: limits.Attempts, MaxRetryAfter: limits.RetryAfter, DialTimeout: limits.DialTimeout,
-		ConnIdle: limits.IdleTimeout, Tick: tick, InlineReports: c.Reports == InAnswer, AskEvery: askEvery,
-		ColdFrom: cmp.Or(c.Cold.From, 0.3), Ramp: cmp.Or(c.Cold.Ramp, 9*time.Second), ProbeTariff: probeTariff,
+		ConnIdleTimeout: limits.IdleTimeout, Tick: tick, InlineReports: c.Reports == InAnswer, RefreshInterval: askEvery,
+		ColdCapacity: cmp.Or(c.Cold.From, 0.3), Ramp: cmp.Or(c.Cold.Ramp, 9*time.Second), ProbeTariff: probeTariff,
 	}
 	p.Ramp = max(p.Ramp, 0)
 	switch {
@@ -254,7 +254,7 @@
 		return plan{}, err
 	}
 	return plan{
-		settings: settings.Settings{Config: p, Fields: fields}, limits: limits, source: source, known: known, move: true,
+		settings: settings.Settings{Config: p, LoadFields: fields}, limits: limits, source: source, known: known, move: true,
 	}, nil
 }
 
@@ -271,7 +271,7 @@
 		}
 	}
 	p.limits, err = Limits{
-		Attempts: min(c.Settings.Config.MaxAttempts, mostAttempts), Connections: c.Sockets - sockets.Spare,
+		Attempts: min(c.Settings.Config.MaxAttempts, mostAttempts), Connections: c.Sockets - sockets.Reserved,
 		BodyBytes: int64(c.MemoryMB) << 20 / 8,
 	}.withDefaults()
 	return p, err
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -154,7 +154,7 @@
 			e := next(t, "event", events)
 			got := e.Request
 			got.ID, got.Expires = 0, 0
-			tt.want.Wait = tt.left
+			tt.want.ClientTimeout = tt.left
 			if !reflect.DeepEqual(got, tt.want) {
 				t.Errorf("event %+v, want %+v", got, tt.want)
 			}
@@ -417,7 +417,7 @@
 				t.Errorf("answer %d, Retry-After %q; want %d, %q", resp.StatusCode, resp.Header.Get("Retry-After"), tt.want, tt.retry)
 			}
 			eventually(t, "nothing is left of it", func() bool {
-				return w.engine.Snapshot().Held == 0
+				return w.engine.Snapshot().Retained == 0
 			})
 		})
 	}
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -68,13 +68,13 @@
 
 // Reconfigure makes s what holds for all that begins from now on.
 func (t *Transport) Reconfigure(s settings.Settings) {
-	t.load.Store(&loadForm{s.Fields, s.Config.InlineReports})
+	t.load.Store(&loadForm{s.LoadFields, s.Config.InlineReports})
 	t.pool.dialTimeout.Store(int64(s.Config.DialTimeout))
-	t.pool.idleFor.Store(int64(float64(s.Config.ConnIdle) * idleShare))
+	t.pool.idleFor.Store(int64(float64(s.Config.ConnIdleTimeout) * idleShare))
 }
 
-// HoldHeads has heads of answers of up to n bytes read, from the next connection on.
-func (t *Transport) HoldHeads(n int) { t.pool.buffer = n }
+// SetMaxHeaderBytes has heads of answers of up to n bytes read, from the next connection on.
+func (t *Transport) SetMaxHeaderBytes(n int) { t.pool.buffer = n }
 
 // Close closes the idle connections, and keeps none from now on. Attempts that are out go on to their ends.
 func (t *Transport) Close() {
@@ -83,17 +83,17 @@
 	t.pool.close()
 }
 
-// MakeRoom closes one idle connection, and reports whether there was one.
-func (t *Transport) MakeRoom() bool { return t.pool.closeIdle(0, 1) > 0 }
+// EvictIdle closes one idle connection, and reports whether there was one.
+func (t *Transport) EvictIdle() bool { return t.pool.closeIdle(0, 1) > 0 }
 
 // Dials returns how many connects have been begun.
 func (t *Transport) Dials() int64 { return t.pool.dials.Load() }
 
 // Stats counts a transport's idle connections.
 type Stats struct {
-	Idle  int // in all
-	Stale int // of them, those on which the server has closed or said something unasked
-	Rests int // of them, those that carry no request yet: see settleTime
+	Idle     int // in all
+	Stale    int // of them, those on which the server has closed or said something unasked
+	Settling int // of them, those that carry no request yet: see settleTime
 }
 
 // Stats returns the present counts.
@@ -109,7 +109,7 @@
 				s.Stale++
 			}
 			if c.since.After(settled) {
-				s.Rests++
+				s.Settling++
 			}
 		}
 	}
@@ -120,7 +120,7 @@
 func (t *Transport) HangUp(to engine.Endpoint) { t.pool.hangUp(to) }
 
 // Do is a method of engine.Transport. What an attempt's end proves follows the protocol's table of outcomes.
-func (t *Transport) Do(a *engine.Attempt, to engine.Endpoint) engine.Ending {
+func (t *Transport) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	c := t.pool.reuse(to, a.Deadline)
 	if c == nil {
 		var err error
@@ -130,7 +130,7 @@
 	}
 	if !a.Sending(c.hangUp) {
 		t.pool.keep(c) // nothing was written to it
-		return engine.Ending{Status: policy.Canceled}
+		return engine.AttemptResult{Status: policy.Canceled}
 	}
 	m, _ := a.Payload().(*httpmsg.Message)
 	if m != nil && m.Terms != nil {
@@ -144,7 +144,7 @@
 		c.Close()
 		return t.broken(a, err)
 	}
-	end := engine.Ending{Status: policy.OK}
+	end := engine.AttemptResult{Status: policy.OK}
 	var answer *httpmsg.Answer
 	if code == http.StatusOK {
 		answer = &httpmsg.Answer{}
@@ -158,7 +158,7 @@
 			end.Load = t.report(to, string(f.Value), load.fields)
 		case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 			f.Is("X-Not-Processed") && string(f.Value) == "1":
-			end.Status = policy.Full
+			end.Status = policy.Overloaded
 		}
 		if answer != nil && !c.head.Hop(f) {
 			if answer.Lines == nil {
@@ -192,13 +192,13 @@
 		answer.Body = body
 		end.Reply = answer
 	}
-	end.Spent = spent(a)
+	end.PayloadConsumed = spent(a)
 	return end
 }
 
 // passOn hands a long answer on as it comes, and waits for its end. end is the ending if it comes whole; last reports then whether the
 // connection can carry no further exchange.
-func (t *Transport) passOn(a *engine.Attempt, c *conn, answer *httpmsg.Answer, end engine.Ending, last func() bool) engine.Ending {
+func (t *Transport) passOn(a *engine.Attempt, c *conn, answer *httpmsg.Answer, end engine.AttemptResult, last func() bool) engine.AttemptResult {
 	rest := &long{c: c, done: make(chan struct{}), settle: func(err error) {
 		if a.OnCancel(nil) && err == io.EOF && !last() {
 			t.pool.keep(c)
@@ -214,9 +214,9 @@
 		c.hangUp()
 		rest.end(net.ErrClosed, func(error) {})
 	}
-	if !a.OnCancel(hangUp) || !a.Begin(answer) {
+	if !a.OnCancel(hangUp) || !a.BeginReply(answer) {
 		c.Close()
-		return engine.Ending{Status: policy.Canceled}
+		return engine.AttemptResult{Status: policy.Canceled}
 	}
 	<-rest.done
 	if rest.err == io.EOF || rest.err == nil { // closed by whoever read it, which says nothing of the upstream
@@ -238,27 +238,27 @@
 	if !a.OnCancel(cancel) {
 		return nil, context.Canceled
 	}
-	a.At(engine.StageDescriptor)
-	return t.pool.dial(ctx, to, a.Deadline, func() { a.At(engine.StageConnect) })
+	a.SetStage(engine.StageDescriptor)
+	return t.pool.dial(ctx, to, a.Deadline, func() { a.SetStage(engine.StageConnect) })
 }
 
 // broken is the ending of an attempt that got no whole answer.
-func (t *Transport) broken(a *engine.Attempt, err error) engine.Ending {
+func (t *Transport) broken(a *engine.Attempt, err error) engine.AttemptResult {
 	status := policy.Reset
 	var notWritten errNotWritten
 	var source errSource
 	switch {
 	case a.Canceled():
 		status = policy.Canceled
-	case errors.Is(err, sockets.ErrNone) || errors.As(err, &source): // nothing was wrong with the upstream
-		status = policy.Moot
+	case errors.Is(err, sockets.ErrNoDescriptor) || errors.As(err, &source): // nothing was wrong with the upstream
+		status = policy.NotSent
 	case errors.As(err, &notWritten): // whatever ended it, the upstream never had the whole
 		status = policy.ConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(a.Deadline): // else the answer has stalled
 		status = policy.Timeout
 	}
-	t.log.Debug("attempt", "request", a.Name(), "upstream", a.Server, "status", status, "err", err)
-	return engine.Ending{Status: status, Spent: spent(a)}
+	t.log.Debug("attempt", "request", a.ExternalID(), "upstream", a.Server, "status", status, "err", err)
+	return engine.AttemptResult{Status: status, PayloadConsumed: spent(a)}
 }
 
 // Probe is a method of engine.Transport. It takes up to 400 ms.
@@ -268,8 +268,8 @@
 	if c == nil {
 		var err error
 		c, err = t.pool.dial(ctx, to, until, func() {})
-		if errors.Is(err, sockets.ErrNone) {
-			return policy.Moot, nil
+		if errors.Is(err, sockets.ErrNoDescriptor) {
+			return policy.NotSent, nil
 		}
 		if err != nil {
 			return policy.ConnectFailed, nil
@@ -306,7 +306,7 @@
 	case http.StatusOK:
 		return policy.OK, t.report(to, string(body), t.load.Load().fields)
 	case http.StatusServiceUnavailable:
-		return policy.Full, nil
+		return policy.Overloaded, nil
 	}
 	return policy.AppError, nil
 }
@@ -327,7 +327,7 @@
 	if format, rest, ok := strings.Cut(text, " "); ok && !strings.ContainsAny(format, "=,") {
 		text = rest
 	}
-	load, found := settings.NoLoad(), false
+	load, found := settings.EmptyLoad(), false
 	var fault error
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(part, "=")
@@ -341,7 +341,7 @@
 			}
 			continue
 		}
-		settings.Set(&load, name, v)
+		settings.SetLoadField(&load, name, v)
 		found = true
 	}
 	if !found {
