--- a/internal/peering/peering.go
+++ b/internal/peering/peering.go
@@ -29,7 +29,7 @@
 	// addresses tracked.
 	maxPerSource, maxSources = 400, 4096
 	receiveBuffer            = 512 << 10
-	// while another process of this sidecar still holds the address
+	// between attempts to bind while another process of this sidecar still holds the address
 	rebindInterval = 200 * time.Millisecond
 )
 
--- a/members/antientropy.go
+++ b/members/antientropy.go
@@ -23,6 +23,7 @@
 	return s
 }
 
+// mask returns the bits of the prefix.
 func (s span) mask() ID {
 	if s.depth == 0 {
 		return 0
@@ -30,16 +31,17 @@
 	return math.MaxUint64 << (64 - 4*s.depth)
 }
 
-func (s span) part(i int) span {
+// child returns the i-th of the sixteen parts of s.
+func (s span) child(i int) span {
 	return span{s.depth + 1, s.prefix | ID(i)<<(60-4*s.depth)}
 }
 
 // membersIn returns the live members in a range, including this process.
 func (n *Node) membersIn(s span) (all []*member) {
-	_, at := n.find(s.prefix)
-	for ; at < len(n.table) && n.table[at].id&s.mask() == s.prefix; at++ {
-		if n.table[at].present() {
-			all = append(all, n.table[at])
+	_, i := n.find(s.prefix)
+	for ; i < len(n.table) && n.table[i].id&s.mask() == s.prefix; i++ {
+		if n.table[i].present() {
+			all = append(all, n.table[i])
 		}
 	}
 	if n.self.id&s.mask() == s.prefix && n.self.present() {
@@ -71,16 +73,16 @@
 		if ours[i] == theirs[i] {
 			continue
 		}
-		part := s.part(i)
-		local := n.membersIn(part)
-		if len(local) > maxUnsolicitedRecords && part.depth < maxDepth && theirs[i] != 0 {
-			n.sendDigests(m, part)
+		child := s.child(i)
+		local := n.membersIn(child)
+		if len(local) > maxUnsolicitedRecords && child.depth < maxDepth && theirs[i] != 0 {
+			n.sendDigests(m, child)
 			continue
 		}
 		n.sendRecords(m, local)
 		if theirs[i] != 0 {
 			w := n.newDatagram(kindRecordRequest, 0, 0)
-			w.add(recordRequestItem(part))
+			w.add(recordRequestItem(child))
 			n.send(w, m.addr, true)
 		}
 	}
@@ -97,14 +99,14 @@
 }
 
 // sendRecords sends records in as many datagrams as are needed.
-func (n *Node) sendRecords(m *member, all []*member) {
-	for len(all) > 0 {
+func (n *Node) sendRecords(m *member, members []*member) {
+	for len(members) > 0 {
 		w := n.newDatagram(kindRecords, 0, 0)
-		k := 0
-		for k < len(all) && w.add(recordItem(all[k])) {
-			k++
+		count := 0
+		for count < len(members) && w.add(recordItem(members[count])) {
+			count++
 		}
-		all = all[k:]
+		members = members[count:]
 		n.send(w, m.addr, true)
 	}
 }
--- a/members/detect.go
+++ b/members/detect.go
@@ -67,7 +67,7 @@
 	lastAck     time.Duration
 	started     time.Duration
 
-	investigating      bool // an investigation is open
+	investigating      bool
 	investigatingSince time.Duration
 	nextQuery          time.Duration
 	queryInterval      time.Duration
@@ -82,6 +82,7 @@
 	quorum            int
 }
 
+// receivedVote is an observer's vote and the time it arrived.
 type receivedVote struct {
 	vote vote
 	at   time.Duration
@@ -115,7 +116,7 @@
 			n.decide(mon)
 		}
 	}
-	if alone := n.liveCount > 0 && n.lastAck > 0 && now-n.lastAck > 2*n.cfg.Silence; alone && !n.isolated {
+	if silentFleet := n.liveCount > 0 && n.lastAck > 0 && now-n.lastAck > 2*n.cfg.Silence; silentFleet && !n.isolated {
 		n.isolated, n.seedInterval = true, n.cfg.Period/2
 		n.emit(Isolated, &n.self, 0)
 	}
@@ -512,10 +513,10 @@
 // that they need not query again at the right moment.
 func (n *Node) answerAskers(mon *monitor) {
 	for _, id := range slices.Sorted(maps.Keys(mon.askers)) {
-		if o, _ := n.find(id); o != nil && o.present() {
-			d := n.newDatagram(kindVotes, 0, mon.askers[id])
-			d.add(voteItem(mon.member.id, n.ownVote(mon.member), mon.member.epoch, mon.member.incarnation))
-			n.send(d, o.addr, true)
+		if asker, _ := n.find(id); asker != nil && asker.present() {
+			w := n.newDatagram(kindVotes, 0, mon.askers[id])
+			w.add(voteItem(mon.member.id, n.ownVote(mon.member), mon.member.epoch, mon.member.incarnation))
+			n.send(w, asker.addr, true)
 		}
 	}
 	clear(mon.askers)
--- a/members/group.go
+++ b/members/group.go
@@ -22,22 +22,22 @@
 }
 
 // Update returns the estimate for the current number of live processes. Times must not decrease.
-func (s *GroupEstimator) Update(now time.Duration, living int) int {
-	if s.value == 0 {
-		s.value, s.updatedAt = float64(s.Configured), now
+func (e *GroupEstimator) Update(now time.Duration, live int) int {
+	if e.value == 0 {
+		e.value, e.updatedAt = float64(e.Configured), now
 	}
-	decayed := s.value * math.Exp2(-float64(max(now-s.updatedAt, 0))/float64(s.HalfLife))
-	s.updatedAt = now
-	minimum := math.Ceil(float64(s.Configured) / max(s.MaxShareFactor, 1))
-	s.value = max(decayed, float64(living), minimum, 1)
-	return int(math.Ceil(s.value - 1e-9))
+	decayed := e.value * math.Exp2(-float64(max(now-e.updatedAt, 0))/float64(e.HalfLife))
+	e.updatedAt = now
+	minimum := math.Ceil(float64(e.Configured) / max(e.MaxShareFactor, 1))
+	e.value = max(decayed, float64(live), minimum, 1)
+	return int(math.Ceil(e.value - 1e-9))
 }
 
 // ScaleOrdinal maps a process's ordinal in a configured group to a group of now processes. The
 // results need not be unique: they only spread the processes.
-func ScaleOrdinal(ordinal, group, now int) int {
-	if now >= group {
+func ScaleOrdinal(ordinal, group, size int) int {
+	if size >= group {
 		return ordinal
 	}
-	return ordinal * now / max(group, 1)
+	return ordinal * size / max(group, 1)
 }
--- a/members/group_test.go
+++ b/members/group_test.go
@@ -11,20 +11,20 @@
 // more than MaxShareFactor times its share, growth counts at once, and a decrease counts slowly.
 func TestGroupEstimator(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := GroupEstimator{Configured: rapid.IntRange(1, 500).Draw(t, "group"), MaxShareFactor: rapid.Float64Range(1, 8).Draw(t, "bolder"), HalfLife: time.Minute}
-		now, last := time.Duration(0), s.Configured
+		estimator := GroupEstimator{Configured: rapid.IntRange(1, 500).Draw(t, "group"), MaxShareFactor: rapid.Float64Range(1, 8).Draw(t, "bolder"), HalfLife: time.Minute}
+		now, last := time.Duration(0), estimator.Configured
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			d := time.Duration(rapid.Int64Range(0, int64(10*time.Minute)).Draw(t, "d"))
 			now += d
-			living := rapid.IntRange(1, 1000).Draw(t, "living")
-			estimate := s.Update(now, living)
-			if estimate < living || float64(s.Configured)/float64(estimate) > s.MaxShareFactor+1e-9 {
-				t.Fatalf("estimate %d for %d live processes, %d configured", estimate, living, s.Configured)
+			live := rapid.IntRange(1, 1000).Draw(t, "living")
+			estimate := estimator.Update(now, live)
+			if estimate < live || float64(estimator.Configured)/float64(estimate) > estimator.MaxShareFactor+1e-9 {
+				t.Fatalf("estimate %d for %d live processes, %d configured", estimate, live, estimator.Configured)
 			}
 			if d < time.Minute && 2*estimate < last-1 {
 				t.Fatalf("estimate fell from %d to %d in %v", last, estimate, d)
 			}
-			if n := ScaleOrdinal(s.Configured-1, s.Configured, estimate); n < 0 || n >= estimate && n >= s.Configured {
+			if n := ScaleOrdinal(estimator.Configured-1, estimator.Configured, estimate); n < 0 || n >= estimate && n >= estimator.Configured {
 				t.Fatalf("ordinal %d of %d", n, estimate)
 			}
 			last = estimate
--- a/members/hint.go
+++ b/members/hint.go
@@ -15,6 +15,7 @@
 	age    time.Duration
 }
 
+// hint is a hint that this node gossips.
 type hint struct {
 	created   time.Duration
 	remaining int
--- a/members/members.go
+++ b/members/members.go
@@ -117,16 +117,16 @@
 
 // WithDefaults returns c with defaults for its zero values, and an error if it is invalid.
 func (c Config) WithDefaults() (Config, error) {
-	fill := func(d *time.Duration, value time.Duration) {
+	setDefault := func(d *time.Duration, value time.Duration) {
 		if *d == 0 {
 			*d = value
 		}
 	}
-	fill(&c.Period, 800*time.Millisecond)
-	fill(&c.Retry, 200*time.Millisecond)
-	fill(&c.Silence, 2*time.Second)
-	fill(&c.Linger, time.Second)
-	fill(&c.Forget, 10*time.Minute)
+	setDefault(&c.Period, 800*time.Millisecond)
+	setDefault(&c.Retry, 200*time.Millisecond)
+	setDefault(&c.Silence, 2*time.Second)
+	setDefault(&c.Linger, time.Second)
+	setDefault(&c.Forget, 10*time.Minute)
 	if c.ObserverCount == 0 {
 		c.ObserverCount = 8
 	}
--- a/members/protocol.go
+++ b/members/protocol.go
@@ -266,7 +266,7 @@
 
 // applySelfReport updates the table with what a process has reported about itself.
 func (n *Node) applySelfReport(h header, rec *member) *member {
-	m, at := n.find(h.sender)
+	m, index := n.find(h.sender)
 	if rec != nil || m != nil && m.epoch == h.epoch {
 		n.candidates = slices.DeleteFunc(n.candidates, func(c candidate) bool { return c.member.id == h.sender && c.member.epoch <= h.epoch })
 	}
@@ -282,12 +282,12 @@
 		}
 		m = &member{state: Left}
 		n.applyRecord(m, rec)
-		n.table = slices.Insert(n.table, at, m)
+		n.table = slices.Insert(n.table, index, m)
 	case h.epoch > m.epoch:
 		if rec == nil {
-			again := *m
-			again.epoch, again.incarnation = h.epoch, h.incarnation
-			n.addCandidate(&again)
+			unverified := *m
+			unverified.epoch, unverified.incarnation = h.epoch, h.incarnation
+			n.addCandidate(&unverified)
 			return nil
 		}
 		n.applyRecord(m, rec)
@@ -349,7 +349,7 @@
 // candidate. As candidates are pinged in the next tick, a sender that reports many of them cannot
 // keep out processes that exist.
 func (n *Node) addCandidate(rec *member) {
-	named, victim := 0, -1
+	sameName, victim := 0, -1
 	for i, c := range n.candidates {
 		if c.member.id != rec.id {
 			continue
@@ -357,12 +357,12 @@
 		if c.member.epoch == rec.epoch && c.member.incarnation == rec.incarnation && c.member.addr == rec.addr {
 			return
 		}
-		if named++; n.rng.IntN(named) == 0 {
+		if sameName++; n.rng.IntN(sameName) == 0 {
 			victim = i
 		}
 	}
 	switch c := (candidate{member: *rec, next: n.now}); {
-	case named >= maxCandidatesPerName:
+	case sameName >= maxCandidatesPerName:
 		n.stats.Refused++
 		n.candidates[victim] = c
 	case len(n.candidates) >= maxCandidates:
@@ -376,13 +376,13 @@
 // verifyCandidates pings the candidates that are due.
 func (n *Node) verifyCandidates() {
 	n.candidates = slices.DeleteFunc(n.candidates, func(c candidate) bool { return c.attempts >= maxVerifyAttempts && n.now >= c.next })
-	calls := 0
+	pinged := 0
 	for i := range n.candidates {
 		c := &n.candidates[i]
 		if n.now < c.next {
 			continue
 		}
-		if calls++; calls > maxVerifyPerTick {
+		if pinged++; pinged > maxVerifyPerTick {
 			return
 		}
 		n.pingUnverified(c.member.id, &c.member)
@@ -495,16 +495,16 @@
 }
 
 // sendQueries asks an observer for its votes on members.
-func (n *Node) sendQueries(id ID, about []*member) {
-	o, _ := n.find(id)
-	for len(about) > 0 {
+func (n *Node) sendQueries(id ID, members []*member) {
+	observer, _ := n.find(id)
+	for len(members) > 0 {
 		w := n.newDatagram(kindQuery, 0, n.newRequest(request{target: id, kind: kindQuery}))
-		k := 0
-		for k < len(about) && w.add(voteItem(about[k].id, voteUnknown, about[k].epoch, about[k].incarnation)) {
-			k++
+		count := 0
+		for count < len(members) && w.add(voteItem(members[count].id, voteUnknown, members[count].epoch, members[count].incarnation)) {
+			count++
 		}
-		about = about[k:]
-		n.send(w, o.addr, true)
+		members = members[count:]
+		n.send(w, observer.addr, true)
 	}
 }
 
--- a/members/sim_test.go
+++ b/members/sim_test.go
@@ -67,16 +67,16 @@
 
 type eventQueue []scheduledEvent
 
-func (h eventQueue) Len() int { return len(h) }
-func (h eventQueue) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (h eventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventQueue) Push(x any)   { *h = append(*h, x.(scheduledEvent)) }
-func (h *eventQueue) Pop() any {
-	old := *h
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	x := old[len(old)-1]
-	*h = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return x
 }
 
@@ -86,17 +86,17 @@
 	return sim
 }
 
-func (sim *simulation) after(d time.Duration, f func()) {
+func (sim *simulation) after(d time.Duration, run func()) {
 	sim.seq++
-	heap.Push(&sim.events, scheduledEvent{sim.now + d, sim.seq, f})
+	heap.Push(&sim.events, scheduledEvent{sim.now + d, sim.seq, run})
 }
 
 func (sim *simulation) run(d time.Duration) {
 	end := sim.now + d
 	for len(sim.events) > 0 && sim.events[0].at <= end {
-		h := heap.Pop(&sim.events).(scheduledEvent)
-		sim.now = h.at
-		h.run()
+		event := heap.Pop(&sim.events).(scheduledEvent)
+		sim.now = event.at
+		event.run()
 	}
 	sim.now = end
 }
--- a/members/wire.go
+++ b/members/wire.go
@@ -77,10 +77,10 @@
 	return w
 }
 
-func appendEpoch(b []byte, epoch uint64, inc uint32) []byte {
+func appendEpoch(b []byte, epoch uint64, incarnation uint32) []byte {
 	b = append(b, byte(epoch>>40), byte(epoch>>32))
 	b = binary.BigEndian.AppendUint32(b, uint32(epoch))
-	return binary.BigEndian.AppendUint32(b, inc)
+	return binary.BigEndian.AppendUint32(b, incarnation)
 }
 
 // add appends an item if there is room for it, and reports whether there was.
@@ -92,10 +92,10 @@
 	return true
 }
 
-func (n *Node) send(w *writer, to netip.AddrPort, known bool) {
+func (n *Node) send(w *writer, to netip.AddrPort, toMember bool) {
 	w.b = binary.BigEndian.AppendUint32(w.b, crc32.Checksum(w.b, castagnoli))
 	n.stats.Sent++
-	n.sends = append(n.sends, Datagram{To: to, Data: w.b, ToMember: known})
+	n.sends = append(n.sends, Datagram{To: to, Data: w.b, ToMember: toMember})
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
