--- a/members/group.go
+++ b/members/group.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// Sharing decides by how many processes that is divided which all may do together: probes, connections, what a cold server or another
-// site bears. It has no clock.
+// GroupEstimator estimates the number of processes that share fleet-wide limits: probes,
+// connections, and the load on a cold server or another site. It has no clock.
 //
-// The number follows those who live at once where they are more, which makes each one more careful. Where they are fewer it falls by half
-// in Fall at most, and never below Group divided by Bolder: so that a split, in which each part believes that it is alone, makes nobody
-// take more than Bolder times his share by the settings.
+// The estimate follows an increase of live processes at once, which makes each one more careful. It
+// falls by at most half per HalfLife, and never below Configured/MaxShareFactor. So a network
+// split, in which each part believes that it is alone, lets no process use more than MaxShareFactor
+// times its configured share.
 type GroupEstimator struct {
-	Configured     int           // by the settings; at least 1
+	Configured     int           // the configured number of processes; at least 1
 	MaxShareFactor float64       // at least 1
 	HalfLife       time.Duration // above 0
 
-	at    time.Duration
-	value float64
+	updatedAt time.Duration
+	value     float64
 }
 
-// Next returns the number, given how many live at present. Times must not go back.
-func (s *GroupEstimator) Update(now time.Duration, living int) int {
-	if s.value == 0 {
-		s.value, s.at = float64(s.Configured), now
+// Update returns the estimate for the current number of live processes. Times must not decrease.
+func (e *GroupEstimator) Update(now time.Duration, live int) int {
+	if e.value == 0 {
+		e.value, e.updatedAt = float64(e.Configured), now
 	}
-	fallen := s.value * math.Exp2(-float64(max(now-s.at, 0))/float64(s.HalfLife))
-	s.at = now
-	least := math.Ceil(float64(s.Configured) / max(s.MaxShareFactor, 1))
-	s.value = max(fallen, float64(living), least, 1)
-	return int(math.Ceil(s.value - 1e-9))
+	decayed := e.value * math.Exp2(-float64(max(now-e.updatedAt, 0))/float64(e.HalfLife))
+	e.updatedAt = now
+	minimum := math.Ceil(float64(e.Configured) / max(e.MaxShareFactor, 1))
+	e.value = max(decayed, float64(live), minimum, 1)
+	return int(math.Ceil(e.value - 1e-9))
 }
 
-// Number is the place of a process that has the place ordinal of group by the settings, where it is one of now. Others may have the
-// same: it only spreads them.
-func ScaleOrdinal(ordinal, group, now int) int {
-	if now >= group {
+// ScaleOrdinal maps a process's ordinal in a configured group to a group of now processes. The
+// results need not be unique: they only spread the processes.
+func ScaleOrdinal(ordinal, group, size int) int {
+	if size >= group {
 		return ordinal
 	}
-	return ordinal * now / max(group, 1)
+	return ordinal * size / max(group, 1)
 }
