--- a/internal/engine/classes.go
+++ b/internal/engine/classes.go
@@ -79,17 +79,17 @@
 	return err
 }
 
-func (e *Engine) reconfigure(now policy.Time, given policy.Config, group int) error {
-	cfg := given
+func (e *Engine) reconfigure(now policy.Time, base policy.Config, group int) error {
+	cfg := base
 	if group > 0 {
-		cfg.Ordinal, cfg.GroupSize = members.ScaleOrdinal(given.Ordinal, given.GroupSize, group), group
+		cfg.Ordinal, cfg.GroupSize = members.ScaleOrdinal(base.Ordinal, base.GroupSize, group), group
 	}
 	if err := e.module.Reconfigure(cfg); err != nil {
 		return err
 	}
 	e.classes.Store(newClassSet(cfg))
 	regrouped := cfg.GroupSize != e.config.GroupSize || cfg.Ordinal != e.config.Ordinal
-	e.config, e.baseConfig, e.groupOverride = cfg, given, group
+	e.config, e.baseConfig, e.groupOverride = cfg, base, group
 	e.ensurePushedWatch()
 	if regrouped && e.siteConfig != nil {
 		return e.sites.Watch(now, e.siteConfig, cfg)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -103,14 +103,14 @@
 
 // Engine hosts one decision module. Its methods are safe for concurrent use.
 type Engine struct {
-	log       *slog.Logger
-	ctx       context.Context // canceled by Close
-	stop      context.CancelFunc
-	work      sync.WaitGroup // goroutines of attempts, probes and watches
-	origin    time.Time      // origin of the module's clock
-	originMs  int64          // origin in Unix milliseconds, converted once; see startTime
-	transport Transport
-	classes   atomic.Pointer[classSet]
+	log        *slog.Logger
+	ctx        context.Context // canceled by Close
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup // goroutines of attempts, probes and watches
+	origin     time.Time      // origin of the module's clock
+	originMs   int64          // origin in Unix milliseconds, converted once; see startTime
+	transport  Transport
+	classes    atomic.Pointer[classSet]
 
 	// mu protects the fields below.
 	mu               sync.Mutex
@@ -217,16 +217,16 @@
 	ErrDuplicateID = errors.New("a request with this ID is already open")
 )
 
-// Submit passes a request to the module. The request's timeout runs from read, a time returned by
-// Now. If Submit returns an error, the request was not accepted and r can be reused.
+// Submit passes a request to the module. The request's timeout runs from receivedAt, a time
+// returned by Now. If Submit returns an error, the request was not accepted and r can be reused.
 //
 // Submit rejects a request whose ExternalID is in use by another open request: servers identify
 // requests by it, so the reply to one could be delivered to the other. A client that deliberately
 // uses an ID twice at the same time gets only one of the requests served.
-func (e *Engine) Submit(r *Request, read policy.Time) (err error) {
+func (e *Engine) Submit(r *Request, receivedAt policy.Time) (err error) {
 	e.event(func(now policy.Time) {
 		if err = e.register(r); err == nil {
-			e.dispatch(now, r, read)
+			e.dispatch(now, r, receivedAt)
 		}
 	})
 	return err
@@ -254,8 +254,8 @@
 }
 
 // DispatchDeferred passes a deferred request to the module, unless the request has ended. It calls
-// first before that, under the engine's lock.
-func (e *Engine) DispatchDeferred(r *Request, read policy.Time, first func()) {
+// beforeDispatch first, under the engine's lock.
+func (e *Engine) DispatchDeferred(r *Request, receivedAt policy.Time, beforeDispatch func()) {
 	e.event(func(now policy.Time) {
 		if !r.deferred || r.ended {
 			return
@@ -264,9 +264,9 @@
 			e.finish(r, Result{Kind: Failed, MayHaveRun: true})
 			return
 		}
-		first()
+		beforeDispatch()
 		r.deferred = false
-		e.dispatch(now, r, read)
+		e.dispatch(now, r, receivedAt)
 	})
 }
 
@@ -291,19 +291,20 @@
 	return nil
 }
 
-// Expires returns when the client stops waiting for the reply to r, whose timeout runs from read.
-func (e *Engine) Expires(r *Request, read policy.Time) policy.Time {
+// Expires returns when the client stops waiting for the reply to r, whose timeout runs from
+// receivedAt.
+func (e *Engine) Expires(r *Request, receivedAt policy.Time) policy.Time {
 	if r.Deadline.IsZero() {
-		return read + r.Timeout
+		return receivedAt + r.Timeout
 	}
-	return min(read+r.Timeout, r.Deadline.Sub(e.origin))
+	return min(receivedAt+r.Timeout, r.Deadline.Sub(e.origin))
 }
 
 // dispatch passes a request to the module.
-func (e *Engine) dispatch(now policy.Time, r *Request, read policy.Time) {
+func (e *Engine) dispatch(now policy.Time, r *Request, receivedAt policy.Time) {
 	e.sites.Tick(now)
 	e.module.Request(now, policy.Request{
-		ID: r.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Cost: r.Cost, Retry: r.Retry, Expires: e.Expires(r, read), ClientTimeout: r.Timeout, PriorAttempts: r.PriorAttempts,
+		ID: r.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Cost: r.Cost, Retry: r.Retry, Expires: e.Expires(r, receivedAt), ClientTimeout: r.Timeout, PriorAttempts: r.PriorAttempts,
 		Uploading: r.Uploading,
 	}, e)
 }
@@ -389,33 +390,33 @@
 }
 
 // attemptEnded processes the result of an attempt and reports it to the module.
-func (e *Engine) attemptEnded(now policy.Time, a *Attempt, end AttemptResult) {
+func (e *Engine) attemptEnded(now policy.Time, a *Attempt, result AttemptResult) {
 	r := a.req
 	a.ended = true
-	if end.Status == policy.Canceled && !r.ended && a.unsent() {
-		end.Status = policy.NotSent
+	if result.Status == policy.Canceled && !r.ended && a.unsent() {
+		result.Status = policy.NotSent
 	}
 	r.outstanding--
-	r.lastStatus = end.Status
-	r.mayHaveRun = r.mayHaveRun || !end.Status.NotRun()
-	e.countsOf(r).Attempts[end.Status]++
-	e.sites.Ended(now, a.Server, end.Status)
-	if end.AvoidFor > 0 {
-		e.avoid(now, a.Server, end.AvoidFor)
+	r.lastStatus = result.Status
+	r.mayHaveRun = r.mayHaveRun || !result.Status.NotRun()
+	e.countsOf(r).Attempts[result.Status]++
+	e.sites.Ended(now, a.Server, result.Status)
+	if result.AvoidFor > 0 {
+		e.avoid(now, a.Server, result.AvoidFor)
 	}
 	delay := now - a.sentAt
 	if a.replyBegunAt != 0 {
 		// How long the rest of a streamed reply takes is not the server's latency.
 		delay = a.replyBegunAt - a.sentAt
 	}
-	if end.Status == policy.OK && !r.ended {
+	if result.Status == policy.OK && !r.ended {
 		e.markEnded(r)
 		r.cancelUnsent(a)
-		e.deliver(r, Result{Kind: Served, Reply: end.Reply, Server: a.Server, Attempts: len(r.attempts)})
+		e.deliver(r, Result{Kind: Served, Reply: result.Reply, Server: a.Server, Attempts: len(r.attempts)})
 	}
 	e.module.Outcome(now, policy.Outcome{
-		ID: r.id, Attempt: a.Number, Server: a.Server, Status: end.Status, Delay: delay,
-		Final: r.ended, Load: end.Load, NoResend: end.PayloadConsumed,
+		ID: r.id, Attempt: a.Number, Server: a.Server, Status: result.Status, Delay: delay,
+		Final: r.ended, Load: result.Load, NoResend: result.PayloadConsumed,
 	}, e)
 	e.releaseIfDone(r)
 }
@@ -473,9 +474,9 @@
 		e.deferredEvents = append(e.deferredEvents, func(now policy.Time) { e.attemptEnded(now, a, AttemptResult{Status: policy.NotSent}) })
 		return
 	}
-	e.work.Go(func() {
-		end := e.transport.Do(a, to)
-		e.event(func(now policy.Time) { e.attemptEnded(now, a, end) })
+	e.goroutines.Go(func() {
+		result := e.transport.Do(a, to)
+		e.event(func(now policy.Time) { e.attemptEnded(now, a, result) })
 	})
 }
 
@@ -515,7 +516,7 @@
 		return
 	}
 	e.probing++
-	e.work.Go(func() {
+	e.goroutines.Go(func() {
 		status, load := e.transport.Probe(e.ctx, to)
 		e.event(func(now policy.Time) {
 			e.probing--
@@ -568,7 +569,7 @@
 		}
 	})
 	e.stop()
-	e.work.Wait()
+	e.goroutines.Wait()
 }
 
 // String describes the engine's load for logs.
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -66,7 +66,7 @@
 	ctx, cancel := context.WithCancel(e.ctx)
 	e.stopWatch = cancel
 	source, since := e.source, e.seq
-	e.work.Go(func() {
+	e.goroutines.Go(func() {
 		err := source.Watch(ctx, since, func(l List) {
 			kind := policy.ListDelta
 			if l.Full {
