--- a/internal/engine/availability.go
+++ b/internal/engine/availability.go
@@ -117,9 +117,9 @@
 const hintDuration = 10 * time.Second
 
 // HintDraining handles a hint from another process that a server is draining or gone. The server is
-// treated as draining for hintDuration, as if it had asked for it: the hint takes effect early and
-// expires soon if this process's own list does not confirm it. At most half of the usable servers
-// are avoided.
+// treated as draining for hintDuration, as if it had asked for it. A wrong hint does little harm:
+// it only makes this process more cautious, and it expires soon if the process's own list does not
+// confirm it. At most half of the usable servers are avoided.
 func (e *Engine) HintDraining(id policy.ServerID) {
 	e.event(func(now policy.Time) { e.avoid(now, id, hintDuration) })
 }
@@ -177,10 +177,10 @@
 
 // endAvoidance ends the avoidances that have expired, and schedules itself for the next one.
 func (e *Engine) endAvoidance(now policy.Time) {
-	back, next := e.avoided.End(now.Milliseconds(), func(id policy.ServerID) bool { _, listed := e.listed[id]; return !listed })
+	expired, next := e.avoided.End(now.Milliseconds(), func(id policy.ServerID) bool { _, listed := e.listed[id]; return !listed })
 	var changed []Server
-	slices.Sort(back)
-	for _, id := range back {
+	slices.Sort(expired)
+	for _, id := range expired {
 		if s, listed := e.listed[id]; listed {
 			changed = append(changed, e.effective(e.absences, s))
 		}
--- a/internal/engine/classes.go
+++ b/internal/engine/classes.go
@@ -79,6 +79,7 @@
 	return err
 }
 
+// reconfigure applies base, with its GroupSize replaced by group if that is not 0.
 func (e *Engine) reconfigure(now policy.Time, base policy.Config, group int) error {
 	cfg := base
 	if group > 0 {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -118,15 +118,15 @@
 	requests         map[policy.RequestID]*Request // open, or ended with attempts still in flight
 	openByExternalID map[string]*Request           // open requests by ExternalID
 	openCount        int                           // requests that have not ended
-	lastID           policy.RequestID
-	endpoints        map[policy.ServerID]Endpoint // endpoints of the listed servers
-	listed           map[policy.ServerID]Server   // the list as the source sent it
-	counts           map[string]*Counts           // by class
-	sites            *siting.Host                 // monitors sites while siteConfig is set
-	config           policy.Config                // configuration that the module uses
-	baseConfig       policy.Config                // config before groupOverride is applied
-	groupOverride    int                          // replaces baseConfig.GroupSize; 0: no override
-	siteConfig       *sites.Config                // configuration of site monitoring; may be nil
+	lastID           policy.RequestID              // ID of the request accepted last
+	endpoints        map[policy.ServerID]Endpoint  // endpoints of the listed servers
+	listed           map[policy.ServerID]Server    // the list as the source sent it
+	counts           map[string]*Counts            // by class
+	sites            *siting.Host                  // monitors sites while siteConfig is set
+	config           policy.Config                 // configuration that the module uses
+	baseConfig       policy.Config                 // config before groupOverride is applied
+	groupOverride    int                           // replaces baseConfig.GroupSize; 0: no override
+	siteConfig       *sites.Config                 // configuration of site monitoring; may be nil
 	onLeaving        func(policy.ServerID)
 	listReceived     bool                            // the source has sent a list
 	futureStarts     map[policy.ServerID]futureStart // listed servers whose start lay in the future
@@ -139,14 +139,14 @@
 	stopWatch        context.CancelFunc // nil if no watch is running
 	probing          int                // probes in flight
 	timers           timerHeap
-	wakeTimer        *time.Timer // fires when the earliest timer is due
-	wakeAt           policy.Time // when wakeTimer fires; zero if it is not set
-	deferredEvents   []func(now policy.Time)
-	closing          bool          // no new requests are accepted
-	drained          chan struct{} // closed once closing is set and openCount is 0
-	closed           bool          // the module gets no more events
-	retired          bool          // set by Retire: list updates are ignored
-	unserved         uint64        // requests refused or failed since Retire
+	wakeTimer        *time.Timer             // fires when the earliest timer is due
+	wakeAt           policy.Time             // when wakeTimer fires; zero if it is not set
+	deferredEvents   []func(now policy.Time) // run by event after the present one
+	closing          bool                    // no new requests are accepted
+	drained          chan struct{}           // closed once closing is set and openCount is 0
+	closed           bool                    // set by Close: no more timers, probes or watches
+	retired          bool                    // set by Retire: list updates are ignored
+	unserved         uint64                  // requests refused or failed since Retire
 }
 
 // ClockOrigin returns the wall-clock time of policy.Time 0 for an engine that starts now.
@@ -320,6 +320,7 @@
 	return open
 }
 
+// withdraw ends r without a result and reports that to the module, unless r is deferred.
 func (e *Engine) withdraw(now policy.Time, r *Request) {
 	e.markEnded(r)
 	r.cancelUnsent(nil)
@@ -367,6 +368,7 @@
 	e.checkDrained()
 }
 
+// checkDrained closes drained if the engine is closing and no request is open.
 func (e *Engine) checkDrained() {
 	if e.closing && e.openCount == 0 {
 		select {
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -22,8 +22,8 @@
 
 // List is the full server list, or the changes since the previous version.
 type List struct {
-	Seq         int64 // its version
-	Full        bool
+	Seq         int64 // version of the list
+	Full        bool  // Servers is the full list, not a change
 	Servers     []Server
 	EntryErrors []EntryError // errors of entries that are missing or incomplete in Servers
 }
--- a/internal/engine/list_validation_test.go
+++ b/internal/engine/list_validation_test.go
@@ -11,6 +11,8 @@
 	"quillfront/policy"
 )
 
+// TestValidateList verifies how incomplete, contradictory and invalid entries combine with the
+// previous list.
 func TestValidateList(t *testing.T) {
 	previous := Server{ID: "a", Addr: "a:1", Zone: "z", StartedMs: 5}
 	previousList := map[policy.ServerID]Server{"a": previous}
--- a/internal/engine/timer.go
+++ b/internal/engine/timer.go
@@ -39,6 +39,7 @@
 	})
 }
 
+// timer is a timer that the module has set.
 type timer struct {
 	at    policy.Time
 	token string
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -36,6 +36,8 @@
 	return out.String(), err
 }
 
+// TestServe verifies that every batch gets a reply line, also an empty one, and that request IDs of
+// 52 bits keep their exact value.
 func TestServe(t *testing.T) {
 	demand := message(`{"cmd":"Demand","Corr":4503599627370495,"Item":"91f03b7c55d20a64","ExpiresUs":400020,"Type":"q"}`)
 	got, err := serve(`{"AtTimeUs":1,"groups":[]}`, openLine, demand)
@@ -55,6 +57,8 @@
 	}
 }
 
+// TestServeBadInput verifies that malformed input yields an error that names the message or value
+// at fault.
 func TestServeBadInput(t *testing.T) {
 	tests := []struct{ name, line, want string }{
 		{"malformed JSON", `{"AtTimeUs":`, "batch"},
@@ -75,6 +79,8 @@
 	}
 }
 
+// TestUnknownRequestsAndFieldsAreSkipped verifies that events for unknown requests, servers or
+// timers, and unknown fields, are ignored without a Fault.
 func TestUnknownRequestsAndFieldsAreSkipped(t *testing.T) {
 	for _, msg := range []string{
 		`{"cmd":"ReportBack","Corr":99,"Shot":0,"Disposition":"delivered","Upstream":"10.9.9.9:1","Novel":true}`,
@@ -88,6 +94,8 @@
 	}
 }
 
+// TestPanicBecomesFault verifies that a panic during an event yields a Fault action instead of
+// ending the process.
 func TestPanicBecomesFault(t *testing.T) {
 	h := &host{instances: map[string]*instance{"sidecar/0": {}}} // no balancer: any event panics
 	got, err := h.dispatch(0, "sidecar/0", &event{Cmd: "Demand"})
@@ -96,6 +104,8 @@
 	}
 }
 
+// TestActionsEncoding verifies the JSON form of every action, including zero values that must be
+// present.
 func TestActionsEncoding(t *testing.T) {
 	i := &instance{}
 	i.Send(5, "10.0.0.1:80", 80*time.Millisecond)
@@ -121,6 +131,8 @@
 	}
 }
 
+// TestLoadReport verifies that load values are assigned by field name, that missing ones are -1,
+// and that unknown fields are ignored.
 func TestLoadReport(t *testing.T) {
 	tests := []struct {
 		fields []string
