--- a/internal/httpcall/call.go
+++ b/internal/httpcall/call.go
@@ -1,6 +1,6 @@
-// Package httpcall reads what an HTTP request of the application says of itself: its class, key, time and cost, and
-// whether it may be served at all. Every HTTP front judges requests by it, so that none accepts what another turns away.
-// It does no I/O.
+// Package httpcall parses and validates the metadata of an application's HTTP request: its class,
+// key, timeout and cost. All HTTP fronts share it, so that they accept and reject the same
+// requests. It does no I/O.
 package httpcall
 
 import (
@@ -20,42 +20,43 @@
 	"quillfront/policy"
 )
 
-// MaxIdentifierLength bounds an id, a key or a tenant, in bytes: they are kept while a request is open.
+// MaxIdentifierLength is the maximum length in bytes of a request id, an idempotency key or a
+// tenant. They stay in memory while a request is open.
 const MaxIdentifierLength = 256
 
-// Rejection is why a request is turned away before anything is sent for it.
+// Rejection is the error for a request that is refused before anything is sent to a server.
 type Rejection struct {
-	Status int // of HTTP
-	Text   string
+	Status int    // HTTP status code of the response
+	Text   string // body of the response
 }
 
-// Error returns the text.
+// Error implements error.
 func (e Rejection) Error() string { return e.Text }
 
-func bad(text string) error { return Rejection{http.StatusBadRequest, text} }
+func badRequest(text string) error { return Rejection{http.StatusBadRequest, text} }
 
-// Call is what a request says of itself, by the protocol between an application and its sidecar.
+// Call holds the metadata of a request in the protocol between an application and its sidecar.
 type Call struct {
 	Method string
-	Target string // as it stands on the wire
+	Target string // request target as received
 	Host   string
-	Length int64 // of the body; negative: not told
+	Length int64 // body length in bytes; negative if unknown
 
-	HostOptional bool // as it may with HTTP/1.0
+	HostOptional bool // Host may be absent, as in HTTP/1.0
 
 	ID, IdempotencyKey, Tenant, Timeout string
 	Cost                                time.Duration
 	Retried                             bool
 
-	seen [7]bool
+	seen [7]bool // by index in knownHeaders
 }
 
-// names are the headers that Add knows, in canonical form.
-var names = [7]string{"X-Request-Id", "Idempotency-Key", "X-Tenant-Id", "X-Timeout-Ms", "Host", "X-Cost", "X-Retried"}
+// knownHeaders are the headers that Add interprets, in canonical form.
+var knownHeaders = [7]string{"X-Request-Id", "Idempotency-Key", "X-Tenant-Id", "X-Timeout-Ms", "Host", "X-Cost", "X-Retried"}
 
-// Add notes a line of the head. Lines that say nothing to the protocol are skipped.
+// Add records one header field. It ignores fields that the protocol does not define.
 func (c *Call) Add(f httpmsg.Field) error {
-	for i, name := range names {
+	for i, name := range knownHeaders {
 		if f.Is(name) {
 			return c.set(i, f.Value)
 		}
@@ -63,22 +64,23 @@
 	return nil
 }
 
-// AddHeader notes what h says, in whatever case its names are: all of them are written as lines. It guards against lines
-// that cannot be written, as net/http's client does: left out they would be missing at the server, and a key among them.
+// AddHeader records the fields of h and matches their names case-insensitively, because all of
+// them are sent. Like net/http's client it returns an error for a field that cannot be sent:
+// without the check the field, perhaps an idempotency key, would be missing at the server.
 func (c *Call) AddHeader(h http.Header) error {
 	if err := httpmsg.CheckConnection(h); err != nil {
-		return bad(err.Error())
+		return badRequest(err.Error())
 	}
 	for name, values := range h {
 		if !httpguts.ValidHeaderFieldName(name) {
-			return bad("a header of the name " + strconv.Quote(name) + " cannot be sent")
+			return badRequest("a header of the name " + strconv.Quote(name) + " cannot be sent")
 		}
-		known := slices.IndexFunc(names[:], func(n string) bool { return len(n) == len(name) && strings.EqualFold(n, name) })
+		known := slices.IndexFunc(knownHeaders[:], func(n string) bool { return len(n) == len(name) && strings.EqualFold(n, name) })
 		for _, v := range values {
 			if !httpguts.ValidHeaderFieldValue(v) {
-				return bad("the value of " + name + " has a character that no line may have")
+				return badRequest("the value of " + name + " has a character that no line may have")
 			}
-			if known < 0 || names[known] == "Host" { // of Host, net/http writes what stands beside the header
+			if known < 0 || knownHeaders[known] == "Host" { // net/http sends Request.Host instead
 				continue
 			}
 			if err := c.set(known, []byte(strings.Trim(v, " \t"))); err != nil {
@@ -90,13 +92,13 @@
 }
 
 func (c *Call) set(i int, value []byte) error {
-	if names[i] == "X-Cost" || names[i] == "X-Retried" { // hints: what cannot be read is as good as not said
+	if knownHeaders[i] == "X-Cost" || knownHeaders[i] == "X-Retried" { // hints: an invalid value counts as absent
 		if c.seen[i] {
 			return nil
 		}
 	} else if c.seen[i] || len(value) > MaxIdentifierLength {
-		// Of two values each reader might take another one.
-		return bad(names[i] + " is given more than once or too long")
+		// With two values, two readers might each use a different one.
+		return badRequest(knownHeaders[i] + " is given more than once or too long")
 	}
 	c.seen[i] = true
 	switch i {
@@ -120,13 +122,13 @@
 	return nil
 }
 
-// Request returns what c asks for, without payload, or why it is turned away.
+// Request returns the engine request for c, without a payload. The error is a Rejection.
 func (c *Call) Request(e *engine.Engine) (*engine.Request, error) {
 	if c.ID == "" {
-		return nil, bad("no X-Request-ID")
+		return nil, badRequest("no X-Request-ID")
 	}
 	if !ValidHost(c.Host) && !(c.Host == "" && c.HostOptional) {
-		return nil, bad("no Host, or not one that can be read")
+		return nil, badRequest("no Host, or not one that can be read")
 	}
 	path, err := DecodePath(c.Target)
 	if err != nil {
@@ -142,9 +144,9 @@
 		return nil, Rejection{http.StatusNotFound, "no such class of requests"}
 	}
 	class := classes[0]
-	if err := c.fits(class); err != nil {
-		// Of a class whose rules have just changed, clients may still ask by the old ones.
-		i := slices.IndexFunc(classes, func(k policy.Class) bool { return c.fits(k) == nil })
+	if err := c.checkClass(class); err != nil {
+		// If the rules of the class have just changed, clients may still follow the old ones.
+		i := slices.IndexFunc(classes, func(k policy.Class) bool { return c.checkClass(k) == nil })
 		if i < 0 {
 			return nil, err
 		}
@@ -155,31 +157,32 @@
 	if c.Timeout != "" {
 		ms, err := strconv.ParseUint(c.Timeout, 10, 64)
 		if err != nil || ms == 0 {
-			return nil, bad("X-Timeout-Ms is no positive whole number")
+			return nil, badRequest("X-Timeout-Ms is no positive whole number")
 		}
-		// A client that would wait longer than any class allows must not make timers last for ever.
+		// The longest deadline of the classes bounds the timeout, and so the life of the timers.
 		r.Wait = time.Duration(min(ms, uint64(e.Longest().Milliseconds()))) * time.Millisecond
 	}
 	return r, nil
 }
 
-// fits returns why c cannot be a request of that class.
-func (c *Call) fits(class policy.Class) error {
+// checkClass returns a Rejection if c does not follow the rules of class.
+func (c *Call) checkClass(class policy.Class) error {
 	safe := class.Effect == policy.Safe
 	switch {
 	case (c.Method == http.MethodGet) != safe || !safe && c.Method != http.MethodPost:
 		return Rejection{http.StatusMethodNotAllowed, "the method is not that of the class"}
 	case safe && c.Length != 0:
-		return bad("a request of this class has no body")
+		return badRequest("a request of this class has no body")
 	case class.Effect == policy.Keyed && c.IdempotencyKey == "":
-		// Servers could not tell a repeat, so that it would run twice.
-		return bad("no Idempotency-Key")
+		// Without a key, servers cannot detect a duplicate, and the request could run twice.
+		return badRequest("no Idempotency-Key")
 	}
 	return nil
 }
 
-// Fingerprint tells what c asks for, with that body and for its tenant, from anything else that could be asked for under its
-// Idempotency-Key. It guards against a tenant that is given another's answer because it knows, or hits upon, the key.
+// Fingerprint returns a hash of c's method, target and tenant and of body. It distinguishes
+// different requests with the same Idempotency-Key, so that a tenant that knows or guesses the key
+// of another tenant does not get that tenant's response.
 func (c *Call) Fingerprint(body []byte) (sum [sha256.Size]byte) {
 	h := sha256.New()
 	for _, part := range []string{c.Method, c.Target, c.Tenant} {
--- a/internal/httpcall/target.go
+++ b/internal/httpcall/target.go
@@ -8,30 +8,31 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// DecodePath returns the path of a request target without its first slash and as clients mean it, that is with its escapes
-// undone, or why the target cannot be served. The first part of the path names the class.
+// DecodePath returns the percent-decoded path of a request target, without its leading slash, or
+// a Rejection if the target cannot be served. The first segment of the path names the class.
 //
-// It guards against a path that is of one class here and of another at a server, which may resolve dot segments, undo
-// escapes before it splits the path, or take a backslash for a slash (RFC 3986, sections 5.2.4, 6.2.2 and 7.3). Dot segments
-// are rejected wherever they stand and however they are spelt, also before a path parameter; an encoded slash, a
-// backslash and a control are rejected up to the end of the class. Behind it they are a part of the key, and pass.
+// A server may resolve dot segments, decode escapes before it splits the path, or treat a backslash
+// as a slash (RFC 3986, sections 5.2.4, 6.2.2 and 7.3). The class here and the class at the server
+// could then differ. To prevent this, DecodePath rejects dot segments anywhere and in any encoding,
+// also before a path parameter. In the class it also rejects an encoded slash, a backslash and
+// control characters. After the class they are part of the key and are accepted.
 func DecodePath(target string) (string, error) {
 	if !strings.HasPrefix(target, "/") {
-		return "", bad("no path: the target must begin with a slash")
+		return "", badRequest("no path: the target must begin with a slash")
 	}
 	raw, query, _ := strings.Cut(target[1:], "?")
-	plain := true // nothing in the path that a server could take otherwise
+	plain := true // the path has nothing that a server could interpret differently
 	for i := range len(raw) {
 		switch c := raw[i]; {
 		case c <= ' ' || c == 0x7f || c == '#':
-			return "", bad("the target has a character that no target may have")
+			return "", badRequest("the target has a character that no target may have")
 		case c == '%' || c == '.' || c == '\\' || c == ';':
 			plain = false
 		}
 	}
 	for i := range len(query) {
 		if c := query[i]; c <= ' ' || c == 0x7f || c == '#' {
-			return "", bad("the target has a character that no target may have")
+			return "", badRequest("the target has a character that no target may have")
 		}
 	}
 	if plain {
@@ -39,24 +40,24 @@
 	}
 	path, ok := unescape(raw)
 	if !ok {
-		return "", bad("the path cannot be read")
+		return "", badRequest("the path cannot be read")
 	}
 	class, _, _ := strings.Cut(raw, "/")
 	class, _ = unescape(class)
 	for i := range len(class) {
 		if c := class[i]; c == '/' || c == '\\' || c < ' ' || c == 0x7f {
-			return "", bad("the class has a character that servers may read otherwise")
+			return "", badRequest("the class has a character that servers may read otherwise")
 		}
 	}
 	for segment := range strings.FieldsFuncSeq(path, func(r rune) bool { return r == '/' || r == '\\' }) {
 		if segment, _, _ = strings.Cut(segment, ";"); segment == "." || segment == ".." {
-			return "", bad("the path has dot segments")
+			return "", badRequest("the path has dot segments")
 		}
 	}
 	return path, nil
 }
 
-// unescape undoes percent-encoding, and reports whether all of it could be read.
+// unescape decodes percent-encoding and reports whether all escapes are valid.
 func unescape(s string) (string, bool) {
 	if strings.IndexByte(s, '%') < 0 {
 		return s, true
@@ -80,9 +81,10 @@
 	return string(b), true
 }
 
-// ValidHost reports whether s can be the value of Host: a registered name, an IPv4 address or an IPv6 address in brackets,
-// and perhaps a port (RFC 9110, section 7.2; RFC 3986, section 3.2.2). An empty one names nobody. It guards against a value
-// that ends the line, names a path or a user, or that a server and whoever routes by it would split in different places.
+// ValidHost reports whether s is a valid value of Host: a registered name, an IPv4 address or an
+// IPv6 address in brackets, and optionally a port (RFC 9110, section 7.2; RFC 3986, section 3.2.2).
+// An empty value is not valid. ValidHost rejects values that contain a line break, a path or user
+// information, and values that a server and a router could split differently.
 func ValidHost(s string) bool {
 	if s == "" || !httpguts.ValidHostHeader(s) {
 		return false
--- a/internal/httpcall/target_test.go
+++ b/internal/httpcall/target_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// TestPathOf guards against paths that are of one class here and of another at a server.
-func TestPathOf(t *testing.T) {
+// TestDecodePath checks that DecodePath rejects paths whose class a server could read differently.
+func TestDecodePath(t *testing.T) {
 	for target, want := range map[string]string{
 		"/read/k": "read/k", "/read": "read", "/read?a=/../b": "read", "/re%61d/k": "read/k", "/read//k": "read//k",
 		"/read/a%2Fb": "read/a/b", "/read/a%5cb%00": "read/a\\b\x00", "/read/...": "read/...", "/read/a.b/..c": "read/a.b/..c",
 		"/read/k;v=1": "read/k;v=1", "/read/%252e%252e/k": "read/%2e%2e/k", "/": "", "//read/k": "/read/k",
 	} {
 		if got, err := DecodePath(target); err != nil || got != want {
-			t.Errorf("%s: %q, %v; want %q", target, got, err, want)
+			t.Errorf("DecodePath(%q) = %q, %v; want %q", target, got, err, want)
 		}
 	}
 	for _, target := range []string{
@@ -21,18 +21,18 @@
 		"/read/k?a b", "/read/\r\nX: y", "/read/\x7f", "/read/%+1",
 	} {
 		if got, err := DecodePath(target); err == nil {
-			t.Errorf("%q is taken as %q", target, got)
+			t.Errorf("DecodePath(%q) = %q, want an error", target, got)
 		}
 	}
 }
 
-// TestValidHost is a table of values of Host.
+// TestValidHost checks valid and invalid values of Host.
 func TestValidHost(t *testing.T) {
 	for _, host := range []string{
 		"s", "s.example:80", "S.Example.:8080", "127.0.0.1:1", "[::1]", "[2001:db8::1]:443", "a_b", "x:", "a%41b", "a,b", "xn--bcher-kva",
 	} {
 		if !ValidHost(host) {
-			t.Errorf("%s cannot be a host", host)
+			t.Errorf("ValidHost(%q) = false, want true", host)
 		}
 	}
 	for _, host := range []string{
@@ -40,23 +40,24 @@
 		"s:-1", "s:+1", "a:1:2", ":80", "a%zz", "a[b]", "é", "\"s\"", "<s>", "[127.0.0.1]",
 	} {
 		if ValidHost(host) {
-			t.Errorf("%q can be a host", host)
+			t.Errorf("ValidHost(%q) = true, want false", host)
 		}
 	}
 }
 
-// TestPrint: each part of what is asked for tells it from the others.
-func TestPrint(t *testing.T) {
+// TestFingerprint checks that a difference in method, target, tenant or body changes the
+// fingerprint, and that equal requests have equal fingerprints.
+func TestFingerprint(t *testing.T) {
 	seen := map[[32]byte]Call{}
 	for _, c := range []Call{{}, {Method: "a"}, {Target: "a"}, {Tenant: "a"}, {Method: "a", Target: "b"}, {Method: "ab"}, {Target: "ab"}, {Target: "a", Tenant: "b"}} {
 		for _, body := range []string{"", "a", "ab"} {
 			p := c.Fingerprint([]byte(body))
 			if other, ok := seen[p]; ok {
-				t.Errorf("%+v with %q is as %+v", c, body, other)
+				t.Errorf("%+v with body %q has the same fingerprint as %+v", c, body, other)
 			}
 			seen[p] = c
 			if p != c.Fingerprint([]byte(body)) {
-				t.Error("it is not the same twice")
+				t.Error("two fingerprints of the same request differ")
 			}
 		}
 	}
--- a/internal/httpfront/connection_fuzz_test.go
+++ b/internal/httpfront/connection_fuzz_test.go
@@ -21,8 +21,8 @@
 	"quillfront/policy"
 )
 
-// answering returns a transport that answers each attempt, after some time, with its number.
-func answering() *standin.Attempts {
+// newNumberingTransport returns a transport that answers each attempt, after some time, with its number.
+func newNumberingTransport() *standin.Attempts {
 	return &standin.Attempts{End: func(n int, a *engine.Attempt, _ engine.Endpoint) engine.Ending {
 		if !standin.Hold(a, 10*time.Millisecond, nil) {
 			return engine.Ending{Status: policy.Canceled}
@@ -31,7 +31,7 @@
 	}}
 }
 
-var classes = []policy.Class{{Name: "read", Effect: policy.Safe, Deadline: time.Second}, {Name: "pay", Effect: policy.Unsafe, Deadline: time.Second}}
+var testClasses = []policy.Class{{Name: "read", Effect: policy.Safe, Deadline: time.Second}, {Name: "pay", Effect: policy.Unsafe, Deadline: time.Second}}
 
 // TestConnection: what FuzzConnection counts is there. Two requests, the second behind the answer to the first, have two answers.
 func TestConnection(t *testing.T) {
@@ -39,7 +39,7 @@
 	text := first + "POST /pay/k HTTP/1.1\r\nHost: s\r\nX-Request-ID: 2\r\nContent-Length: 4\r\n\r\nbody"
 	for _, cuts := range [][]byte{{byte(len(first)) | 0x80, 0xff}, {byte(len(first)) | 0x80, 3}} {
 		synctest.Test(t, func(t *testing.T) {
-			if n, err := connection(classes, []byte(text), cuts, false); n != 2 || err != nil {
+			if n, err := runConnection(testClasses, []byte(text), cuts, false); n != 2 || err != nil {
 				t.Errorf("%d answers, %v", n, err)
 			}
 		})
@@ -62,16 +62,16 @@
 			return
 		}
 		synctest.Test(t, func(t *testing.T) {
-			if _, err := connection(classes, text, cuts, half); err != nil {
+			if _, err := runConnection(testClasses, text, cuts, half); err != nil {
 				t.Error(err)
 			}
 		})
 	})
 }
 
-// connection writes text to a server, cut by cuts: each tells the length of a piece, and by its high bit a pause behind it.
-func connection(classes []policy.Class, text, cuts []byte, half bool) (answers int, err error) {
-	transport := answering()
+// runConnection writes text to a server, cut by cuts: each tells the length of a piece, and by its high bit a pause behind it.
+func runConnection(classes []policy.Class, text, cuts []byte, half bool) (answers int, err error) {
+	transport := newNumberingTransport()
 	log := slog.New(slog.DiscardHandler)
 	e := engine.New(engine.Options{
 		Config: policy.Config{Classes: classes}, Module: standin.Once{Server: "a"}, Transport: transport, Log: log,
@@ -80,7 +80,7 @@
 	defer e.Close()
 	s := New(e, nil, NewBodyBudget(24), sockets.New(64), log)
 	near, far := net.Pipe()
-	s.take(far, func() {})
+	s.startConn(far, func() {})
 	var client sync.WaitGroup
 	defer client.Wait()
 	client.Go(func() {
@@ -108,7 +108,7 @@
 		return 0, fmt.Errorf("the connection broke: %w", err)
 	}
 	near.Close()
-	s.open.Wait()
+	s.connWG.Wait()
 	if d := time.Since(began); d > time.Minute {
 		return 0, fmt.Errorf("the connection ended after %v", d)
 	}
--- a/internal/httpfront/drain.go
+++ b/internal/httpfront/drain.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// sweepEvery is how often a server that drains looks for quiet connections, and freshTime how long a new one may be
+	// sweepInterval is how often a server that drains looks for quiet connections, and freshTime how long a new one may be
 	// quiet then: it was opened to be used at once. usedTime is the same of one that was used: a client that asks again
 	// and again is about to, and learns with its next answer that the connection ends, while a request that crosses the
 	// close is turned back unheard.
-	sweepEvery = 20 * time.Millisecond
-	freshTime  = time.Second
-	usedTime   = 100 * time.Millisecond
-	// lastReads is how long what has come by the exit may take to be read and refused.
-	lastReads = 20 * time.Millisecond
+	sweepInterval = 20 * time.Millisecond
+	newConnGrace  = time.Second
+	usedConnGrace = 100 * time.Millisecond
+	// finalReadTime is how long what has come by the exit may take to be read and refused.
+	finalReadTime = 20 * time.Millisecond
 )
 
 // Drain begins the end of the server, or brings it forward. Every answer is the last one of its connection, and
@@ -35,7 +35,7 @@
 func (s *Server) Evacuate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = true
+	s.evacuated = true
 	s.sweep()
 }
 
@@ -43,38 +43,38 @@
 func (s *Server) Rejoin() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = false
+	s.evacuated = false
 }
 
 // draining reports whether connections are not kept. Called with the lock held.
-func (s *Server) draining() bool { return !s.schedule.IsZero() || s.away }
+func (s *Server) draining() bool { return !s.schedule.IsZero() || s.evacuated }
 
 // sweep closes quiet connections now and as they become quiet, as long as the server drains. Each is closed after a look
 // that nothing has come, never because of its phase alone: an answer that was written just before did not say that its
 // connection ends, and the next request may be there. Called with the lock held.
 func (s *Server) sweep() {
-	s.closeQuiet(usedTime, freshTime)
+	s.closeIdle(usedConnGrace, newConnGrace)
 	if s.sweeping {
 		return
 	}
 	s.sweeping = true
-	time.AfterFunc(sweepEvery, func() {
+	time.AfterFunc(sweepInterval, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.sweeping = false
-		if s.draining() && !s.over {
+		if s.draining() && !s.closed {
 			s.sweep()
 		}
 	})
 }
 
-// closeQuiet closes connections on which nothing has come for a time, if they were used before or if they are fresh.
+// closeIdle closes connections on which nothing has come for a time, if they were used before or if they are fresh.
 // Called with the lock held.
-func (s *Server) closeQuiet(used, unused time.Duration) {
+func (s *Server) closeIdle(used, unused time.Duration) {
 	for c := range s.conns {
 		quiet := time.Since(c.since)
-		if (c.phase == idle && quiet >= used || c.phase == fresh && quiet >= unused) && !c.heard.Load() && c.peek.NothingCame() {
-			s.drop(c)
+		if (c.phase == phaseIdle && quiet >= used || c.phase == phaseNew && quiet >= unused) && !c.received.Load() && c.peek.NothingCame() {
+			s.closeConn(c)
 		}
 	}
 }
@@ -89,14 +89,14 @@
 // answerAll has all requests answered that are open, and all refused that have come in part. What comes later is refused
 // as soon as it is heard: see serve.
 func (s *Server) answerAll() {
-	s.answersDue()
+	s.endAnswerCtx()
 	for _, open := range s.openRequests() {
 		open.engine.GiveUp(open.request)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if c.phase == reading {
+		if c.phase == phaseReading {
 			c.SetReadDeadline(time.Now())
 		}
 	}
@@ -108,8 +108,8 @@
 	defer s.mu.Unlock()
 	var all []openRequest
 	for c := range s.conns {
-		if c.open.request != nil {
-			all = append(all, c.open)
+		if c.current.request != nil {
+			all = append(all, c.current)
 		}
 	}
 	return all
@@ -122,13 +122,13 @@
 // there were requests among them.
 func (s *Server) Wait() bool {
 	select {
-	case <-s.served:
+	case <-s.serveDone:
 	case <-s.Exited():
 		s.endAccepting()
 	}
 	ended := make(chan struct{})
 	go func() {
-		s.open.Wait()
+		s.connWG.Wait()
 		close(ended)
 	}()
 	select {
@@ -137,12 +137,12 @@
 	case <-s.Exited():
 	}
 	s.mu.Lock()
-	s.closeQuiet(0, 0)
+	s.closeIdle(0, 0)
 	s.mu.Unlock()
 	select {
 	case <-ended:
 		return true
-	case <-time.After(lastReads):
+	case <-time.After(finalReadTime):
 	}
 	s.CloseAll()
 	return false
@@ -158,18 +158,18 @@
 // CloseAll closes all connections, for good.
 func (s *Server) CloseAll() {
 	s.endAccepting()
-	s.answersDue()
+	s.endAnswerCtx()
 	s.sequencer.Stop()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.over = true
+	s.closed = true
 	for c := range s.conns {
-		s.drop(c)
+		s.closeConn(c)
 	}
 }
 
 // Close closes all connections, for good, and waits until nothing serves them any more.
 func (s *Server) Close() {
 	s.CloseAll()
-	s.open.Wait()
+	s.connWG.Wait()
 }
--- a/internal/httpfront/drain_test.go
+++ b/internal/httpfront/drain_test.go
@@ -32,21 +32,21 @@
 	c.SetDeadline(time.Now().Add(patience))
 	now := time.Now()
 	s.Drain(shutdown.Schedule{Accept: now, Forward: now, Answer: now, Exit: now.Add(patience)})
-	<-s.unanswered.Done()
+	<-s.answerCtx.Done()
 	wrote := time.Now()
 	io.WriteString(c, "G")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 		t.Errorf("answer %+v, %v; want a refusal", resp, err)
 	}
-	if took := time.Since(wrote); took > headTime/2 {
+	if took := time.Since(wrote); took > headTimeout/2 {
 		t.Errorf("it took %v: the rest of the request was waited for", took)
 	}
 	s.CloseAll()
 	near, far := net.Pipe()
 	defer near.Close()
 	released := false
-	s.take(far, func() { released = true })
+	s.startConn(far, func() { released = true })
 	if n := s.Stats().Open; n > 0 || !released {
 		t.Errorf("behind the exit: %d connections, released %v", n, released)
 	}
--- a/internal/httpfront/idle_test.go
+++ b/internal/httpfront/idle_test.go
@@ -22,7 +22,7 @@
 // goroutine gets its turn; a connection on which nothing came is closed.
 func TestRequestThatCrossedTheDeadline(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
-	e := engine.New(engine.Options{Config: policy.Config{}, Module: standin.Once{}, Transport: answering(), Log: log})
+	e := engine.New(engine.Options{Config: policy.Config{}, Module: standin.Once{}, Transport: newNumberingTransport(), Log: log})
 	defer e.Close()
 	s := New(e, nil, NewBodyBudget(24), sockets.New(64), log)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -44,15 +44,15 @@
 		if _, err := io.WriteString(near, text); err != nil {
 			t.Fatal(err)
 		}
-		c := &clientConn{Conn: far, release: func() {}, peek: sockets.NewPeeker(far), since: time.Now().Add(-time.Minute), more: make(chan error, 1)}
+		c := &clientConn{Conn: far, release: func() {}, peek: sockets.NewPeeker(far), since: time.Now().Add(-time.Minute), nextReady: make(chan error, 1)}
 		for text != "" && c.peek.NothingCame() {
 			time.Sleep(time.Millisecond)
 		}
-		c.r = bufio.NewReaderSize(c, mostClientHead)
+		c.r = bufio.NewReaderSize(c, maxRequestHead)
 		s.mu.Lock()
 		s.conns[c] = struct{}{}
 		s.mu.Unlock()
-		s.open.Go(func() { s.serve(c) }) // its time was up a minute ago
+		s.connWG.Go(func() { s.serve(c) }) // its time was up a minute ago
 		resp, err := http.ReadResponse(bufio.NewReader(near), nil)
 		if text == "" && err == nil {
 			t.Errorf("answer %d to nothing", resp.StatusCode)
@@ -60,16 +60,16 @@
 		if text != "" && (err != nil || resp.StatusCode != http.StatusOK) {
 			t.Errorf("answer %v, %v", resp, err)
 		}
-		s.open.Wait()
+		s.connWG.Wait()
 	}
 }
 
 // TestKeepAliveIsBelowTheLimit: what is announced is the whole seconds below the true limit.
 func TestKeepAliveIsBelowTheLimit(t *testing.T) {
-	text, ok := strings.CutPrefix(strings.TrimSpace(keepAlive), "Keep-Alive: timeout=")
+	text, ok := strings.CutPrefix(strings.TrimSpace(keepAliveLine), "Keep-Alive: timeout=")
 	n, err := strconv.Atoi(text)
-	if announced := time.Duration(n) * time.Second; !ok || err != nil || announced >= idleTime || announced+time.Second < idleTime {
-		t.Errorf("%q is announced, and the limit is %v", keepAlive, idleTime)
+	if announced := time.Duration(n) * time.Second; !ok || err != nil || announced >= idleTimeout || announced+time.Second < idleTimeout {
+		t.Errorf("%q is announced, and the limit is %v", keepAliveLine, idleTimeout)
 	}
 }
 
@@ -89,12 +89,12 @@
 		says  string
 		stays bool
 	}{
-		{"quiet", idle, usedTime, "", false},
-		{"just used", idle, -time.Hour, "", true}, // ahead of any stall of this test
-		{"a request has come", idle, time.Minute, "GET", true},
-		{"new", fresh, usedTime, "", true},
-		{"never used", fresh, freshTime, "", false},
-		{"a request is open", serving, time.Minute, "", true},
+		{"quiet", phaseIdle, usedConnGrace, "", false},
+		{"just used", phaseIdle, -time.Hour, "", true}, // ahead of any stall of this test
+		{"a request has come", phaseIdle, time.Minute, "GET", true},
+		{"new", phaseNew, usedConnGrace, "", true},
+		{"never used", phaseNew, newConnGrace, "", false},
+		{"a request is open", phaseServing, time.Minute, "", true},
 	} {
 		near, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -112,7 +112,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		s.mu.Lock()
-		s.over = true // no further sweep by itself
+		s.closed = true // no further sweep by itself
 		s.conns[c] = struct{}{}
 		s.schedule = shutdown.Within(time.Now(), time.Minute)
 		s.sweep()
--- a/internal/httpfront/proxy.go
+++ b/internal/httpfront/proxy.go
@@ -45,129 +45,129 @@
 // NewProxy returns a server of w that takes its descriptors from b.
 func NewProxy(w ProxyConfig, b *sockets.Budget, log *slog.Logger) *Server {
 	s := newServer(b, log)
-	s.whole = &w
-	s.limits = limits{
-		head: w.MaxHead, headTime: w.HeadTimeout, idle: w.IdleTimeout, bodyStall: w.StallTimeout, bodyRate: max(w.MinBodyRate, 1), stream: w.StallTimeout,
-		keepAlive: fmt.Sprintf("Keep-Alive: timeout=%d\r\n", max(1, int(w.IdleTimeout/time.Second)-1)), // less than it is: see keepAlive
+	s.proxy = &w
+	s.limits = connLimits{
+		maxHead: w.MaxHead, headTimeout: w.HeadTimeout, idleTimeout: w.IdleTimeout, bodyStallTimeout: w.StallTimeout, minBodyRate: max(w.MinBodyRate, 1), streamTimeout: w.StallTimeout,
+		keepAliveLine: fmt.Sprintf("Keep-Alive: timeout=%d\r\n", max(1, int(w.IdleTimeout/time.Second)-1)), // less than it is: see keepAlive
 	}
 	return s
 }
 
-// wholeCall is the request that a connection serves.
-type wholeCall struct {
+// proxyCall is the request that a connection serves.
+type proxyCall struct {
 	*router.Call
-	m       *httpmsg.Message
-	method  string
-	length  int64 // of its body; negative: not told
-	held    int64 // bytes that its body has of the room
-	expects bool  // the client waits to be told to send it
+	msg             *httpmsg.Message
+	method          string
+	length          int64 // of its body; negative: not told
+	bodyReserved    int64 // bytes that its body has of the room
+	expectsContinue bool  // the client waits to be told to send it
 
-	mu    sync.Mutex // of writes before the final answer
-	begun bool       // that has begun, or nobody wants it
+	mu          sync.Mutex // of writes before the final answer
+	interimDone bool       // that has begun, or nobody wants it
 }
 
-// serveWhole serves the request whose first bytes have come, and reports whether the connection can go on.
-func (s *Server) serveWhole(c *clientConn) bool {
-	q, keep, err := s.readWhole(c)
+// serveProxy serves the request whose first bytes have come, and reports whether the connection can go on.
+func (s *Server) serveProxy(c *clientConn) bool {
+	q, keep, err := s.readProxy(c)
 	if err != nil {
-		s.rejectWhole(c, err)
+		s.rejectProxy(c, err)
 		return false
 	}
 	if q == nil { // asked whether it is ready
 		return s.write(c, keep, s.readiness())
 	}
-	return s.answerWhole(c, keep, q)
+	return s.respondProxy(c, keep, q)
 }
 
-func refuse(status int, text string) error { return httpcall.Rejection{Status: status, Text: text} }
+func rejection(status int, text string) error { return httpcall.Rejection{Status: status, Text: text} }
 
-// readWhole reads one request and hands it to the engine of its pool. It returns none where the server itself was asked.
-func (s *Server) readWhole(c *clientConn) (*wholeCall, persistence, error) {
+// readProxy reads one request and hands it to the engine of its pool. It returns none where the server itself was asked.
+func (s *Server) readProxy(c *clientConn) (*proxyCall, persistence, error) {
 	if err := c.head.Read(c.r); err != nil {
-		return nil, last, err
+		return nil, connClose, err
 	}
 	method, target, minor, err := c.head.Request()
 	if err != nil {
-		return nil, last, err
+		return nil, connClose, err
 	}
-	c.bare, c.minor = string(method) == http.MethodHead, minor
-	keep := stays
+	c.omitBody, c.minor = string(method) == http.MethodHead, minor
+	keep := connKeepAlive
 	switch {
 	case c.head.Close || minor == 0 && !c.head.Keep:
-		keep = last
+		keep = connClose
 	case minor == 0:
-		keep = spoken
+		keep = connKeepAliveExplicit
 	}
-	q := &wholeCall{method: wholeMethod(method), length: max(c.head.Length, 0)}
+	q := &proxyCall{method: proxyMethodName(method), length: max(c.head.Length, 0)}
 	if c.head.Chunked {
 		if q.length = -1; minor == 0 { // such a sender knows of no chunks
-			return nil, last, httpmsg.ErrFraming
+			return nil, connClose, httpmsg.ErrFraming
 		}
 	}
 	asked := router.Asked{Method: q.method, Target: string(target), Header: c.head.Values}
-	if err := s.address(&asked, minor); err != nil {
-		return nil, last, err
+	if err := s.resolveTarget(&asked, minor); err != nil {
+		return nil, connClose, err
 	}
-	if s.whole.HealthPath != "" && asked.Target == s.whole.HealthPath && q.method == http.MethodGet && q.length == 0 {
+	if s.proxy.HealthPath != "" && asked.Target == s.proxy.HealthPath && q.method == http.MethodGet && q.length == 0 {
 		c.head.Discard(c.r)
-		if !s.enter(c, serving) {
-			return nil, last, errGone
+		if !s.setPhase(c, phaseServing) {
+			return nil, connClose, errConnClosed
 		}
 		return nil, keep, nil
 	}
-	if q.Call, err = s.whole.Router.Route(&asked); err != nil {
-		return nil, last, err
+	if q.Call, err = s.proxy.Router.Route(&asked); err != nil {
+		return nil, connClose, err
 	}
 	defer func() { q.Taken() }()
 	r := q.Request
 	if retried := c.head.Values("X-Retried"); len(retried) == 1 {
 		r.Retry = retried[0] == "1"
 	}
-	q.m = &httpmsg.Message{Method: q.method, Target: asked.Target, Host: asked.Host, Lines: s.lines(c, q, minor)}
-	q.m.Terms = &httpmsg.Terms{Judge: q.Judge, Stall: s.whole.StallTimeout, Interim: func(code int, lines []byte) { s.interim(c, q, code, lines) }}
-	r.Payload = q.m
+	q.msg = &httpmsg.Message{Method: q.method, Target: asked.Target, Host: asked.Host, Lines: s.serverHeader(c, q, minor)}
+	q.msg.Terms = &httpmsg.Terms{Judge: q.Judge, Stall: s.proxy.StallTimeout, Interim: func(code int, lines []byte) { s.interim(c, q, code, lines) }}
+	r.Payload = q.msg
 	c.head.Discard(c.r)
-	if err := s.wholeBody(c, q); err != nil {
-		return nil, last, err
+	if err := s.readProxyBody(c, q); err != nil {
+		return nil, connClose, err
 	}
-	q.Call = s.whole.Router.Again(q.Call, q.held, func() *router.Asked { // its head is no longer there
-		return &router.Asked{Method: q.m.Method, Host: q.m.Host, Target: q.m.Target, Header: httpmsg.ParseHeader(q.m.Lines).Values}
+	q.Call = s.proxy.Router.Again(q.Call, q.bodyReserved, func() *router.Asked { // its head is no longer there
+		return &router.Asked{Method: q.msg.Method, Host: q.msg.Host, Target: q.msg.Target, Header: httpmsg.ParseHeader(q.msg.Lines).Values}
 	})
-	q.m.Terms.Judge = q.Judge
-	if room, n := q.Room, q.held; n > 0 {
+	q.msg.Terms.Judge = q.Judge
+	if room, n := q.Room, q.bodyReserved; n > 0 {
 		q.Request.Release = func() { room.Release(n) }
 	}
 	r = q.Request
-	if err = s.mayServe(c, q.Engine, r); err == nil {
+	if err = s.admit(c, q.Engine, r); err == nil {
 		err = q.Engine.Take(r, q.Engine.Now())
 	}
 	if errors.Is(err, engine.ErrClosed) || errors.Is(err, engine.ErrUnknownClass) {
-		err = refuse(http.StatusServiceUnavailable, err.Error())
+		err = rejection(http.StatusServiceUnavailable, err.Error())
 	}
 	if err != nil {
 		if r.Release != nil {
 			r.Release()
 		}
-		return nil, last, err
+		return nil, connClose, err
 	}
 	return q, keep, nil
 }
 
-// address takes the host out of a request, and brings its target into origin form (RFC 9112, section 3.2).
-func (s *Server) address(a *router.Asked, minor int) error {
+// resolveTarget takes the host out of a request, and brings its target into origin form (RFC 9112, section 3.2).
+func (s *Server) resolveTarget(a *router.Asked, minor int) error {
 	hosts := a.Header("Host")
 	if len(hosts) > 1 || len(hosts) == 0 && minor > 0 {
-		return refuse(http.StatusBadRequest, "no Host, or more than one")
+		return rejection(http.StatusBadRequest, "no Host, or more than one")
 	}
 	if len(hosts) == 1 {
 		a.Host = hosts[0]
 	}
 	if a.Method == http.MethodConnect {
-		return refuse(http.StatusNotImplemented, "CONNECT is not served")
+		return rejection(http.StatusNotImplemented, "CONNECT is not served")
 	}
 	for _, v := range a.Header("Upgrade") {
 		if !strings.EqualFold(v, "h2c") { // which may be passed over (RFC 9113, section 3.1)
-			return refuse(http.StatusNotImplemented, "Upgrade is not served")
+			return rejection(http.StatusNotImplemented, "Upgrade is not served")
 		}
 	}
 	if rest, ok := cutPrefixFold(a.Target, "http://"); ok { // the authority there is what counts
@@ -181,9 +181,9 @@
 		}
 	}
 	if !httpcall.ValidHost(a.Host) && !(a.Host == "" && minor == 0) {
-		return refuse(http.StatusBadRequest, "no Host, or not one that can be read")
+		return rejection(http.StatusBadRequest, "no Host, or not one that can be read")
 	}
-	return router.CheckLoop(a.Header("Via"), s.whole.Pseudonym)
+	return router.CheckLoop(a.Header("Via"), s.proxy.Pseudonym)
 }
 
 func cutPrefixFold(s, prefix string) (rest string, ok bool) {
@@ -193,8 +193,8 @@
 	return s[len(prefix):], true
 }
 
-// wholeMethod is the method's name, without allocating for the usual ones.
-func wholeMethod(b []byte) string {
+// proxyMethodName is the method's name, without allocating for the usual ones.
+func proxyMethodName(b []byte) string {
 	for _, m := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodHead, http.MethodDelete, http.MethodPatch, http.MethodOptions} {
 		if string(b) == m {
 			return m
@@ -203,8 +203,8 @@
 	return string(b)
 }
 
-// lines are those of the head that goes to the server.
-func (s *Server) lines(c *clientConn, q *wholeCall, minor int) []byte {
+// serverHeader are those of the head that goes to the server.
+func (s *Server) serverHeader(c *clientConn, q *proxyCall, minor int) []byte {
 	size := 128
 	for _, f := range c.head.Fields {
 		size += len(f.Name) + len(f.Value) + len(": \r\n")
@@ -216,7 +216,7 @@
 		case f.Is("Host"):
 			continue
 		case f.Is("Expect"):
-			q.expects = q.expects || minor > 0 && bytes.EqualFold(f.Value, []byte("100-continue"))
+			q.expectsContinue = q.expectsContinue || minor > 0 && bytes.EqualFold(f.Value, []byte("100-continue"))
 			continue
 		case f.Is("Te"):
 			trailers = trailers || bytes.Contains(bytes.ToLower(f.Value), []byte("trailers"))
@@ -225,7 +225,7 @@
 			if !c.head.Chunked || !f.Is("Trailer") {
 				continue
 			}
-		case s.whole.AddForwardedFor && f.Is("X-Forwarded-For"):
+		case s.proxy.AddForwardedFor && f.Is("X-Forwarded-For"):
 			if forwarded != "" {
 				forwarded += ", "
 			}
@@ -239,7 +239,7 @@
 	if trailers {
 		b = append(b, "Te: trailers\r\n"...)
 	}
-	if s.whole.AddForwardedFor {
+	if s.proxy.AddForwardedFor {
 		if host, _, err := net.SplitHostPort(c.RemoteAddr().String()); err == nil {
 			if forwarded != "" {
 				forwarded += ", "
@@ -248,7 +248,7 @@
 		}
 	}
 	var random [24]byte
-	if !id || s.whole.AddTraceparent && !trace {
+	if !id || s.proxy.AddTraceparent && !trace {
 		for i := 0; i < len(random); i += 8 {
 			v := rand.Uint64()
 			for j := range 8 {
@@ -261,7 +261,7 @@
 		b = hex.AppendEncode(b, random[:8])
 		b = append(b, "\r\n"...)
 	}
-	if s.whole.AddTraceparent && !trace { // W3C Trace Context: version, trace, parent, flags: nobody is known to record it
+	if s.proxy.AddTraceparent && !trace { // W3C Trace Context: version, trace, parent, flags: nobody is known to record it
 		random[0] |= 1 // neither may be all zeros
 		random[16] |= 1
 		b = append(b, "traceparent: 00-"...)
@@ -270,26 +270,26 @@
 		b = hex.AppendEncode(b, random[16:])
 		b = append(b, "-00\r\n"...)
 	}
-	return router.AppendVia(b, minor, s.whole.Pseudonym)
+	return router.AppendVia(b, minor, s.proxy.Pseudonym)
 }
 
-// wholeBody reads the body, if it may be held, or has it read as it is sent on.
-func (s *Server) wholeBody(c *clientConn, q *wholeCall) error {
+// readProxyBody reads the body, if it may be held, or has it read as it is sent on.
+func (s *Server) readProxyBody(c *clientConn, q *proxyCall) error {
 	if q.length == 0 {
 		return nil
 	}
 	most := int64(math.MaxInt64)
-	if s.whole.MaxBody > 0 {
-		most = s.whole.MaxBody
+	if s.proxy.MaxBody > 0 {
+		most = s.proxy.MaxBody
 	}
 	if q.length > most {
-		return refuse(http.StatusRequestEntityTooLarge, httpmsg.ErrBodyTooLong.Error())
+		return rejection(http.StatusRequestEntityTooLarge, httpmsg.ErrBodyTooLong.Error())
 	}
 	chunked := q.length < 0
 	c.body.ResetTo(c.r, q.length, chunked, most)
-	src := &paced{c: c, from: time.Now(), lim: &s.limits}
-	there := chunked && c.endThere()
-	if q.expects = q.expects && c.r.Buffered() == 0; !q.expects && (there || !chunked && q.length <= s.whole.MaxBufferedBody) {
+	src := &minRateReader{c: c, from: time.Now(), limits: &s.limits}
+	there := chunked && c.bodyBuffered()
+	if q.expectsContinue = q.expectsContinue && c.r.Buffered() == 0; !q.expectsContinue && (there || !chunked && q.length <= s.proxy.MaxBufferedBody) {
 		n := q.length
 		if chunked {
 			n = int64(c.r.Buffered())
@@ -297,141 +297,141 @@
 		if q.Room.TryAcquire(n) {
 			var err error
 			if chunked {
-				q.m.Body, err = c.body.UpTo(n)
+				q.msg.Body, err = c.body.UpTo(n)
 			} else {
-				q.m.Body = make([]byte, n)
-				_, err = io.ReadFull(src, q.m.Body)
+				q.msg.Body = make([]byte, n)
+				_, err = io.ReadFull(src, q.msg.Body)
 			}
 			if err != nil {
 				q.Room.Release(n)
 				return bodyError(err)
 			}
 			if t := c.body.Trailer(); t == nil {
-				q.held = n
+				q.bodyReserved = n
 				return nil
 			}
 			q.Room.Release(n) // what has a trailer goes in chunks, and those go as they come
-			q.m.Rest, q.m.Length = httpmsg.NewUpload(bytes.NewReader(q.m.Body)), -1
-			q.m.Body, q.m.Trailer, q.Request.Upload = nil, c.body.Trailer, true
+			q.msg.Rest, q.msg.Length = httpmsg.NewUpload(bytes.NewReader(q.msg.Body)), -1
+			q.msg.Body, q.msg.Trailer, q.Request.Upload = nil, c.body.Trailer, true
 			return nil
 		}
 	}
-	if q.expects {
-		q.m.Terms.Expect = s.whole.ExpectTimeout
+	if q.expectsContinue {
+		q.msg.Terms.Expect = s.proxy.ExpectTimeout
 		src.first = func() { s.writeInterim(c, q, "HTTP/1.1 100 Continue\r\n\r\n") }
 	}
-	q.m.Rest, q.m.Length, q.Request.Upload = httpmsg.NewUpload(src), q.length, true
+	q.msg.Rest, q.msg.Length, q.Request.Upload = httpmsg.NewUpload(src), q.length, true
 	if chunked {
-		q.m.Trailer = c.body.Trailer
+		q.msg.Trailer = c.body.Trailer
 	}
 	return nil
 }
 
-// endThere reports whether all of a body in chunks lies in c's buffer.
-func (c *clientConn) endThere() bool {
+// bodyBuffered reports whether all of a body in chunks lies in c's buffer.
+func (c *clientConn) bodyBuffered() bool {
 	b, _ := c.r.Peek(c.r.Buffered())
 	return httpmsg.ChunksEnd(b)
 }
 
 // interim passes an informational answer on.
-func (s *Server) interim(c *clientConn, q *wholeCall, code int, lines []byte) {
+func (s *Server) interim(c *clientConn, q *proxyCall, code int, lines []byte) {
 	if c.minor == 0 { // such a client knows of none (RFC 9110, section 15.2)
 		return
 	}
 	s.writeInterim(c, q, fmt.Sprintf("HTTP/1.1 %d %s\r\n%s\r\n", code, http.StatusText(code), lines))
 }
 
-func (s *Server) writeInterim(c *clientConn, q *wholeCall, text string) {
+func (s *Server) writeInterim(c *clientConn, q *proxyCall, text string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.begun {
+	if q.interimDone {
 		return
 	}
-	c.SetWriteDeadline(time.Now().Add(s.limits.stream))
+	c.SetWriteDeadline(time.Now().Add(s.limits.streamTimeout))
 	io.WriteString(c, text) // if that fails, so does the final answer
 }
 
-// answerWhole waits for the final answer to q and writes it. It reports whether the connection can go on.
-func (s *Server) answerWhole(c *clientConn, keep persistence, q *wholeCall) bool {
-	r, rest := q.Request, q.m.Rest
+// respondProxy waits for the final answer to q and writes it. It reports whether the connection can go on.
+func (s *Server) respondProxy(c *clientConn, keep persistence, q *proxyCall) bool {
+	r, rest := q.Request, q.msg.Rest
 	if rest != nil {
-		result, gone := s.unheard(c, q.Engine, r, rest)
+		result, gone := s.awaitPolling(c, q.Engine, r, rest)
 		if gone {
-			s.lastWord(q)
+			s.endInterim(q)
 			return false
 		}
 		if result != nil {
 			if err := rest.Broken(); err != nil && result.Kind != engine.Served {
-				s.lastWord(q)
-				s.rejectWhole(c, bodyError(err))
+				s.endInterim(q)
+				s.rejectProxy(c, bodyError(err))
 				return false
 			}
-			return s.writeEarly(c, keep, q, *result)
+			return s.writeProxyEarly(c, keep, q, *result)
 		}
 		if err := rest.Broken(); err != nil {
 			if !q.Engine.Withdraw(r) {
 				if result := <-r.Result(); result.Kind == engine.Served {
-					s.writeWhole(c, last, q, result)
+					s.writeProxy(c, connClose, q, result)
 					return false
 				}
 			}
-			s.lastWord(q)
-			s.rejectWhole(c, bodyError(err))
+			s.endInterim(q)
+			s.rejectProxy(c, bodyError(err))
 			return false
 		}
 	}
 	if c.r.Buffered() > 0 { // the next request is there, and waits
-		return s.writeUnheard(c, keep, q)
+		return s.writeProxyPolling(c, keep, q)
 	}
 	c.SetReadDeadline(time.Time{})
-	c.waiting = true
-	go c.await()
+	c.awaiting = true
+	go c.awaitNext()
 	select {
 	case result := <-r.Result():
-		return s.writeWhole(c, keep, q, result)
-	case err := <-c.more:
+		return s.writeProxy(c, keep, q, result)
+	case err := <-c.nextReady:
 		if err == nil { // the next request has come, which waits
-			c.more <- nil
-			return s.writeUnheard(c, keep, q)
+			c.nextReady <- nil
+			return s.writeProxyPolling(c, keep, q)
 		}
-		c.waiting = false
+		c.awaiting = false
 		if !q.Engine.Withdraw(r) {
-			s.writeWhole(c, last, q, <-r.Result())
+			s.writeProxy(c, connClose, q, <-r.Result())
 		}
-		s.lastWord(q)
+		s.endInterim(q)
 		return false
 	}
 }
 
-// writeUnheard waits for the final answer to q, behind which the next request stands already, and writes it.
-func (s *Server) writeUnheard(c *clientConn, keep persistence, q *wholeCall) bool {
-	result, gone := s.unheard(c, q.Engine, q.Request, nil)
+// writeProxyPolling waits for the final answer to q, behind which the next request stands already, and writes it.
+func (s *Server) writeProxyPolling(c *clientConn, keep persistence, q *proxyCall) bool {
+	result, gone := s.awaitPolling(c, q.Engine, q.Request, nil)
 	if gone {
-		s.lastWord(q)
+		s.endInterim(q)
 		return false
 	}
-	return s.writeWhole(c, keep, q, *result)
+	return s.writeProxy(c, keep, q, *result)
 }
 
-// lastWord has nothing more written for q.
-func (s *Server) lastWord(q *wholeCall) {
+// endInterim has nothing more written for q.
+func (s *Server) endInterim(q *proxyCall) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.begun = true
+	q.interimDone = true
 }
 
-// writeEarly writes the answer though a part of the request's body may still come, and goes on coming to the server meanwhile. What of
+// writeProxyEarly writes the answer though a part of the request's body may still come, and goes on coming to the server meanwhile. What of
 // it is not wanted once the answer is whole is read and dropped: else the client, which may read only once it has written, would not get
 // the answer. A client that waits to be told to send its body is not waited for.
-func (s *Server) writeEarly(c *clientConn, keep persistence, q *wholeCall, result engine.Result) bool {
-	rest := q.m.Rest
-	unasked := q.expects && !rest.Started()
+func (s *Server) writeProxyEarly(c *clientConn, keep persistence, q *proxyCall, result engine.Result) bool {
+	rest := q.msg.Rest
+	unasked := q.expectsContinue && !rest.Started()
 	if unasked {
-		keep = last
+		keep = connClose
 	}
-	goesOn := s.writeWhole(c, keep, q, result)
+	goesOn := s.writeProxy(c, keep, q, result)
 	// A Read that is under way ends by itself while the client writes; one that is cut short would leave a body that cannot be read on.
-	late := time.AfterFunc(lingerTime, func() { c.SetReadDeadline(time.Now()) })
+	late := time.AfterFunc(lingerTimeout, func() { c.SetReadDeadline(time.Now()) })
 	src := rest.TakeBack(func() {})
 	late.Stop()
 	if src == nil || unasked {
@@ -444,24 +444,24 @@
 	return goesOn
 }
 
-// writeWhole writes the final answer, and reports whether the connection can go on.
-func (s *Server) writeWhole(c *clientConn, keep persistence, q *wholeCall, result engine.Result) bool {
-	s.lastWord(q)
+// writeProxy writes the final answer, and reports whether the connection can go on.
+func (s *Server) writeProxy(c *clientConn, keep persistence, q *proxyCall, result engine.Result) bool {
+	s.endInterim(q)
 	s.mu.Lock()
-	if s.draining() || s.crowded() {
-		keep = last
+	if s.draining() || s.tooManyConns() {
+		keep = connClose
 	}
 	s.mu.Unlock()
 	a, _ := result.Reply.(*httpmsg.Answer)
 	if result.Kind != engine.Served || a == nil {
-		if a = q.m.Terms.Last(result.Kind == engine.Refused || result.NotRun); a == nil {
-			a = ownAnswer(result)
+		if a = q.msg.Terms.Last(result.Kind == engine.Refused || result.NotRun); a == nil {
+			a = localResponse(result)
 		}
 	}
 	status := a.Status
 	chunked := !a.Bare && (a.Rest != nil && a.Length < 0 || a.Rest == nil && a.Trailer != nil && len(a.Trailer()) > 0)
 	if chunked && c.minor == 0 { // it knows of no chunks: the end of the connection is that of the body
-		chunked, keep = false, last
+		chunked, keep = false, connClose
 	}
 	b := appendStatus(c.scratch[:0], status)
 	switch {
@@ -486,11 +486,11 @@
 		b = time.Now().UTC().AppendFormat(b, http.TimeFormat)
 		b = append(b, "\r\n"...)
 	}
-	b = router.AppendVia(b, 1, s.whole.Pseudonym)
+	b = router.AppendVia(b, 1, s.proxy.Pseudonym)
 	b = append(b, "\r\n"...)
 	if a.Rest != nil {
-		defer c.watch(a.Rest)()
-		return s.stream(c, b, a, chunked) && keep != last
+		defer c.watchDisconnect(a.Rest)()
+		return s.stream(c, b, a, chunked) && keep != connClose
 	}
 	if chunked {
 		if len(a.Body) > 0 { // an empty chunk would be the last
@@ -501,28 +501,28 @@
 	} else if !a.Bare {
 		b = append(b, a.Body...)
 	}
-	if c.scratch = nil; cap(b) <= mostScratch {
+	if c.scratch = nil; cap(b) <= maxScratch {
 		c.scratch = b
 	}
-	c.SetWriteDeadline(time.Now().Add(s.limits.stream))
+	c.SetWriteDeadline(time.Now().Add(s.limits.streamTimeout))
 	_, err := c.Write(b)
-	return err == nil && keep != last
+	return err == nil && keep != connClose
 }
 
-// watch closes an answer that is still coming when its client leaves, though nothing is there to be written, until stop.
-func (c *clientConn) watch(rest io.Closer) (stop func()) {
-	if !c.waiting {
+// watchDisconnect closes an answer that is still coming when its client leaves, though nothing is there to be written, until stop.
+func (c *clientConn) watchDisconnect(rest io.Closer) (stop func()) {
+	if !c.awaiting {
 		return func() {}
 	}
 	over, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
 		select {
-		case err := <-c.more:
+		case err := <-c.nextReady:
 			if err != nil {
 				rest.Close()
 			}
-			c.more <- err
+			c.nextReady <- err
 		case <-over:
 		}
 	}()
@@ -532,9 +532,9 @@
 	}
 }
 
-// ownAnswer is what a client is told where no server has answered: 503 where nothing ran, so that a retry is harmless, else 504 where the
+// localResponse is what a client is told where no server has answered: 503 where nothing ran, so that a retry is harmless, else 504 where the
 // last server took too long and 502 where it failed otherwise.
-func ownAnswer(result engine.Result) *httpmsg.Answer {
+func localResponse(result engine.Result) *httpmsg.Answer {
 	a := &httpmsg.Answer{Status: http.StatusBadGateway}
 	switch {
 	case result.Kind == engine.Refused || result.NotRun:
@@ -553,8 +553,8 @@
 	return httpmsg.AppendInt(b, "Retry-After", int64((after+time.Second-1)/time.Second))
 }
 
-// rejectWhole answers a request that is not served, and ends its connection.
-func (s *Server) rejectWhole(c *clientConn, err error) {
+// rejectProxy answers a request that is not served, and ends its connection.
+func (s *Server) rejectProxy(c *clientConn, err error) {
 	var r *router.Rejection
 	if !errors.As(err, &r) {
 		s.reject(c, err)
--- a/internal/shutdown/end_time.go
+++ b/internal/shutdown/end_time.go
@@ -6,23 +6,25 @@
 	"time"
 )
 
-// momentKey is the key of a moment among a context's values.
-type momentKey struct{}
+// endTimeKey is the context key of the recorded end time.
+type endTimeKey struct{}
 
-// WithEndTime returns ctx with a note of when it ends; see Moment. stop ends the watch for it.
-func WithEndTime(ctx context.Context) (noted context.Context, stop func() bool) {
-	moment := &atomic.Pointer[time.Time]{}
+// WithEndTime returns a copy of ctx that records the time at which ctx is done. EndTime returns
+// that time. stop stops the recording.
+func WithEndTime(ctx context.Context) (recorded context.Context, stop func() bool) {
+	end := &atomic.Pointer[time.Time]{}
 	stop = context.AfterFunc(ctx, func() {
 		now := time.Now()
-		moment.Store(&now)
+		end.Store(&now)
 	})
-	return context.WithValue(ctx, momentKey{}, moment), stop
+	return context.WithValue(ctx, endTimeKey{}, end), stop
 }
 
-// EndTime returns when ctx ended, as far as it was noted. Else it is now: nobody knows better.
+// EndTime returns the time at which ctx was done, if ctx is derived from WithEndTime and the time is
+// recorded. Otherwise it returns the current time.
 func EndTime(ctx context.Context) time.Time {
-	if moment, ok := ctx.Value(momentKey{}).(*atomic.Pointer[time.Time]); ok {
-		if at := moment.Load(); at != nil {
+	if end, ok := ctx.Value(endTimeKey{}).(*atomic.Pointer[time.Time]); ok {
+		if at := end.Load(); at != nil {
 			return *at
 		}
 	}
--- a/internal/shutdown/sequencer.go
+++ b/internal/shutdown/sequencer.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Sequencer runs a Schedule. Its methods may be called from many goroutines at once; its callbacks run on goroutines of
-// their own, with no lock held.
+// Sequencer runs a Schedule. Its methods are safe for concurrent use. Its callbacks run on their own
+// goroutines, with no lock held.
 type Sequencer struct {
 	onForward, onAnswer func()
 
@@ -14,60 +14,62 @@
 	schedule Schedule
 	timers   []*time.Timer
 	exited   chan struct{}
-	over     bool // exited is closed
+	finished bool // exited is closed
 }
 
-// NewSequencer returns a sequence that has not begun. onForward is called when nothing may be forwarded any more, and onAnswer
-// when everything has to be answered; each at least once before the exit, unless the sequence was stopped before. They may
-// run more than once, and beside themselves.
+// NewSequencer returns a Sequencer that has not begun. It calls onForward at Schedule.Forward, when
+// nothing may be forwarded any more, and onAnswer at Schedule.Answer, when every request has to be
+// answered. Unless it is stopped first, each is called at least once before the exit. Both may run
+// several times, also concurrently.
 func NewSequencer(onForward, onAnswer func()) *Sequencer {
 	return &Sequencer{onForward: onForward, onAnswer: onAnswer, exited: make(chan struct{})}
 }
 
-// Begin starts the sequence, or brings one that has begun forward: of two schedules the earlier points count.
+// Begin starts the sequence. If it has already begun, the earlier of each time of the current
+// schedule and s applies.
 func (q *Sequencer) Begin(s Schedule) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.over {
+	if q.finished {
 		return
 	}
 	q.schedule = q.schedule.Earlier(s)
 	q.stopTimers()
-	points := []time.Time{q.schedule.Forward, q.schedule.Answer, q.schedule.Exit}
+	times := []time.Time{q.schedule.Forward, q.schedule.Answer, q.schedule.Exit}
 	calls := []func(){q.onForward, q.onAnswer, q.exit}
-	for i, at := range points {
+	for i, at := range times {
 		q.timers = append(q.timers, time.AfterFunc(time.Until(at), func() {
-			for _, call := range calls[:i+1] { // in order, also where a hold-up has made several points due at once
+			for _, call := range calls[:i+1] { // in order, also if a stall has made several times due at once
 				call()
 			}
 		}))
 	}
 }
 
-// Schedule returns what the sequence goes by; it is zero as long as it has not begun.
+// Schedule returns the current schedule. It is zero until Begin is called.
 func (q *Sequencer) Schedule() Schedule {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.schedule
 }
 
-// Exited is closed once the exit has come, or the sequence was stopped.
+// Exited returns a channel that is closed at Schedule.Exit, or when the sequence is stopped.
 func (q *Sequencer) Exited() <-chan struct{} { return q.exited }
 
-// Stop ends the sequence: no callback begins from now on.
+// Stop ends the sequence: no timer fires from then on.
 func (q *Sequencer) Stop() { q.exit() }
 
 func (q *Sequencer) exit() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.stopTimers()
-	if !q.over {
-		q.over = true
+	if !q.finished {
+		q.finished = true
 		close(q.exited)
 	}
 }
 
-// stopTimers is called with the lock held.
+// stopTimers stops all timers. q.mu must be held.
 func (q *Sequencer) stopTimers() {
 	for _, t := range q.timers {
 		t.Stop()
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// TestScheduleKeepsTheKill: whatever the longest deadline is, a process that noticed the signal late and is held up once
-// more at its last answers is out before the earliest kill, and the points follow one another.
-func TestScheduleKeepsTheKill(t *testing.T) {
+// TestForTerminationExitsBeforeKill checks, for different longest deadlines, that a process that
+// noticed the signal late and is stalled again at its last responses exits before the earliest
+// SIGKILL, and that the times of the schedule are in order.
+func TestForTerminationExitsBeforeKill(t *testing.T) {
 	signal := time.Now()
 	for _, longest := range []time.Duration{
 		time.Millisecond, 50 * time.Millisecond, 400 * time.Millisecond, 3 * time.Second, 8 * time.Second, time.Hour,
@@ -22,44 +23,46 @@
 			t.Errorf("longest %v: exit %v after the kill", longest, s.Exit.Sub(kill))
 		}
 		if held := s.Answer.Add(MaxStall); held.After(s.Exit) {
-			t.Errorf("longest %v: the last answers may come %v after the exit", longest, held.Sub(s.Exit))
+			t.Errorf("longest %v: after a stall the last responses come %v after the exit", longest, held.Sub(s.Exit))
 		}
 		if !s.Forward.Before(s.Answer) || !s.Answer.Before(s.Exit) || s.Accept.After(s.Exit) {
-			t.Errorf("longest %v: out of order: %+v", longest, s)
+			t.Errorf("longest %v: times out of order: %+v", longest, s)
 		}
-		// A request of the longest deadline that comes as late as new connections do, 0.4 s after the signal, loses
-		// little of its time.
+		// A request with the longest deadline that arrives on the latest new connection, 0.4 s
+		// after the signal, loses little of its time.
 		if full := signal.Add(350*time.Millisecond + min(longest, 3*time.Second)); s.Answer.Before(full) {
-			t.Errorf("longest %v: answers are due %v early", longest, full.Sub(s.Answer))
+			t.Errorf("longest %v: responses are due %v too early", longest, full.Sub(s.Answer))
 		}
 	}
 }
 
-// TestPatience: the points of a short patience are in order too, and one that a context cuts short ends with it.
-func TestPatience(t *testing.T) {
+// TestWithin checks that the times are in order for short timeouts too, and that the deadline of a
+// context shortens the timeout.
+func TestWithin(t *testing.T) {
 	begin := time.Now()
-	for _, patience := range []time.Duration{time.Millisecond, 100 * time.Millisecond, time.Second, time.Minute} {
-		s := Within(begin, patience)
-		if !s.Exit.Equal(begin.Add(patience)) || !s.Forward.Before(s.Answer) || !s.Answer.Before(s.Exit) || !begin.Before(s.Forward) {
-			t.Errorf("%v: %+v", patience, s)
+	for _, timeout := range []time.Duration{time.Millisecond, 100 * time.Millisecond, time.Second, time.Minute} {
+		s := Within(begin, timeout)
+		if !s.Exit.Equal(begin.Add(timeout)) || !s.Forward.Before(s.Answer) || !s.Answer.Before(s.Exit) || !begin.Before(s.Forward) {
+			t.Errorf("%v: %+v", timeout, s)
 		}
 	}
 	ctx, cancel := context.WithDeadline(t.Context(), begin.Add(time.Second))
 	defer cancel()
 	if s := WithinContext(ctx, time.Minute); s.Exit.After(begin.Add(time.Second)) {
-		t.Errorf("exit %v after the beginning, behind the end of the context", s.Exit.Sub(begin))
+		t.Errorf("exit %v after the beginning, after the deadline of the context", s.Exit.Sub(begin))
 	}
 	if s := WithinContext(ctx, 100*time.Millisecond); s.Exit.After(begin.Add(500 * time.Millisecond)) {
-		t.Errorf("exit %v after the beginning, want the patience", s.Exit.Sub(begin))
+		t.Errorf("exit %v after the beginning, want the timeout", s.Exit.Sub(begin))
 	}
 	ended, end := context.WithDeadline(t.Context(), begin.Add(-time.Second))
 	defer end()
 	if s := WithinContext(ended, time.Minute); s.Exit.After(time.Now()) {
-		t.Errorf("exit %v, though the context has ended", s.Exit)
+		t.Errorf("exit at %v, but the context is done", s.Exit)
 	}
 }
 
-// TestEarlier: each point is the earlier one, and no schedule bounds nothing.
+// TestEarlier checks that Earlier picks the earlier times and ignores a zero schedule, and that a
+// zero schedule limits nothing.
 func TestEarlier(t *testing.T) {
 	begin := time.Now()
 	long, short := Within(begin, time.Minute), Within(begin, time.Second)
@@ -76,12 +79,13 @@
 		t.Errorf("%+v, want the one there is", got)
 	}
 	if s := (Schedule{}); !s.MayForward(begin) || s.MustAnswer(begin) {
-		t.Error("no schedule bounds something")
+		t.Error("the zero schedule limits forwarding or answering")
 	}
 }
 
-// TestPoints: forwarding ends at its point and not before, and so for the last answers.
-func TestPoints(t *testing.T) {
+// TestScheduleLimits checks that forwarding ends at Forward and not before, and that answers are due
+// from Answer on and not before.
+func TestScheduleLimits(t *testing.T) {
 	s := Within(time.Now(), time.Second)
 	for _, tt := range []struct {
 		at            time.Time
@@ -99,19 +103,20 @@
 	}
 }
 
-// sequence runs a sequencer and tells what it calls, and when, in milliseconds after the beginning.
-func sequence(run func(c *Sequencer)) (calls []string, at []int64) {
+// recordCalls runs a sequencer and returns its callbacks in order, with their times in milliseconds
+// after the beginning.
+func recordCalls(run func(c *Sequencer)) (calls []string, at []int64) {
 	begin := time.Now()
 	var mu sync.Mutex
-	note := func(what string) {
+	record := func(what string) {
 		mu.Lock()
 		defer mu.Unlock()
 		calls, at = append(calls, what), append(at, time.Since(begin).Milliseconds())
 	}
-	c := NewSequencer(func() { note("forward") }, func() { note("answer") })
+	c := NewSequencer(func() { record("forward") }, func() { record("answer") })
 	go func() {
 		<-c.Exited()
-		note("exit")
+		record("exit")
 	}()
 	run(c)
 	synctest.Wait()
@@ -120,12 +125,12 @@
 	return calls, at
 }
 
-// TestSequencer: the callbacks come at their points; a sequence that is brought forward goes by the earlier points, one that is
-// put off does not; one that is stopped calls nothing.
+// TestSequencer checks that the callbacks run at their times, that a second Begin can move the times
+// forward but not back, and that a stopped sequence calls nothing.
 func TestSequencer(t *testing.T) {
 	want := []string{"forward", "forward", "answer", "forward", "answer", "exit"}
 	synctest.Test(t, func(t *testing.T) {
-		calls, at := sequence(func(c *Sequencer) {
+		calls, at := recordCalls(func(c *Sequencer) {
 			c.Begin(Within(time.Now(), time.Second))
 			time.Sleep(2 * time.Second)
 		})
@@ -135,7 +140,7 @@
 	})
 	for _, second := range []time.Duration{500 * time.Millisecond, 5 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			calls, at := sequence(func(c *Sequencer) {
+			calls, at := recordCalls(func(c *Sequencer) {
 				now := time.Now()
 				c.Begin(Within(now, time.Second))
 				time.Sleep(100 * time.Millisecond)
@@ -144,12 +149,12 @@
 			})
 			exit := min(second, time.Second).Milliseconds()
 			if !slices.Equal(calls, want) || at[len(at)-1] != exit {
-				t.Errorf("brought to %v: %v at %v", second, calls, at)
+				t.Errorf("second timeout %v: %v at %v", second, calls, at)
 			}
 		})
 	}
 	synctest.Test(t, func(t *testing.T) {
-		calls, _ := sequence(func(c *Sequencer) {
+		calls, _ := recordCalls(func(c *Sequencer) {
 			c.Begin(Within(time.Now(), time.Second))
 			c.Stop()
 			c.Begin(Within(time.Now(), time.Second))
@@ -161,36 +166,38 @@
 	})
 }
 
-// TestSequencerHeldUp: a process that is held up over all points calls in order all the same.
-func TestSequencerHeldUp(t *testing.T) {
+// TestSequencerAfterStall checks that the callbacks run in order even if a stall has made all of them
+// due at once.
+func TestSequencerAfterStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		calls, _ := sequence(func(c *Sequencer) {
+		calls, _ := recordCalls(func(c *Sequencer) {
 			c.Begin(Within(time.Now().Add(-time.Minute), time.Second))
 			time.Sleep(time.Second)
 		})
 		forward, answer, exit := slices.Index(calls, "forward"), slices.Index(calls, "answer"), slices.Index(calls, "exit")
 		if forward < 0 || answer < forward || exit < answer {
-			t.Errorf("%v: out of order", calls)
+			t.Errorf("%v: callbacks out of order", calls)
 		}
 	})
 }
 
-// TestMoment: a context tells when it ended, however late it is asked, and one without a note that it is now.
-func TestMoment(t *testing.T) {
+// TestEndTime checks that EndTime returns the time at which a context was done, however late it is
+// called, and the current time for a context without a recorded time.
+func TestEndTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		noted, stop := WithEndTime(ctx)
+		recorded, stop := WithEndTime(ctx)
 		defer stop()
 		time.Sleep(time.Second)
 		want := time.Now()
 		cancel()
 		synctest.Wait()
 		time.Sleep(time.Second)
-		if got := EndTime(noted); !got.Equal(want) {
-			t.Errorf("%v after it ended", got.Sub(want))
+		if got := EndTime(recorded); !got.Equal(want) {
+			t.Errorf("EndTime is %v after the end of the context", got.Sub(want))
 		}
 		if got := EndTime(ctx); !got.Equal(time.Now()) {
-			t.Errorf("without a note: %v, want now", got)
+			t.Errorf("without a recorded time: %v, want now", got)
 		}
 	})
 }
