--- a/internal/daemon/crossing_test.go
+++ b/internal/daemon/crossing_test.go
@@ -48,8 +48,8 @@
 
 // stage reports whether one attempt is out, and waits for s.
 func (w *world) stage(s engine.Stage) bool {
-	all := w.engine.Waiting(0)
-	return len(all) == 1 && len(all[0].Out) == 1 && all[0].Out[0].Stage == s
+	all := w.engine.PendingRequests(0)
+	return len(all) == 1 && len(all[0].OpenAttempts) == 1 && all[0].OpenAttempts[0].Stage == s
 }
 
 // TestClientLeavesBeforeItIsSent: a request whose client leaves while it waits is not sent on, whatever it waits for, and also where
@@ -62,10 +62,10 @@
 		eventually(t, "the attempt waits for "+s.String(), func() bool { return w.stage(s) })
 		c.Close()
 		next(t, "Withdrawn", m.withdrawn)
-		if o := next(t, "outcome", m.outcomes); o.Status != policy.Canceled || !o.Closed {
+		if o := next(t, "outcome", m.outcomes); o.Status != policy.Canceled || !o.Final {
 			t.Errorf("outcome %+v, want Canceled and Closed", o)
 		}
-		eventually(t, "nothing is left of it", func() bool { return w.engine.Snapshot().Held == 0 })
+		eventually(t, "nothing is left of it", func() bool { return w.engine.Snapshot().Retained == 0 })
 	}
 	t.Run("a connection", func(t *testing.T) {
 		m, f := newScript(), newFull(t)
@@ -114,7 +114,7 @@
 		}
 		last.Close()
 		eventually(t, "all have ended", func() bool { return w.clients() <= 1 })
-		if n := w.engine.Snapshot().Taken; n != uint64(busy+1) {
+		if n := w.engine.Snapshot().Accepted; n != uint64(busy+1) {
 			t.Errorf("%d requests were taken, want %d", n, busy+1)
 		}
 	}
@@ -203,7 +203,7 @@
 		}
 		if i == 0 {
 			close(again)
-			eventually(t, "the second answer is there", func() bool { s := w.transport.Stats(); return s.Stale == 1 && s.Rests == 0 })
+			eventually(t, "the second answer is there", func() bool { s := w.transport.Stats(); return s.Stale == 1 && s.Settling == 0 })
 		}
 	}
 	if a, b := next(t, "connection", conns), next(t, "connection", conns); a != 0 || b != 1 {
@@ -219,7 +219,7 @@
 			f, d := newFull(t), newDiscovery(t)
 			w := start(t, nil, f.Addr().String(), d.addr, func(c *config.Config) {
 				c.Settings.Config.MayProbe, c.Settings.Config.MayCancel = false, false
-				c.Settings.Config.AskEvery, c.Settings.Config.DialTimeout = 100*time.Millisecond, time.Minute
+				c.Settings.Config.RefreshInterval, c.Settings.Config.DialTimeout = 100*time.Millisecond, time.Minute
 			})
 			watch := next(t, "watch", d.watches)
 			watch.head()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -85,7 +85,7 @@
 			}
 			log.Info("account", "second", second.Text())
 		}
-		s, err := newSidecar(cfg, op, account.New(b, cfg.Settings.Config, engine.Origin().UnixMilli(), tell), log)
+		s, err := newSidecar(cfg, op, account.New(b, cfg.Settings.Config, engine.ClockOrigin().UnixMilli(), tell), log)
 		if err == nil {
 			transport.Store(s.transport)
 		}
@@ -118,7 +118,7 @@
 	}
 	options := engine.Options{
 		Config: cfg.Settings.Config, Module: b, Transport: transport, Source: source(cfg),
-		Known: cfg.Known, Sites: op.Sites, Log: log,
+		CachedList: cfg.Known, Sites: op.Sites, Log: log,
 	}
 	s.engine = engine.New(options)
 	if book != nil {
@@ -129,7 +129,7 @@
 		s.close()
 		return nil, err
 	}
-	s.sockets.OnShortage(func() bool { return s.transport.MakeRoom() || s.services.MakeRoom() }, func() bool { return s.server.Evict() || s.services.Evict() })
+	s.sockets.OnShortage(func() bool { return s.transport.EvictIdle() || s.services.MakeRoom() }, func() bool { return s.server.Evict() || s.services.Evict() })
 	if cfg.Shared != "" {
 		if s.dir, err = handover.Open(cfg.Shared); err != nil {
 			s.close()
@@ -146,9 +146,9 @@
 			var l note
 			if s.dir.Noted(&l, noteAge) {
 				s.engine.Learn(l.Policy)
-				s.engine.RecallSites(l.Sites)
+				s.engine.RestoreSites(l.Sites)
 			}
-			s.engine.Ask() // what the older one was told counts as told to this one
+			s.engine.Refresh() // what the older one was told counts as told to this one
 		}
 	}
 	engines := func() []*engine.Engine { return append(s.services.Engines(), s.engine) }
@@ -165,7 +165,7 @@
 
 // source is where cfg has the list of servers from.
 func source(cfg config.Config) discovery.Client {
-	return discovery.Client{Addr: cfg.Discovery, Pushed: cfg.Settings.Config.Pushed}
+	return discovery.Client{Addr: cfg.Discovery, LocalAgent: cfg.Settings.Config.ListPushed}
 }
 
 // Run serves until ctx ends, and then drains. It returns once all that was taken is answered. If ctx has ended
@@ -226,7 +226,7 @@
 		ln.Close()
 		return err
 	}
-	backlog := sockets.NewBacklog(ln)
+	backlog := sockets.NewDrainableListener(ln)
 	served := make(chan error, 1)
 	go func() { served <- s.server.Serve(backlog) }()
 	helpers.Go(func() {
@@ -365,7 +365,7 @@
 	}
 	moved := source(cfg) != source(old)
 	if moved {
-		s.engine.Move(source(cfg))
+		s.engine.SetSource(source(cfg))
 	}
 	s.cfg.Settings, s.cfg.Discovery, s.cfg.Text = cfg.Settings, cfg.Discovery, cfg.Text
 	s.reloads.applied++
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -120,7 +120,7 @@
 		if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
 			t.Fatalf("answer %d", resp.StatusCode)
 		}
-		if n := w.inUse(); n > config.LeastSockets-sockets.Spare {
+		if n := w.inUse(); n > config.LeastSockets-sockets.Reserved {
 			t.Fatalf("%d descriptors in use", n)
 		}
 	}
@@ -172,8 +172,8 @@
 	}
 	c.write(plainGet)
 	c.read(t)
-	if o := next(t, "outcome", m.outcomes); o.Status != policy.Moot {
-		t.Errorf("outcome %v, want Moot", o.Status)
+	if o := next(t, "outcome", m.outcomes); o.Status != policy.NotSent {
+		t.Errorf("outcome %v, want NotSent", o.Status)
 	}
 }
 
@@ -205,7 +205,7 @@
 			return
 		}
 		say(okAnswer)(n, c)
-	}), "127.0.0.1:1", func(c *config.Config) { c.Settings.Config.ConnIdle = 100 * time.Millisecond })
+	}), "127.0.0.1:1", func(c *config.Config) { c.Settings.Config.ConnIdleTimeout = 100 * time.Millisecond })
 	var clients []*client
 	for range 50 {
 		c := w.connect(t)
@@ -220,9 +220,9 @@
 	}
 	eventually(t, "all is gone", func() bool {
 		// One place for the connection that the listener waits for.
-		return w.engine.Snapshot().Held == 0 && w.engine.Snapshot().Probing == 0 && w.inUse() <= 1 && w.clients() <= 1
+		return w.engine.Snapshot().Retained == 0 && w.engine.Snapshot().Probing == 0 && w.inUse() <= 1 && w.clients() <= 1
 	})
-	if due := w.engine.Snapshot().LastDue; due > w.engine.Longest() {
+	if due := w.engine.Snapshot().LastDue; due > w.engine.LongestDeadline() {
 		t.Errorf("a timer is due in %v", due)
 	}
 }
--- a/internal/httpfront/drain.go
+++ b/internal/httpfront/drain.go
@@ -73,7 +73,7 @@
 func (s *Server) closeIdle(used, unused time.Duration) {
 	for c := range s.conns {
 		quiet := time.Since(c.since)
-		if (c.phase == phaseIdle && quiet >= used || c.phase == phaseNew && quiet >= unused) && !c.received.Load() && c.peek.NothingCame() {
+		if (c.phase == phaseIdle && quiet >= used || c.phase == phaseNew && quiet >= unused) && !c.received.Load() && c.peek.Empty() {
 			s.closeConn(c)
 		}
 	}
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -251,13 +251,13 @@
 func (s *Server) admit(c *clientConn, e *engine.Engine, r *engine.Request) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.setPhaseLocked(c, phaseServing) || c.peek.Ended() {
+	if !s.setPhaseLocked(c, phaseServing) || c.peek.PeerClosed() {
 		return errConnClosed
 	}
 	if !s.schedule.MayForward(time.Now()) {
 		return errShuttingDown
 	}
-	r.By = s.schedule.Answer
+	r.Deadline = s.schedule.Answer
 	c.current = openRequest{e, r}
 	return nil
 }
@@ -308,7 +308,7 @@
 	for c := range s.conns {
 		r := rank(c)
 		if r > best || r == best && r > 0 && c.since.Before(victim.since) {
-			if r != 2 || c.peek.NothingCame() {
+			if r != 2 || c.peek.Empty() {
 				victim, best = c, r
 			}
 		}
@@ -372,7 +372,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return c.peek.SomethingCame()
+	return c.peek.HasData()
 }
 
 // readyResponse is the answer to a probe of readiness.
@@ -462,7 +462,7 @@
 	} else if err = s.admit(c, s.engine, r); err == nil {
 		err = s.submit(r, &call, m)
 	}
-	if errors.Is(err, engine.ErrNameOpen) {
+	if errors.Is(err, engine.ErrDuplicateID) {
 		err = httpcall.Rejection{Status: http.StatusConflict, Text: "a request with this X-Request-ID is open"}
 	} else if errors.Is(err, orders.ErrMismatch) {
 		err = httpcall.Rejection{Status: http.StatusUnprocessableEntity, Text: err.Error()}
@@ -482,13 +482,13 @@
 func (s *Server) clientGone(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return c.peek.Ended()
+	return c.peek.PeerClosed()
 }
 
 // submit hands a request on.
 func (s *Server) submit(r *engine.Request, call *httpcall.Call, m *httpmsg.Message) error {
 	if s.desk == nil || call.IdempotencyKey == "" {
-		return s.engine.Take(r, s.engine.Now())
+		return s.engine.Submit(r, s.engine.Now())
 	}
 	read := s.engine.Now()
 	return s.desk.Take(r, orders.Ask{Key: call.IdempotencyKey, Print: call.Fingerprint(m.Body)}, read)
--- a/internal/standin/memory.go
+++ b/internal/standin/memory.go
@@ -13,14 +13,14 @@
 // Attempts is an engine.Transport without a network: its attempts end as End says, in real time or in a bubble of testing/synctest.
 type Attempts struct {
 	// End returns the ending of the n-th attempt, from 1. Nil: each is served at once, with n as its reply.
-	End func(n int, a *engine.Attempt, to engine.Endpoint) engine.Ending
+	End func(n int, a *engine.Attempt, to engine.Endpoint) engine.AttemptResult
 
 	mu   sync.Mutex
 	sent []policy.ServerID
 }
 
 // SetEnd replaces End while attempts go on.
-func (t *Attempts) SetEnd(end func(n int, a *engine.Attempt, to engine.Endpoint) engine.Ending) {
+func (t *Attempts) SetEnd(end func(n int, a *engine.Attempt, to engine.Endpoint) engine.AttemptResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.End = end
@@ -34,20 +34,20 @@
 }
 
 // Do is a method of engine.Transport.
-func (t *Attempts) Do(a *engine.Attempt, to engine.Endpoint) engine.Ending {
+func (t *Attempts) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	t.mu.Lock()
 	t.sent = append(t.sent, to.ID)
 	n, end := len(t.sent), t.End
 	t.mu.Unlock()
 	if end == nil {
-		return engine.Ending{Status: policy.OK, Reply: n}
+		return engine.AttemptResult{Status: policy.OK, Reply: n}
 	}
 	return end(n, a, to)
 }
 
 // Probe is a method of engine.Transport. There is nothing to probe.
 func (*Attempts) Probe(context.Context, engine.Endpoint) (policy.Status, *policy.Load) {
-	return policy.Moot, nil
+	return policy.NotSent, nil
 }
 
 // HangUp is a method of engine.Transport.
@@ -81,8 +81,8 @@
 	Server policy.ServerID
 }
 
-// Members is the method of engine.Module.
-func (Once) Members(policy.Time, policy.ListKind, []policy.Server, policy.Actions) {}
+// UpdateServers is the method of engine.Module.
+func (Once) UpdateServers(policy.Time, policy.ListKind, []policy.Server, policy.Actions) {}
 
 // Request is the method of engine.Module.
 func (o Once) Request(now policy.Time, q policy.Request, act policy.Actions) {
@@ -91,13 +91,15 @@
 
 // Outcome is the method of engine.Module.
 func (Once) Outcome(_ policy.Time, o policy.Outcome, act policy.Actions) {
-	if !o.Closed {
+	if !o.Final {
 		act.Fail(o.ID)
 	}
 }
 
 // Withdrawn is the method of engine.Module.
-func (Once) Withdrawn(_ policy.Time, id policy.RequestID, act policy.Actions) { act.Cancel(id, 0) }
+func (Once) ClientDisconnected(_ policy.Time, id policy.RequestID, act policy.Actions) {
+	act.Cancel(id, 0)
+}
 
 // StopSending is the method of engine.Module. There is never a further attempt.
 func (Once) StopSending(policy.Time, policy.RequestID, policy.Actions) {}
