--- a/internal/httpcall/call.go
+++ b/internal/httpcall/call.go
@@ -33,6 +33,7 @@
 // Error implements error.
 func (e Rejection) Error() string { return e.Text }
 
+// badRequest returns a Rejection with status 400.
 func badRequest(text string) error { return Rejection{http.StatusBadRequest, text} }
 
 // Call holds the metadata of a request in the protocol between an application and its sidecar.
@@ -91,8 +92,10 @@
 	return nil
 }
 
+// set records the value of knownHeaders[i].
 func (c *Call) set(i int, value []byte) error {
-	if knownHeaders[i] == "X-Cost" || knownHeaders[i] == "X-Retried" { // hints: an invalid value counts as absent
+	// Hints: an invalid value counts as absent.
+	if knownHeaders[i] == "X-Cost" || knownHeaders[i] == "X-Retried" {
 		if c.seen[i] {
 			return nil
 		}
--- a/internal/httpfront/connection_fuzz_test.go
+++ b/internal/httpfront/connection_fuzz_test.go
@@ -21,7 +21,8 @@
 	"quillfront/policy"
 )
 
-// newNumberingTransport returns a transport that answers each attempt, after some time, with its number.
+// newNumberingTransport returns a transport that responds to each attempt, after 10 ms, with its
+// number.
 func newNumberingTransport() *standin.Attempts {
 	return &standin.Attempts{End: func(n int, a *engine.Attempt, _ engine.Endpoint) engine.AttemptResult {
 		if !standin.Hold(a, 10*time.Millisecond, nil) {
@@ -33,21 +34,23 @@
 
 var testClasses = []policy.Class{{Name: "read", Effect: policy.Safe, Deadline: time.Second}, {Name: "pay", Effect: policy.Unsafe, Deadline: time.Second}}
 
-// TestConnection: what FuzzConnection counts is there. Two requests, the second behind the answer to the first, have two answers.
+// TestConnection checks that runConnection counts responses, so that FuzzConnection is not
+// vacuous: two sequential requests get two responses.
 func TestConnection(t *testing.T) {
 	first := "GET /read/k HTTP/1.1\r\nHost: s\r\nX-Request-ID: 1\r\n\r\n"
 	text := first + "POST /pay/k HTTP/1.1\r\nHost: s\r\nX-Request-ID: 2\r\nContent-Length: 4\r\n\r\nbody"
 	for _, cuts := range [][]byte{{byte(len(first)) | 0x80, 0xff}, {byte(len(first)) | 0x80, 3}} {
 		synctest.Test(t, func(t *testing.T) {
 			if n, err := runConnection(testClasses, []byte(text), cuts, false); n != 2 || err != nil {
-				t.Errorf("%d answers, %v", n, err)
+				t.Errorf("%d responses, %v", n, err)
 			}
 		})
 	}
 }
 
-// FuzzConnection: whatever a client writes and in whatever pieces, each request has at most one answer, nothing is written
-// that is no answer, what was turned away is the last, and the connection ends in bounded time.
+// FuzzConnection checks, for any input in any pieces, that each request gets at most one
+// response, that the server writes only valid responses, that a rejection is the last response,
+// and that the connection ends in bounded time.
 func FuzzConnection(f *testing.F) {
 	get := "GET /read/k HTTP/1.1\r\nHost: s\r\nX-Request-ID: 1\r\n\r\n"
 	post := "POST /pay/k HTTP/1.1\r\nHost: s\r\nX-Request-ID: 2\r\nContent-Length: 4\r\n\r\nbody"
@@ -69,8 +72,10 @@
 	})
 }
 
-// runConnection writes text to a server, cut by cuts: each tells the length of a piece, and by its high bit a pause behind it.
-func runConnection(classes []policy.Class, text, cuts []byte, half bool) (answers int, err error) {
+// runConnection writes text to a server and checks the responses. Each byte of cuts gives the
+// length of a piece in its low bits, and its high bit adds a pause after the piece. half closes
+// the connection after the text.
+func runConnection(classes []policy.Class, text, cuts []byte, half bool) (responses int, err error) {
 	transport := newNumberingTransport()
 	log := slog.New(slog.DiscardHandler)
 	e := engine.New(engine.Options{
@@ -96,53 +101,53 @@
 				time.Sleep(20 * time.Millisecond)
 			}
 		}
-		if half { // a pipe has no end of one direction only
+		if half { // a pipe cannot be closed in one direction only
 			time.Sleep(time.Second)
 			near.Close()
 		}
 	})
-	began := time.Now()
+	start := time.Now()
 	out, err := io.ReadAll(near)
 	if err != nil && !half {
 		near.Close()
-		return 0, fmt.Errorf("the connection broke: %w", err)
+		return 0, fmt.Errorf("reading from the connection: %w", err)
 	}
 	near.Close()
 	s.connWG.Wait()
-	if d := time.Since(began); d > time.Minute {
+	if d := time.Since(start); d > time.Minute {
 		return 0, fmt.Errorf("the connection ended after %v", d)
 	}
 	served := map[string]bool{}
-	over := false
+	closed := false
 	for r := bufio.NewReader(bytes.NewReader(out)); ; {
 		if _, err := r.Peek(1); err != nil {
 			break
 		}
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
-			return 0, fmt.Errorf("no answer: %w in %q", err, out)
+			return 0, fmt.Errorf("invalid response: %w in %q", err, out)
 		}
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
-			return 0, fmt.Errorf("half an answer: %w in %q", err, out)
+			return 0, fmt.Errorf("incomplete response: %w in %q", err, out)
 		}
 		switch {
-		case over:
-			return 0, fmt.Errorf("an answer behind the last one: %q", out)
+		case closed:
+			return 0, fmt.Errorf("a response after the last one: %q", out)
 		case resp.StatusCode == http.StatusContinue:
 			continue
 		case resp.StatusCode == http.StatusOK && len(body) > 0:
 			if served[string(body)] {
-				return 0, fmt.Errorf("two answers to one request: %q", out)
+				return 0, fmt.Errorf("two responses to one request: %q", out)
 			}
 			served[string(body)] = true
 		case resp.StatusCode != http.StatusOK && !resp.Close:
-			return 0, fmt.Errorf("%d does not end the connection: %q", resp.StatusCode, out)
+			return 0, fmt.Errorf("status %d does not close the connection: %q", resp.StatusCode, out)
 		}
-		over = resp.Close
+		closed = resp.Close
 	}
 	if n := len(transport.Sent()); len(served) > n {
-		return 0, fmt.Errorf("%d served, and %d sent", len(served), n)
+		return 0, fmt.Errorf("%d requests served, but %d sent", len(served), n)
 	}
 	return len(served), nil
 }
--- a/internal/httpfront/drain.go
+++ b/internal/httpfront/drain.go
@@ -7,21 +7,24 @@
 )
 
 const (
-	// sweepInterval is how often a server that drains looks for quiet connections, and freshTime how long a new one may be
-	// quiet then: it was opened to be used at once. usedTime is the same of one that was used: a client that asks again
-	// and again is about to, and learns with its next answer that the connection ends, while a request that crosses the
-	// close is turned back unheard.
+	// sweepInterval is the interval at which a draining server looks for idle connections.
+	// newConnGrace is how long a new connection may then be idle: it was opened to be used at
+	// once. usedConnGrace is the same for a used connection: a client that sends requests
+	// continuously is about to send the next one and learns from its response that the connection
+	// ends, whereas a request that crosses the close is reset unread.
 	sweepInterval = 20 * time.Millisecond
 	newConnGrace  = time.Second
 	usedConnGrace = 100 * time.Millisecond
-	// finalReadTime is how long what has come by the exit may take to be read and refused.
+	// finalReadTime limits how long data that has arrived by the exit may take to be read and
+	// refused.
 	finalReadTime = 20 * time.Millisecond
 )
 
-// Drain begins the end of the server, or brings it forward. Every answer is the last one of its connection, and
-// connections on which none is owed are closed: a request that crosses this comes again on a new connection, which is
-// still accepted. From the points of the schedule on nothing is forwarded any more, all that was read has its answer,
-// and all is closed. It is not undone by Rejoin.
+// Drain begins the shutdown of the server. If it has already begun, the earlier times of both
+// schedules apply. Every response closes its connection, and connections that wait for no
+// response are closed. A client whose request crosses the close repeats it on a new connection,
+// which is still accepted. The schedule determines when forwarding stops, when every request read
+// has its response, and when all connections are closed. Rejoin does not undo Drain.
 func (s *Server) Drain(schedule shutdown.Schedule) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,8 +33,9 @@
 	s.sweep()
 }
 
-// Evacuate does what Drain does, but at no time, and has the sidecar say that it is not ready, until Rejoin. New
-// connections are still served: whoever sends clients here learns of it only after a while.
+// Evacuate closes connections as Drain does, but without a schedule, and makes readiness probes
+// fail until Rejoin is called. New connections are still served, because whoever routes clients
+// here notices the change only after a while.
 func (s *Server) Evacuate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,19 +43,20 @@
 	s.sweep()
 }
 
-// Rejoin ends what Evacuate began.
+// Rejoin undoes Evacuate.
 func (s *Server) Rejoin() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.evacuated = false
 }
 
-// draining reports whether connections are not kept. Called with the lock held.
+// draining reports whether connections are to be closed after their responses. s.mu must be held.
 func (s *Server) draining() bool { return !s.schedule.IsZero() || s.evacuated }
 
-// sweep closes quiet connections now and as they become quiet, as long as the server drains. Each is closed after a look
-// that nothing has come, never because of its phase alone: an answer that was written just before did not say that its
-// connection ends, and the next request may be there. Called with the lock held.
+// sweep closes idle connections now, and again at each sweepInterval while the server drains. A
+// connection is closed only after a check that no data has arrived, never because of its phase
+// alone: a response written just before did not announce the close, and the next request may have
+// arrived. s.mu must be held.
 func (s *Server) sweep() {
 	s.closeIdle(usedConnGrace, newConnGrace)
 	if s.sweeping {
@@ -68,26 +73,26 @@
 	})
 }
 
-// closeIdle closes connections on which nothing has come for a time, if they were used before or if they are fresh.
-// Called with the lock held.
+// closeIdle closes used connections that have been idle for at least used, and new ones that have
+// been idle for at least unused, if no data has arrived on them. s.mu must be held.
 func (s *Server) closeIdle(used, unused time.Duration) {
 	for c := range s.conns {
-		quiet := time.Since(c.since)
-		if (c.phase == phaseIdle && quiet >= used || c.phase == phaseNew && quiet >= unused) && !c.received.Load() && c.peek.Empty() {
+		idle := time.Since(c.since)
+		if (c.phase == phaseIdle && idle >= used || c.phase == phaseNew && idle >= unused) && !c.received.Load() && c.peek.Empty() {
 			s.closeConn(c)
 		}
 	}
 }
 
-// stopForwarding has nothing more sent for the requests that are open; mayServe lets no others in.
+// stopForwarding stops sending for all open requests; admit rejects further ones.
 func (s *Server) stopForwarding() {
 	for _, open := range s.openRequests() {
 		open.engine.StopSending(open.request)
 	}
 }
 
-// answerAll has all requests answered that are open, and all refused that have come in part. What comes later is refused
-// as soon as it is heard: see serve.
+// answerAll ends all open requests and refuses those that have been read in part. Later ones are
+// refused as soon as their first byte arrives: see serve.
 func (s *Server) answerAll() {
 	s.endAnswerCtx()
 	for _, open := range s.openRequests() {
@@ -102,7 +107,7 @@
 	}
 }
 
-// openRequests returns the requests that are open.
+// openRequests returns all open requests.
 func (s *Server) openRequests() []openRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,11 +120,12 @@
 	return all
 }
 
-// Exited is closed once the schedule's exit has come, or all connections were closed for good.
+// Exited returns a channel that is closed at the exit time of the schedule, or when CloseAll is
+// called.
 func (s *Server) Exited() <-chan struct{} { return s.sequencer.Exited() }
 
-// Wait waits until Serve and all connections have ended. At the exit it closes those that are left, and reports false if
-// there were requests among them.
+// Wait waits until Serve and all connections have ended. At the exit time it closes the remaining
+// connections, and reports false if some still had requests.
 func (s *Server) Wait() bool {
 	select {
 	case <-s.serveDone:
@@ -148,14 +154,14 @@
 	return false
 }
 
-// endAccepting has no further connection taken: none is once it has returned.
+// endAccepting stops accepting. Once it has returned, no further connection is served.
 func (s *Server) endAccepting() {
 	s.stopAccepting()
-	s.mu.Lock() // take holds it while it adds one
+	s.mu.Lock() // startConn holds it while it adds a connection
 	defer s.mu.Unlock()
 }
 
-// CloseAll closes all connections, for good.
+// CloseAll closes all connections permanently.
 func (s *Server) CloseAll() {
 	s.endAccepting()
 	s.endAnswerCtx()
@@ -168,7 +174,7 @@
 	}
 }
 
-// Close closes all connections, for good, and waits until nothing serves them any more.
+// Close closes all connections permanently and waits for their goroutines.
 func (s *Server) Close() {
 	s.CloseAll()
 	s.connWG.Wait()
--- a/internal/httpfront/drain_test.go
+++ b/internal/httpfront/drain_test.go
@@ -13,10 +13,11 @@
 	"quillfront/internal/sockets"
 )
 
-// TestFirstByteBehindTheLastAnswers: what begins to come once all has to be answered is refused as soon as it is heard, and not
-// waited for; a connection that comes behind the exit is not served.
-func TestFirstByteBehindTheLastAnswers(t *testing.T) {
-	const patience = 20 * time.Second
+// TestFirstByteAfterAnswerTime checks that a request whose first byte arrives after every request
+// had to be answered is refused at once, without waiting for the rest of it, and that a
+// connection that arrives after the exit is not served.
+func TestFirstByteAfterAnswerTime(t *testing.T) {
+	const timeout = 20 * time.Second
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -29,18 +30,18 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(timeout))
 	now := time.Now()
-	s.Drain(shutdown.Schedule{Accept: now, Forward: now, Answer: now, Exit: now.Add(patience)})
+	s.Drain(shutdown.Schedule{Accept: now, Forward: now, Answer: now, Exit: now.Add(timeout)})
 	<-s.answerCtx.Done()
 	wrote := time.Now()
 	io.WriteString(c, "G")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-		t.Errorf("answer %+v, %v; want a refusal", resp, err)
+		t.Errorf("response %+v, %v; want status 503 and a close", resp, err)
 	}
 	if took := time.Since(wrote); took > headTimeout/2 {
-		t.Errorf("it took %v: the rest of the request was waited for", took)
+		t.Errorf("refused after %v: the server waited for the rest of the request", took)
 	}
 	s.CloseAll()
 	near, far := net.Pipe()
@@ -48,6 +49,6 @@
 	released := false
 	s.startConn(far, func() { released = true })
 	if n := s.Stats().Open; n > 0 || !released {
-		t.Errorf("behind the exit: %d connections, released %v", n, released)
+		t.Errorf("after the exit: %d connections, released %v", n, released)
 	}
 }
--- a/internal/httpfront/idle_test.go
+++ b/internal/httpfront/idle_test.go
@@ -18,9 +18,10 @@
 	"quillfront/policy"
 )
 
-// TestRequestThatCrossedTheDeadline: a request that the kernel had when the wait for it ended is served, however late the
-// goroutine gets its turn; a connection on which nothing came is closed.
-func TestRequestThatCrossedTheDeadline(t *testing.T) {
+// TestRequestArrivedAtIdleDeadline checks that a request that has reached the kernel when its
+// wait times out is served, however late the goroutine is scheduled, and that a connection
+// without data is closed.
+func TestRequestArrivedAtIdleDeadline(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	e := engine.New(engine.Options{Config: policy.Config{}, Module: standin.Once{}, Transport: newNumberingTransport(), Log: log})
 	defer e.Close()
@@ -52,30 +53,32 @@
 		s.mu.Lock()
 		s.conns[c] = struct{}{}
 		s.mu.Unlock()
-		s.connWG.Go(func() { s.serve(c) }) // its time was up a minute ago
+		s.connWG.Go(func() { s.serve(c) }) // the deadline passed a minute ago
 		resp, err := http.ReadResponse(bufio.NewReader(near), nil)
 		if text == "" && err == nil {
-			t.Errorf("answer %d to nothing", resp.StatusCode)
+			t.Errorf("response %d without a request", resp.StatusCode)
 		}
 		if text != "" && (err != nil || resp.StatusCode != http.StatusOK) {
-			t.Errorf("answer %v, %v", resp, err)
+			t.Errorf("response %v, %v", resp, err)
 		}
 		s.connWG.Wait()
 	}
 }
 
-// TestKeepAliveIsBelowTheLimit: what is announced is the whole seconds below the true limit.
-func TestKeepAliveIsBelowTheLimit(t *testing.T) {
+// TestKeepAliveBelowIdleTimeout checks that the announced timeout is the largest number of whole
+// seconds below idleTimeout.
+func TestKeepAliveBelowIdleTimeout(t *testing.T) {
 	text, ok := strings.CutPrefix(strings.TrimSpace(keepAliveLine), "Keep-Alive: timeout=")
 	n, err := strconv.Atoi(text)
 	if announced := time.Duration(n) * time.Second; !ok || err != nil || announced >= idleTimeout || announced+time.Second < idleTimeout {
-		t.Errorf("%q is announced, and the limit is %v", keepAliveLine, idleTimeout)
+		t.Errorf("%q is announced, but the idle timeout is %v", keepAliveLine, idleTimeout)
 	}
 }
 
-// TestDrainClosesWhatIsQuiet: a drain closes connections that have been quiet for a while, and neither such as were just used, whose next
-// request would cross the close, nor such on which one has come.
-func TestDrainClosesWhatIsQuiet(t *testing.T) {
+// TestDrainClosesIdleConnections checks that a drain closes connections that have been idle for a
+// while. It must not close recently used ones, whose next request would cross the close, or those
+// on which a request has arrived.
+func TestDrainClosesIdleConnections(t *testing.T) {
 	s := New(nil, nil, NewBodyBudget(24), sockets.New(64), slog.New(slog.DiscardHandler))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -85,16 +88,17 @@
 	for _, tt := range []struct {
 		name  string
 		phase phase
-		quiet time.Duration
-		says  string
-		stays bool
+		idle  time.Duration
+		input string
+		open  bool
 	}{
-		{"quiet", phaseIdle, usedConnGrace, "", false},
-		{"just used", phaseIdle, -time.Hour, "", true}, // ahead of any stall of this test
-		{"a request has come", phaseIdle, time.Minute, "GET", true},
+		{"idle", phaseIdle, usedConnGrace, "", false},
+		// Far enough in the future for any stall of the test.
+		{"recently used", phaseIdle, -time.Hour, "", true},
+		{"request arrived", phaseIdle, time.Minute, "GET", true},
 		{"new", phaseNew, usedConnGrace, "", true},
 		{"never used", phaseNew, newConnGrace, "", false},
-		{"a request is open", phaseServing, time.Minute, "", true},
+		{"request open", phaseServing, time.Minute, "", true},
 	} {
 		near, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -106,18 +110,18 @@
 			t.Fatal(err)
 		}
 		defer far.Close()
-		io.WriteString(near, tt.says)
-		c := &clientConn{Conn: far, release: func() {}, peek: sockets.NewPeeker(far), phase: tt.phase, since: time.Now().Add(-tt.quiet)}
-		for tt.says != "" && c.peek.Empty() {
+		io.WriteString(near, tt.input)
+		c := &clientConn{Conn: far, release: func() {}, peek: sockets.NewPeeker(far), phase: tt.phase, since: time.Now().Add(-tt.idle)}
+		for tt.input != "" && c.peek.Empty() {
 			time.Sleep(time.Millisecond)
 		}
 		s.mu.Lock()
-		s.closed = true // no further sweep by itself
+		s.closed = true // prevents further scheduled sweeps
 		s.conns[c] = struct{}{}
 		s.schedule = shutdown.Within(time.Now(), time.Minute)
 		s.sweep()
-		if _, stays := s.conns[c]; stays != tt.stays {
-			t.Errorf("%s: it stays: %v, want %v", tt.name, stays, tt.stays)
+		if _, open := s.conns[c]; open != tt.open {
+			t.Errorf("%s: open: %v, want %v", tt.name, open, tt.open)
 		}
 		delete(s.conns, c)
 		s.mu.Unlock()
--- a/internal/httpfront/proxy.go
+++ b/internal/httpfront/proxy.go
@@ -23,65 +23,69 @@
 	"quillfront/policy"
 )
 
-// ProxyConfig is how a server serves plain HTTP, whatever its requests and answers are, by routes.
+// ProxyConfig configures a server that proxies arbitrary HTTP/1.1 requests according to routes.
 type ProxyConfig struct {
 	Router     *router.Router
-	Pseudonym  string // pseudonym of this instance in Via
-	HealthPath string // a path at which the server itself tells whether it is ready; empty: none
+	Pseudonym  string // name of this instance in Via
+	HealthPath string // path at which the server reports whether it is ready; empty: none
 
-	MaxHead         int           // of a request, in bytes
-	HeadTimeout     time.Duration // for a request's head to come
-	IdleTimeout     time.Duration // a connection may stand idle
-	StallTimeout    time.Duration // a peer may bring or take nothing of a body
-	MinBodyRate     int64         // bytes a second that a body must bring in the mean
-	MaxBufferedBody int64         // the longest body that is held, so that it can be sent again
-	MaxBody         int64         // the longest body; 0: no bound
-	ExpectTimeout   time.Duration // for a server to say whether it wants a body that its client asks about
+	MaxHead         int           // bytes of a request head
+	HeadTimeout     time.Duration // to read a request head
+	IdleTimeout     time.Duration // of a connection between requests
+	StallTimeout    time.Duration // limit without progress of a body, in either direction
+	MinBodyRate     int64         // minimum mean rate of a request body, in bytes per second
+	MaxBufferedBody int64         // the longest body that is buffered, so that it can be sent again
+	MaxBody         int64         // the longest body; 0: unlimited
+	ExpectTimeout   time.Duration // for a server to respond to Expect: 100-continue
 
-	AddForwardedFor bool // X-Forwarded-For goes on with the client's address added
-	AddTraceparent  bool // a traceparent is made where there is none
+	AddForwardedFor bool // append the address of the client to X-Forwarded-For
+	AddTraceparent  bool // add a traceparent to requests without one
 }
 
-// NewProxy returns a server of w that takes its descriptors from b.
+// NewProxy returns a proxy server with the configuration w that takes its descriptors from b.
 func NewProxy(w ProxyConfig, b *sockets.Budget, log *slog.Logger) *Server {
 	s := newServer(b, log)
 	s.proxy = &w
 	s.limits = connLimits{
 		maxHead: w.MaxHead, headTimeout: w.HeadTimeout, idleTimeout: w.IdleTimeout, bodyStallTimeout: w.StallTimeout, minBodyRate: max(w.MinBodyRate, 1), streamTimeout: w.StallTimeout,
-		keepAliveLine: fmt.Sprintf("Keep-Alive: timeout=%d\r\n", max(1, int(w.IdleTimeout/time.Second)-1)), // less than it is: see keepAlive
+		// The announced timeout is less than IdleTimeout: see keepAliveLine.
+		keepAliveLine: fmt.Sprintf("Keep-Alive: timeout=%d\r\n", max(1, int(w.IdleTimeout/time.Second)-1)),
 	}
 	return s
 }
 
-// proxyCall is the request that a connection serves.
+// proxyCall is the request that a connection currently serves.
 type proxyCall struct {
 	*router.Call
 	msg             *httpmsg.Message
 	method          string
-	length          int64 // of its body; negative: not told
-	bodyReserved    int64 // bytes that its body has of the room
-	expectsContinue bool  // the client waits to be told to send it
+	length          int64 // of the body; negative: unknown
+	bodyReserved    int64 // bytes of body memory reserved for the body
+	expectsContinue bool  // the client waits for 100 Continue before it sends the body
 
-	mu          sync.Mutex // of writes before the final answer
-	interimDone bool       // that has begun, or nobody wants it
+	mu          sync.Mutex // held while an interim response is written
+	interimDone bool       // no interim response may be written any more
 }
 
-// serveProxy serves the request whose first bytes have come, and reports whether the connection can go on.
+// serveProxy serves the request whose first bytes have arrived and reports whether the connection
+// can be used again.
 func (s *Server) serveProxy(c *clientConn) bool {
 	q, keep, err := s.readProxy(c)
 	if err != nil {
 		s.rejectProxy(c, err)
 		return false
 	}
-	if q == nil { // asked whether it is ready
+	if q == nil { // health check
 		return s.write(c, keep, s.readiness())
 	}
 	return s.respondProxy(c, keep, q)
 }
 
+// rejection returns an httpcall.Rejection as an error.
 func rejection(status int, text string) error { return httpcall.Rejection{Status: status, Text: text} }
 
-// readProxy reads one request and hands it to the engine of its pool. It returns none where the server itself was asked.
+// readProxy reads one request and passes it to the engine of its pool. For a health check it
+// returns a nil request.
 func (s *Server) readProxy(c *clientConn) (*proxyCall, persistence, error) {
 	if err := c.head.Read(c.r); err != nil {
 		return nil, connClose, err
@@ -100,7 +104,7 @@
 	}
 	q := &proxyCall{method: proxyMethodName(method), length: max(c.head.Length, 0)}
 	if c.head.Chunked {
-		if q.length = -1; minor == 0 { // such a sender knows of no chunks
+		if q.length = -1; minor == 0 { // HTTP/1.0 has no chunked encoding
 			return nil, connClose, httpmsg.ErrFraming
 		}
 	}
@@ -130,7 +134,8 @@
 	if err := s.readProxyBody(c, q); err != nil {
 		return nil, connClose, err
 	}
-	q.Call = s.proxy.Router.Again(q.Call, q.bodyReserved, func() *router.Asked { // its head is no longer there
+	// The head has been discarded.
+	q.Call = s.proxy.Router.Again(q.Call, q.bodyReserved, func() *router.Asked {
 		return &router.Asked{Method: q.msg.Method, Host: q.msg.Host, Target: q.msg.Target, Header: httpmsg.ParseHeader(q.msg.Lines).Values}
 	})
 	q.msg.Terms.Judge = q.Judge
@@ -153,7 +158,8 @@
 	return q, keep, nil
 }
 
-// resolveTarget takes the host out of a request, and brings its target into origin form (RFC 9112, section 3.2).
+// resolveTarget sets the host of a request and converts its target to origin form (RFC 9112,
+// section 3.2).
 func (s *Server) resolveTarget(a *router.Asked, minor int) error {
 	hosts := a.Header("Host")
 	if len(hosts) > 1 || len(hosts) == 0 && minor > 0 {
@@ -166,11 +172,12 @@
 		return rejection(http.StatusNotImplemented, "CONNECT is not served")
 	}
 	for _, v := range a.Header("Upgrade") {
-		if !strings.EqualFold(v, "h2c") { // which may be passed over (RFC 9113, section 3.1)
+		if !strings.EqualFold(v, "h2c") { // h2c may be ignored (RFC 9113, section 3.1)
 			return rejection(http.StatusNotImplemented, "Upgrade is not served")
 		}
 	}
-	if rest, ok := cutPrefixFold(a.Target, "http://"); ok { // the authority there is what counts
+	// The authority of the target overrides Host.
+	if rest, ok := cutPrefixFold(a.Target, "http://"); ok {
 		end := strings.IndexAny(rest, "/?")
 		if end < 0 {
 			end = len(rest)
@@ -186,6 +193,7 @@
 	return router.CheckLoop(a.Header("Via"), s.proxy.Pseudonym)
 }
 
+// cutPrefixFold is strings.CutPrefix, but ignores case.
 func cutPrefixFold(s, prefix string) (rest string, ok bool) {
 	if len(s) < len(prefix) || !strings.EqualFold(s[:len(prefix)], prefix) {
 		return s, false
@@ -193,7 +201,7 @@
 	return s[len(prefix):], true
 }
 
-// proxyMethodName is the method's name, without allocating for the usual ones.
+// proxyMethodName returns the method as a string, without an allocation for the usual methods.
 func proxyMethodName(b []byte) string {
 	for _, m := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodHead, http.MethodDelete, http.MethodPatch, http.MethodOptions} {
 		if string(b) == m {
@@ -203,7 +211,8 @@
 	return string(b)
 }
 
-// serverHeader are those of the head that goes to the server.
+// serverHeader returns the header lines that are sent to the server. It also sets
+// q.expectsContinue.
 func (s *Server) serverHeader(c *clientConn, q *proxyCall, minor int) []byte {
 	size := 128
 	for _, f := range c.head.Fields {
@@ -261,8 +270,9 @@
 		b = hex.AppendEncode(b, random[:8])
 		b = append(b, "\r\n"...)
 	}
-	if s.proxy.AddTraceparent && !trace { // W3C Trace Context: version, trace, parent, flags: nobody is known to record it
-		random[0] |= 1 // neither may be all zeros
+	// W3C Trace Context: version, trace id, parent id, flags; 00: not known to be recorded.
+	if s.proxy.AddTraceparent && !trace {
+		random[0] |= 1 // neither id may be all zeros
 		random[16] |= 1
 		b = append(b, "traceparent: 00-"...)
 		b = hex.AppendEncode(b, random[:16])
@@ -273,23 +283,24 @@
 	return router.AppendVia(b, minor, s.proxy.Pseudonym)
 }
 
-// readProxyBody reads the body, if it may be held, or has it read as it is sent on.
+// readProxyBody buffers the body if it is short enough and there is memory for it. Otherwise the
+// body is read while it is sent to the server.
 func (s *Server) readProxyBody(c *clientConn, q *proxyCall) error {
 	if q.length == 0 {
 		return nil
 	}
-	most := int64(math.MaxInt64)
+	maxBody := int64(math.MaxInt64)
 	if s.proxy.MaxBody > 0 {
-		most = s.proxy.MaxBody
+		maxBody = s.proxy.MaxBody
 	}
-	if q.length > most {
+	if q.length > maxBody {
 		return rejection(http.StatusRequestEntityTooLarge, httpmsg.ErrBodyTooLong.Error())
 	}
 	chunked := q.length < 0
-	c.body.ResetTo(c.r, q.length, chunked, most)
+	c.body.ResetTo(c.r, q.length, chunked, maxBody)
 	src := &minRateReader{c: c, from: time.Now(), limits: &s.limits}
-	there := chunked && c.bodyBuffered()
-	if q.expectsContinue = q.expectsContinue && c.r.Buffered() == 0; !q.expectsContinue && (there || !chunked && q.length <= s.proxy.MaxBufferedBody) {
+	buffered := chunked && c.bodyBuffered()
+	if q.expectsContinue = q.expectsContinue && c.r.Buffered() == 0; !q.expectsContinue && (buffered || !chunked && q.length <= s.proxy.MaxBufferedBody) {
 		n := q.length
 		if chunked {
 			n = int64(c.r.Buffered())
@@ -310,7 +321,8 @@
 				q.bodyReserved = n
 				return nil
 			}
-			q.Room.Release(n) // what has a trailer goes in chunks, and those go as they come
+			// A body with a trailer is sent in chunks, and chunked bodies are streamed.
+			q.Room.Release(n)
 			q.msg.Rest, q.msg.Length = httpmsg.NewUpload(bytes.NewReader(q.msg.Body)), -1
 			q.msg.Body, q.msg.Trailer, q.Request.Upload = nil, c.body.Trailer, true
 			return nil
@@ -327,20 +339,21 @@
 	return nil
 }
 
-// bodyBuffered reports whether all of a body in chunks lies in c's buffer.
+// bodyBuffered reports whether a whole chunked body is in the buffer of c.
 func (c *clientConn) bodyBuffered() bool {
 	b, _ := c.r.Peek(c.r.Buffered())
 	return httpmsg.ChunksEnd(b)
 }
 
-// interim passes an informational answer on.
+// interim forwards an interim response.
 func (s *Server) interim(c *clientConn, q *proxyCall, code int, lines []byte) {
-	if c.minor == 0 { // such a client knows of none (RFC 9110, section 15.2)
+	if c.minor == 0 { // HTTP/1.0 has no interim responses (RFC 9110, section 15.2)
 		return
 	}
 	s.writeInterim(c, q, fmt.Sprintf("HTTP/1.1 %d %s\r\n%s\r\n", code, http.StatusText(code), lines))
 }
 
+// writeInterim writes an interim response, unless endInterim has been called for q.
 func (s *Server) writeInterim(c *clientConn, q *proxyCall, text string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -348,10 +361,11 @@
 		return
 	}
 	c.SetWriteDeadline(time.Now().Add(s.limits.streamTimeout))
-	io.WriteString(c, text) // if that fails, so does the final answer
+	io.WriteString(c, text) // after an error, the final response fails too
 }
 
-// respondProxy waits for the final answer to q and writes it. It reports whether the connection can go on.
+// respondProxy waits for the final result of q and writes the response. It reports whether the
+// connection can be used again.
 func (s *Server) respondProxy(c *clientConn, keep persistence, q *proxyCall) bool {
 	r, rest := q.Request, q.msg.Rest
 	if rest != nil {
@@ -380,7 +394,7 @@
 			return false
 		}
 	}
-	if c.r.Buffered() > 0 { // the next request is there, and waits
+	if c.r.Buffered() > 0 { // the next request has arrived and has to wait
 		return s.writeProxyPolling(c, keep, q)
 	}
 	c.SetReadDeadline(time.Time{})
@@ -390,7 +404,7 @@
 	case result := <-r.Result():
 		return s.writeProxy(c, keep, q, result)
 	case err := <-c.nextReady:
-		if err == nil { // the next request has come, which waits
+		if err == nil { // the next request has arrived and has to wait
 			c.nextReady <- nil
 			return s.writeProxyPolling(c, keep, q)
 		}
@@ -403,7 +417,8 @@
 	}
 }
 
-// writeProxyPolling waits for the final answer to q, behind which the next request stands already, and writes it.
+// writeProxyPolling waits for the final result of q while the next request is already buffered,
+// and writes the response.
 func (s *Server) writeProxyPolling(c *clientConn, keep persistence, q *proxyCall) bool {
 	result, gone := s.awaitPolling(c, q.Engine, q.Request, nil)
 	if gone {
@@ -413,38 +428,40 @@
 	return s.writeProxy(c, keep, q, *result)
 }
 
-// endInterim has nothing more written for q.
+// endInterim prevents further interim responses to q.
 func (s *Server) endInterim(q *proxyCall) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.interimDone = true
 }
 
-// writeProxyEarly writes the answer though a part of the request's body may still come, and goes on coming to the server meanwhile. What of
-// it is not wanted once the answer is whole is read and dropped: else the client, which may read only once it has written, would not get
-// the answer. A client that waits to be told to send its body is not waited for.
+// writeProxyEarly writes the response while the rest of the request body may still be sent to the
+// server. What is left of the body after the response is read and discarded, because a client
+// that reads only after it has sent everything would otherwise not get the response. If the
+// client still waits for 100 Continue, nothing is read: the connection is closed.
 func (s *Server) writeProxyEarly(c *clientConn, keep persistence, q *proxyCall, result engine.Result) bool {
 	rest := q.msg.Rest
-	unasked := q.expectsContinue && !rest.Started()
-	if unasked {
+	bodyNotSent := q.expectsContinue && !rest.Started()
+	if bodyNotSent {
 		keep = connClose
 	}
-	goesOn := s.writeProxy(c, keep, q, result)
-	// A Read that is under way ends by itself while the client writes; one that is cut short would leave a body that cannot be read on.
-	late := time.AfterFunc(lingerTimeout, func() { c.SetReadDeadline(time.Now()) })
+	reusable := s.writeProxy(c, keep, q, result)
+	// A Read in progress ends by itself while the client writes. If it is interrupted, the body
+	// cannot be read any further.
+	timer := time.AfterFunc(lingerTimeout, func() { c.SetReadDeadline(time.Now()) })
 	src := rest.TakeBack(func() {})
-	late.Stop()
-	if src == nil || unasked {
-		return goesOn
+	timer.Stop()
+	if src == nil || bodyNotSent {
+		return reusable
 	}
 	if _, err := io.Copy(io.Discard, src); err != nil {
 		s.linger(c)
 		return false
 	}
-	return goesOn
+	return reusable
 }
 
-// writeProxy writes the final answer, and reports whether the connection can go on.
+// writeProxy writes the final response and reports whether the connection can be used again.
 func (s *Server) writeProxy(c *clientConn, keep persistence, q *proxyCall, result engine.Result) bool {
 	s.endInterim(q)
 	s.mu.Lock()
@@ -460,7 +477,8 @@
 	}
 	status := a.Status
 	chunked := !a.Bare && (a.Rest != nil && a.Length < 0 || a.Rest == nil && a.Trailer != nil && len(a.Trailer()) > 0)
-	if chunked && c.minor == 0 { // it knows of no chunks: the end of the connection is that of the body
+	// HTTP/1.0 has no chunked encoding: the close of the connection ends the body.
+	if chunked && c.minor == 0 {
 		chunked, keep = false, connClose
 	}
 	b := appendStatus(c.scratch[:0], status)
@@ -481,7 +499,7 @@
 	if result.Kind == engine.Refused && !a.Asks {
 		b = appendRetryAfter(b, result.RetryAfter)
 	}
-	if !a.Dated { // RFC 9110, section 6.6.1
+	if !a.Dated { // a proxy adds a missing Date: RFC 9110, section 6.6.1
 		b = append(b, "Date: "...)
 		b = time.Now().UTC().AppendFormat(b, http.TimeFormat)
 		b = append(b, "\r\n"...)
@@ -493,7 +511,7 @@
 		return s.stream(c, b, a, chunked) && keep != connClose
 	}
 	if chunked {
-		if len(a.Body) > 0 { // an empty chunk would be the last
+		if len(a.Body) > 0 { // an empty chunk would end the body
 			b = httpmsg.AppendChunkHead(b, len(a.Body))
 			b = append(append(b, a.Body...), "\r\n"...)
 		}
@@ -509,12 +527,13 @@
 	return err == nil && keep != connClose
 }
 
-// watchDisconnect closes an answer that is still coming when its client leaves, though nothing is there to be written, until stop.
+// watchDisconnect closes rest if the client disconnects, also while there is nothing to write. It
+// watches until stop is called.
 func (c *clientConn) watchDisconnect(rest io.Closer) (stop func()) {
 	if !c.awaiting {
 		return func() {}
 	}
-	over, done := make(chan struct{}), make(chan struct{})
+	stopped, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
 		select {
@@ -523,29 +542,31 @@
 				rest.Close()
 			}
 			c.nextReady <- err
-		case <-over:
+		case <-stopped:
 		}
 	}()
 	return func() {
-		close(over)
+		close(stopped)
 		<-done
 	}
 }
 
-// localResponse is what a client is told where no server has answered: 503 where nothing ran, so that a retry is harmless, else 504 where the
-// last server took too long and 502 where it failed otherwise.
+// localResponse returns the response if no server has responded: 503 if no attempt ran, so that a
+// retry is harmless, 504 if the last server took too long, and 502 for other failures.
 func localResponse(result engine.Result) *httpmsg.Answer {
 	a := &httpmsg.Answer{Status: http.StatusBadGateway}
 	switch {
 	case result.Kind == engine.Refused || result.NotRun:
 		a.Status = http.StatusServiceUnavailable
-	case result.LastStatus == policy.Timeout || result.Attempts > 0 && result.LastStatus == policy.OK: // the only one has not ended
+	// The only attempt has not ended.
+	case result.LastStatus == policy.Timeout || result.Attempts > 0 && result.LastStatus == policy.OK:
 		a.Status = http.StatusGatewayTimeout
 	}
 	return a
 }
 
-// appendRetryAfter tells when to come back, in whole seconds (RFC 9110, section 10.2.3); 0 is not told.
+// appendRetryAfter appends Retry-After in whole seconds (RFC 9110, section 10.2.3), or nothing if
+// after is 0.
 func appendRetryAfter(b []byte, after time.Duration) []byte {
 	if after <= 0 {
 		return b
@@ -553,7 +574,8 @@
 	return httpmsg.AppendInt(b, "Retry-After", int64((after+time.Second-1)/time.Second))
 }
 
-// rejectProxy answers a request that is not served, and ends its connection.
+// rejectProxy writes the error response to a request that is not served and closes the
+// connection.
 func (s *Server) rejectProxy(c *clientConn, err error) {
 	var r *router.Rejection
 	if !errors.As(err, &r) {
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -1,5 +1,6 @@
-// Package httpfront is the side of the clients over HTTP/1.1: it owns their connections, takes requests from them and
-// writes each its one answer. Each request goes through the engine; it decides nothing itself but what is no request.
+// Package httpfront is the HTTP/1.1 server for clients. It owns the client connections, reads the
+// requests and writes exactly one response to each. Every valid request goes through the engine;
+// the package itself decides only which requests are malformed or not allowed.
 package httpfront
 
 import (
@@ -29,93 +30,106 @@
 )
 
 const (
-	// bodyMemoryDivisor is the part of the memory limit that bodies may hold, one over bodyMemoryDivisor.
+	// bodyMemoryDivisor sets the share of the memory limit that bodies may use:
+	// 1/bodyMemoryDivisor.
 	bodyMemoryDivisor = 8
-	// maxRequestHead bounds a request's head. It is held in a buffer of that size.
+	// maxRequestHead is the maximum size of a request head. The head is held in a buffer of that
+	// size.
 	maxRequestHead = 8 << 10
-	// headTimeout is how long a client may take to write a head, counted from the start of a new connection: bad clients
-	// are owed an end within 3 s of it, and clients may take up to 2 s.
+	// headTimeout limits the time to read a request head, from the start of a new connection. Bad
+	// clients have to be disconnected within 3 s of it, and clients may take up to 2 s.
 	headTimeout = 2500 * time.Millisecond
-	// bodyTimeout is how long a client may take to write a body of up to httpmsg.MaxWhole. It guards against clients that hold room
-	// and a descriptor for ever. One on a link so slow that 64 KiB take longer would be cut off wrongly.
+	// bodyTimeout limits the time to read a body of up to httpmsg.MaxWhole, so that no client
+	// holds body memory and a descriptor forever. A client on a link that needs longer for 64 KiB
+	// is cut off although it is healthy.
 	bodyTimeout = 2 * time.Second
-	// bodyStallTimeout is how long a longer body may stand still, and bodyRate how many bytes a second it must bring in the mean:
-	// half of what the slowest clients do.
+	// bodyStallTimeout limits how long a longer body may make no progress, and minBodyRate is the
+	// minimum mean rate in bytes per second: half the rate of the slowest clients.
 	bodyStallTimeout = 1500 * time.Millisecond
 	minBodyRate      = 32 << 10
-	// maxBufferedBody is the longest body that is held whole where there is room for it: such a request can be sent again.
+	// maxBufferedBody is the longest body that is buffered whole if there is memory for it. Such
+	// a request can be sent again.
 	maxBufferedBody = 1 << 20
-	// idleTimeout is how long a client's connection may stand idle; 2 s are owed. Guards against clients that ask once
-	// and keep their connection for good. A client that asks more seldom pays with a new connection each time.
+	// idleTimeout limits how long a client connection may be idle; clients are promised 2 s. It
+	// ends the connections of clients that send one request and never close. A client that sends
+	// requests less often has to open a new connection for each.
 	idleTimeout = 2100 * time.Millisecond
-	// keepAliveLine tells clients how long a connection is kept, in the whole seconds below idleTime. It guards against requests
-	// that cross the close: those that may not be repeated are lost to the client. Clients that honour it, as Node's
-	// http.Agent does with a second to spare, open a new connection instead.
+	// keepAliveLine announces the idle timeout to clients, in whole seconds below idleTimeout.
+	// Without it, a request could cross the close of its connection, and a client loses such a
+	// request if it must not be repeated. Clients that honour the header open a new connection
+	// instead; Node's http.Agent does so with a margin of one second.
 	keepAliveLine = "Keep-Alive: timeout=2\r\n"
-	// maxKeepAliveShare is the part of the clients' places from which an answer is the last one on its connection.
+	// maxKeepAliveShare is the share of the client connection limit above which each response
+	// closes its connection.
 	maxKeepAliveShare = 0.4
-	// minIdleToEvict is how long a connection has been quiet at least when it is closed to make room: a new one's
-	// first bytes may be on their way.
+	// minIdleToEvict is the minimum idle time of a connection that is closed to free a
+	// descriptor: the first bytes of a new connection may be in transit.
 	minIdleToEvict = 250 * time.Millisecond
-	// minReadingToEvict is the same for one whose request has come in part.
+	// minReadingToEvict is the same minimum for a connection whose request has been read in part.
 	minReadingToEvict = time.Second
-	// writeTimeout is how long a client may take none of its answer.
+	// writeTimeout limits how long a client may read nothing of its response.
 	writeTimeout = 2 * time.Second
-	// streamTimeout is the same once an answer is passed on as it comes, for each piece of it.
+	// streamTimeout is the same limit for each piece of a response that is streamed.
 	streamTimeout = 5 * time.Second
-	// lingerTimeout is how long what a client still sends is read and dropped after its request was turned away, so that
-	// the answer reaches it before a reset does.
+	// lingerTimeout limits how long the server reads and discards what a client still sends after
+	// its request was rejected, so that the response reaches the client before a reset does.
 	lingerTimeout = 300 * time.Millisecond
-	// disconnectPollInterval is how often a connection is looked at whose client could leave unheard: see unheard. What it waits for is not sent on
-	// 0.3 s later.
+	// disconnectPollInterval is the interval of the checks for a disconnected client while
+	// nothing reads from its connection; see awaitPolling. The request of a disconnected client
+	// must no longer be forwarded after 0.3 s.
 	disconnectPollInterval = 50 * time.Millisecond
 	// acceptRetryDelay is the pause after a failed accept.
 	acceptRetryDelay = 5 * time.Millisecond
-	// maxScratch bounds the room for an answer that a connection keeps for the next one.
+	// maxScratch is the largest response buffer that a connection keeps for its next response.
 	maxScratch = 4 << 10
 )
 
-// NewBodyBudget returns the room for the bodies of requests, in bytes. A body's whole length is reserved before it is read:
-// however many clients write at once, their bodies hold a fixed part of the memory, and others wait in the kernel.
+// NewBodyBudget returns a semaphore that limits the memory for request bodies, in bytes. The
+// whole length of a body is reserved before it is read. However many clients send at once, their
+// bodies use a fixed share of the memory, and the data of the others waits in the kernel.
 func NewBodyBudget(memoryMB int) *semaphore.Weighted {
 	return semaphore.NewWeighted(max(int64(memoryMB)<<20/bodyMemoryDivisor, httpmsg.MaxWhole))
 }
 
-// Server serves the clients. It reads requests itself rather than by net/http's server, which hides what must be known
-// here: heads as they came, bytes behind a request, and how far a connection has got when it has to make room.
+// Server serves client connections. It parses requests itself because net/http's server does not
+// expose what is needed here: the head as received, the bytes after a request, and the state of a
+// connection that may have to be evicted.
 type Server struct {
 	engine     *engine.Engine
 	bodyBudget *semaphore.Weighted
-	proxy      *ProxyConfig // nil: it serves the platform's protocol
+	proxy      *ProxyConfig // nil: the server uses the sidecar protocol
 	limits     connLimits
 	sockets    *sockets.Budget
 	log        *slog.Logger
-	desk       *orders.Desk // nil: requests go to the engine as they come
+	desk       *orders.Desk // nil: requests go to the engine directly
 
-	mu        sync.Mutex
-	conns     map[*clientConn]struct{} // bounded by sockets
-	schedule  shutdown.Schedule        // of the end, which sequencer runs; zero: not ending. There is no way back: see Drain
-	evacuated bool                     // until Rejoin: see Evacuate
-	closed    bool                     // all are closed for good
-	sweeping  bool                     // quiet connections are being closed
+	mu    sync.Mutex
+	conns map[*clientConn]struct{} // limited by sockets
+	// The schedule of the shutdown, run by sequencer; zero: none. It cannot be undone: see Drain.
+	schedule  shutdown.Schedule
+	evacuated bool // between Evacuate and Rejoin
+	closed    bool // all connections are closed, permanently
+	sweeping  bool // a sweep of idle connections is scheduled
 
 	sequencer     *shutdown.Sequencer
-	answerCtx     context.Context // ends once all that was read has to be answered
+	answerCtx     context.Context // done once every request read has to be answered
 	endAnswerCtx  context.CancelFunc
-	acceptCtx     context.Context // ends once no connection is accepted any more
+	acceptCtx     context.Context // done once no connection is accepted any more
 	stopAccepting context.CancelFunc
-	serveDone     chan struct{}  // closed once Serve has ended
-	connWG        sync.WaitGroup // the goroutines of connections
+	serveDone     chan struct{}  // closed when Serve returns
+	connWG        sync.WaitGroup // the goroutines of the connections
 }
 
-// New returns a server that takes its descriptors from b, and holds bodies in room. Requests pass through desk, if there is one.
-func New(e *engine.Engine, desk *orders.Desk, room *semaphore.Weighted, b *sockets.Budget, log *slog.Logger) *Server {
+// New returns a server for the sidecar protocol. It takes descriptors from b and reserves memory
+// for bodies in budget. Requests with an idempotency key pass through desk unless it is nil.
+func New(e *engine.Engine, desk *orders.Desk, budget *semaphore.Weighted, b *sockets.Budget, log *slog.Logger) *Server {
 	s := newServer(b, log)
-	s.engine, s.desk, s.bodyBudget = e, desk, room
+	s.engine, s.desk, s.bodyBudget = e, desk, budget
 	s.limits = connLimits{maxHead: maxRequestHead, headTimeout: headTimeout, idleTimeout: idleTimeout, keepAliveLine: keepAliveLine, bodyStallTimeout: bodyStallTimeout, minBodyRate: minBodyRate, streamTimeout: streamTimeout}
 	return s
 }
 
+// newServer returns a Server without a protocol configuration.
 func newServer(b *sockets.Budget, log *slog.Logger) *Server {
 	s := &Server{sockets: b, log: log, conns: map[*clientConn]struct{}{}, serveDone: make(chan struct{})}
 	s.sequencer = shutdown.NewSequencer(s.stopForwarding, s.answerAll)
@@ -124,53 +138,54 @@
 	return s
 }
 
-// connLimits are those of a client's connection.
+// connLimits are the limits of a client connection.
 type connLimits struct {
 	maxHead                         int // bytes
 	headTimeout, idleTimeout        time.Duration
-	keepAliveLine                   string // the line that tells idle
+	keepAliveLine                   string // the header line that announces idleTimeout
 	bodyStallTimeout, streamTimeout time.Duration
-	minBodyRate                     int64 // bytes a second
+	minBodyRate                     int64 // bytes per second
 }
 
-// phase is how far a client's connection has got.
+// phase is the state of a client connection.
 type phase int
 
 const (
-	phaseNew       phase = iota // nothing has come yet
+	phaseNew       phase = iota // nothing has been received yet
 	phaseIdle                   // between two requests
-	phaseReading                // a request has come in part
+	phaseReading                // a request has been received in part
 	phaseServing                // a request is open
-	phaseLingering              // turned away
+	phaseLingering              // a request was rejected; the rest of its data is discarded
 )
 
-// clientConn is a client's connection. Its phase is under the server's lock.
+// clientConn is a client connection. The mutex of the server guards its phase and since.
 type clientConn struct {
 	net.Conn
-	release        func()
-	peek           *sockets.Peeker // under the server's lock
-	r              *bufio.Reader
-	head           httpmsg.Head // of the present request
-	body           httpmsg.Body // the same
-	minor          int          // the same: of HTTP/1
-	scratch        []byte       // for answers
-	nextReady      chan error   // how the wait for what comes next has ended
-	awaiting       bool         // that wait is under way
-	omitBody       bool         // the answer to the present request has no body
-	phase          phase
-	since          time.Time   // of that phase
-	current        openRequest // while it is serving; under the server's lock
-	closeDelimited bool        // its answer ends with the connection, and has not ended; under the server's lock
-	received       atomic.Bool // something has been read since it fell quiet
-}
-
-// openRequest is a request that was handed to an engine, or is about to be.
+	release   func()
+	peek      *sockets.Peeker // guarded by Server.mu
+	r         *bufio.Reader
+	head      httpmsg.Head // of the current request
+	body      httpmsg.Body // of the current request
+	minor     int          // HTTP/1 minor version of the current request
+	scratch   []byte       // buffer for responses
+	nextReady chan error   // receives the result of awaitNext
+	awaiting  bool         // awaitNext is running, or its result has not been received
+	omitBody  bool         // the response to the current request has no body
+	phase     phase
+	since     time.Time   // start of the phase
+	current   openRequest // in phaseServing; guarded by Server.mu
+	// An unfinished response is delimited by the close of the connection. Guarded by Server.mu.
+	closeDelimited bool
+	received       atomic.Bool // something has been read since phaseServing last began
+}
+
+// openRequest is a request that was passed to an engine, or is about to be.
 type openRequest struct {
 	engine  *engine.Engine
 	request *engine.Request
 }
 
-// Read is the method of net.Conn.
+// Read implements net.Conn and records in received that data has arrived.
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
@@ -179,8 +194,9 @@
 	return n, err
 }
 
-// Serve accepts connections until ln ends, or the server does. It takes a descriptor for each before: while there is none
-// free, connections wait in the kernel's backlog. It closes ln, and is called once at most.
+// Serve accepts connections until ln is closed or the server stops accepting. It acquires a
+// descriptor before each accept; while none is free, connections wait in the kernel's backlog. It
+// closes ln, and may be called only once.
 func (s *Server) Serve(ln net.Listener) error {
 	defer close(s.serveDone)
 	defer ln.Close()
@@ -196,7 +212,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return err
 			}
-			// The machine is short of something, or the peer has left before it was accepted: neither lasts.
+			// A temporary error: resources are exhausted, or the peer has already disconnected.
 			s.log.Warn("accept", "err", err)
 			time.Sleep(acceptRetryDelay)
 			continue
@@ -205,7 +221,8 @@
 	}
 }
 
-// startConn serves a new connection, and calls release once it has ended. One that comes after the last was accepted is closed.
+// startConn serves a new connection and calls release when it has ended. After the server has
+// stopped accepting, it closes the connection at once.
 func (s *Server) startConn(nc net.Conn, release func()) {
 	c := &clientConn{
 		Conn: nc, release: release, peek: sockets.NewPeeker(nc), since: time.Now(), nextReady: make(chan error, 1),
@@ -222,32 +239,34 @@
 	s.connWG.Go(func() { s.serve(c) })
 }
 
-// setPhase notes that c has come to a phase, and reports whether it may: one that was closed to make room may not.
+// setPhase sets the phase of c. It reports false if c has been closed, for example by Evict.
 func (s *Server) setPhase(c *clientConn, p phase) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.setPhaseLocked(c, p)
 }
 
-// setPhaseLocked is enter with the lock held.
+// setPhaseLocked is setPhase for callers that hold s.mu.
 func (s *Server) setPhaseLocked(c *clientConn, p phase) bool {
 	if _, ok := s.conns[c]; !ok {
 		return false
 	}
 	c.phase, c.since, c.current = p, time.Now(), openRequest{}
-	if p == phaseServing { // all that came is taken, and nobody reads: what is heard from now on is the next request
+	// All input is consumed and nothing reads: what is received from now on is the next request.
+	if p == phaseServing {
 		c.received.Store(false)
 	}
 	return true
 }
 
-// admit notes that c is about to have its request r handed to e, or returns why it may not be. From then on the
-// server sees to it that r has its result in time when it ends.
+// admit marks c as serving its request r before r is passed to e, or returns an error if r must
+// not be served. In a shutdown, the server makes sure that every admitted request gets its result
+// in time.
 //
-// A client that has gone gets nothing sent. It guards against sending on what nobody waits for any more, after a wait for
-// a place, for room or for a turn of this goroutine: nobody has listened to the connection meanwhile. It costs a look at
-// each connection; a client that ends its sending with its request, and yet reads, is taken for one that has gone, here
-// as later.
+// A request whose client has disconnected is not sent. Nothing has read from the connection while
+// the request waited for a descriptor, for memory or for the scheduler, so admit checks the
+// connection. That is one check per request. A client that shuts down its sending side after the
+// request but still reads counts as disconnected, here and in later checks.
 func (s *Server) admit(c *clientConn, e *engine.Engine, r *engine.Request) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -262,21 +281,23 @@
 	return nil
 }
 
-// tooManyConns reports whether clients hold so many connections that none is worth keeping. It guards against clients that ask
-// once and keep their connection, a new one for each request: however fast they are, they cannot use up the connections
-// that the application may have before idleTime ends the first of them, nor the sidecar's own. It says so with the
-// answer rather than closing later, so that no request crosses the close. A crowd that does use its connections again
-// pays with a new one for each request. Called with the lock held.
+// tooManyConns reports whether clients hold so many connections that responses should close
+// theirs. It guards against clients that open a new connection for each request and keep it: at
+// any rate of requests, they can exhaust neither the connections that the application may have,
+// before idleTimeout closes the first of them, nor those of the sidecar. The close is announced
+// in the response rather than done later, so that no request crosses it. If many clients do reuse
+// their connections, they have to open a new one for each request. s.mu must be held.
 func (s *Server) tooManyConns() bool {
-	_, places := s.sockets.Limits()
-	return float64(len(s.conns)) > maxKeepAliveShare*float64(places)
+	_, maxClients := s.sockets.Limits()
+	return float64(len(s.conns)) > maxKeepAliveShare*float64(maxClients)
 }
 
-// closeConn closes c and gives its descriptor back. Called with the lock held.
+// closeConn closes c and releases its descriptor. s.mu must be held.
 func (s *Server) closeConn(c *clientConn) {
 	if _, ok := s.conns[c]; ok {
 		delete(s.conns, c)
-		if tcp, ok := c.Conn.(*net.TCPConn); ok && c.closeDelimited { // an orderly end would pass for that of the answer
+		// A normal close would look like the end of the response.
+		if tcp, ok := c.Conn.(*net.TCPConn); ok && c.closeDelimited {
 			tcp.SetLinger(0)
 		}
 		c.Conn.Close()
@@ -284,9 +305,11 @@
 	}
 }
 
-// Evict closes the connection that is missed least: one that was turned away, else the one that has been quiet longest,
-// else one that has been slow to write its request. It guards against connections that are opened only to be held: they
-// would keep all others waiting. A client whose first request crosses the close must try again.
+// Evict closes the connection whose loss matters least: a connection whose request was rejected,
+// or else the one that has been idle longest, or else the one that has been sending its request
+// for the longest time. It reports false if there is none to close. It guards against connections
+// that are opened and only held, which would make all others wait. A client whose first request
+// crosses the close has to retry.
 func (s *Server) Evict() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -320,7 +343,7 @@
 	return true
 }
 
-// serve serves one connection: a request after the other.
+// serve serves the requests of one connection in order and closes it at the end.
 func (s *Server) serve(c *clientConn) {
 	defer func() {
 		s.mu.Lock()
@@ -329,7 +352,7 @@
 	}()
 	for until := c.since.Add(s.limits.headTimeout); ; until = time.Now().Add(s.limits.idleTimeout) {
 		first := c.phase == phaseNew
-		c.SetReadDeadline(until) // also of the wait that is under way
+		c.SetReadDeadline(until) // also applies to a running awaitNext
 		if err := c.waitNext(); err != nil && !s.arrivedAtDeadline(c, err) || !s.setPhase(c, phaseReading) {
 			return
 		}
@@ -351,7 +374,7 @@
 			s.reject(c, err)
 			return
 		}
-		if r == nil { // asked whether the sidecar is ready
+		if r == nil { // readiness probe
 			if !s.write(c, keep, s.readiness()) || !s.setPhase(c, phaseIdle) {
 				return
 			}
@@ -363,9 +386,10 @@
 	}
 }
 
-// arrivedAtDeadline reports whether something had come when the wait for it ended by its time. It guards against closing on a request
-// that is there already: on a busy machine the goroutine that was to read it may get its turn only after the deadline, and
-// the close would reset a request that the client may not repeat. It costs a look at the connection when it ends.
+// arrivedAtDeadline reports whether err is a timeout of the wait for a request, but data has
+// arrived. On a busy machine the goroutine that reads may be scheduled only after the deadline. A
+// close would then reset a request that has already arrived and that the client may not repeat.
+// That costs one check of the connection when the wait ends.
 func (s *Server) arrivedAtDeadline(c *clientConn, err error) bool {
 	if !isTimeout(err) {
 		return false
@@ -375,10 +399,10 @@
 	return c.peek.HasData()
 }
 
-// readyResponse is the answer to a probe of readiness.
+// readyResponse is the reply to a readiness probe while the server is ready.
 var readyResponse = &httpmsg.Answer{}
 
-// readiness is the answer to a probe of it.
+// readiness returns the result of a readiness probe.
 func (s *Server) readiness() engine.Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -388,17 +412,18 @@
 	return engine.Result{Reply: readyResponse}
 }
 
-// persistence is what a request says of its connection.
+// persistence says whether the connection stays open after a response.
 type persistence int
 
 const (
-	connClose             persistence = iota // it ends with the answer
-	connKeepAlive                            // it stays open, as it does by default
-	connKeepAliveExplicit                    // it stays open, which the answer must say
+	connClose     persistence = iota // the response ends the connection
+	connKeepAlive                    // the connection stays open by default
+	// The connection stays open, and the response has to say so.
+	connKeepAliveExplicit
 )
 
-// read reads one request and hands it to the engine, if it may be served. It returns no request for a probe of
-// readiness.
+// read reads one request and passes it to the engine if it may be served. For a readiness probe
+// it returns a nil request.
 func (s *Server) read(c *clientConn) (*engine.Request, persistence, *httpmsg.Upload, error) {
 	if err := c.head.Read(c.r); err != nil {
 		return nil, connClose, nil, err
@@ -415,7 +440,7 @@
 	case minor == 0:
 		keep = connKeepAliveExplicit
 	}
-	if minor == 0 && c.head.Chunked { // such a sender knows of no chunks
+	if minor == 0 && c.head.Chunked { // HTTP/1.0 has no chunked encoding
 		return nil, connClose, nil, httpmsg.ErrFraming
 	}
 	call := httpcall.Call{Method: methodName(method), Target: string(target), Length: max(c.head.Length, 0)}
@@ -447,7 +472,8 @@
 		switch {
 		case f.Is("Expect"):
 			expects = bytes.EqualFold(f.Value, []byte("100-continue"))
-		case f.Is("Host") || f.Is("X-Timeout-Ms") || c.head.Hop(f): // the transport writes its own
+		// The transport writes its own fields.
+		case f.Is("Host") || f.Is("X-Timeout-Ms") || c.head.Hop(f):
 		default:
 			m.Lines = f.Append(m.Lines)
 		}
@@ -478,14 +504,15 @@
 	return r, keep, m.Rest, nil
 }
 
-// clientGone reports whether c's client has gone; see mayServe.
+// clientGone reports whether the client of c has disconnected; see admit.
 func (s *Server) clientGone(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return c.peek.PeerClosed()
 }
 
-// submit hands a request on.
+// submit passes a request to the desk if it has an idempotency key and there is a desk, and
+// otherwise to the engine.
 func (s *Server) submit(r *engine.Request, call *httpcall.Call, m *httpmsg.Message) error {
 	if s.desk == nil || call.IdempotencyKey == "" {
 		return s.engine.Submit(r, s.engine.Now())
@@ -494,7 +521,8 @@
 	return s.desk.Take(r, orders.Ask{Key: call.IdempotencyKey, Print: call.Fingerprint(m.Body)}, read)
 }
 
-// methodName is the method's name, without allocating for those that the protocol has.
+// methodName returns the method as a string, without an allocation for the methods of the
+// protocol.
 func methodName(b []byte) string {
 	switch string(b) {
 	case http.MethodGet:
@@ -507,15 +535,16 @@
 
 var (
 	errConnClosed = errors.New("the connection has been closed to make room")
-	// errPipelined guards against clients that write many requests at once: the protocol has one at a time, and what
-	// came behind would be held unread or served out of turn.
+	// errPipelined rejects pipelined requests: the protocol allows one request at a time, and
+	// further requests would be held unread or served out of order.
 	errPipelined = httpcall.Rejection{Status: http.StatusBadRequest, Text: "more came before the answer: one request at a time"}
-	// errShuttingDown is for requests that are read too late in a shutdown to be forwarded.
+	// errShuttingDown rejects requests that are read too late in a shutdown to be forwarded.
 	errShuttingDown = httpcall.Rejection{Status: http.StatusServiceUnavailable, Text: "shutting down"}
 )
 
-// respond waits for the final respond to r and writes it. It reports whether the connection can go on. The wait for what
-// comes next then goes on too: to end it for each request would cost two switches of goroutines.
+// respond waits for the final result of r and writes the response. It reports whether the
+// connection can be used again. In that case the goroutine that waits for the next data keeps
+// running, because to stop it for each request would cost two goroutine switches.
 func (s *Server) respond(c *clientConn, keep persistence, r *engine.Request, rest *httpmsg.Upload) bool {
 	if rest != nil {
 		result, gone := s.awaitPolling(c, s.engine, r, rest)
@@ -557,37 +586,39 @@
 	}
 }
 
-// respondEarly answers at once, though a part of the request's body is still to come, which is read and dropped then: else the
-// client, which reads only once it has written, would not get the answer before the end of the connection.
+// respondEarly writes the response before the request body has been read whole, then reads and
+// discards the rest of the body. Otherwise a client that reads only after it has sent everything
+// would not get the response before the connection ends.
 func (s *Server) respondEarly(c *clientConn, keep persistence, rest *httpmsg.Upload, result engine.Result) bool {
 	src := rest.TakeBack(func() { c.SetReadDeadline(time.Now()) })
-	goesOn := s.write(c, keep, result)
+	reusable := s.write(c, keep, result)
 	if src != nil {
 		if _, err := io.Copy(io.Discard, src); err != nil {
 			return false
 		}
 	}
-	return goesOn
+	return reusable
 }
 
-// awaitPolling waits for r's result, or for the end of rest if there is one, while more of what its client wrote stands unread, so that nobody
-// would hear it leave. It looks for that instead, and withdraws r then. The result is nil where rest has ended or the client is gone.
-func (s *Server) awaitPolling(c *clientConn, e *engine.Engine, r *engine.Request, rest *httpmsg.Upload) (result *engine.Result, gone bool) {
+// awaitPolling waits for the result of r, or for the end of upload if it is not nil. Data of the
+// client is unread meanwhile, so that no read would notice a disconnect. awaitPolling polls for
+// it instead and then withdraws r. result is nil if upload has ended or the client is gone.
+func (s *Server) awaitPolling(c *clientConn, e *engine.Engine, r *engine.Request, upload *httpmsg.Upload) (result *engine.Result, gone bool) {
 	var ended <-chan struct{}
-	if rest != nil {
-		ended = rest.Done()
+	if upload != nil {
+		ended = upload.Done()
 	}
-	look := time.NewTicker(disconnectPollInterval)
-	defer look.Stop()
+	poll := time.NewTicker(disconnectPollInterval)
+	defer poll.Stop()
 	for {
 		select {
 		case result := <-r.Result():
 			return &result, false
 		case <-ended:
 			return nil, false
-		case <-look.C:
-			if rest != nil && rest.Started() { // whoever reads it hears the end
-				look.Stop()
+		case <-poll.C:
+			if upload != nil && upload.Started() { // its reader notices the disconnect
+				poll.Stop()
 			} else if s.clientGone(c) && e.Withdraw(r) {
 				return nil, true
 			}
@@ -595,13 +626,15 @@
 	}
 }
 
-// awaitNext waits until something comes, the client leaves or the read deadline has passed.
+// awaitNext waits until data arrives, the client disconnects or the read deadline passes, and
+// sends the result to c.nextReady.
 func (c *clientConn) awaitNext() {
 	_, err := c.r.Peek(1)
 	c.nextReady <- err
 }
 
-// waitNext waits until something has come, or can no longer. From then on nobody else reads.
+// waitNext waits until data has arrived, or returns the error that ended the wait. After it
+// returns, no other goroutine reads from c.
 func (c *clientConn) waitNext() error {
 	if c.awaiting {
 		c.awaiting = false
@@ -611,13 +644,14 @@
 	return err
 }
 
+// isTimeout reports whether err is a network timeout.
 func isTimeout(err error) bool {
 	var ne net.Error
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// reject answers a request that cannot be served, and ends its connection: what is left of the request is not read for
-// what it says.
+// reject writes the error response to a request that cannot be served and closes the connection.
+// What is left of the request is discarded.
 func (s *Server) reject(c *clientConn, err error) {
 	ans := httpcall.Rejection{Status: http.StatusBadRequest, Text: "malformed request"}
 	var re httpcall.Rejection
@@ -638,7 +672,7 @@
 	s.rejectWith(c, ans, "")
 }
 
-// rejectWith writes a rejection, with further lines of its head, and ends the connection.
+// rejectWith writes an error response with additional header lines and closes the connection.
 func (s *Server) rejectWith(c *clientConn, ans httpcall.Rejection, lines string) {
 	if !s.setPhase(c, phaseLingering) {
 		return
@@ -646,7 +680,7 @@
 	c.SetWriteDeadline(time.Now().Add(lingerTimeout))
 	body := ans.Text + "\n"
 	length := len(body)
-	if c.omitBody { // RFC 9110, section 9.3.2: the length that a body would have had
+	if c.omitBody { // the Content-Length is that of the omitted body (RFC 9110, section 9.3.2)
 		body = ""
 	}
 	fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nConnection: close\r\n%sContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s",
@@ -654,8 +688,8 @@
 	s.linger(c)
 }
 
-// linger ends the sending, and reads and drops what the client still sends for a while, so that what was written reaches it before a
-// reset does.
+// linger closes the sending side, then reads and discards for a while what the client still
+// sends, so that the response reaches the client before a reset does.
 func (s *Server) linger(c *clientConn) {
 	c.SetDeadline(time.Now().Add(lingerTimeout))
 	if tcp, ok := c.Conn.(*net.TCPConn); ok && tcp.CloseWrite() == nil {
@@ -663,7 +697,8 @@
 	}
 }
 
-// readBody reads the body once there is room for it, or a part of it where it is long: see httpmsg.Upload.
+// readBody waits for body memory and then reads the body. Of a long body it reads only the first
+// part; the rest is an httpmsg.Upload.
 func (s *Server) readBody(c *clientConn, r *engine.Request, m *httpmsg.Message, length int64, expects bool) error {
 	tooLong := httpcall.Rejection{Status: http.StatusRequestEntityTooLarge, Text: httpmsg.ErrBodyTooLong.Error()}
 	if length > httpmsg.MaxBody {
@@ -674,7 +709,7 @@
 	}
 	n := length
 	if n < 0 || n > httpmsg.MaxWhole && (n > maxBufferedBody || !s.bodyBudget.TryAcquire(n)) {
-		n = httpmsg.MaxWhole // the rest is read as it is sent on
+		n = httpmsg.MaxWhole // the rest is streamed to the server
 	}
 	until := time.Now().Add(bodyTimeout)
 	if n <= httpmsg.MaxWhole && !s.bodyBudget.TryAcquire(n) {
@@ -707,7 +742,8 @@
 	return nil
 }
 
-// bodyError is why a request whose body broke off with err is turned away.
+// bodyError returns the error with which a request is rejected after reading its body has failed
+// with err.
 func bodyError(err error) error {
 	switch {
 	case errors.Is(err, httpmsg.ErrBodyTooLong):
@@ -718,17 +754,18 @@
 	return httpcall.Rejection{Status: http.StatusBadRequest, Text: "the body did not come whole"}
 }
 
-// minRateReader reads the body of c's present request, which must not stand still for bodyStall nor be slower than bodyRate. It
-// guards against clients that hold a connection to a server, and its place there, with a body that never ends.
+// minRateReader reads the body of c's current request. It enforces the limits on stalls and on
+// the mean rate, so that no client holds a connection to a server, and its slot there, with a
+// body that never ends.
 type minRateReader struct {
 	c      *clientConn
-	from   time.Time // when the body began
-	size   int64     // of it, so far
+	from   time.Time // start of the body
+	size   int64     // bytes read so far
 	limits *connLimits
-	first  func() // called before the first Read; nil: nothing is
+	first  func() // called before the first Read; may be nil
 }
 
-// Read is the method of io.Reader.
+// Read implements io.Reader.
 func (p *minRateReader) Read(b []byte) (int, error) {
 	now := time.Now()
 	if p.first != nil {
@@ -748,7 +785,7 @@
 	return n, err
 }
 
-// write writes the final answer, and reports whether the connection can go on.
+// write writes the final response and reports whether the connection can be used again.
 func (s *Server) write(c *clientConn, keep persistence, result engine.Result) bool {
 	s.mu.Lock()
 	if s.draining() || s.tooManyConns() {
@@ -765,7 +802,8 @@
 		status = http.StatusServiceUnavailable
 	}
 	chunked := a.Rest != nil && a.Length < 0
-	if chunked && c.minor == 0 { // it knows of no chunks: the end of the connection is that of the body
+	// HTTP/1.0 has no chunked encoding: the close of the connection ends the body.
+	if chunked && c.minor == 0 {
 		chunked, keep = false, connClose
 	}
 	b := appendStatus(c.scratch[:0], status)
@@ -803,7 +841,7 @@
 	return err == nil && keep != connClose
 }
 
-// appendStatus appends the status line of an answer.
+// appendStatus appends the status line of a response.
 func appendStatus(b []byte, status int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -812,7 +850,7 @@
 	return append(b, "\r\n"...)
 }
 
-// appendPersistence appends what an answer says of its connection.
+// appendPersistence appends the header lines about the persistence of the connection.
 func (s *Server) appendPersistence(b []byte, keep persistence) []byte {
 	switch keep {
 	case connClose:
@@ -823,17 +861,18 @@
 	return append(b, s.limits.keepAliveLine...)
 }
 
-// emptyResponse is what is written where no server has answered.
+// emptyResponse is written if no server has responded.
 var emptyResponse httpmsg.Answer
 
-// stream writes head and an answer that is still coming, and reports whether the client has it whole. If it has not, the
-// connection ends in a way that tells so: short of the length, without the last chunk, or with a reset where only the end
-// of the connection would end the body.
+// stream writes head and a response that is still being received, and reports whether the client
+// has received all of it. If not, the connection ends in a way that shows this to the client:
+// before Content-Length bytes, without the last chunk, or with a reset if only the close of the
+// connection ends the body.
 func (s *Server) stream(c *clientConn, head []byte, a *httpmsg.Answer, chunked bool) bool {
 	defer a.Rest.Close()
 	s.setCloseDelimited(c, !chunked && a.Length < 0)
 	var size [20]byte
-	piece := func(first, b []byte) error {
+	writePart := func(first, b []byte) error {
 		c.SetWriteDeadline(time.Now().Add(s.limits.streamTimeout))
 		parts := net.Buffers{first, b}
 		if chunked {
@@ -845,8 +884,8 @@
 		_, err := parts.WriteTo(c.Conn)
 		return err
 	}
-	began, sent := time.Now(), int64(len(a.Body))
-	err := piece(head, a.Body)
+	start, sent := time.Now(), int64(len(a.Body))
+	err := writePart(head, a.Body)
 	by := "client"
 	buf, release := httpmsg.Buffer()
 	defer release()
@@ -856,7 +895,7 @@
 			by = "server"
 		}
 		if n > 0 {
-			if werr := piece(nil, buf[:n]); werr != nil {
+			if werr := writePart(nil, buf[:n]); werr != nil {
 				err, by = werr, "client"
 			} else {
 				sent += int64(n)
@@ -864,10 +903,10 @@
 		}
 	}
 	if err != io.EOF {
-		s.log.Warn("a long answer broke off", "by", by, "err", err, "sent", sent, "of", a.Length, "after", time.Since(began).Round(time.Millisecond))
+		s.log.Warn("streamed response interrupted", "by", by, "err", err, "sent", sent, "of", a.Length, "after", time.Since(start).Round(time.Millisecond))
 	}
 	if err == io.EOF && chunked {
-		if err = piece(lastChunk(a), nil); err == nil {
+		if err = writePart(lastChunk(a), nil); err == nil {
 			err = io.EOF
 		}
 	}
@@ -877,14 +916,15 @@
 	return err == io.EOF
 }
 
-// setCloseDelimited notes whether c has an answer which only the end of the connection will end, and which has not come to it.
+// setCloseDelimited records whether c has an unfinished response that ends with the close of the
+// connection.
 func (s *Server) setCloseDelimited(c *clientConn, is bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.closeDelimited = is
 }
 
-// lastChunk is the end of an answer in chunks.
+// lastChunk returns the end of a chunked response, with its trailers.
 func lastChunk(a *httpmsg.Answer) []byte {
 	b := []byte("0\r\n")
 	if a.Trailer != nil {
@@ -893,13 +933,13 @@
 	return append(b, "\r\n"...)
 }
 
-// Stats counts a server's connections.
+// Stats counts the connections of a server.
 type Stats struct {
-	Open int // in all
-	Idle int // of them, those on which no request is open nor has come in part
+	Open int // all connections
+	Idle int // connections without a request, not even a partly read one
 }
 
-// Stats returns the present counts.
+// Stats returns the current counts.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/shutdown/end_time.go
+++ b/internal/shutdown/end_time.go
@@ -20,8 +20,8 @@
 	return context.WithValue(ctx, endTimeKey{}, end), stop
 }
 
-// EndTime returns the time at which ctx was done, if ctx is derived from WithEndTime and the time is
-// recorded. Otherwise it returns the current time.
+// EndTime returns the time at which ctx was done, if ctx is derived from WithEndTime and the time
+// is recorded. Otherwise it returns the current time.
 func EndTime(ctx context.Context) time.Time {
 	if end, ok := ctx.Value(endTimeKey{}).(*atomic.Pointer[time.Time]); ok {
 		if at := end.Load(); at != nil {
--- a/internal/shutdown/sequencer.go
+++ b/internal/shutdown/sequencer.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Sequencer runs a Schedule. Its methods are safe for concurrent use. Its callbacks run on their own
-// goroutines, with no lock held.
+// Sequencer runs a Schedule. Its methods are safe for concurrent use. Its callbacks run on their
+// own goroutines, with no lock held.
 type Sequencer struct {
 	onForward, onAnswer func()
 
@@ -39,7 +39,8 @@
 	calls := []func(){q.onForward, q.onAnswer, q.exit}
 	for i, at := range times {
 		q.timers = append(q.timers, time.AfterFunc(time.Until(at), func() {
-			for _, call := range calls[:i+1] { // in order, also if a stall has made several times due at once
+			// In order, also if a stall has made several times due at once.
+			for _, call := range calls[:i+1] {
 				call()
 			}
 		}))
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestScheduleLimits checks that forwarding ends at Forward and not before, and that answers are due
-// from Answer on and not before.
+// TestScheduleLimits checks that forwarding ends at Forward and not before, and that answers are
+// due from Answer on and not before.
 func TestScheduleLimits(t *testing.T) {
 	s := Within(time.Now(), time.Second)
 	for _, tt := range []struct {
@@ -125,8 +125,8 @@
 	return calls, at
 }
 
-// TestSequencer checks that the callbacks run at their times, that a second Begin can move the times
-// forward but not back, and that a stopped sequence calls nothing.
+// TestSequencer checks that the callbacks run at their times, that a second Begin can move the
+// times forward but not back, and that a stopped sequence calls nothing.
 func TestSequencer(t *testing.T) {
 	want := []string{"forward", "forward", "answer", "forward", "answer", "exit"}
 	synctest.Test(t, func(t *testing.T) {
@@ -166,8 +166,8 @@
 	})
 }
 
-// TestSequencerAfterStall checks that the callbacks run in order even if a stall has made all of them
-// due at once.
+// TestSequencerAfterStall checks that the callbacks run in order even if a stall has made all of
+// them due at once.
 func TestSequencerAfterStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls, _ := recordCalls(func(c *Sequencer) {
