--- a/internal/httpfront/proxy.go
+++ b/internal/httpfront/proxy.go
@@ -128,7 +128,7 @@
 		r.Retry = retried[0] == "1"
 	}
 	q.msg = &httpmsg.Message{Method: q.method, Target: asked.Target, Host: asked.Host, Lines: s.serverHeader(c, q, minor)}
-	q.msg.Terms = &httpmsg.Terms{Judge: q.Judge, Stall: s.proxy.StallTimeout, Interim: func(code int, lines []byte) { s.interim(c, q, code, lines) }}
+	q.msg.Terms = &httpmsg.Terms{Judge: q.Judge, Stall: s.proxy.StallTimeout, Interim: func(code int, lines []byte) { s.forwardInterim(c, q, code, lines) }}
 	r.Payload = q.msg
 	c.head.Discard(c.r)
 	if err := s.readProxyBody(c, q); err != nil {
@@ -298,7 +298,7 @@
 	}
 	chunked := q.length < 0
 	c.body.ResetTo(c.r, q.length, chunked, maxBody)
-	src := &minRateReader{c: c, from: time.Now(), limits: &s.limits}
+	src := &minRateReader{c: c, start: time.Now(), limits: &s.limits}
 	buffered := chunked && c.bodyBuffered()
 	if q.expectsContinue = q.expectsContinue && c.r.Buffered() == 0; !q.expectsContinue && (buffered || !chunked && q.length <= s.proxy.MaxBufferedBody) {
 		n := q.length
@@ -330,7 +330,7 @@
 	}
 	if q.expectsContinue {
 		q.msg.Terms.Expect = s.proxy.ExpectTimeout
-		src.first = func() { s.writeInterim(c, q, "HTTP/1.1 100 Continue\r\n\r\n") }
+		src.onFirstRead = func() { s.writeInterim(c, q, "HTTP/1.1 100 Continue\r\n\r\n") }
 	}
 	q.msg.Rest, q.msg.Length, q.Request.Upload = httpmsg.NewUpload(src), q.length, true
 	if chunked {
@@ -345,8 +345,8 @@
 	return httpmsg.ChunksEnd(b)
 }
 
-// interim forwards an interim response.
-func (s *Server) interim(c *clientConn, q *proxyCall, code int, lines []byte) {
+// forwardInterim forwards an forwardInterim response.
+func (s *Server) forwardInterim(c *clientConn, q *proxyCall, code int, lines []byte) {
 	if c.minor == 0 { // HTTP/1.0 has no interim responses (RFC 9110, section 15.2)
 		return
 	}
@@ -558,7 +558,7 @@
 	switch {
 	case result.Kind == engine.Refused || result.NotRun:
 		a.Status = http.StatusServiceUnavailable
-	// The only attempt has not ended.
+	// OK as the last status means that the only attempt has not ended.
 	case result.LastStatus == policy.Timeout || result.Attempts > 0 && result.LastStatus == policy.OK:
 		a.Status = http.StatusGatewayTimeout
 	}
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -730,14 +730,14 @@
 		m.Body, err = c.body.UpTo(n)
 	} else {
 		m.Body = make([]byte, n)
-		_, err = io.ReadFull(&minRateReader{c: c, from: time.Now(), limits: &s.limits}, m.Body)
+		_, err = io.ReadFull(&minRateReader{c: c, start: time.Now(), limits: &s.limits}, m.Body)
 	}
 	if err != nil {
 		r.Release()
 		return bodyError(err)
 	}
 	if !c.body.Ended() {
-		m.Rest, m.Length, r.Upload = httpmsg.NewUpload(&minRateReader{c: c, from: time.Now(), size: n, limits: &s.limits}), length, true
+		m.Rest, m.Length, r.Upload = httpmsg.NewUpload(&minRateReader{c: c, start: time.Now(), bytesRead: n, limits: &s.limits}), length, true
 	}
 	return nil
 }
@@ -758,21 +758,21 @@
 // the mean rate, so that no client holds a connection to a server, and its slot there, with a
 // body that never ends.
 type minRateReader struct {
-	c      *clientConn
-	from   time.Time // start of the body
-	size   int64     // bytes read so far
-	limits *connLimits
-	first  func() // called before the first Read; may be nil
+	c           *clientConn
+	start       time.Time // start of the body
+	bytesRead   int64     // bytes read so far
+	limits      *connLimits
+	onFirstRead func() // called before the first Read; may be nil
 }
 
 // Read implements io.Reader.
 func (p *minRateReader) Read(b []byte) (int, error) {
 	now := time.Now()
-	if p.first != nil {
-		p.first()
-		p.first, p.from = nil, now
+	if p.onFirstRead != nil {
+		p.onFirstRead()
+		p.onFirstRead, p.start = nil, now
 	}
-	until := p.from.Add(p.limits.bodyStallTimeout + bodyTimeout - bodyStallTimeout + time.Duration(float64(p.size)/float64(p.limits.minBodyRate)*float64(time.Second)))
+	until := p.start.Add(p.limits.bodyStallTimeout + bodyTimeout - bodyStallTimeout + time.Duration(float64(p.bytesRead)/float64(p.limits.minBodyRate)*float64(time.Second)))
 	if now.After(until) {
 		return 0, os.ErrDeadlineExceeded
 	}
@@ -781,7 +781,7 @@
 	}
 	p.c.SetReadDeadline(until)
 	n, err := p.c.body.Read(b)
-	p.size += int64(n)
+	p.bytesRead += int64(n)
 	return n, err
 }
 
