--- a/internal/httpfront/proxy.go
+++ b/internal/httpfront/proxy.go
@@ -23,154 +23,161 @@
 	"quillfront/policy"
 )
 
-// ProxyConfig is how a server serves plain HTTP, whatever its requests and answers are, by routes.
+// ProxyConfig configures a server that proxies arbitrary HTTP/1.1 requests according to routes.
 type ProxyConfig struct {
 	Router     *router.Router
-	Pseudonym  string // pseudonym of this instance in Via
-	HealthPath string // a path at which the server itself tells whether it is ready; empty: none
+	Pseudonym  string // name of this instance in Via
+	HealthPath string // path at which the server reports whether it is ready; empty: none
 
-	MaxHead         int           // of a request, in bytes
-	HeadTimeout     time.Duration // for a request's head to come
-	IdleTimeout     time.Duration // a connection may stand idle
-	StallTimeout    time.Duration // a peer may bring or take nothing of a body
-	MinBodyRate     int64         // bytes a second that a body must bring in the mean
-	MaxBufferedBody int64         // the longest body that is held, so that it can be sent again
-	MaxBody         int64         // the longest body; 0: no bound
-	ExpectTimeout   time.Duration // for a server to say whether it wants a body that its client asks about
+	MaxHead         int           // bytes of a request head
+	HeadTimeout     time.Duration // to read a request head
+	IdleTimeout     time.Duration // of a connection between requests
+	StallTimeout    time.Duration // limit without progress of a body, in either direction
+	MinBodyRate     int64         // minimum mean rate of a request body, in bytes per second
+	MaxBufferedBody int64         // the longest body that is buffered, so that it can be sent again
+	MaxBody         int64         // the longest body; 0: unlimited
+	ExpectTimeout   time.Duration // for a server to respond to Expect: 100-continue
 
-	AddForwardedFor bool // X-Forwarded-For goes on with the client's address added
-	AddTraceparent  bool // a traceparent is made where there is none
+	AddForwardedFor bool // append the address of the client to X-Forwarded-For
+	AddTraceparent  bool // add a traceparent to requests without one
 }
 
-// NewProxy returns a server of w that takes its descriptors from b.
+// NewProxy returns a proxy server with the configuration w that takes its descriptors from b.
 func NewProxy(w ProxyConfig, b *sockets.Budget, log *slog.Logger) *Server {
 	s := newServer(b, log)
-	s.whole = &w
-	s.limits = limits{
-		head: w.MaxHead, headTime: w.HeadTimeout, idle: w.IdleTimeout, bodyStall: w.StallTimeout, bodyRate: max(w.MinBodyRate, 1), stream: w.StallTimeout,
-		keepAlive: fmt.Sprintf("Keep-Alive: timeout=%d\r\n", max(1, int(w.IdleTimeout/time.Second)-1)), // less than it is: see keepAlive
+	s.proxy = &w
+	s.limits = connLimits{
+		maxHead: w.MaxHead, headTimeout: w.HeadTimeout, idleTimeout: w.IdleTimeout, bodyStallTimeout: w.StallTimeout, minBodyRate: max(w.MinBodyRate, 1), streamTimeout: w.StallTimeout,
+		// The announced timeout is less than IdleTimeout: see keepAliveLine.
+		keepAliveLine: fmt.Sprintf("Keep-Alive: timeout=%d\r\n", max(1, int(w.IdleTimeout/time.Second)-1)),
 	}
 	return s
 }
 
-// wholeCall is the request that a connection serves.
-type wholeCall struct {
+// proxyCall is the request that a connection currently serves.
+type proxyCall struct {
 	*router.Call
-	m       *httpmsg.Message
-	method  string
-	length  int64 // of its body; negative: not told
-	held    int64 // bytes that its body has of the room
-	expects bool  // the client waits to be told to send it
+	msg             *httpmsg.Message
+	method          string
+	length          int64 // of the body; negative: unknown
+	bodyReserved    int64 // bytes of body memory reserved for the body
+	expectsContinue bool  // the client waits for 100 Continue before it sends the body
 
-	mu    sync.Mutex // of writes before the final answer
-	begun bool       // that has begun, or nobody wants it
+	mu          sync.Mutex // held while an interim response is written
+	interimDone bool       // no interim response may be written any more
 }
 
-// serveWhole serves the request whose first bytes have come, and reports whether the connection can go on.
-func (s *Server) serveWhole(c *clientConn) bool {
-	q, keep, err := s.readWhole(c)
+// serveProxy serves the request whose first bytes have arrived and reports whether the connection
+// can be used again.
+func (s *Server) serveProxy(c *clientConn) bool {
+	q, keep, err := s.readProxy(c)
 	if err != nil {
-		s.rejectWhole(c, err)
+		s.rejectProxy(c, err)
 		return false
 	}
-	if q == nil { // asked whether it is ready
+	if q == nil { // health check
 		return s.write(c, keep, s.readiness())
 	}
-	return s.answerWhole(c, keep, q)
+	return s.respondProxy(c, keep, q)
 }
 
-func refuse(status int, text string) error { return httpcall.Rejection{Status: status, Text: text} }
+// rejection returns an httpcall.Rejection as an error.
+func rejection(status int, text string) error { return httpcall.Rejection{Status: status, Text: text} }
 
-// readWhole reads one request and hands it to the engine of its pool. It returns none where the server itself was asked.
-func (s *Server) readWhole(c *clientConn) (*wholeCall, persistence, error) {
+// readProxy reads one request and passes it to the engine of its pool. For a health check it
+// returns a nil request.
+func (s *Server) readProxy(c *clientConn) (*proxyCall, persistence, error) {
 	if err := c.head.Read(c.r); err != nil {
-		return nil, last, err
+		return nil, connClose, err
 	}
 	method, target, minor, err := c.head.Request()
 	if err != nil {
-		return nil, last, err
+		return nil, connClose, err
 	}
-	c.bare, c.minor = string(method) == http.MethodHead, minor
-	keep := stays
+	c.omitBody, c.minor = string(method) == http.MethodHead, minor
+	keep := connKeepAlive
 	switch {
 	case c.head.Close || minor == 0 && !c.head.Keep:
-		keep = last
+		keep = connClose
 	case minor == 0:
-		keep = spoken
+		keep = connKeepAliveExplicit
 	}
-	q := &wholeCall{method: wholeMethod(method), length: max(c.head.Length, 0)}
+	q := &proxyCall{method: proxyMethodName(method), length: max(c.head.Length, 0)}
 	if c.head.Chunked {
-		if q.length = -1; minor == 0 { // such a sender knows of no chunks
-			return nil, last, httpmsg.ErrFraming
+		if q.length = -1; minor == 0 { // HTTP/1.0 has no chunked encoding
+			return nil, connClose, httpmsg.ErrFraming
 		}
 	}
 	asked := router.Asked{Method: q.method, Target: string(target), Header: c.head.Values}
-	if err := s.address(&asked, minor); err != nil {
-		return nil, last, err
+	if err := s.resolveTarget(&asked, minor); err != nil {
+		return nil, connClose, err
 	}
-	if s.whole.HealthPath != "" && asked.Target == s.whole.HealthPath && q.method == http.MethodGet && q.length == 0 {
+	if s.proxy.HealthPath != "" && asked.Target == s.proxy.HealthPath && q.method == http.MethodGet && q.length == 0 {
 		c.head.Discard(c.r)
-		if !s.enter(c, serving) {
-			return nil, last, errGone
+		if !s.setPhase(c, phaseServing) {
+			return nil, connClose, errConnClosed
 		}
 		return nil, keep, nil
 	}
-	if q.Call, err = s.whole.Router.Route(&asked); err != nil {
-		return nil, last, err
+	if q.Call, err = s.proxy.Router.Route(&asked); err != nil {
+		return nil, connClose, err
 	}
 	defer func() { q.Taken() }()
 	r := q.Request
 	if retried := c.head.Values("X-Retried"); len(retried) == 1 {
 		r.Retry = retried[0] == "1"
 	}
-	q.m = &httpmsg.Message{Method: q.method, Target: asked.Target, Host: asked.Host, Lines: s.lines(c, q, minor)}
-	q.m.Terms = &httpmsg.Terms{Judge: q.Judge, Stall: s.whole.StallTimeout, Interim: func(code int, lines []byte) { s.interim(c, q, code, lines) }}
-	r.Payload = q.m
+	q.msg = &httpmsg.Message{Method: q.method, Target: asked.Target, Host: asked.Host, Lines: s.serverHeader(c, q, minor)}
+	q.msg.Terms = &httpmsg.Terms{Judge: q.Judge, Stall: s.proxy.StallTimeout, Interim: func(code int, lines []byte) { s.forwardInterim(c, q, code, lines) }}
+	r.Payload = q.msg
 	c.head.Discard(c.r)
-	if err := s.wholeBody(c, q); err != nil {
-		return nil, last, err
+	if err := s.readProxyBody(c, q); err != nil {
+		return nil, connClose, err
 	}
-	q.Call = s.whole.Router.Again(q.Call, q.held, func() *router.Asked { // its head is no longer there
-		return &router.Asked{Method: q.m.Method, Host: q.m.Host, Target: q.m.Target, Header: httpmsg.ParseHeader(q.m.Lines).Values}
+	// The head has been discarded.
+	q.Call = s.proxy.Router.Again(q.Call, q.bodyReserved, func() *router.Asked {
+		return &router.Asked{Method: q.msg.Method, Host: q.msg.Host, Target: q.msg.Target, Header: httpmsg.ParseHeader(q.msg.Lines).Values}
 	})
-	q.m.Terms.Judge = q.Judge
-	if room, n := q.Room, q.held; n > 0 {
+	q.msg.Terms.Judge = q.Judge
+	if room, n := q.Room, q.bodyReserved; n > 0 {
 		q.Request.Release = func() { room.Release(n) }
 	}
 	r = q.Request
-	if err = s.mayServe(c, q.Engine, r); err == nil {
+	if err = s.admit(c, q.Engine, r); err == nil {
 		err = q.Engine.Submit(r, q.Engine.Now())
 	}
 	if errors.Is(err, engine.ErrClosed) || errors.Is(err, engine.ErrUnknownClass) {
-		err = refuse(http.StatusServiceUnavailable, err.Error())
+		err = rejection(http.StatusServiceUnavailable, err.Error())
 	}
 	if err != nil {
 		if r.Release != nil {
 			r.Release()
 		}
-		return nil, last, err
+		return nil, connClose, err
 	}
 	return q, keep, nil
 }
 
-// address takes the host out of a request, and brings its target into origin form (RFC 9112, section 3.2).
-func (s *Server) address(a *router.Asked, minor int) error {
+// resolveTarget sets the host of a request and converts its target to origin form (RFC 9112,
+// section 3.2).
+func (s *Server) resolveTarget(a *router.Asked, minor int) error {
 	hosts := a.Header("Host")
 	if len(hosts) > 1 || len(hosts) == 0 && minor > 0 {
-		return refuse(http.StatusBadRequest, "no Host, or more than one")
+		return rejection(http.StatusBadRequest, "no Host, or more than one")
 	}
 	if len(hosts) == 1 {
 		a.Host = hosts[0]
 	}
 	if a.Method == http.MethodConnect {
-		return refuse(http.StatusNotImplemented, "CONNECT is not served")
+		return rejection(http.StatusNotImplemented, "CONNECT is not served")
 	}
 	for _, v := range a.Header("Upgrade") {
-		if !strings.EqualFold(v, "h2c") { // which may be passed over (RFC 9113, section 3.1)
-			return refuse(http.StatusNotImplemented, "Upgrade is not served")
+		if !strings.EqualFold(v, "h2c") { // h2c may be ignored (RFC 9113, section 3.1)
+			return rejection(http.StatusNotImplemented, "Upgrade is not served")
 		}
 	}
-	if rest, ok := cutPrefixFold(a.Target, "http://"); ok { // the authority there is what counts
+	// The authority of the target overrides Host.
+	if rest, ok := cutPrefixFold(a.Target, "http://"); ok {
 		end := strings.IndexAny(rest, "/?")
 		if end < 0 {
 			end = len(rest)
@@ -181,11 +188,12 @@
 		}
 	}
 	if !httpcall.ValidHost(a.Host) && !(a.Host == "" && minor == 0) {
-		return refuse(http.StatusBadRequest, "no Host, or not one that can be read")
+		return rejection(http.StatusBadRequest, "no Host, or not one that can be read")
 	}
-	return router.CheckLoop(a.Header("Via"), s.whole.Pseudonym)
+	return router.CheckLoop(a.Header("Via"), s.proxy.Pseudonym)
 }
 
+// cutPrefixFold is strings.CutPrefix, but ignores case.
 func cutPrefixFold(s, prefix string) (rest string, ok bool) {
 	if len(s) < len(prefix) || !strings.EqualFold(s[:len(prefix)], prefix) {
 		return s, false
@@ -193,8 +201,8 @@
 	return s[len(prefix):], true
 }
 
-// wholeMethod is the method's name, without allocating for the usual ones.
-func wholeMethod(b []byte) string {
+// proxyMethodName returns the method as a string, without an allocation for the usual methods.
+func proxyMethodName(b []byte) string {
 	for _, m := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodHead, http.MethodDelete, http.MethodPatch, http.MethodOptions} {
 		if string(b) == m {
 			return m
@@ -203,8 +211,9 @@
 	return string(b)
 }
 
-// lines are those of the head that goes to the server.
-func (s *Server) lines(c *clientConn, q *wholeCall, minor int) []byte {
+// serverHeader returns the header lines that are sent to the server. It also sets
+// q.expectsContinue.
+func (s *Server) serverHeader(c *clientConn, q *proxyCall, minor int) []byte {
 	size := 128
 	for _, f := range c.head.Fields {
 		size += len(f.Name) + len(f.Value) + len(": \r\n")
@@ -216,7 +225,7 @@
 		case f.Is("Host"):
 			continue
 		case f.Is("Expect"):
-			q.expects = q.expects || minor > 0 && bytes.EqualFold(f.Value, []byte("100-continue"))
+			q.expectsContinue = q.expectsContinue || minor > 0 && bytes.EqualFold(f.Value, []byte("100-continue"))
 			continue
 		case f.Is("Te"):
 			trailers = trailers || bytes.Contains(bytes.ToLower(f.Value), []byte("trailers"))
@@ -225,7 +234,7 @@
 			if !c.head.Chunked || !f.Is("Trailer") {
 				continue
 			}
-		case s.whole.AddForwardedFor && f.Is("X-Forwarded-For"):
+		case s.proxy.AddForwardedFor && f.Is("X-Forwarded-For"):
 			if forwarded != "" {
 				forwarded += ", "
 			}
@@ -239,7 +248,7 @@
 	if trailers {
 		b = append(b, "Te: trailers\r\n"...)
 	}
-	if s.whole.AddForwardedFor {
+	if s.proxy.AddForwardedFor {
 		if host, _, err := net.SplitHostPort(c.RemoteAddr().String()); err == nil {
 			if forwarded != "" {
 				forwarded += ", "
@@ -248,7 +257,7 @@
 		}
 	}
 	var random [24]byte
-	if !id || s.whole.AddTraceparent && !trace {
+	if !id || s.proxy.AddTraceparent && !trace {
 		for i := 0; i < len(random); i += 8 {
 			v := rand.Uint64()
 			for j := range 8 {
@@ -261,8 +270,9 @@
 		b = hex.AppendEncode(b, random[:8])
 		b = append(b, "\r\n"...)
 	}
-	if s.whole.AddTraceparent && !trace { // W3C Trace Context: version, trace, parent, flags: nobody is known to record it
-		random[0] |= 1 // neither may be all zeros
+	// W3C Trace Context: version, trace id, parent id, flags; 00: not known to be recorded.
+	if s.proxy.AddTraceparent && !trace {
+		random[0] |= 1 // neither id may be all zeros
 		random[16] |= 1
 		b = append(b, "traceparent: 00-"...)
 		b = hex.AppendEncode(b, random[:16])
@@ -270,26 +280,27 @@
 		b = hex.AppendEncode(b, random[16:])
 		b = append(b, "-00\r\n"...)
 	}
-	return router.AppendVia(b, minor, s.whole.Pseudonym)
+	return router.AppendVia(b, minor, s.proxy.Pseudonym)
 }
 
-// wholeBody reads the body, if it may be held, or has it read as it is sent on.
-func (s *Server) wholeBody(c *clientConn, q *wholeCall) error {
+// readProxyBody buffers the body if it is short enough and there is memory for it. Otherwise the
+// body is read while it is sent to the server.
+func (s *Server) readProxyBody(c *clientConn, q *proxyCall) error {
 	if q.length == 0 {
 		return nil
 	}
-	most := int64(math.MaxInt64)
-	if s.whole.MaxBody > 0 {
-		most = s.whole.MaxBody
+	maxBody := int64(math.MaxInt64)
+	if s.proxy.MaxBody > 0 {
+		maxBody = s.proxy.MaxBody
 	}
-	if q.length > most {
-		return refuse(http.StatusRequestEntityTooLarge, httpmsg.ErrBodyTooLong.Error())
+	if q.length > maxBody {
+		return rejection(http.StatusRequestEntityTooLarge, httpmsg.ErrBodyTooLong.Error())
 	}
 	chunked := q.length < 0
-	c.body.ResetTo(c.r, q.length, chunked, most)
-	src := &paced{c: c, from: time.Now(), lim: &s.limits}
-	there := chunked && c.endThere()
-	if q.expects = q.expects && c.r.Buffered() == 0; !q.expects && (there || !chunked && q.length <= s.whole.MaxBufferedBody) {
+	c.body.ResetTo(c.r, q.length, chunked, maxBody)
+	src := &minRateReader{c: c, start: time.Now(), limits: &s.limits}
+	buffered := chunked && c.bodyBuffered()
+	if q.expectsContinue = q.expectsContinue && c.r.Buffered() == 0; !q.expectsContinue && (buffered || !chunked && q.length <= s.proxy.MaxBufferedBody) {
 		n := q.length
 		if chunked {
 			n = int64(c.r.Buffered())
@@ -297,171 +308,178 @@
 		if q.Room.TryAcquire(n) {
 			var err error
 			if chunked {
-				q.m.Body, err = c.body.UpTo(n)
+				q.msg.Body, err = c.body.UpTo(n)
 			} else {
-				q.m.Body = make([]byte, n)
-				_, err = io.ReadFull(src, q.m.Body)
+				q.msg.Body = make([]byte, n)
+				_, err = io.ReadFull(src, q.msg.Body)
 			}
 			if err != nil {
 				q.Room.Release(n)
 				return bodyError(err)
 			}
 			if t := c.body.Trailer(); t == nil {
-				q.held = n
+				q.bodyReserved = n
 				return nil
 			}
-			q.Room.Release(n) // what has a trailer goes in chunks, and those go as they come
-			q.m.Rest, q.m.Length = httpmsg.NewUpload(bytes.NewReader(q.m.Body)), -1
-			q.m.Body, q.m.Trailer, q.Request.Upload = nil, c.body.Trailer, true
+			// A body with a trailer is sent in chunks, and chunked bodies are streamed.
+			q.Room.Release(n)
+			q.msg.Rest, q.msg.Length = httpmsg.NewUpload(bytes.NewReader(q.msg.Body)), -1
+			q.msg.Body, q.msg.Trailer, q.Request.Upload = nil, c.body.Trailer, true
 			return nil
 		}
 	}
-	if q.expects {
-		q.m.Terms.Expect = s.whole.ExpectTimeout
-		src.first = func() { s.writeInterim(c, q, "HTTP/1.1 100 Continue\r\n\r\n") }
+	if q.expectsContinue {
+		q.msg.Terms.Expect = s.proxy.ExpectTimeout
+		src.onFirstRead = func() { s.writeInterim(c, q, "HTTP/1.1 100 Continue\r\n\r\n") }
 	}
-	q.m.Rest, q.m.Length, q.Request.Upload = httpmsg.NewUpload(src), q.length, true
+	q.msg.Rest, q.msg.Length, q.Request.Upload = httpmsg.NewUpload(src), q.length, true
 	if chunked {
-		q.m.Trailer = c.body.Trailer
+		q.msg.Trailer = c.body.Trailer
 	}
 	return nil
 }
 
-// endThere reports whether all of a body in chunks lies in c's buffer.
-func (c *clientConn) endThere() bool {
+// bodyBuffered reports whether a whole chunked body is in the buffer of c.
+func (c *clientConn) bodyBuffered() bool {
 	b, _ := c.r.Peek(c.r.Buffered())
 	return httpmsg.ChunksEnd(b)
 }
 
-// interim passes an informational answer on.
-func (s *Server) interim(c *clientConn, q *wholeCall, code int, lines []byte) {
-	if c.minor == 0 { // such a client knows of none (RFC 9110, section 15.2)
+// forwardInterim forwards an forwardInterim response.
+func (s *Server) forwardInterim(c *clientConn, q *proxyCall, code int, lines []byte) {
+	if c.minor == 0 { // HTTP/1.0 has no interim responses (RFC 9110, section 15.2)
 		return
 	}
 	s.writeInterim(c, q, fmt.Sprintf("HTTP/1.1 %d %s\r\n%s\r\n", code, http.StatusText(code), lines))
 }
 
-func (s *Server) writeInterim(c *clientConn, q *wholeCall, text string) {
+// writeInterim writes an interim response, unless endInterim has been called for q.
+func (s *Server) writeInterim(c *clientConn, q *proxyCall, text string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.begun {
+	if q.interimDone {
 		return
 	}
-	c.SetWriteDeadline(time.Now().Add(s.limits.stream))
-	io.WriteString(c, text) // if that fails, so does the final answer
+	c.SetWriteDeadline(time.Now().Add(s.limits.streamTimeout))
+	io.WriteString(c, text) // after an error, the final response fails too
 }
 
-// answerWhole waits for the final answer to q and writes it. It reports whether the connection can go on.
-func (s *Server) answerWhole(c *clientConn, keep persistence, q *wholeCall) bool {
-	r, rest := q.Request, q.m.Rest
+// respondProxy waits for the final result of q and writes the response. It reports whether the
+// connection can be used again.
+func (s *Server) respondProxy(c *clientConn, keep persistence, q *proxyCall) bool {
+	r, rest := q.Request, q.msg.Rest
 	if rest != nil {
-		result, gone := s.unheard(c, q.Engine, r, rest)
+		result, gone := s.awaitPolling(c, q.Engine, r, rest)
 		if gone {
-			s.lastWord(q)
+			s.endInterim(q)
 			return false
 		}
 		if result != nil {
 			if err := rest.Broken(); err != nil && result.Kind != engine.Served {
-				s.lastWord(q)
-				s.rejectWhole(c, bodyError(err))
+				s.endInterim(q)
+				s.rejectProxy(c, bodyError(err))
 				return false
 			}
-			return s.writeEarly(c, keep, q, *result)
+			return s.writeProxyEarly(c, keep, q, *result)
 		}
 		if err := rest.Broken(); err != nil {
 			if !q.Engine.Withdraw(r) {
 				if result := <-r.Result(); result.Kind == engine.Served {
-					s.writeWhole(c, last, q, result)
+					s.writeProxy(c, connClose, q, result)
 					return false
 				}
 			}
-			s.lastWord(q)
-			s.rejectWhole(c, bodyError(err))
+			s.endInterim(q)
+			s.rejectProxy(c, bodyError(err))
 			return false
 		}
 	}
-	if c.r.Buffered() > 0 { // the next request is there, and waits
-		return s.writeUnheard(c, keep, q)
+	if c.r.Buffered() > 0 { // the next request has arrived and has to wait
+		return s.writeProxyPolling(c, keep, q)
 	}
 	c.SetReadDeadline(time.Time{})
-	c.waiting = true
-	go c.await()
+	c.awaiting = true
+	go c.awaitNext()
 	select {
 	case result := <-r.Result():
-		return s.writeWhole(c, keep, q, result)
-	case err := <-c.more:
-		if err == nil { // the next request has come, which waits
-			c.more <- nil
-			return s.writeUnheard(c, keep, q)
+		return s.writeProxy(c, keep, q, result)
+	case err := <-c.nextReady:
+		if err == nil { // the next request has arrived and has to wait
+			c.nextReady <- nil
+			return s.writeProxyPolling(c, keep, q)
 		}
-		c.waiting = false
+		c.awaiting = false
 		if !q.Engine.Withdraw(r) {
-			s.writeWhole(c, last, q, <-r.Result())
+			s.writeProxy(c, connClose, q, <-r.Result())
 		}
-		s.lastWord(q)
+		s.endInterim(q)
 		return false
 	}
 }
 
-// writeUnheard waits for the final answer to q, behind which the next request stands already, and writes it.
-func (s *Server) writeUnheard(c *clientConn, keep persistence, q *wholeCall) bool {
-	result, gone := s.unheard(c, q.Engine, q.Request, nil)
+// writeProxyPolling waits for the final result of q while the next request is already buffered,
+// and writes the response.
+func (s *Server) writeProxyPolling(c *clientConn, keep persistence, q *proxyCall) bool {
+	result, gone := s.awaitPolling(c, q.Engine, q.Request, nil)
 	if gone {
-		s.lastWord(q)
+		s.endInterim(q)
 		return false
 	}
-	return s.writeWhole(c, keep, q, *result)
+	return s.writeProxy(c, keep, q, *result)
 }
 
-// lastWord has nothing more written for q.
-func (s *Server) lastWord(q *wholeCall) {
+// endInterim prevents further interim responses to q.
+func (s *Server) endInterim(q *proxyCall) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.begun = true
+	q.interimDone = true
 }
 
-// writeEarly writes the answer though a part of the request's body may still come, and goes on coming to the server meanwhile. What of
-// it is not wanted once the answer is whole is read and dropped: else the client, which may read only once it has written, would not get
-// the answer. A client that waits to be told to send its body is not waited for.
-func (s *Server) writeEarly(c *clientConn, keep persistence, q *wholeCall, result engine.Result) bool {
-	rest := q.m.Rest
-	unasked := q.expects && !rest.Started()
-	if unasked {
-		keep = last
-	}
-	goesOn := s.writeWhole(c, keep, q, result)
-	// A Read that is under way ends by itself while the client writes; one that is cut short would leave a body that cannot be read on.
-	late := time.AfterFunc(lingerTime, func() { c.SetReadDeadline(time.Now()) })
+// writeProxyEarly writes the response while the rest of the request body may still be sent to the
+// server. What is left of the body after the response is read and discarded, because a client
+// that reads only after it has sent everything would otherwise not get the response. If the
+// client still waits for 100 Continue, nothing is read: the connection is closed.
+func (s *Server) writeProxyEarly(c *clientConn, keep persistence, q *proxyCall, result engine.Result) bool {
+	rest := q.msg.Rest
+	bodyNotSent := q.expectsContinue && !rest.Started()
+	if bodyNotSent {
+		keep = connClose
+	}
+	reusable := s.writeProxy(c, keep, q, result)
+	// A Read in progress ends by itself while the client writes. If it is interrupted, the body
+	// cannot be read any further.
+	timer := time.AfterFunc(lingerTimeout, func() { c.SetReadDeadline(time.Now()) })
 	src := rest.TakeBack(func() {})
-	late.Stop()
-	if src == nil || unasked {
-		return goesOn
+	timer.Stop()
+	if src == nil || bodyNotSent {
+		return reusable
 	}
 	if _, err := io.Copy(io.Discard, src); err != nil {
 		s.linger(c)
 		return false
 	}
-	return goesOn
+	return reusable
 }
 
-// writeWhole writes the final answer, and reports whether the connection can go on.
-func (s *Server) writeWhole(c *clientConn, keep persistence, q *wholeCall, result engine.Result) bool {
-	s.lastWord(q)
+// writeProxy writes the final response and reports whether the connection can be used again.
+func (s *Server) writeProxy(c *clientConn, keep persistence, q *proxyCall, result engine.Result) bool {
+	s.endInterim(q)
 	s.mu.Lock()
-	if s.draining() || s.crowded() {
-		keep = last
+	if s.draining() || s.tooManyConns() {
+		keep = connClose
 	}
 	s.mu.Unlock()
 	a, _ := result.Reply.(*httpmsg.Answer)
 	if result.Kind != engine.Served || a == nil {
-		if a = q.m.Terms.Last(result.Kind == engine.Refused || result.NotRun); a == nil {
-			a = ownAnswer(result)
+		if a = q.msg.Terms.Last(result.Kind == engine.Refused || result.NotRun); a == nil {
+			a = localResponse(result)
 		}
 	}
 	status := a.Status
 	chunked := !a.Bare && (a.Rest != nil && a.Length < 0 || a.Rest == nil && a.Trailer != nil && len(a.Trailer()) > 0)
-	if chunked && c.minor == 0 { // it knows of no chunks: the end of the connection is that of the body
-		chunked, keep = false, last
+	// HTTP/1.0 has no chunked encoding: the close of the connection ends the body.
+	if chunked && c.minor == 0 {
+		chunked, keep = false, connClose
 	}
 	b := appendStatus(c.scratch[:0], status)
 	switch {
@@ -481,19 +499,19 @@
 	if result.Kind == engine.Refused && !a.Asks {
 		b = appendRetryAfter(b, result.RetryAfter)
 	}
-	if !a.Dated { // RFC 9110, section 6.6.1
+	if !a.Dated { // a proxy adds a missing Date: RFC 9110, section 6.6.1
 		b = append(b, "Date: "...)
 		b = time.Now().UTC().AppendFormat(b, http.TimeFormat)
 		b = append(b, "\r\n"...)
 	}
-	b = router.AppendVia(b, 1, s.whole.Pseudonym)
+	b = router.AppendVia(b, 1, s.proxy.Pseudonym)
 	b = append(b, "\r\n"...)
 	if a.Rest != nil {
-		defer c.watch(a.Rest)()
-		return s.stream(c, b, a, chunked) && keep != last
+		defer c.watchDisconnect(a.Rest)()
+		return s.stream(c, b, a, chunked) && keep != connClose
 	}
 	if chunked {
-		if len(a.Body) > 0 { // an empty chunk would be the last
+		if len(a.Body) > 0 { // an empty chunk would end the body
 			b = httpmsg.AppendChunkHead(b, len(a.Body))
 			b = append(append(b, a.Body...), "\r\n"...)
 		}
@@ -501,51 +519,54 @@
 	} else if !a.Bare {
 		b = append(b, a.Body...)
 	}
-	if c.scratch = nil; cap(b) <= mostScratch {
+	if c.scratch = nil; cap(b) <= maxScratch {
 		c.scratch = b
 	}
-	c.SetWriteDeadline(time.Now().Add(s.limits.stream))
+	c.SetWriteDeadline(time.Now().Add(s.limits.streamTimeout))
 	_, err := c.Write(b)
-	return err == nil && keep != last
+	return err == nil && keep != connClose
 }
 
-// watch closes an answer that is still coming when its client leaves, though nothing is there to be written, until stop.
-func (c *clientConn) watch(rest io.Closer) (stop func()) {
-	if !c.waiting {
+// watchDisconnect closes rest if the client disconnects, also while there is nothing to write. It
+// watches until stop is called.
+func (c *clientConn) watchDisconnect(rest io.Closer) (stop func()) {
+	if !c.awaiting {
 		return func() {}
 	}
-	over, done := make(chan struct{}), make(chan struct{})
+	stopped, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
 		select {
-		case err := <-c.more:
+		case err := <-c.nextReady:
 			if err != nil {
 				rest.Close()
 			}
-			c.more <- err
-		case <-over:
+			c.nextReady <- err
+		case <-stopped:
 		}
 	}()
 	return func() {
-		close(over)
+		close(stopped)
 		<-done
 	}
 }
 
-// ownAnswer is what a client is told where no server has answered: 503 where nothing ran, so that a retry is harmless, else 504 where the
-// last server took too long and 502 where it failed otherwise.
-func ownAnswer(result engine.Result) *httpmsg.Answer {
+// localResponse returns the response if no server has responded: 503 if no attempt ran, so that a
+// retry is harmless, 504 if the last server took too long, and 502 for other failures.
+func localResponse(result engine.Result) *httpmsg.Answer {
 	a := &httpmsg.Answer{Status: http.StatusBadGateway}
 	switch {
 	case result.Kind == engine.Refused || result.NotRun:
 		a.Status = http.StatusServiceUnavailable
-	case result.LastStatus == policy.Timeout || result.Attempts > 0 && result.LastStatus == policy.OK: // the only one has not ended
+	// OK as the last status means that the only attempt has not ended.
+	case result.LastStatus == policy.Timeout || result.Attempts > 0 && result.LastStatus == policy.OK:
 		a.Status = http.StatusGatewayTimeout
 	}
 	return a
 }
 
-// appendRetryAfter tells when to come back, in whole seconds (RFC 9110, section 10.2.3); 0 is not told.
+// appendRetryAfter appends Retry-After in whole seconds (RFC 9110, section 10.2.3), or nothing if
+// after is 0.
 func appendRetryAfter(b []byte, after time.Duration) []byte {
 	if after <= 0 {
 		return b
@@ -553,8 +574,9 @@
 	return httpmsg.AppendInt(b, "Retry-After", int64((after+time.Second-1)/time.Second))
 }
 
-// rejectWhole answers a request that is not served, and ends its connection.
-func (s *Server) rejectWhole(c *clientConn, err error) {
+// rejectProxy writes the error response to a request that is not served and closes the
+// connection.
+func (s *Server) rejectProxy(c *clientConn, err error) {
 	var r *router.Rejection
 	if !errors.As(err, &r) {
 		s.reject(c, err)
