--- a/internal/acceptor/acceptor.go
+++ b/internal/acceptor/acceptor.go
@@ -1,5 +1,6 @@
-// Package door lets clients in at a listener: who may, until when, and how all who are in are waited for at the end. What is done with one is
-// the front's.
+// Package acceptor accepts client connections from a listener: it enforces the connection limits,
+// stops accepting on shutdown, and waits for the remaining connections. Fronts handle the
+// connections.
 package acceptor
 
 import (
@@ -13,100 +14,103 @@
 	"quillfront/internal/connlimit"
 )
 
-// acceptPause is waited for where no connection can be taken: the descriptors may have run out.
-const acceptPause = 10 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept: the process may be out of descriptors.
+const acceptRetryDelay = 10 * time.Millisecond
 
-// Acceptor takes the clients of one listener. Its methods may be called from many goroutines at once.
+// Acceptor accepts the connections of one listener. It is safe for concurrent use.
 type Acceptor struct {
-	guests *connlimit.Limiter
-	log    *slog.Logger
-	ctx    context.Context // ends with Close
-	stop   context.CancelFunc
-	work   sync.WaitGroup
+	limiter *connlimit.Limiter
+	log     *slog.Logger
+	ctx     context.Context // canceled by Close
+	stop    context.CancelFunc
+	wg      sync.WaitGroup
 
-	mu     sync.Mutex
-	ln     net.Listener
-	ending time.Time
+	mu            sync.Mutex
+	ln            net.Listener
+	drainingSince time.Time
 }
 
-// New returns a Door through which as many may come as l says.
+// New returns an Acceptor that enforces l.
 func New(l connlimit.Limits, log *slog.Logger) *Acceptor {
-	d := &Acceptor{guests: connlimit.New(l), log: log}
-	d.ctx, d.stop = context.WithCancel(context.Background())
-	return d
+	a := &Acceptor{limiter: connlimit.New(l), log: log}
+	a.ctx, a.stop = context.WithCancel(context.Background())
+	return a
 }
 
-// Context ends once the door is closed for good, and with it all that is behind it.
-func (d *Acceptor) Context() context.Context { return d.ctx }
+// Context returns a context that Close cancels. Connection handlers end with it.
+func (a *Acceptor) Context() context.Context { return a.ctx }
 
-// Stats counts who is in.
-func (d *Acceptor) Stats() connlimit.Stats { return d.guests.Stats() }
+// Stats returns the connection counts.
+func (a *Acceptor) Stats() connlimit.Stats { return a.limiter.Stats() }
 
-// DrainingSince returns since when nobody new is let in; zero: somebody may be.
-func (d *Acceptor) DrainingSince() time.Time {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.ending
+// DrainingSince returns when the acceptor stopped accepting, or zero while it still accepts.
+func (a *Acceptor) DrainingSince() time.Time {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.drainingSince
 }
 
-// Serve lets clients in from ln until the door is shut, and runs each in take, whose connection it does not close; one that may not come
-// in is turnAway's, which must not wait for it. beside runs as long as the door is not closed. Serve closes ln.
-func (d *Acceptor) Serve(ln net.Listener, beside func(), turnAway func(net.Conn, connlimit.Reason), take func(net.Conn, *connlimit.Slot)) error {
-	d.mu.Lock()
-	if !d.ending.IsZero() {
-		d.mu.Unlock()
+// Serve accepts connections from ln until StopAccepting, and runs handle for each in a goroutine of
+// its own. handle has to close its connection. Connections over a limit go to reject, which must
+// not block. background runs in a goroutine that Close waits for: it has to end with Context. If
+// the acceptor has already stopped accepting, Serve closes ln and returns net.ErrClosed.
+func (a *Acceptor) Serve(ln net.Listener, background func(), reject func(net.Conn, connlimit.Reason), handle func(net.Conn, *connlimit.Slot)) error {
+	a.mu.Lock()
+	if !a.drainingSince.IsZero() {
+		a.mu.Unlock()
 		ln.Close()
 		return net.ErrClosed
 	}
-	d.ln = ln
-	d.work.Go(beside)
-	d.mu.Unlock()
+	a.ln = ln
+	a.wg.Go(background)
+	a.mu.Unlock()
 	for {
 		c, err := ln.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			d.log.Warn("accept", "err", err)
+			a.log.Warn("accept", "err", err)
 			select {
-			case <-time.After(acceptPause):
+			case <-time.After(acceptRetryDelay):
 				continue
-			case <-d.ctx.Done():
+			case <-a.ctx.Done():
 				return nil
 			}
 		}
 		host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-		g, why := d.guests.Acquire(host)
-		if why != connlimit.Admitted {
-			turnAway(c, why)
+		slot, reason := a.limiter.Acquire(host)
+		if reason != connlimit.Admitted {
+			reject(c, reason)
 			continue
 		}
-		d.work.Go(func() {
-			defer g.Release()
-			take(c, g)
+		a.wg.Go(func() {
+			defer slot.Release()
+			handle(c, slot)
 		})
 	}
 }
 
-// StopAccepting lets nobody new in from now on.
-func (d *Acceptor) StopAccepting() {
-	d.guests.Close()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.ending.IsZero() {
-		d.ending = time.Now()
+// StopAccepting closes the listener and rejects all further connections.
+func (a *Acceptor) StopAccepting() {
+	a.limiter.Close()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.drainingSince.IsZero() {
+		a.drainingSince = time.Now()
 	}
-	if d.ln != nil {
-		d.ln.Close()
+	if a.ln != nil {
+		a.ln.Close()
 	}
 }
 
-// Drain shuts the door, and waits until all have left or ctx has ended, whose error it returns.
-func (d *Acceptor) Drain(ctx context.Context) error {
-	d.StopAccepting()
+// Drain stops accepting and waits until no connections are left. It returns the error of ctx if
+// that ends before.
+func (a *Acceptor) Drain(ctx context.Context) error {
+	a.StopAccepting()
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	for d.guests.Stats().Current > 0 {
+	for a.limiter.Stats().Current > 0 {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -116,13 +120,15 @@
 	return nil
 }
 
-// Close shuts the door and has cut cut off all who are in, again and again, as one may be about to begin. It returns once nothing runs.
-func (d *Acceptor) Close(cut func()) {
-	d.StopAccepting()
-	d.stop()
-	for d.guests.Stats().Current > 0 {
-		cut()
+// Close stops accepting and calls closeAll until no connections are left: it repeats, as an
+// accepted connection may not have reached its handler yet. It returns once all goroutines have
+// ended.
+func (a *Acceptor) Close(closeAll func()) {
+	a.StopAccepting()
+	a.stop()
+	for a.limiter.Stats().Current > 0 {
+		closeAll()
 		time.Sleep(time.Millisecond)
 	}
-	d.work.Wait()
+	a.wg.Wait()
 }
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -1,5 +1,5 @@
-// Package guests decides who may connect to a front, and counts who is there: in all, from one address, and by one user. It does
-// no I/O. What it keeps ends with those that it counts.
+// Package connlimit limits the client connections of a front: in total, per address and per user.
+// It does no I/O, and keeps no state about connections that are closed.
 package connlimit
 
 import (
@@ -7,14 +7,14 @@
 	"sync"
 )
 
-// Limits bounds who may be connected at once. A zero bounds nothing.
+// Limits bounds the number of concurrent connections. A limit of zero is no limit.
 type Limits struct {
-	Total      int // in all
-	PerAddress int // from one address
-	PerUser    int // by one user
+	Total      int // all connections
+	PerAddress int // connections from one address
+	PerUser    int // connections of one user
 }
 
-// Check tells which limit cannot be used.
+// Check returns an error that names the first invalid limit.
 func (l Limits) Check() error {
 	for _, v := range []struct {
 		key string
@@ -27,136 +27,136 @@
 	return nil
 }
 
-// Reason says why somebody may not connect.
+// Reason is the outcome of a request for a slot: Admitted, or why it was rejected.
 type Reason int
 
-// The reasons.
+// Outcomes of a request for a slot.
 const (
-	Admitted Reason = iota
-	TotalLimit
-	AddressLimit
-	UserLimit
-	Closed
+	Admitted     Reason = iota
+	TotalLimit          // Limits.Total is reached
+	AddressLimit        // Limits.PerAddress is reached
+	UserLimit           // Limits.PerUser is reached
+	Closed              // the limiter is closed
 )
 
-// String names the reason for logs.
+// String returns the text of the reason in logs and metrics.
 func (r Reason) String() string {
 	return [...]string{"welcome", "too many connections", "too many connections from this address", "too many connections of this user", "closing"}[r]
 }
 
-// Limiter counts who is connected. It may be used from many goroutines at once.
+// Limiter counts the current connections. It is safe for concurrent use.
 type Limiter struct {
 	limits Limits
 
-	mu      sync.Mutex
-	closed  bool
-	all     int
-	by      map[string]int // address
-	users   map[string]int
-	turned  [Closed + 1]uint64
-	welcome uint64
+	mu        sync.Mutex
+	closed    bool
+	total     int
+	byAddress map[string]int
+	byUser    map[string]int
+	rejected  [Closed + 1]uint64
+	admitted  uint64
 }
 
-// New returns a Book without anybody.
+// New returns a Limiter without connections.
 func New(l Limits) *Limiter {
-	return &Limiter{limits: l, by: map[string]int{}, users: map[string]int{}}
+	return &Limiter{limits: l, byAddress: map[string]int{}, byUser: map[string]int{}}
 }
 
-// Slot is one that was let in.
+// Slot is the place of one admitted connection.
 type Slot struct {
-	book *Limiter
-	addr string
-	user string
-	gone bool
+	limiter  *Limiter
+	addr     string
+	user     string
+	released bool
 }
 
-// Acquire counts one from addr in, or tells why not.
-func (b *Limiter) Acquire(addr string) (*Slot, Reason) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	why := Admitted
-	switch l := b.limits; {
-	case b.closed:
-		why = Closed
-	case l.Total > 0 && b.all >= l.Total:
-		why = TotalLimit
-	case l.PerAddress > 0 && b.by[addr] >= l.PerAddress:
-		why = AddressLimit
+// Acquire counts a connection from addr, or returns why it is rejected.
+func (l *Limiter) Acquire(addr string) (*Slot, Reason) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	reason := Admitted
+	switch limits := l.limits; {
+	case l.closed:
+		reason = Closed
+	case limits.Total > 0 && l.total >= limits.Total:
+		reason = TotalLimit
+	case limits.PerAddress > 0 && l.byAddress[addr] >= limits.PerAddress:
+		reason = AddressLimit
 	}
-	if why != Admitted {
-		b.turned[why]++
-		return nil, why
+	if reason != Admitted {
+		l.rejected[reason]++
+		return nil, reason
 	}
-	b.all++
-	b.by[addr]++
-	b.welcome++
-	return &Slot{book: b, addr: addr}, Admitted
+	l.total++
+	l.byAddress[addr]++
+	l.admitted++
+	return &Slot{limiter: l, addr: addr}, Admitted
 }
 
-// SetUser counts a guest as a user's from now on, and no longer as that of the one before, or tells why not; it then stays
-// what it was.
-func (g *Slot) SetUser(user string) Reason {
-	b := g.book
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if g.gone || g.user == user {
+// SetUser assigns the connection to user, and takes it off the count of its previous user. If the
+// limit of user is reached, the previous assignment stays.
+func (s *Slot) SetUser(user string) Reason {
+	l := s.limiter
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if s.released || s.user == user {
 		return Admitted
 	}
-	if l := b.limits.PerUser; l > 0 && b.users[user] >= l {
-		b.turned[UserLimit]++
+	if limit := l.limits.PerUser; limit > 0 && l.byUser[user] >= limit {
+		l.rejected[UserLimit]++
 		return UserLimit
 	}
-	b.leaveUser(g)
-	g.user = user
-	b.users[user]++
+	l.clearUser(s)
+	s.user = user
+	l.byUser[user]++
 	return Admitted
 }
 
-func (b *Limiter) leaveUser(g *Slot) {
-	if g.user == "" {
+func (l *Limiter) clearUser(s *Slot) {
+	if s.user == "" {
 		return
 	}
-	if b.users[g.user]--; b.users[g.user] == 0 {
-		delete(b.users, g.user)
+	if l.byUser[s.user]--; l.byUser[s.user] == 0 {
+		delete(l.byUser, s.user)
 	}
 }
 
-// Release counts a guest out. To do so twice is as to do so once.
-func (g *Slot) Release() {
-	b := g.book
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if g.gone {
+// Release takes the connection off the counts. It is idempotent.
+func (s *Slot) Release() {
+	l := s.limiter
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if s.released {
 		return
 	}
-	g.gone = true
-	b.all--
-	if b.by[g.addr]--; b.by[g.addr] == 0 {
-		delete(b.by, g.addr)
+	s.released = true
+	l.total--
+	if l.byAddress[s.addr]--; l.byAddress[s.addr] == 0 {
+		delete(l.byAddress, s.addr)
 	}
-	b.leaveUser(g)
+	l.clearUser(s)
 }
 
-// Close lets nobody in from now on.
-func (b *Limiter) Close() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.closed = true
+// Close rejects all further connections.
+func (l *Limiter) Close() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.closed = true
 }
 
-// Stats counts guests.
+// Stats counts connections.
 type Stats struct {
 	Current  int
-	Admitted uint64            // were let in
-	Rejected map[string]uint64 // away, by reason
+	Admitted uint64            // since the start
+	Rejected map[string]uint64 // since the start, by Reason.String
 }
 
-// Stats returns the present counts.
-func (b *Limiter) Stats() Stats {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := Stats{Current: b.all, Admitted: b.welcome, Rejected: map[string]uint64{}}
-	for r, n := range b.turned {
+// Stats returns the current counts.
+func (l *Limiter) Stats() Stats {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	s := Stats{Current: l.total, Admitted: l.admitted, Rejected: map[string]uint64{}}
+	for r, n := range l.rejected {
 		if n > 0 {
 			s.Rejected[Reason(r).String()] = n
 		}
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -7,71 +7,72 @@
 	"pgregory.net/rapid"
 )
 
-// TestBook: whatever comes and goes, no bound is passed, and nothing is kept of those that have left.
-func TestBook(t *testing.T) {
+// TestLimits checks that no sequence of arrivals, user changes and departures exceeds a limit, and
+// that no state of closed connections is kept.
+func TestLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{Total: rapid.IntRange(0, 6).Draw(t, "most"), PerAddress: rapid.IntRange(0, 3).Draw(t, "address"), PerUser: rapid.IntRange(0, 2).Draw(t, "user")}
-		b := New(l)
-		var in []*Slot
+		limiter := New(l)
+		var slots []*Slot
 		name := rapid.SampledFrom([]string{"a", "b", "c"})
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
 				addr := name.Draw(t, "addr")
-				all, by := len(in), 0
-				for _, g := range in {
-					if g.addr == addr {
-						by++
+				total, byAddress := len(slots), 0
+				for _, s := range slots {
+					if s.addr == addr {
+						byAddress++
 					}
 				}
-				g, why := b.Acquire(addr)
-				full := l.Total > 0 && all >= l.Total || l.PerAddress > 0 && by >= l.PerAddress
-				if full == (why == Admitted) {
-					t.Fatalf("with %d in, %d of them from %s: %v", all, by, addr, why)
+				slot, reason := limiter.Acquire(addr)
+				full := l.Total > 0 && total >= l.Total || l.PerAddress > 0 && byAddress >= l.PerAddress
+				if full == (reason == Admitted) {
+					t.Fatalf("with %d connections, %d of them from %s: %v", total, byAddress, addr, reason)
 				}
-				if why == Admitted {
-					in = append(in, g)
+				if reason == Admitted {
+					slots = append(slots, slot)
 				}
 			case 1:
-				if len(in) > 0 {
-					g, user := in[rapid.IntRange(0, len(in)-1).Draw(t, "guest")], name.Draw(t, "user")
-					same, before := 0, g.user
-					for _, o := range in {
-						if o.user == user {
-							same++
+				if len(slots) > 0 {
+					slot, user := slots[rapid.IntRange(0, len(slots)-1).Draw(t, "slot")], name.Draw(t, "user")
+					sameUser, before := 0, slot.user
+					for _, s := range slots {
+						if s.user == user {
+							sameUser++
 						}
 					}
-					full := l.PerUser > 0 && same >= l.PerUser && before != user
-					if why := g.SetUser(user); full == (why == Admitted) || full && g.user != before {
-						t.Fatalf("%d are %s already: %v", same, user, why)
+					full := l.PerUser > 0 && sameUser >= l.PerUser && before != user
+					if reason := slot.SetUser(user); full == (reason == Admitted) || full && slot.user != before {
+						t.Fatalf("with %d connections of %s: %v", sameUser, user, reason)
 					}
 				}
 			default:
-				if len(in) > 0 {
-					i := rapid.IntRange(0, len(in)-1).Draw(t, "leaver")
-					in[i].Release()
-					in[i].Release()
-					in = append(in[:i], in[i+1:]...)
+				if len(slots) > 0 {
+					i := rapid.IntRange(0, len(slots)-1).Draw(t, "released")
+					slots[i].Release()
+					slots[i].Release()
+					slots = append(slots[:i], slots[i+1:]...)
 				}
 			}
-			if s := b.Stats(); s.Current != len(in) {
-				t.Fatalf("%d are counted, %d are in", s.Current, len(in))
+			if s := limiter.Stats(); s.Current != len(slots) {
+				t.Fatalf("Stats().Current = %d, want %d", s.Current, len(slots))
 			}
 		}
-		for _, g := range in {
-			g.Release()
+		for _, s := range slots {
+			s.Release()
 		}
-		if len(b.by)+len(b.users) > 0 {
-			t.Fatalf("kept of those that left: %v %v", b.by, b.users)
+		if len(limiter.byAddress)+len(limiter.byUser) > 0 {
+			t.Fatalf("state of closed connections is kept: %v %v", limiter.byAddress, limiter.byUser)
 		}
 	})
 }
 
 func TestClosed(t *testing.T) {
-	b := New(Limits{})
-	b.Close()
-	if _, why := b.Acquire("a"); why != Closed || fmt.Sprint(b.Stats().Rejected) != "map[closing:1]" {
-		t.Errorf("%v, %v", why, b.Stats())
+	l := New(Limits{})
+	l.Close()
+	if _, reason := l.Acquire("a"); reason != Closed || fmt.Sprint(l.Stats().Rejected) != "map[closing:1]" {
+		t.Errorf("%v, %v", reason, l.Stats())
 	}
 	if err := (Limits{PerUser: -1}).Check(); err == nil || err.Error() != "most_per_user: -1 is below 0" {
 		t.Error(err)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery speaks the platform's protocol for the list of servers: it reads list messages, and holds watches on
-// a discovery over HTTP/1.1. It keeps no list.
+// Package discovery implements the client side of the platform's discovery protocol: it parses list
+// messages, and watches a discovery over HTTP/1.1. It stores no list.
 package discovery
 
 import (
@@ -21,14 +21,15 @@
 	"quillfront/policy"
 )
 
-// message is a message of discovery: the whole list of upstreams, or the changes since the one before.
+// message is a message of the discovery protocol: the whole list of upstreams, or the changes since
+// the previous message.
 type message struct {
 	Seq   *int64  `json:"seq"`
 	Whole bool    `json:"whole"`
 	Hosts []entry `json:"hosts"`
 }
 
-// entry is what discovery says of an upstream.
+// entry describes one upstream in a message.
 type entry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -39,12 +40,13 @@
 	BornMs int64   `json:"born_ms"`
 }
 
-var states = map[string]policy.ServerState{
+var healthStates = map[string]policy.ServerState{
 	"active": policy.Ready, "leaving": policy.Draining, "left": policy.Gone,
 }
 
-// Parse reads a message of discovery. It rejects the whole of one that is cut, is no JSON, or lacks its version: what changed
-// cannot be told then. An entry that cannot be used is told among the faults, and the others count, as one of them may be a drain.
+// Parse reads a discovery message. It rejects a message that is truncated, not JSON, or without a
+// sequence number, as the changes are unknown then. An entry that is invalid is reported in Faults,
+// and the others are still used, as one of them may be a drain.
 func Parse(text []byte) (engine.List, error) {
 	var m message
 	if err := json.Unmarshal(text, &m); err != nil {
@@ -53,7 +55,7 @@
 	return m.list()
 }
 
-// list is what m says.
+// list converts m to a list.
 func (m *message) list() (engine.List, error) {
 	if m.Seq == nil {
 		return engine.List{}, errors.New("server list: no seq")
@@ -61,15 +63,15 @@
 	l := engine.List{Seq: *m.Seq, Whole: m.Whole, Servers: make([]engine.Server, 0, len(m.Hosts))}
 	for _, e := range m.Hosts {
 		id := policy.ServerID(e.Host)
-		fault := func(form string, args ...any) {
-			l.Faults = append(l.Faults, engine.Fault{ID: id, Why: fmt.Sprintf(form, args...)})
+		fault := func(format string, args ...any) {
+			l.Faults = append(l.Faults, engine.Fault{ID: id, Why: fmt.Sprintf(format, args...)})
 		}
-		state, ok := states[e.Health]
+		state, ok := healthStates[e.Health]
 		if !ok || e.Host == "" {
 			fault("host %.80q has health %.80q", e.Host, e.Health)
 			continue
 		}
-		if err := dialable(e.Dial); err != nil && state != policy.Gone {
+		if err := checkDialable(e.Dial); err != nil && state != policy.Gone {
 			fault("dial: %v", err)
 			e.Dial = ""
 		}
@@ -80,8 +82,8 @@
 	return l, nil
 }
 
-// dialable tells why an address can never be dialled.
-func dialable(addr string) error {
+// checkDialable returns an error if addr can never be dialed.
+func checkDialable(addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return fmt.Errorf("%.80q: no host and port", addr)
@@ -92,12 +94,12 @@
 	return nil
 }
 
-// Format is the inverse of Parse, for whoever stands in for a discovery.
+// Format is the inverse of Parse. Discovery stand-ins use it.
 func Format(l engine.List) ([]byte, error) {
 	m := message{Seq: &l.Seq, Whole: l.Whole, Hosts: make([]entry, len(l.Servers))}
 	for i, s := range l.Servers {
 		m.Hosts[i] = entry{string(s.ID), s.Addr, s.Zone, s.Cell, "", s.Weight, s.BornMs}
-		for name, state := range states {
+		for name, state := range healthStates {
 			if state == s.State {
 				m.Hosts[i].Health = name
 			}
@@ -107,58 +109,61 @@
 }
 
 const (
-	// callTime is how long discovery may take to begin its answer where calls wait in turn. What a watch that stays silent from
-	// its first moment misses counts as told 6 s later: it leaves 2 s for the next call. Where calls wait longer than callTime
-	// none would be answered.
-	callTime = 4 * time.Second
-	// agentTime is the same of an agent of the sidecar's own, which answers at once. What such a one gets when discovery is back
-	// counts as told then, and a call that it has left without an answer hears nothing of it.
-	agentTime = time.Second
-	// quietTime is how long a watch may say nothing, not even an empty line, before it counts as broken, and how long a message may
-	// take from its first byte to its last. An empty line comes every 2 s; a machine that has vanished says nothing for ever.
-	quietTime = 3 * time.Second
-	// dialTime is how long the connection to discovery may take.
-	dialTime = 2 * time.Second
-	// mostHead bounds the head of discovery's answer.
-	mostHead = 64 << 10
-	// mostMessage bounds a message of a watch, and the empty lines before it.
-	mostMessage = 1 << 20
+	// responseTimeout is how long discovery may take to begin its response if it serves calls one
+	// after the other. Discovery assumes after 6 s that a watch which gets no data from the start
+	// has received the changes: this leaves 2 s for the next call. If calls queue for longer than
+	// responseTimeout, none is served.
+	responseTimeout = 4 * time.Second
+	// agentResponseTimeout is the timeout for a local agent, which responds at once. Discovery
+	// assumes that the agent has received what it was sent when discovery comes back; a call that
+	// the agent left without a response does not get it.
+	agentResponseTimeout = time.Second
+	// silenceTimeout is how long a watch may send nothing, not even an empty line, before it counts
+	// as broken, and how long a message may take from its first byte to its last. An empty line
+	// comes every 2 s; a machine that has vanished stays silent without closing the connection.
+	silenceTimeout = 3 * time.Second
+	// dialTimeout bounds the time to connect to discovery.
+	dialTimeout = 2 * time.Second
+	// maxHeadBytes bounds the head of discovery's response.
+	maxHeadBytes = 64 << 10
+	// maxMessageBytes bounds a message of a watch, including the empty lines before it.
+	maxMessageBytes = 1 << 20
 )
 
 // Client watches the discovery at one address. It implements engine.Source.
 type Client struct {
 	Addr       string // host:port
-	LocalAgent bool   // an agent of the sidecar's own is there, which answers at once
+	LocalAgent bool   // the sidecar has an agent of its own, which responds at once
 }
 
-// Watch is a method of engine.Source.
-func (d Client) Watch(ctx context.Context, since int64, tell func(engine.List)) error {
+// Watch implements engine.Source.
+func (c Client) Watch(ctx context.Context, since int64, tell func(engine.List)) error {
 	query := "follow=1"
 	if since != engine.UnknownSeq {
 		query += "&since=" + strconv.FormatInt(since, 10)
 	}
-	dialer := net.Dialer{Timeout: dialTime}
-	c, err := dialer.DialContext(ctx, "tcp", d.Addr)
+	dialer := net.Dialer{Timeout: dialTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", c.Addr)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	defer context.AfterFunc(ctx, func() { c.Close() })()
-	wait := callTime
-	if d.LocalAgent {
-		wait = agentTime
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	timeout := responseTimeout
+	if c.LocalAgent {
+		timeout = agentResponseTimeout
 	}
-	c.SetDeadline(time.Now().Add(wait))
-	q := &http.Request{
-		Method: http.MethodGet, Host: d.Addr,
+	conn.SetDeadline(time.Now().Add(timeout))
+	req := &http.Request{
+		Method: http.MethodGet, Host: c.Addr,
 		URL: &url.URL{Path: "/v1/servers", RawQuery: query},
 	}
-	if err := q.Write(c); err != nil {
+	if err := req.Write(conn); err != nil {
 		return err
 	}
-	// Guards against a head or a line without end.
-	head := &io.LimitedReader{R: c, N: mostHead}
-	resp, err := http.ReadResponse(bufio.NewReader(head), q)
+	// Limits the head of the response and the length of its lines.
+	head := &io.LimitedReader{R: conn, N: maxHeadBytes}
+	resp, err := http.ReadResponse(bufio.NewReader(head), req)
 	if err != nil {
 		return err
 	}
@@ -166,10 +171,10 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("discovery answers %s", resp.Status)
 	}
-	body := &paced{c: c, r: resp.Body, first: true}
-	messages := json.NewDecoder(body) // a message may be indented, and so stand on many lines
+	body := &pacedReader{conn: conn, r: resp.Body, awaitingFirst: true}
+	messages := json.NewDecoder(body) // a message may be indented, so it may span several lines
 	for {
-		body.next(messages)
+		body.startMessage(messages)
 		var m message
 		if err := messages.Decode(&m); err == io.EOF {
 			return err
@@ -184,47 +189,49 @@
 	}
 }
 
-// errTooLong tells that a message goes beyond mostMessage.
-var errTooLong = fmt.Errorf("a message of over %d bytes", mostMessage)
-
-// paced reads the body of a watch. It guards against messages without end, and such as stand still: however slowly the bytes of one
-// come, it has quietTime from its first to its last. Between messages each empty line says that the watch lives.
-type paced struct {
-	c     net.Conn
-	r     io.Reader
-	first bool // nothing has come: the call may still wait in line
-	begun bool // a message has come in part
-	left  int  // bytes that it may still have
+// errMessageTooLong reports a message larger than maxMessageBytes.
+var errMessageTooLong = fmt.Errorf("a message of over %d bytes", maxMessageBytes)
+
+// pacedReader reads the body of a watch. It limits the size of a message, and its duration: however
+// its bytes arrive, a message has silenceTimeout from its first byte to its last. Between messages
+// each empty line is a sign of life.
+type pacedReader struct {
+	conn          net.Conn
+	r             io.Reader
+	awaitingFirst bool // nothing has been received: the call may still be queued
+	inMessage     bool // a message has been received in part
+	remaining     int  // bytes that the current message may still have
 }
 
-// next has the next message begin, a part of which may have been read together with the one before.
-func (p *paced) next(messages *json.Decoder) {
-	rest, _ := io.ReadAll(messages.Buffered()) // of memory, which cannot fail
-	p.begun, p.left = false, mostMessage
-	p.note(rest)
+// startMessage begins the next message, part of which may have been read along with the previous
+// one.
+func (p *pacedReader) startMessage(messages *json.Decoder) {
+	rest, _ := io.ReadAll(messages.Buffered()) // in memory, cannot fail
+	p.inMessage, p.remaining = false, maxMessageBytes
+	p.observe(rest)
 }
 
-// note looks at bytes that have come.
-func (p *paced) note(b []byte) {
-	p.left -= len(b)
-	if p.begun {
+// observe accounts for received bytes and extends the deadline between messages.
+func (p *pacedReader) observe(b []byte) {
+	p.remaining -= len(b)
+	if p.inMessage {
 		return
 	}
-	p.begun = len(bytes.TrimSpace(b)) > 0
-	if !p.first {
-		p.c.SetDeadline(time.Now().Add(quietTime))
+	p.inMessage = len(bytes.TrimSpace(b)) > 0
+	if !p.awaitingFirst {
+		p.conn.SetDeadline(time.Now().Add(silenceTimeout))
 	}
 }
 
-// Read is the method of io.Reader.
-func (p *paced) Read(b []byte) (int, error) {
-	if p.left <= 0 {
-		return 0, errTooLong
+// Read implements io.Reader.
+func (p *pacedReader) Read(b []byte) (int, error) {
+	if p.remaining <= 0 {
+		return 0, errMessageTooLong
 	}
-	n, err := p.r.Read(b[:min(len(b), p.left)])
+	n, err := p.r.Read(b[:min(len(b), p.remaining)])
 	if n > 0 {
-		p.first = false
-		p.note(b[:n])
+		p.awaitingFirst = false
+		p.observe(b[:n])
 	}
 	return n, err
 }
--- a/internal/sockets/budget.go
+++ b/internal/sockets/budget.go
@@ -1,5 +1,5 @@
-// Package sockets owns the descriptors of a process that may hold but few: who may take one, who has to wait, and which
-// idle connections make room.
+// Package sockets manages the file descriptors of a process with a low descriptor limit: it limits
+// the connections, makes callers wait for a free descriptor, and evicts idle connections.
 package sockets
 
 import (
@@ -14,176 +14,184 @@
 const (
 	// Reserved descriptors are not counted: the listener, discovery, the log, the runtime's poller.
 	Reserved = 16
-	// clientShare is the part of the descriptors that clients may hold. The rest is always left for servers, so that
-	// requests which were taken can be answered.
-	clientShare = 0.6
-	// scarceShare is the part in use from which idle connections are not kept.
-	scarceShare = 0.9
-	// retry is how often one that waits for a descriptor looks for idle connections to close.
-	retry = 10 * time.Millisecond
+	// clientFraction is the fraction of the descriptors that clients may use. The rest is always
+	// left for servers, so that accepted requests can be answered.
+	clientFraction = 0.6
+	// scarceFraction is the fraction in use above which idle connections are not kept while
+	// somebody waits.
+	scarceFraction = 0.9
+	// retryInterval is how often a caller that waits for a descriptor tries to evict an idle
+	// connection.
+	retryInterval = 10 * time.Millisecond
 )
 
-// ErrNoDescriptor tells that no descriptor is free, which says nothing of the peer that one was wanted for.
+// ErrNoDescriptor reports that no descriptor is free. It says nothing about the peer of the planned
+// connection.
 var ErrNoDescriptor = errors.New("no free descriptor")
 
-// Budget counts the descriptors of connections. Near the limit idle connections make room: those to servers first, then
-// those of clients. Beyond it work waits.
+// Budget counts the descriptors of connections. If none is free, it evicts idle connections: those
+// to servers first, then those of clients. If there are none either, callers wait.
 type Budget struct {
-	all     chan struct{}
-	clients chan struct{}
-	waiting atomic.Int32
-	servers func() bool // closes an idle connection to a server and reports whether there was one
-	guests  func() bool // the same of a client
-
-	sharing sync.Mutex         // held while the share changes
-	stop    context.CancelFunc // ends the change that is under way
-	lent    [2]atomic.Int32    // places that are not this process's at present: of all, and of clients
+	all         chan struct{}
+	clients     chan struct{}
+	waiting     atomic.Int32
+	evictServer func() bool // closes an idle connection to a server; false: there is none
+	evictClient func() bool // the same for clients
+
+	scaling       sync.Mutex         // held while withheld changes
+	cancelScaling context.CancelFunc // ends the withholding that is under way
+	withheld      [2]atomic.Int32    // places that this process must not use at present: of all, and of clients
 }
 
-// New returns the budget of a process that may hold limit descriptors, which must be over Spare.
+// New returns the budget of a process that may use limit descriptors, which must exceed Reserved.
 func New(limit int) *Budget {
 	n := limit - Reserved
 	never := func() bool { return false }
 	return &Budget{
-		all: make(chan struct{}, n), clients: make(chan struct{}, max(1, int(float64(n)*clientShare))),
-		servers: never, guests: never,
+		all: make(chan struct{}, n), clients: make(chan struct{}, max(1, int(float64(n)*clientFraction))),
+		evictServer: never, evictClient: never,
 	}
 }
 
-// NewForServers returns the budget of limit descriptors for connections to servers alone.
+// NewForServers returns a budget of limit descriptors for connections to servers only.
 func NewForServers(limit int) *Budget {
 	b := New(limit + Reserved)
 	b.clients = make(chan struct{})
 	return b
 }
 
-// OnShortage tells how to make room: each function closes one idle connection, and reports whether there was one. It is
-// called before the budget is used; a nil function makes no room.
-func (s *Budget) OnShortage(servers, clients func() bool) {
+// OnShortage sets the functions that evict an idle connection to a server or of a client, and
+// report whether there was one. It must be called before the budget is used. A nil function is
+// ignored.
+func (b *Budget) OnShortage(servers, clients func() bool) {
 	if servers != nil {
-		s.servers = servers
+		b.evictServer = servers
 	}
 	if clients != nil {
-		s.guests = clients
+		b.evictClient = clients
 	}
 }
 
 // Acquire takes a descriptor, and returns the function that gives it back.
-func (s *Budget) Acquire(ctx context.Context) (release func(), err error) {
-	if err := s.take(ctx, s.all, s.servers, s.guests); err != nil {
+func (b *Budget) Acquire(ctx context.Context) (release func(), err error) {
+	if err := b.acquireFrom(ctx, b.all, b.evictServer, b.evictClient); err != nil {
 		return nil, err
 	}
-	return sync.OnceFunc(func() { <-s.all }), nil
+	return sync.OnceFunc(func() { <-b.all }), nil
 }
 
-// TryAcquire is Acquire where nobody waits: ok is false if no descriptor is free now, nothing is closed to make room.
-func (s *Budget) TryAcquire() (release func(), ok bool) {
+// TryAcquire takes a descriptor without waiting and without evicting idle connections. ok is false
+// if none is free.
+func (b *Budget) TryAcquire() (release func(), ok bool) {
 	select {
-	case s.all <- struct{}{}:
-		return sync.OnceFunc(func() { <-s.all }), true
+	case b.all <- struct{}{}:
+		return sync.OnceFunc(func() { <-b.all }), true
 	default:
 		return nil, false
 	}
 }
 
-// AcquireClient takes a descriptor for a client's connection.
-func (s *Budget) AcquireClient(ctx context.Context) (release func(), err error) {
-	if err := s.take(ctx, s.clients, s.guests); err != nil {
+// AcquireClient takes a descriptor for a client connection.
+func (b *Budget) AcquireClient(ctx context.Context) (release func(), err error) {
+	if err := b.acquireFrom(ctx, b.clients, b.evictClient); err != nil {
 		return nil, err
 	}
-	if err := s.take(ctx, s.all, s.servers, s.guests); err != nil {
-		<-s.clients
+	if err := b.acquireFrom(ctx, b.all, b.evictServer, b.evictClient); err != nil {
+		<-b.clients
 		return nil, err
 	}
-	return sync.OnceFunc(func() { <-s.all; <-s.clients }), nil
+	return sync.OnceFunc(func() { <-b.all; <-b.clients }), nil
 }
 
-func (s *Budget) take(ctx context.Context, from chan struct{}, evict ...func() bool) error {
+// acquireFrom takes a place of from. While there is none it calls the evict functions in order
+// until one has closed a connection, and waits.
+func (b *Budget) acquireFrom(ctx context.Context, from chan struct{}, evict ...func() bool) error {
 	select {
 	case from <- struct{}{}:
 		return nil
 	default:
 	}
-	s.waiting.Add(1)
-	defer s.waiting.Add(-1)
+	b.waiting.Add(1)
+	defer b.waiting.Add(-1)
 	for {
 		for _, e := range evict {
 			if e() {
 				break
 			}
 		}
-		again := time.NewTimer(retry)
+		timer := time.NewTimer(retryInterval)
 		select {
 		case from <- struct{}{}:
-			again.Stop()
+			timer.Stop()
 			return nil
 		case <-ctx.Done():
-			again.Stop()
+			timer.Stop()
 			return fmt.Errorf("%w: %w", ErrNoDescriptor, ctx.Err())
-		case <-again.C:
+		case <-timer.C:
 		}
 	}
 }
 
 // Scarce reports whether descriptors are so few that idle connections should not be kept.
-func (s *Budget) Scarce() bool {
-	return s.waiting.Load() > 0 && len(s.all) > int(scarceShare*float64(cap(s.all))) || len(s.all) == cap(s.all)
+func (b *Budget) Scarce() bool {
+	return b.waiting.Load() > 0 && len(b.all) > int(scarceFraction*float64(cap(b.all))) || len(b.all) == cap(b.all)
 }
 
-// SetFraction leaves this process a part of its places, above 0 and at most 1, as long as another one of the same sidecar lives. What
-// it has in use beyond that it gives up as it becomes free, idle connections first; meanwhile nothing new is opened.
-func (s *Budget) SetFraction(part float64) {
-	s.sharing.Lock()
-	defer s.sharing.Unlock()
-	if s.stop != nil {
-		s.stop()
+// SetFraction limits this process to a fraction of its places, above 0 and at most 1, while another
+// process of the same sidecar runs. Places in use beyond that are given up as they become free,
+// idle connections first; until then no new connection is opened.
+func (b *Budget) SetFraction(fraction float64) {
+	b.scaling.Lock()
+	defer b.scaling.Unlock()
+	if b.cancelScaling != nil {
+		b.cancelScaling()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s.stop = cancel
-	for i, places := range []chan struct{}{s.all, s.clients} {
-		want := int32(float64(cap(places)) * (1 - part))
-		for s.lent[i].Load() > want {
-			s.lent[i].Add(-1)
+	b.cancelScaling = cancel
+	for i, places := range []chan struct{}{b.all, b.clients} {
+		want := int32(float64(cap(places)) * (1 - fraction))
+		for b.withheld[i].Load() > want {
+			b.withheld[i].Add(-1)
 			<-places
 		}
-		for s.lent[i].Load() < want { // what is free goes at once
+		for b.withheld[i].Load() < want { // free places are withheld at once
 			select {
 			case places <- struct{}{}:
-				s.lent[i].Add(1)
+				b.withheld[i].Add(1)
 				continue
 			default:
 			}
 			break
 		}
-		if s.lent[i].Load() < want {
-			go s.lend(ctx, i, places, want)
+		if b.withheld[i].Load() < want {
+			go b.withhold(ctx, i, places, want)
 		}
 	}
 }
 
-// lend gives up places as they become free, until want are lent or ctx ends.
-func (s *Budget) lend(ctx context.Context, i int, places chan struct{}, want int32) {
-	evict := []func() bool{s.servers, s.guests}
+// withhold takes places as they become free, until want of them are withheld or ctx ends.
+func (b *Budget) withhold(ctx context.Context, i int, places chan struct{}, want int32) {
+	evict := []func() bool{b.evictServer, b.evictClient}
 	if i == 1 {
 		evict = evict[1:]
 	}
-	for s.lent[i].Load() < want && s.take(ctx, places, evict...) == nil {
-		s.sharing.Lock()
-		if ctx.Err() != nil { // the share has changed meanwhile
+	for b.withheld[i].Load() < want && b.acquireFrom(ctx, places, evict...) == nil {
+		b.scaling.Lock()
+		if ctx.Err() != nil { // SetFraction was called again meanwhile
 			<-places
 		} else {
-			s.lent[i].Add(1)
+			b.withheld[i].Add(1)
 		}
-		s.sharing.Unlock()
+		b.scaling.Unlock()
 	}
 }
 
-// InUse returns how many descriptors are taken, in all and by clients.
-func (s *Budget) InUse() (all, clients int) {
-	return len(s.all) - int(s.lent[0].Load()), len(s.clients) - int(s.lent[1].Load())
+// InUse returns the number of descriptors in use, in total and by clients.
+func (b *Budget) InUse() (all, clients int) {
+	return len(b.all) - int(b.withheld[0].Load()), len(b.clients) - int(b.withheld[1].Load())
 }
 
-// Limits returns how many may be taken, in all and by clients.
-func (s *Budget) Limits() (all, clients int) {
-	return cap(s.all) - int(s.lent[0].Load()), cap(s.clients) - int(s.lent[1].Load())
+// Limits returns the number of descriptors that may be in use, in total and by clients.
+func (b *Budget) Limits() (all, clients int) {
+	return cap(b.all) - int(b.withheld[0].Load()), cap(b.clients) - int(b.withheld[1].Load())
 }
--- a/internal/sockets/closed_other.go
+++ b/internal/sockets/closed_other.go
@@ -4,7 +4,7 @@
 
 import "net"
 
-// Gone is not told here.
-func Gone(*net.TCPConn) bool { return true }
+// IsClosed always returns true: the state of a connection is only known on Linux.
+func IsClosed(*net.TCPConn) bool { return true }
 
-func endedBehind(int) bool { return false }
+func peerFinished(int) bool { return false }
--- a/internal/sockets/drainable_listener.go
+++ b/internal/sockets/drainable_listener.go
@@ -8,40 +8,41 @@
 	"time"
 )
 
-// backlogQuiet is how long no connection may come before the backlog counts as empty.
-const backlogQuiet = 50 * time.Millisecond
+// backlogEmptyAfter is how long no connection has to arrive for the backlog to count as empty.
+const backlogEmptyAfter = 50 * time.Millisecond
 
-// DrainableListener is a listener that can be drained: it goes on accepting until a time, and then until no more connections wait. Closing it at once
-// would reset those that the kernel has accepted, and what was written to them.
+// DrainableListener is a listener that can be drained: it accepts until a given time, and then
+// until the backlog is empty. Closing the listener at once would reset the connections that the
+// kernel has accepted, and lose the data sent on them.
 type DrainableListener struct {
 	*net.TCPListener
-	mu    sync.Mutex
-	until time.Time // zero: not draining
+	mu         sync.Mutex
+	drainUntil time.Time // zero: not draining
 }
 
-// NewDrainableListener returns a Backlog of ln.
+// NewDrainableListener returns a DrainableListener on ln.
 func NewDrainableListener(ln *net.TCPListener) *DrainableListener {
 	return &DrainableListener{TCPListener: ln}
 }
 
-// Drain starts the draining; Accept fails with net.ErrClosed once the backlog is empty after until.
-func (b *DrainableListener) Drain(until time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.until = until
-	b.SetDeadline(until.Add(backlogQuiet))
+// Drain starts draining. Accept returns net.ErrClosed once the backlog is empty after until.
+func (l *DrainableListener) Drain(until time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.drainUntil = until
+	l.SetDeadline(until.Add(backlogEmptyAfter))
 }
 
-// Accept is the method of net.Listener.
-func (b *DrainableListener) Accept() (net.Conn, error) {
-	b.mu.Lock()
-	if now := time.Now(); !b.until.IsZero() && now.After(b.until) {
-		b.SetDeadline(now.Add(backlogQuiet))
+// Accept implements net.Listener.
+func (l *DrainableListener) Accept() (net.Conn, error) {
+	l.mu.Lock()
+	if now := time.Now(); !l.drainUntil.IsZero() && now.After(l.drainUntil) {
+		l.SetDeadline(now.Add(backlogEmptyAfter))
 	}
-	b.mu.Unlock()
-	c, err := b.TCPListener.Accept()
+	l.mu.Unlock()
+	c, err := l.TCPListener.Accept()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return nil, net.ErrClosed // a time-out would make the server try again
+		return nil, net.ErrClosed // after a timeout error the server would retry
 	}
 	return c, err
 }
--- a/internal/sockets/peek.go
+++ b/internal/sockets/peek.go
@@ -5,18 +5,18 @@
 	"syscall"
 )
 
-// Peeker looks at what the kernel holds of a connection without taking it. It is for one goroutine at a time, which may
-// look while another one reads.
+// Peeker inspects the kernel's receive buffer of a connection without consuming data. It is for one
+// goroutine at a time, which may peek while another goroutine reads.
 type Peeker struct {
-	raw     syscall.RawConn
-	look    func(fd uintptr)
-	nothing bool // the kernel had nothing
-	bytes   bool // the kernel had bytes
-	ended   bool // the peer has ended its sending or broken the connection
-	b       [1]byte
+	raw        syscall.RawConn
+	probe      func(fd uintptr)
+	empty      bool // nothing to read
+	hasData    bool // bytes to read
+	peerClosed bool // the peer has closed its side, or the connection is broken
+	buf        [1]byte
 }
 
-// NewPeeker returns a Peeker of c. One of a connection that is no socket never sees that nothing has come.
+// NewPeeker returns a Peeker for c. If c has no socket, all methods of the Peeker return false.
 func NewPeeker(c net.Conn) *Peeker {
 	p := &Peeker{}
 	if sc, ok := c.(syscall.Conn); ok {
@@ -24,38 +24,39 @@
 			p.raw = raw
 		}
 	}
-	p.look = func(fd uintptr) {
-		n, _, err := syscall.Recvfrom(int(fd), p.b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		p.nothing = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
-		p.bytes = err == nil && n > 0
-		p.ended = !p.nothing && err != syscall.EINTR && (!p.bytes || endedBehind(int(fd)))
+	p.probe = func(fd uintptr) {
+		n, _, err := syscall.Recvfrom(int(fd), p.buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		p.empty = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		p.hasData = err == nil && n > 0
+		p.peerClosed = !p.empty && err != syscall.EINTR && (!p.hasData || peerFinished(int(fd)))
 	}
 	return p
 }
 
-// Empty reports whether the kernel has nothing that is still to be read, neither bytes nor the end.
+// Empty reports whether there is nothing to read: neither bytes nor the end of the stream.
 func (p *Peeker) Empty() bool {
 	if p.raw == nil {
 		return false
 	}
-	p.nothing = false
-	return p.raw.Control(p.look) == nil && p.nothing
+	p.empty = false
+	return p.raw.Control(p.probe) == nil && p.empty
 }
 
-// HasData reports whether the kernel has bytes that are still to be read.
+// HasData reports whether there are unread bytes.
 func (p *Peeker) HasData() bool {
 	if p.raw == nil {
 		return false
 	}
-	p.bytes = false
-	return p.raw.Control(p.look) == nil && p.bytes
+	p.hasData = false
+	return p.raw.Control(p.probe) == nil && p.hasData
 }
 
-// PeerClosed reports whether the peer has ended its sending, or the connection is broken, also behind bytes that are still to be read.
+// PeerClosed reports whether the peer has closed its side or the connection is broken, even if
+// there are unread bytes before that.
 func (p *Peeker) PeerClosed() bool {
 	if p.raw == nil {
 		return false
 	}
-	p.ended = false
-	return p.raw.Control(p.look) == nil && p.ended
+	p.peerClosed = false
+	return p.raw.Control(p.probe) == nil && p.peerClosed
 }
--- a/internal/sockets/quota.go
+++ b/internal/sockets/quota.go
@@ -6,130 +6,131 @@
 	"time"
 )
 
-// Quota divides a number of places, of descriptors or of bytes, among parts that each have some guaranteed and may borrow what no other
-// part's guarantee stands on. A part that takes all it can get leaves every other one what it was promised. Its methods, and those of its
-// parts, may be called from many goroutines at once.
+// Quota divides a number of places (descriptors or bytes) among shares. Each share has a guarantee,
+// and may also use places that no other share's guarantee reserves. A share that uses all it can
+// get leaves every other share its guarantee. Quota and Share are safe for concurrent use.
 type Quota struct {
-	mu    sync.Mutex
-	total int64
-	used  int64
-	parts map[*Share]struct{}
-	waits int           // how many wait for places
-	freed chan struct{} // closed, and replaced, when places have been given back to somebody who waits
+	mu      sync.Mutex
+	total   int64
+	used    int64
+	shares  map[*Share]struct{}
+	waiters int           // calls that wait for places
+	freed   chan struct{} // closed and replaced when places may be free and there are waiters
 }
 
-// Share is what one of those who share may take.
+// Share is the part of a quota that one user of it may take.
 type Share struct {
-	of        *Quota
+	quota     *Quota
 	guarantee int64
 	used      int64
 	waited    Waits
 }
 
-// Waits counts those who found no place free.
+// Waits counts the requests that found no free place at once.
 type Waits struct {
-	Acquired uint64 // one in the end
-	TimedOut uint64 // within their time, or within mostWait
+	Acquired uint64 // got a place in the end
+	TimedOut uint64 // got none before their deadline or within maxWait
 }
 
-// NewQuota returns shares of total places.
+// NewQuota returns a quota of total places.
 func NewQuota(total int64) *Quota {
-	return &Quota{total: total, parts: map[*Share]struct{}{}, freed: make(chan struct{})}
-}
-
-// Total is how many places there are.
-func (s *Quota) Total() int64 { return s.total }
-
-// NewShare adds a part, which is guaranteed nothing.
-func (s *Quota) NewShare() *Share {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	p := &Share{of: s}
-	s.parts[p] = struct{}{}
-	return p
-}
-
-// SetGuarantees changes what parts are guaranteed, all at once: whatever order they come in, one that gives up its guarantee leaves it to the
-// others. The rest of the parts keep theirs. Where more is wanted than there is, each gets its part of that.
-func (s *Quota) SetGuarantees(wanted map[*Share]int64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	left, sum := s.total, int64(0)
-	for p := range s.parts {
-		if _, changes := wanted[p]; !changes {
-			left -= p.guarantee
+	return &Quota{total: total, shares: map[*Share]struct{}{}, freed: make(chan struct{})}
+}
+
+// Total returns the number of places.
+func (q *Quota) Total() int64 { return q.total }
+
+// NewShare adds a share without a guarantee.
+func (q *Quota) NewShare() *Share {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	s := &Share{quota: q}
+	q.shares[s] = struct{}{}
+	return s
+}
+
+// SetGuarantees changes the guarantees of the given shares in one step, so that in any order what
+// one share gives up is there for the others. Shares that are not given keep theirs. If the sum
+// exceeds what is left, each guarantee is scaled down in proportion.
+func (q *Quota) SetGuarantees(wanted map[*Share]int64) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	left, sum := q.total, int64(0)
+	for s := range q.shares {
+		if _, changes := wanted[s]; !changes {
+			left -= s.guarantee
 		}
 	}
 	for _, n := range wanted {
 		sum += max(n, 0)
 	}
-	for p, n := range wanted {
+	for s, n := range wanted {
 		if n = max(n, 0); sum > left {
 			n = int64(float64(n) * float64(max(left, 0)) / float64(sum))
 		}
-		p.guarantee = n
+		s.guarantee = n
 	}
-	s.wake()
+	q.notifyWaiters()
 }
 
-// Close takes p out of the shares: what it still has in use is given back place by place.
-func (p *Share) Close() {
-	p.of.mu.Lock()
-	defer p.of.mu.Unlock()
-	p.guarantee = 0
-	delete(p.of.parts, p)
-	p.of.wake()
+// Close removes s from the quota. Places that it still uses are given back by Release.
+func (s *Share) Close() {
+	s.quota.mu.Lock()
+	defer s.quota.mu.Unlock()
+	s.guarantee = 0
+	delete(s.quota.shares, s)
+	s.quota.notifyWaiters()
 }
 
-// may reports whether p may take n more. Within its guarantee it may whatever the others have, as none of them could take that; beyond
-// it, it leaves all that others have been promised and do not use.
-func (s *Quota) may(p *Share, n int64) bool {
+// canTake reports whether s may take n more places. Within its guarantee it always may, as no other
+// share can use those; beyond it, the unused guarantees of the other shares stay free.
+func (q *Quota) canTake(s *Share, n int64) bool {
 	reserved := int64(0)
-	for o := range s.parts {
-		if o != p {
+	for o := range q.shares {
+		if o != s {
 			reserved += max(0, o.guarantee-o.used)
 		}
 	}
-	return s.used+n+reserved <= s.total
+	return q.used+n+reserved <= q.total
 }
 
-// TryAcquire takes n places if p may have them now.
-func (p *Share) TryAcquire(n int64) bool {
-	p.of.mu.Lock()
-	defer p.of.mu.Unlock()
-	return p.take(n)
+// TryAcquire takes n places if s may have them now.
+func (s *Share) TryAcquire(n int64) bool {
+	s.quota.mu.Lock()
+	defer s.quota.mu.Unlock()
+	return s.take(n)
 }
 
-// take takes n places if p may have them. Called with the lock held.
-func (p *Share) take(n int64) bool {
-	if !p.of.may(p, n) {
+// take takes n places if s may have them. The caller holds the lock.
+func (s *Share) take(n int64) bool {
+	if !s.quota.canTake(s, n) {
 		return false
 	}
-	p.used += n
-	p.of.used += n
+	s.used += n
+	s.quota.used += n
 	return true
 }
 
-// Acquire waits until p may have n places and takes them, or until ctx ends.
-func (p *Share) Acquire(ctx context.Context, n int64) error {
+// Acquire takes n places, and waits for them until ctx ends.
+func (s *Share) Acquire(ctx context.Context, n int64) error {
 	for {
-		p.of.mu.Lock()
-		if p.take(n) {
-			p.of.mu.Unlock()
+		s.quota.mu.Lock()
+		if s.take(n) {
+			s.quota.mu.Unlock()
 			return nil
 		}
-		p.of.waits++
-		freed := p.of.freed
-		p.of.mu.Unlock()
+		s.quota.waiters++
+		freed := s.quota.freed
+		s.quota.mu.Unlock()
 		var err error
 		select {
 		case <-freed:
 		case <-ctx.Done():
 			err = ctx.Err()
 		}
-		p.of.mu.Lock()
-		p.of.waits--
-		p.of.mu.Unlock()
+		s.quota.mu.Lock()
+		s.quota.waiters--
+		s.quota.mu.Unlock()
 		if err != nil {
 			return err
 		}
@@ -137,91 +138,94 @@
 }
 
 // Release gives n places back.
-func (p *Share) Release(n int64) {
-	p.of.mu.Lock()
-	defer p.of.mu.Unlock()
-	p.used -= n
-	p.of.used -= n
-	p.of.wake()
+func (s *Share) Release(n int64) {
+	s.quota.mu.Lock()
+	defer s.quota.mu.Unlock()
+	s.used -= n
+	s.quota.used -= n
+	s.quota.notifyWaiters()
 }
 
-// wake has all who wait look again. Called with the lock held.
-func (s *Quota) wake() {
-	if s.waits == 0 {
+// notifyWaiters makes all waiters check again. The caller holds the lock.
+func (q *Quota) notifyWaiters() {
+	if q.waiters == 0 {
 		return
 	}
-	close(s.freed)
-	s.freed = make(chan struct{})
+	close(q.freed)
+	q.freed = make(chan struct{})
 }
 
-// Used returns how many places p has, and how many it is guaranteed.
-func (p *Share) Used() (used, guarantee int64) {
-	p.of.mu.Lock()
-	defer p.of.mu.Unlock()
-	return p.used, p.guarantee
+// Used returns the number of places that s uses, and its guarantee.
+func (s *Share) Used() (used, guarantee int64) {
+	s.quota.mu.Lock()
+	defer s.quota.mu.Unlock()
+	return s.used, s.guarantee
 }
 
-// Waits returns how many have waited for places of p.
-func (p *Share) Waits() Waits {
-	p.of.mu.Lock()
-	defer p.of.mu.Unlock()
-	return p.waited
+// Waits returns how many requests had to wait for places of s.
+func (s *Share) Waits() Waits {
+	s.quota.mu.Lock()
+	defer s.quota.mu.Unlock()
+	return s.waited
 }
 
-// PoolBudget is a part of the descriptors for servers of a budget. Where another part's idle connections hold what this one is to have,
-// makeRoom is asked to close them.
+// PoolBudget provides the descriptors for the server connections of one pool: each takes a
+// descriptor of the budget and a place of the pool's share. If idle connections of other pools hold
+// the places that this one is guaranteed, evictIdle is called to close them.
 type PoolBudget struct {
 	*Budget
 	*Share
-	makeRoom func() bool
+	evictIdle func() bool
 }
 
-// ServerQuota returns the descriptors that are left for servers however many clients there are, to be divided.
-func (s *Budget) ServerQuota() *Quota { return NewQuota(int64(cap(s.all) - cap(s.clients))) }
+// ServerQuota returns a quota of the descriptors that clients can never use.
+func (b *Budget) ServerQuota() *Quota { return NewQuota(int64(cap(b.all) - cap(b.clients))) }
 
-// ForPool returns what the connections of one pool take their descriptors from.
-func (s *Budget) ForPool(p *Share, makeRoom func() bool) *PoolBudget {
-	return &PoolBudget{s, p, makeRoom}
+// ForPool returns the budget of a pool whose share is s. evictIdle closes one idle connection and
+// reports whether there was one.
+func (b *Budget) ForPool(s *Share, evictIdle func() bool) *PoolBudget {
+	return &PoolBudget{b, s, evictIdle}
 }
 
-// mostWait is how long one may wait for a descriptor, whatever time there is to connect: it may be that nobody gives one back, and another
-// server, to which a connection is idle, may have the request.
-const mostWait = 500 * time.Millisecond
+// maxWait bounds the wait for a descriptor, whatever the connect timeout is: it may be that none is
+// given back, and that the request can use another server to which there is an idle connection.
+const maxWait = 500 * time.Millisecond
 
-// Acquire takes a descriptor, and returns the function that gives it back. It waits for mostWait at most.
-func (l *PoolBudget) Acquire(ctx context.Context) (release func(), err error) {
-	ctx, cancel := context.WithTimeout(ctx, mostWait)
+// Acquire takes a descriptor and returns the function that gives it back. It waits for up to
+// maxWait.
+func (p *PoolBudget) Acquire(ctx context.Context) (release func(), err error) {
+	ctx, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
-	waits := !l.Share.TryAcquire(1)
+	waits := !p.Share.TryAcquire(1)
 	if waits {
-		err = l.wait(ctx)
+		err = p.wait(ctx)
 	}
-	var give func()
+	var releaseDescriptor func()
 	if err == nil {
-		if give, err = l.Budget.Acquire(ctx); err != nil {
-			l.Share.Release(1)
+		if releaseDescriptor, err = p.Budget.Acquire(ctx); err != nil {
+			p.Share.Release(1)
 		}
 	}
-	l.of.mu.Lock()
-	defer l.of.mu.Unlock()
+	p.quota.mu.Lock()
+	defer p.quota.mu.Unlock()
 	switch {
 	case err != nil:
-		l.waited.TimedOut++
+		p.waited.TimedOut++
 		return nil, err
 	case waits:
-		l.waited.Acquired++
+		p.waited.Acquired++
 	}
-	return sync.OnceFunc(func() { give(); l.Share.Release(1) }), nil
+	return sync.OnceFunc(func() { releaseDescriptor(); p.Share.Release(1) }), nil
 }
 
-// wait waits for a place.
-func (l *PoolBudget) wait(ctx context.Context) error {
-	for !l.Share.TryAcquire(1) {
-		if l.makeRoom() {
+// wait takes a place of the share, and waits for it until ctx ends.
+func (p *PoolBudget) wait(ctx context.Context) error {
+	for !p.Share.TryAcquire(1) {
+		if p.evictIdle() {
 			continue
 		}
-		again, cancel := context.WithTimeout(ctx, retry)
-		err := l.Share.Acquire(again, 1)
+		attempt, cancel := context.WithTimeout(ctx, retryInterval)
+		err := p.Share.Acquire(attempt, 1)
 		cancel()
 		if err == nil {
 			return nil
@@ -233,14 +237,14 @@
 	return nil
 }
 
-// Scarce reports whether idle connections should not be kept.
-func (l *PoolBudget) Scarce() bool {
-	used, guarantee := l.Used()
-	return used > guarantee && !l.mayOne() || l.Budget.Scarce()
+// Scarce reports whether descriptors are so few that idle connections should not be kept.
+func (p *PoolBudget) Scarce() bool {
+	used, guarantee := p.Used()
+	return used > guarantee && !p.canTakeOne() || p.Budget.Scarce()
 }
 
-func (l *PoolBudget) mayOne() bool {
-	l.of.mu.Lock()
-	defer l.of.mu.Unlock()
-	return l.of.may(l.Share, 1)
+func (p *PoolBudget) canTakeOne() bool {
+	p.quota.mu.Lock()
+	defer p.quota.mu.Unlock()
+	return p.quota.canTake(p.Share, 1)
 }
--- a/internal/sockets/quota_test.go
+++ b/internal/sockets/quota_test.go
@@ -9,45 +9,46 @@
 	"pgregory.net/rapid"
 )
 
-// TestShares: whatever parts take and give back, none has more than all places, and one can always have what it was promised.
-func TestShares(t *testing.T) {
+// TestQuota checks for any sequence of acquires and releases that no more than all places are in
+// use, and that each share can always acquire its guarantee.
+func TestQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(1, 50).Draw(t, "total")
 		s := NewQuota(total)
-		var parts []*Share
+		var shares []*Share
 		wanted := map[*Share]int64{}
-		for i := range rapid.IntRange(1, 5).Draw(t, "parts") {
-			parts = append(parts, s.NewShare())
-			wanted[parts[i]] = rapid.Int64Range(0, 30).Draw(t, string(rune('a'+i)))
+		for i := range rapid.IntRange(1, 5).Draw(t, "shares") {
+			shares = append(shares, s.NewShare())
+			wanted[shares[i]] = rapid.Int64Range(0, 30).Draw(t, string(rune('a'+i)))
 		}
 		s.SetGuarantees(wanted)
-		used := make([]int64, len(parts))
+		used := make([]int64, len(shares))
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
-			i := rapid.IntRange(0, len(parts)-1).Draw(t, "part")
+			i := rapid.IntRange(0, len(shares)-1).Draw(t, "share")
 			n := rapid.Int64Range(1, 5).Draw(t, "n")
 			if rapid.Bool().Draw(t, "gives") {
 				n = min(n, used[i])
-				parts[i].Release(n)
+				shares[i].Release(n)
 				used[i] -= n
-			} else if parts[i].TryAcquire(n) {
+			} else if shares[i].TryAcquire(n) {
 				used[i] += n
 			}
 			sum := int64(0)
-			for j, p := range parts {
-				u, promised := p.Used()
+			for j, p := range shares {
+				u, guarantee := p.Used()
 				if u != used[j] {
-					t.Fatalf("part %d counts %d, has %d", j, u, used[j])
+					t.Fatalf("share %d reports %d places, has %d", j, u, used[j])
 				}
 				sum += u
-				if left := promised - u; left > 0 {
+				if left := guarantee - u; left > 0 {
 					if !p.TryAcquire(left) {
-						t.Fatalf("part %d has %d of the %d that it was promised, and gets no more", j, u, promised)
+						t.Fatalf("share %d uses %d of its guarantee of %d, and gets no more", j, u, guarantee)
 					}
 					p.Release(left)
 				}
 			}
 			if sum > total {
-				t.Fatalf("%d of %d places are taken", sum, total)
+				t.Fatalf("%d of %d places are in use", sum, total)
 			}
 		}
 	})
@@ -55,22 +56,22 @@
 	a, b := s.NewShare(), s.NewShare()
 	s.SetGuarantees(map[*Share]int64{a: 1, b: 1})
 	if !a.TryAcquire(1) || a.TryAcquire(1) {
-		t.Error("a part takes what the other was promised")
+		t.Error("a share takes the guarantee of another")
 	}
 	b.Close()
 	if !a.TryAcquire(1) {
-		t.Error("what a part that is gone was promised is not lent")
+		t.Error("the guarantee of a closed share is not available")
 	}
-	// One that gives up its promise leaves it to another that comes for it in the same step, in whatever order they stand.
+	// A guarantee that one share gives up is there for another in the same step, in any map order.
 	c := s.NewShare()
 	for range 9 {
 		s.SetGuarantees(map[*Share]int64{a: 0, c: 2})
-		if _, promised := c.Used(); promised != 2 {
-			t.Fatalf("%d promised of the 2 that were given up", promised)
+		if _, guarantee := c.Used(); guarantee != 2 {
+			t.Fatalf("guarantee %d, want the 2 that were given up", guarantee)
 		}
 		s.SetGuarantees(map[*Share]int64{a: 3, c: 1})
-		if _, promised := a.Used(); promised != 1 { // three quarters of two
-			t.Fatalf("%d promised of 2 where 3 and 1 are wanted", promised)
+		if _, guarantee := a.Used(); guarantee != 1 { // three quarters of two
+			t.Fatalf("guarantee %d of 2 places where 3 and 1 are wanted, want 1", guarantee)
 		}
 	}
 	c.Close()
@@ -88,13 +89,14 @@
 	}
 }
 
-// TestNobodyGivesBack: who waits for a descriptor that nobody gives back hears so long before the time it has, and is counted.
-func TestNobodyGivesBack(t *testing.T) {
+// TestNoRelease checks that a wait for a descriptor that is never released ends long before the
+// caller's deadline, and is counted.
+func TestNoRelease(t *testing.T) {
 	b := New(Reserved + 4)
 	s := b.ServerQuota()
 	one, other := s.NewShare(), s.NewShare()
 	if !one.TryAcquire(s.Total()) {
-		t.Fatal("not all places can be had")
+		t.Fatal("cannot acquire all places")
 	}
 	l := b.ForPool(other, func() bool { return false })
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -108,17 +110,17 @@
 		t.Fatal(err)
 	}
 	release()
-	one.Release(s.Total() - 1) // the share has room, but all of the process's are taken
+	one.Release(s.Total() - 1) // the share has free places, but the process has no free descriptor
 	for range 4 {
 		if _, ok := b.TryAcquire(); !ok {
-			t.Fatal("not all descriptors can be had")
+			t.Fatal("cannot acquire all descriptors")
 		}
 	}
 	if _, err := l.Acquire(ctx); !errors.Is(err, ErrNoDescriptor) || ctx.Err() != nil {
 		t.Errorf("%v, %v", err, ctx.Err())
 	}
 	if used, _ := other.Used(); used != 0 {
-		t.Errorf("%d places are kept for what was not had", used)
+		t.Errorf("%d places leaked by failed acquires", used)
 	}
 	if w := other.Waits(); w != (Waits{Acquired: 1, TimedOut: 2}) {
 		t.Errorf("%+v", w)
--- a/internal/upstream/cancel_test.go
+++ b/internal/upstream/cancel_test.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// TestCalledOffAsItEnds guards against a deadlock: an attempt is called off, under its lock, at the moment at which its long
-// answer ends, which needs that lock.
-func TestCalledOffAsItEnds(t *testing.T) {
+// TestCancelWhileBodyEnds guards against a deadlock: an attempt is canceled, with its lock held, at
+// the moment at which its streamed response ends, which needs that lock.
+func TestCancelWhileBodyEnds(t *testing.T) {
 	var attempt sync.Mutex
 	ending := make(chan struct{})
-	l := &long{done: make(chan struct{}), settle: func(error) {
+	body := &streamedBody{done: make(chan struct{}), finish: func(error) {
 		close(ending)
 		attempt.Lock()
 		defer attempt.Unlock()
 	}}
-	calledOff := make(chan struct{})
+	canceled := make(chan struct{})
 	attempt.Lock()
-	go l.Close()
+	go body.Close()
 	go func() {
 		<-ending
-		l.end(net.ErrClosed, func(error) { t.Error("it ended twice") })
+		body.end(net.ErrClosed, func(error) { t.Error("finish was called twice") })
 		attempt.Unlock()
-		close(calledOff)
+		close(canceled)
 	}()
-	for _, c := range []chan struct{}{calledOff, l.done} {
+	for _, c := range []chan struct{}{canceled, body.done} {
 		select {
 		case <-c:
 		case <-time.After(20 * time.Second):
-			t.Fatal("they wait for one another")
+			t.Fatal("cancel and end of the body wait for each other")
 		}
 	}
 }
--- a/internal/upstream/load_test.go
+++ b/internal/upstream/load_test.go
@@ -41,20 +41,21 @@
 			t.Errorf("parseLoad(%.40q) = %+v, want %+v", tt.text, got, tt.want)
 		}
 		if fault := fmt.Sprint(err); fault != cmp.Or(tt.fault, "<nil>") {
-			t.Errorf("parseLoad(%.40q): fault %s, want %s", tt.text, fault, tt.fault)
+			t.Errorf("parseLoad(%.40q): error %s, want %s", tt.text, fault, tt.fault)
 		}
 	}
 }
 
-// TestFaultsInReports: a server whose reports are all spoilt is named in one line, however many there are.
-func TestFaultsInReports(t *testing.T) {
+// TestInvalidReportsAreLoggedOnce checks that a server whose reports are all invalid is logged in
+// one line, however many reports there are.
+func TestInvalidReportsAreLoggedOnce(t *testing.T) {
 	var log bytes.Buffer
 	tr := New(settings.Settings{Fields: []string{"queue"}}, sockets.New(100), slog.New(slog.NewTextHandler(&log, nil)))
 	defer tr.Close()
 	for range 1000 {
-		tr.report(engine.Endpoint{ID: "box-7"}, "TEXT queue=-3", []string{"queue"})
+		tr.parseReport(engine.Endpoint{ID: "box-7"}, "TEXT queue=-3", []string{"queue"})
 	}
 	if got := log.String(); strings.Count(got, "\n") != 1 || !strings.Contains(got, "server=box-7") || !strings.Contains(got, "queue is") {
-		t.Errorf("the log has %q", got)
+		t.Errorf("log: %q", got)
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,5 +1,6 @@
-// Package upstream reaches servers over HTTP/1.1. It owns the connections to them, and implements engine.Transport: one
-// attempt is one exchange on one connection, sent once, whose answer is taken whole before anybody sees it.
+// Package upstream connects to servers over HTTP/1.1. It owns the connections, and implements
+// engine.Transport: an attempt is one request, sent once on one connection. Its response is read in
+// full before it is passed on, unless it is too long or its route streams it.
 package upstream
 
 import (
@@ -22,51 +23,54 @@
 )
 
 const (
-	// mostInterim bounds the 1xx answers before the final one.
-	mostInterim = 5
-	// answerTime is how long an answer that has begun may stand still. Guards against answers that stop in the middle, whose
-	// request would else wait for its whole time. An upstream that writes its answer in pieces and pauses longer would be
-	// given up wrongly.
-	answerTime = 500 * time.Millisecond
-	// streamTime is the same once an answer is passed on as it comes: nothing else can be done for its request any more.
-	streamTime = 5 * time.Second
-	// sendTime is how long an upstream may take none of what is sent to it.
-	sendTime = 2 * time.Second
-	// mostHeld is how much of a long answer is held before it is passed on: what is spoilt shows mostly at its begin, and
-	// until then another attempt can be made.
-	mostHeld = 16 << 10
-	// idleShare is the part of the idle limit after which an idle connection is closed: the upstream closes it
-	// at the limit, and a request that crosses that close is lost to a reset.
-	idleShare = 0.6
-	// settleTime is how long a connection rests after an answer before it carries the next request. Guards against a second answer that
-	// comes some milliseconds behind the first: it would pass for that to the next request. At a thousand requests a second to one server it
-	// costs five more connections there.
-	settleTime = 5 * time.Millisecond
-	// wareTime is the same for wareFor after some server has said more than it was asked for, as then others may too, and later.
-	wareTime = 50 * time.Millisecond
-	wareFor  = 5 * time.Minute
-	// connBuffer is the size of a connection's buffer. The head of an answer must fit.
-	connBuffer = 8 << 10
-	// writeBuffer is that for what is written to it.
-	writeBuffer = 4 << 10
+	// maxInterim limits the 1xx responses before the final one.
+	maxInterim = 5
+	// responseStallTimeout is how long a response that has begun may stall. It bounds the wait for
+	// responses that stop in the middle, which would otherwise use up the time of their request. A
+	// server that writes its response in parts with longer pauses is given up wrongly.
+	responseStallTimeout = 500 * time.Millisecond
+	// streamStallTimeout is the same for a response that is being streamed: its request cannot be
+	// attempted timer.
+	streamStallTimeout = 5 * time.Second
+	// writeStallTimeout is how long a server may accept no bytes of a request.
+	writeStallTimeout = 2 * time.Second
+	// maxBufferedBody is how much of a long response is buffered before it is streamed. Broken
+	// responses mostly break near their start, and until then the request can be attempted timer.
+	maxBufferedBody = 16 << 10
+	// idleFraction is the fraction of the idle limit after which an idle connection is closed. The
+	// server closes it at the limit, and a request sent at that moment is lost to a reset.
+	idleFraction = 0.6
+	// reuseDelay is the minimum time between a response and the next request on its connection. It
+	// protects against a second response some milliseconds after the first, which would be taken
+	// for the response to the next request. At a thousand requests a second to one server it costs
+	// five more connections there.
+	reuseDelay = 5 * time.Millisecond
+	// cautiousReuseDelay replaces reuseDelay for cautiousPeriod after a server has sent unsolicited
+	// data, as other servers may then do so too, and later.
+	cautiousReuseDelay = 50 * time.Millisecond
+	cautiousPeriod     = 5 * time.Minute
+	// defaultReadBuffer is the size of a connection's read buffer, which limits the response head.
+	defaultReadBuffer = 8 << 10
+	// writeBufferSize is the size of a connection's write buffer.
+	writeBufferSize = 4 << 10
 )
 
-// pool holds the connections to upstreams. They carry one request at a time.
+// pool holds the connections to upstreams. Each carries one request at a time.
 type pool struct {
-	sockets     Descriptors
-	dialTimeout atomic.Int64 // a time.Duration, as idleFor is
-	idleFor     atomic.Int64 // how long a connection is kept idle
-	dials       atomic.Int64 // connects that were begun
-	unasked     atomic.Int64 // when a server last said more than it was asked for, in Unix nanoseconds
+	descriptors     Descriptors
+	dialTimeout     atomic.Int64 // a time.Duration, as idleTimeout is
+	idleTimeout     atomic.Int64 // how long a connection is kept idle
+	dials           atomic.Int64 // connects that were started
+	lastUnsolicited atomic.Int64 // when a server last sent unsolicited data, in Unix nanoseconds
 
-	buffer int // of a connection, in bytes; the head of an answer must fit
+	readBuffer int // size in bytes of a connection's read buffer; 0: defaultReadBuffer
 
 	mu     sync.Mutex
-	idle   map[engine.Endpoint][]*conn // the last one used comes last
-	closed bool                        // none is kept any more
+	idle   map[engine.Endpoint][]*conn // the most recently used one comes last
+	closed bool                        // no connection is kept any more
 }
 
-// Descriptors is where connections have theirs from.
+// Descriptors provides the descriptors of connections.
 type Descriptors interface {
 	Acquire(ctx context.Context) (release func(), err error)
 	Scarce() bool // idle connections should not be kept
@@ -75,41 +79,41 @@
 // conn is a connection to an upstream.
 type conn struct {
 	net.Conn
-	to      engine.Endpoint
-	release func() // of its descriptor
-	hangUp  func() // closes it
-	peek    *sockets.Peeker
-	r       *bufio.Reader
-	w       *bufio.Writer
-	head    httpmsg.Head // of the answer that is being read
-	body    httpmsg.Body // the same
-	number  [20]byte     // room to write one
-	since   time.Time
-	until   time.Time // the deadline of the present exchange
-	answers bool      // the first byte of the present answer has come
-	stall   time.Duration
-	written atomic.Int64 // bytes that the kernel has taken of the present exchange
+	to               engine.Endpoint
+	release          func() // gives the descriptor back
+	closeFunc        func() // closes the connection
+	peeker           *sockets.Peeker
+	r                *bufio.Reader
+	w                *bufio.Writer
+	head             httpmsg.Head // of the response that is being read
+	body             httpmsg.Body // of the response that is being read
+	numBuf           [20]byte     // scratch space to format a number
+	idleSince        time.Time
+	exchangeDeadline time.Time // deadline of the current exchange
+	responseBegun    bool      // the first byte of the current response has arrived
+	stallTimeout     time.Duration
+	bytesWritten     atomic.Int64 // bytes of the current exchange that the kernel has accepted
 }
 
-// Write is the method of net.Conn.
+// Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.written.Add(int64(n))
+	c.bytesWritten.Add(int64(n))
 	return n, err
 }
 
 func newConn(nc net.Conn, to engine.Endpoint, release func(), buffer int) *conn {
-	c := &conn{Conn: nc, to: to, release: release, peek: sockets.NewPeeker(nc)}
-	c.hangUp = func() { c.Close() }
-	c.r, c.w = bufio.NewReaderSize(c, buffer), bufio.NewWriterSize(c, writeBuffer)
+	c := &conn{Conn: nc, to: to, release: release, peeker: sockets.NewPeeker(nc)}
+	c.closeFunc = func() { c.Close() }
+	c.r, c.w = bufio.NewReaderSize(c, buffer), bufio.NewWriterSize(c, writeBufferSize)
 	return c
 }
 
-// Read is the method of net.Conn. An answer that has begun may stand still for c.stall at most, which is answerTime unless it
-// is passed on as it comes. Its first piece has no deadline of its own, and most have but one.
+// Read implements net.Conn. A response that has begun may stall for c.stallTimeout. Its first read
+// has no deadline of its own, and most responses need only one read.
 func (c *conn) Read(p []byte) (int, error) {
-	if c.answers {
-		c.SetReadDeadline(earlier(c.until, time.Now().Add(c.stall)))
+	if c.responseBegun {
+		c.SetReadDeadline(earlier(c.exchangeDeadline, time.Now().Add(c.stallTimeout)))
 	}
 	return c.Conn.Read(p)
 }
@@ -120,15 +124,15 @@
 	return err
 }
 
-// reuse returns an idle connection, or nil. One on which the upstream has closed, or has said
-// something unasked, is of no use: what is written to it would end as a reset.
+// reuse returns an idle connection, or nil. A connection that the server has closed or sent
+// unsolicited data on cannot be used: a request on it would end in a reset.
 func (p *pool) reuse(to engine.Endpoint, deadline time.Time) *conn {
 	for {
-		settled := time.Now().Add(-p.settle())
+		settled := time.Now().Add(-p.currentReuseDelay())
 		p.mu.Lock()
 		list := p.idle[to]
 		i := len(list) - 1
-		for i >= 0 && list[i].since.After(settled) {
+		for i >= 0 && list[i].idleSince.After(settled) {
 			i--
 		}
 		if i < 0 {
@@ -136,50 +140,51 @@
 			return nil
 		}
 		c := list[i]
-		p.idle[to] = slices.Delete(list, i, i+1) // an empty one goes with closeIdle or hangUp: upstreams come and go for ever
+		p.idle[to] = slices.Delete(list, i, i+1) // empty lists are deleted by closeIdle or closeIdleTo, as upstreams come and go
 		p.mu.Unlock()
-		c.setUntil(deadline)
-		if time.Since(c.since) < time.Duration(p.idleFor.Load()) && c.quiet() {
+		c.resetExchange(deadline)
+		if time.Since(c.idleSince) < time.Duration(p.idleTimeout.Load()) && c.noPendingData() {
 			return c
 		}
-		p.heed(c)
+		p.noteUnsolicited(c)
 		c.Close()
 	}
 }
 
-// settle is how long a connection has to rest now.
-func (p *pool) settle() time.Duration {
-	if last := p.unasked.Load(); last != 0 && time.Now().UnixNano()-last < int64(wareFor) {
-		return wareTime
+// currentReuseDelay returns the reuse delay that applies now.
+func (p *pool) currentReuseDelay() time.Duration {
+	if last := p.lastUnsolicited.Load(); last != 0 && time.Now().UnixNano()-last < int64(cautiousPeriod) {
+		return cautiousReuseDelay
 	}
-	return settleTime
+	return reuseDelay
 }
 
-// heed notes whether more has come on c than was asked for. Its end alone is not.
-func (p *pool) heed(c *conn) {
-	if c.r.Buffered() > 0 || c.peek.HasData() {
-		p.unasked.Store(time.Now().UnixNano())
+// noteUnsolicited records whether c has received unsolicited data. The end of the stream alone is
+// not.
+func (p *pool) noteUnsolicited(c *conn) {
+	if c.r.Buffered() > 0 || c.peeker.HasData() {
+		p.lastUnsolicited.Store(time.Now().UnixNano())
 	}
 }
 
-// setUntil sets the deadline of an exchange.
-func (c *conn) setUntil(t time.Time) {
-	c.until, c.answers, c.stall = t, false, answerTime
-	c.written.Store(0)
+// resetExchange prepares c for an exchange with deadline t.
+func (c *conn) resetExchange(t time.Time) {
+	c.exchangeDeadline, c.responseBegun, c.stallTimeout = t, false, responseStallTimeout
+	c.bytesWritten.Store(0)
 	c.SetDeadline(t)
 }
 
-// quiet reports whether nothing is there to be read, neither bytes nor the end.
-func (c *conn) quiet() bool { return c.r.Buffered() == 0 && c.peek.Empty() }
+// noPendingData reports whether there is nothing to read, neither bytes nor the end of the stream.
+func (c *conn) noPendingData() bool { return c.r.Buffered() == 0 && c.peeker.Empty() }
 
-// keep makes c idle.
-func (p *pool) keep(c *conn) {
-	if p.idleFor.Load() <= 0 || c.r.Buffered() > 0 || p.sockets.Scarce() {
-		p.heed(c)
+// putIdle makes c idle, or closes it if it cannot be kept.
+func (p *pool) putIdle(c *conn) {
+	if p.idleTimeout.Load() <= 0 || c.r.Buffered() > 0 || p.descriptors.Scarce() {
+		p.noteUnsolicited(c)
 		c.Close()
 		return
 	}
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	closed := p.closed
 	if !closed {
@@ -191,8 +196,8 @@
 	}
 }
 
-// hangUp closes the idle connections to an upstream.
-func (p *pool) hangUp(to engine.Endpoint) {
+// closeIdleTo closes the idle connections to an upstream.
+func (p *pool) closeIdleTo(to engine.Endpoint) {
 	p.mu.Lock()
 	list := p.idle[to]
 	delete(p.idle, to)
@@ -202,14 +207,15 @@
 	}
 }
 
-// closeIdle closes the connections that have been idle for d, and returns how many it closed.
-func (p *pool) closeIdle(d time.Duration, most int) int {
-	var old []*conn
+// closeIdle closes up to limit connections that have been idle for d, and returns how many it
+// closed.
+func (p *pool) closeIdle(d time.Duration, limit int) int {
+	var expired []*conn
 	p.mu.Lock()
 	for to, list := range p.idle {
 		n := 0
-		for n < len(list) && len(old) < most && time.Since(list[n].since) >= d {
-			old = append(old, list[n])
+		for n < len(list) && len(expired) < limit && time.Since(list[n].idleSince) >= d {
+			expired = append(expired, list[n])
 			n++
 		}
 		if n == len(list) {
@@ -219,10 +225,10 @@
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		c.Close()
 	}
-	return len(old)
+	return len(expired)
 }
 
 // close closes all idle connections, and keeps none from now on.
@@ -233,40 +239,40 @@
 	p.closeIdle(0, 1<<30)
 }
 
-// sweep closes idle connections in time until ctx ends.
-func (p *pool) sweep(ctx context.Context) {
+// evictExpired closes connections that have been idle for idleTimeout, until ctx ends.
+func (p *pool) evictExpired(ctx context.Context) {
 	for {
-		d := time.Duration(p.idleFor.Load())
-		again := time.NewTimer(min(max(d/4, 10*time.Millisecond), time.Second))
+		d := time.Duration(p.idleTimeout.Load())
+		timer := time.NewTimer(min(max(d/4, 10*time.Millisecond), time.Second))
 		select {
 		case <-ctx.Done():
-			again.Stop()
+			timer.Stop()
 			return
-		case <-again.C:
+		case <-timer.C:
 			p.closeIdle(max(d, 0), 1<<30)
 		}
 	}
 }
 
-// dial opens a connection. connecting is called once it has a descriptor for it.
+// dial opens a connection. It calls connecting once it has a descriptor.
 func (p *pool) dial(ctx context.Context, to engine.Endpoint, deadline time.Time, connecting func()) (*conn, error) {
 	ctx, cancel := context.WithDeadline(ctx, earlier(deadline, time.Now().Add(time.Duration(p.dialTimeout.Load()))))
 	defer cancel()
-	release, err := p.sockets.Acquire(ctx)
+	release, err := p.descriptors.Acquire(ctx)
 	if err != nil {
 		return nil, err
 	}
 	p.dials.Add(1)
 	connecting()
 	var d net.Dialer
-	d.KeepAlive = -1 // idle connections do not live long enough for it
+	d.KeepAlive = -1 // idle connections are closed before a keep-alive probe matters
 	nc, err := d.DialContext(ctx, "tcp", to.Addr)
 	if err != nil {
 		release()
 		return nil, err
 	}
-	c := newConn(nc, to, release, cmp.Or(p.buffer, connBuffer))
-	c.setUntil(deadline)
+	c := newConn(nc, to, release, cmp.Or(p.readBuffer, defaultReadBuffer))
+	c.resetExchange(deadline)
 	return c, nil
 }
 
@@ -277,12 +283,14 @@
 	return b
 }
 
-// errNotWritten wraps what broke an exchange before its last byte was written: it has never run.
+// errNotWritten wraps an error that occurred before the last byte of a request was written: the
+// server has not executed the request.
 type errNotWritten struct{ error }
 
 func (e errNotWritten) Unwrap() error { return e.error }
 
-// write writes m and its time left. Of a body that is still coming it is told by uploaded when all of it is written.
+// write writes m and its remaining time. If the body is still arriving, it calls uploaded when all
+// of it is written.
 func (c *conn) write(m *httpmsg.Message, left time.Duration, uploaded func()) error {
 	w := c.w
 	w.WriteString(m.Method)
@@ -298,7 +306,7 @@
 	if m.Rest != nil {
 		return c.upload(m, uploaded)
 	}
-	if len(m.Body) > 0 || (m.Terms == nil || lengthTold(m.Method)) && m.Method != "GET" {
+	if len(m.Body) > 0 || (m.Terms == nil || declaresLength(m.Method)) && m.Method != "GET" {
 		c.writeInt("Content-Length: ", int64(len(m.Body)))
 	}
 	w.WriteString("\r\n")
@@ -306,32 +314,34 @@
 	return w.Flush() // a bufio.Writer keeps its first error
 }
 
-// lengthTold reports whether a request of that method tells its length though it has no body (RFC 9110, section 8.6).
-func lengthTold(method string) bool {
+// declaresLength reports whether a request with that method has a Content-Length even without a
+// body (RFC 9110, section 8.6).
+func declaresLength(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// errEarly tells that an answer has begun before the request was written whole.
-var errEarly = errors.New("the upstream answers early")
+// errEarlyResponse reports that a response has begun before the request was fully written.
+var errEarlyResponse = errors.New("the upstream answers early")
 
-// errSource wraps what broke a body on its way here: the upstream has no part in it.
-type errSource struct{ error }
+// errBodySource wraps an error of the source of a request body, which is not the server's fault.
+type errBodySource struct{ error }
 
-func (e errSource) Unwrap() error { return e.error }
+func (e errBodySource) Unwrap() error { return e.error }
 
-// upload writes a body as it comes. It ends with errEarly, and what is not written is not read, as soon as the upstream
-// answers. Every write has sendTime; how long the body takes to come is for its source to bound.
+// upload writes a body as it arrives. As soon as the server responds, it stops reading the body and
+// returns errEarlyResponse. Each write has writeStallTimeout; the source bounds how long the body
+// takes to arrive.
 func (c *conn) upload(m *httpmsg.Message, uploaded func()) error {
-	c.framing(m)
-	if err := c.sendBody(m, sendTime, c.peek.HasData); err != nil {
+	c.writeFraming(m)
+	if err := c.sendBody(m, writeStallTimeout, c.peeker.HasData); err != nil {
 		return err
 	}
 	uploaded()
 	return nil
 }
 
-// framing ends the head of a request whose body follows as it comes.
-func (c *conn) framing(m *httpmsg.Message) {
+// writeFraming ends the head of a request whose body follows as it arrives.
+func (c *conn) writeFraming(m *httpmsg.Message) {
 	if m.Length < 0 {
 		c.w.WriteString("Transfer-Encoding: chunked\r\n")
 	} else {
@@ -340,14 +350,15 @@
 	c.w.WriteString("\r\n")
 }
 
-// sendBody writes a body as it comes. A server may take none of it for stall; where answers reports that it has said something, that is
-// errEarly. An error of the body's own is an errSource.
+// sendBody writes a body as it arrives. The server may accept no bytes for up to stall. Once
+// answers reports that the server has responded, it returns errEarlyResponse. Errors of the body's
+// source are returned as errBodySource.
 func (c *conn) sendBody(m *httpmsg.Message, stall time.Duration, answers func() bool) error {
 	chunked := m.Length < 0
-	piece := func(b []byte) error {
+	writePart := func(b []byte) error {
 		c.SetWriteDeadline(time.Now().Add(stall))
 		if chunked && len(b) > 0 {
-			c.w.Write(httpmsg.AppendChunkHead(c.number[:0], len(b)))
+			c.w.Write(httpmsg.AppendChunkHead(c.numBuf[:0], len(b)))
 		}
 		c.w.Write(b)
 		if chunked && len(b) > 0 {
@@ -355,7 +366,7 @@
 		}
 		return c.w.Flush()
 	}
-	if err := piece(m.Body); err != nil {
+	if err := writePart(m.Body); err != nil {
 		return err
 	}
 	buf, release := httpmsg.Buffer()
@@ -364,9 +375,9 @@
 		n, err := m.Rest.Read(buf)
 		if n > 0 {
 			if answers() {
-				return errEarly
+				return errEarlyResponse
 			}
-			if err := piece(buf[:n]); err != nil {
+			if err := writePart(buf[:n]); err != nil {
 				return err
 			}
 		}
@@ -374,7 +385,7 @@
 			break
 		}
 		if err != nil {
-			return errSource{err}
+			return errBodySource{err}
 		}
 	}
 	if chunked {
@@ -389,31 +400,33 @@
 
 func (c *conn) writeInt(name string, n int64) {
 	c.w.WriteString(name)
-	c.w.Write(strconv.AppendInt(c.number[:0], n, 10))
+	c.w.Write(strconv.AppendInt(c.numBuf[:0], n, 10))
 	c.w.WriteString("\r\n")
 }
 
-// exchange writes m and reads the head of the answer, which then stands in c.head and still in c.r. uploaded is called, if
-// m's body is still coming, once all of it is written. early reports that the answer has come before.
+// exchange writes m and reads the head of the response, which is then in c.head and still in c.r.
+// If the body of m is still arriving, it calls uploaded once all of it is written. early reports
+// that the response began before that.
 func (c *conn) exchange(m *httpmsg.Message, left time.Duration, uploaded func()) (code, minor int, early bool, err error) {
-	if err := c.write(m, left, uploaded); errors.Is(err, errEarly) {
+	if err := c.write(m, left, uploaded); errors.Is(err, errEarlyResponse) {
 		early = true
-		if soon := time.Now().Add(answerTime); c.until.Before(soon) { // the upload has outlasted what was left at its begin
-			c.until = soon
+		// The upload may have lasted longer than the time that was left when it began.
+		if soon := time.Now().Add(responseStallTimeout); c.exchangeDeadline.Before(soon) {
+			c.exchangeDeadline = soon
 		}
-		c.SetReadDeadline(c.until)
+		c.SetReadDeadline(c.exchangeDeadline)
 	} else if err != nil {
 		return 0, 0, false, errNotWritten{err}
 	}
-	for i := range mostInterim {
-		if i > 0 { // the one before may have set that of its own end
-			c.answers = false
-			c.SetReadDeadline(c.until)
+	for i := range maxInterim {
+		if i > 0 { // the previous response may have set its stall deadline
+			c.responseBegun = false
+			c.SetReadDeadline(c.exchangeDeadline)
 		}
 		if _, err := c.r.Peek(1); err != nil {
 			return 0, 0, early, err
 		}
-		c.answers = true
+		c.responseBegun = true
 		if err := c.head.Read(c.r); err != nil {
 			return 0, 0, early, err
 		}
@@ -429,8 +442,9 @@
 	return 0, 0, early, errors.New("too many interim answers")
 }
 
-// status reads the status line of the head that has been read. Chunks from HTTP/1.0 are rejected: a sender that knows of none
-// has a part of its answer taken for a length (RFC 9112, section 6.1).
+// status parses the status line of the head in c.head. Chunked responses with HTTP/1.0 are
+// rejected: a sender that does not know chunks has part of its response taken for a length (RFC
+// 9112, section 6.1).
 func (c *conn) status() (code, minor int, err error) {
 	if code, minor, err = c.head.Status(); err == nil && minor == 0 && c.head.Chunked {
 		err = httpmsg.ErrFraming
@@ -438,12 +452,12 @@
 	return code, minor, err
 }
 
-// begin makes c.body the body of the answer whose head has been discarded. last reports whether the connection can carry no
-// further exchange once the body has been read.
-func (c *conn) begin(code, minor int) (last bool) {
+// beginBody makes c.body the body of the response whose head has been discarded. last reports
+// whether the connection can carry no further exchange once the body has been read.
+func (c *conn) beginBody(code, minor int) (last bool) {
 	last = c.head.Close || minor == 0 && !c.head.Keep
 	length := c.head.Length
-	if code == 204 || code == 304 { // these have none, whatever their heads say
+	if code == 204 || code == 304 { // these have no body, whatever their heads say
 		length = 0
 		c.head.Chunked = false
 	}
@@ -451,18 +465,19 @@
 	return last || length < 0 && !c.head.Chunked
 }
 
-// long is the rest of an answer that is passed on as it comes. It implements io.ReadCloser, for one goroutine.
-type long struct {
+// streamedBody is the rest of a response that is streamed. It implements io.ReadCloser, for use by
+// one goroutine.
+type streamedBody struct {
 	c      *conn
-	settle func(error) // makes the connection idle, or closes it: io.EOF if all was read, nil if that is not wanted
+	finish func(error) // makes the connection idle, or closes it; gets io.EOF if all was read, nil if closed early
 	ended  atomic.Bool
-	done   chan struct{} // closed once it is read to its end or closed
-	err    error         // before done is closed: what ended it; nil: it was closed before its end
+	done   chan struct{} // closed once the body is read to its end or closed
+	err    error         // set before done is closed: what ended the body; nil: it was closed before its end
 }
 
-// Read is the method of io.Reader. Once it has ended the connection may be another request's, whose answer it must not touch: the
-// last piece comes with its io.EOF, and whoever reads on nevertheless gets nothing.
-func (l *long) Read(p []byte) (int, error) {
+// Read implements io.Reader. The last bytes come with io.EOF. After that the connection may belong
+// to another request, whose response must not be touched: further reads return no data.
+func (l *streamedBody) Read(p []byte) (int, error) {
 	select {
 	case <-l.done:
 		if l.err == nil {
@@ -476,20 +491,20 @@
 		err = io.EOF
 	}
 	if err != nil {
-		l.end(err, l.settle)
+		l.end(err, l.finish)
 	}
 	return n, err
 }
 
-// Close is the method of io.Closer.
-func (l *long) Close() error {
-	l.end(nil, l.settle)
+// Close implements io.Closer.
+func (l *streamedBody) Close() error {
+	l.end(nil, l.finish)
 	return nil
 }
 
-// end ends it once, by err. One that comes second does not wait for the first: it may hold a lock that the first's settle
-// needs, as an attempt's is held while it is called off.
-func (l *long) end(err error, settle func(error)) {
+// end ends the body once, with err. A second call does not wait for the first: it may hold a lock
+// that finish needs in the first, such as an attempt's lock while the attempt is canceled.
+func (l *streamedBody) end(err error, settle func(error)) {
 	if !l.ended.CompareAndSwap(false, true) {
 		return
 	}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,28 +13,29 @@
 	"quillfront/internal/sockets"
 )
 
-// TestBreakWhileWriting: a request whose last byte was never written has not run. Sockets take a whole one at once, so a
-// pipe, which has no buffer, stands for them.
+// TestBreakWhileWriting checks that a request whose last byte was not written is reported as not
+// executed. A socket buffers a whole request, so the test uses a pipe, which has no buffer.
 func TestBreakWhileWriting(t *testing.T) {
 	near, far := net.Pipe()
 	go func() {
 		io.ReadFull(far, make([]byte, 1000))
 		far.Close()
 	}()
-	c := newConn(near, engine.Endpoint{}, func() {}, connBuffer)
+	c := newConn(near, engine.Endpoint{}, func() {}, defaultReadBuffer)
 	m := &httpmsg.Message{Method: "POST", Target: "/order/k", Host: "s", Body: []byte(strings.Repeat("x", httpmsg.MaxWhole))}
 	var notWritten errNotWritten
 	if _, _, _, err := c.exchange(m, time.Second, nil); !errors.As(err, &notWritten) {
-		t.Errorf("error %v, want one that tells that nothing has run", err)
+		t.Errorf("error %v, want errNotWritten", err)
 	}
 }
 
-// TestConnectionsRest: after an answer a connection rests before it carries the next request, and longer once some server has said more
-// than it was asked for: a second answer that is late would pass for that to the next request.
-func TestConnectionsRest(t *testing.T) {
+// TestReuseDelay checks that a connection is not reused within reuseDelay of a response, or within
+// cautiousReuseDelay once a server has sent unsolicited data: a late second response would be taken
+// for that to the next request.
+func TestReuseDelay(t *testing.T) {
 	to := engine.Endpoint{Addr: "a:1", ID: "a"}
-	p := &pool{sockets: sockets.New(64), idle: map[engine.Endpoint][]*conn{}}
-	p.idleFor.Store(int64(time.Minute))
+	p := &pool{descriptors: sockets.New(64), idle: map[engine.Endpoint][]*conn{}}
+	p.idleTimeout.Store(int64(time.Minute))
 	pair := func() (near, far net.Conn) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -50,35 +51,35 @@
 		t.Cleanup(func() { near.Close(); far.Close() })
 		return near, far
 	}
-	// rested tells whether a connection that was kept so long ago is used again.
-	rested := func(ago time.Duration) bool {
+	// reused reports whether a connection is reused that became idle the given time ago.
+	reused := func(ago time.Duration) bool {
 		near, _ := pair()
-		c := newConn(near, to, func() {}, connBuffer)
-		p.keep(c)
-		c.since = time.Now().Add(-ago)
-		defer p.hangUp(to)
+		c := newConn(near, to, func() {}, defaultReadBuffer)
+		p.putIdle(c)
+		c.idleSince = time.Now().Add(-ago)
+		defer p.closeIdleTo(to)
 		return p.reuse(to, time.Now().Add(time.Minute)) == c
 	}
-	ahead := -time.Hour // of any stall of this test
-	if rested(ahead) || !rested(settleTime) {
-		t.Error("a connection does not rest for settleTime")
+	future := -time.Hour // later than any pause of this test
+	if reused(future) || !reused(reuseDelay) {
+		t.Error("a connection is reused within reuseDelay, or not after it")
 	}
 	near, far := pair()
 	io.WriteString(far, "HTTP/1.1 200 OK\r\n\r\n")
-	c := newConn(near, to, func() {}, connBuffer)
-	for !c.peek.HasData() {
+	c := newConn(near, to, func() {}, defaultReadBuffer)
+	for !c.peeker.HasData() {
 		time.Sleep(time.Millisecond)
 	}
-	p.keep(c)
-	c.since = time.Now().Add(-time.Second)
+	p.putIdle(c)
+	c.idleSince = time.Now().Add(-time.Second)
 	if p.reuse(to, time.Now().Add(time.Minute)) != nil {
-		t.Fatal("a connection on which something came is used again")
+		t.Fatal("a connection with unread data is reused")
 	}
-	if p.settle() != wareTime || !rested(wareTime) {
-		t.Error("a connection does not rest for wareTime, with something unasked seen")
+	if p.currentReuseDelay() != cautiousReuseDelay || !reused(cautiousReuseDelay) {
+		t.Error("after unsolicited data, cautiousReuseDelay does not apply")
 	}
-	p.unasked.Store(time.Now().Add(-wareFor).UnixNano())
-	if p.settle() != settleTime {
-		t.Error("what was seen long ago still counts")
+	p.lastUnsolicited.Store(time.Now().Add(-cautiousPeriod).UnixNano())
+	if p.currentReuseDelay() != reuseDelay {
+		t.Error("unsolicited data still counts after cautiousPeriod")
 	}
 }
--- a/internal/upstream/answer_fuzz_test.go
+++ b/internal/upstream/response_fuzz_test.go
@@ -13,9 +13,9 @@
 	"quillfront/internal/httpmsg"
 )
 
-// FuzzAnswer: what this transport and net/http's both take for an answer they read alike: code, fields, body, whether the
-// connection goes on, and where the next answer begins.
-func FuzzAnswer(f *testing.F) {
+// FuzzResponse compares this package's response parser with net/http. A response that both accept
+// has to have the same status code, fields, body, connection persistence and end.
+func FuzzResponse(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.0 200 OK\r\n\r\nok", "HTTP/1.1 204 No\r\nContent-Length: 2\r\n\r\nok",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x\r\nok\r\n0\r\nA: b\r\n\r\nHTTP", "HTTP/1.1 304 \r\nA: b\r\n\r\nHTTP",
@@ -27,7 +27,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		ours, theirs := bytes.NewReader(text), bytes.NewReader(text)
-		c := conn{r: bufio.NewReaderSize(ours, connBuffer)}
+		c := conn{r: bufio.NewReaderSize(ours, defaultReadBuffer)}
 		if c.head.Read(c.r) != nil {
 			return
 		}
@@ -35,13 +35,13 @@
 		if err != nil || code < 200 {
 			return
 		}
-		tr := bufio.NewReaderSize(theirs, connBuffer)
+		tr := bufio.NewReaderSize(theirs, defaultReadBuffer)
 		resp, err := http.ReadResponse(tr, nil)
 		if err != nil {
 			return
 		}
 		if code != resp.StatusCode || minor != resp.ProtoMinor {
-			t.Errorf("%d by HTTP/1.%d, and by net/http %d by HTTP/1.%d", code, minor, resp.StatusCode, resp.ProtoMinor)
+			t.Errorf("%d with HTTP/1.%d, net/http: %d with HTTP/1.%d", code, minor, resp.StatusCode, resp.ProtoMinor)
 		}
 		got := http.Header{}
 		for _, f := range c.head.Fields {
@@ -53,15 +53,15 @@
 			delete(got, name)
 			delete(want, name)
 		}
-		if _, ok := got["Pragma"]; ok { // net/http adds a Cache-Control of its own
+		if _, ok := got["Pragma"]; ok { // net/http adds its own Cache-Control
 			delete(got, "Cache-Control")
 			delete(want, "Cache-Control")
 		}
 		if !maps.EqualFunc(got, want, slices.Equal) {
-			t.Errorf("fields %q, and by net/http %q", got, want)
+			t.Errorf("fields %q, net/http: %q", got, want)
 		}
 		c.head.Discard(c.r)
-		last := c.begin(code, minor)
+		last := c.beginBody(code, minor)
 		body, err := c.body.Whole(httpmsg.MaxWhole)
 		if err != nil {
 			return
@@ -72,10 +72,10 @@
 		}
 		rest, otherRest := ours.Len()+c.r.Buffered(), theirs.Len()+tr.Buffered()
 		if !bytes.Equal(body, other) || rest != otherRest {
-			t.Errorf("body %q and %d bytes behind it, and by net/http %q and %d", body, rest, other, otherRest)
+			t.Errorf("body %q followed by %d bytes, net/http: %q followed by %d", body, rest, other, otherRest)
 		}
 		if resp.Close && !last {
-			t.Error("the connection goes on here, and ends by net/http")
+			t.Error("the connection is kept, net/http closes it")
 		}
 	})
 }
--- a/internal/upstream/routed.go
+++ b/internal/upstream/routed.go
@@ -15,72 +15,74 @@
 )
 
 const (
-	// mostInterimWhole bounds the informational answers before the final one.
-	mostInterimWhole = 32
-	// headTime is how long the head of an answer may stand still once it has begun.
-	headTime = 5 * time.Second
-	// heldTime is how long the body of an answer that counts as a failure may take to come, as it is held.
-	heldTime = 2 * time.Second
-	// never is a time that no exchange reaches: what is passed on has a bound on its standing still alone.
-	never = 100 * 365 * 24 * time.Hour
+	// maxInterimRouted limits the 1xx responses before the final one.
+	maxInterimRouted = 32
+	// headStallTimeout is how long the head of a response may stall once it has begun.
+	headStallTimeout = 5 * time.Second
+	// bufferTimeout bounds the time to receive the body of a response that counts as a failure,
+	// which is buffered.
+	bufferTimeout = 2 * time.Second
+	// noTimeout is a time that no exchange reaches: a streamed response only has a stall timeout.
+	noTimeout = 100 * 365 * 24 * time.Hour
 )
 
-// exchange is one attempt of a message with Terms: its answer may come, and be passed on, while its body is still being sent.
-type exchange struct {
+// routedExchange is one attempt of a message with Terms: the rules of its route apply, and the
+// response may arrive, and be streamed, while the request body is still being sent.
+type routedExchange struct {
 	*conn
 	m *httpmsg.Message
 
-	mu       sync.Mutex
-	deadline time.Time // of the answer's first byte; zero: the body is still being sent
-	begun    bool      // a head is being read, or has been
-	over     bool      // the attempt has ended: the body is nobody's business any more
-	sent     bool      // the request has been written whole
-	source   error     // what broke the body on its way here
+	mu          sync.Mutex
+	deadline    time.Time // for the first byte of the response; zero: the body is still being sent
+	headBegun   bool      // a head is being read or has been read
+	ended       bool      // the attempt has ended: the upload is no longer needed
+	requestSent bool      // the request has been fully written
+	bodyErr     error     // an error of the source of the request body
 
-	goOn chan struct{} // closed once the server wants the body, or once it has ended
-	once sync.Once
+	proceedCh   chan struct{} // closed when the server requests the body, or when the attempt has ended
+	proceedOnce sync.Once
 }
 
-// whole carries out one attempt of a message with Terms on c. What its end proves follows RFC 9110: a request of which a part was
-// written may have run.
-func (t *Transport) whole(a *engine.Attempt, c *conn, m *httpmsg.Message) engine.Ending {
-	x := &exchange{conn: c, m: m, deadline: a.Deadline}
+// doRouted carries out an attempt of a message with Terms on c. What its end proves about its
+// execution follows RFC 9110: a request that was partly written may have been executed.
+func (t *Transport) doRouted(a *engine.Attempt, c *conn, m *httpmsg.Message) engine.Ending {
+	x := &routedExchange{conn: c, m: m, deadline: a.Deadline}
 	if m.Rest != nil {
-		x.goOn = make(chan struct{})
+		x.proceedCh = make(chan struct{})
 	}
-	end := t.carryOut(a, x)
-	x.end()
-	end.Spent = spent(a) // from here on nothing more of the body is read for this attempt
+	end := t.runRouted(a, x)
+	x.finish()
+	end.Spent = bodyConsumed(a) // from here on this attempt reads no more of the body
 	return end
 }
 
-func (t *Transport) carryOut(a *engine.Attempt, x *exchange) engine.Ending {
+func (t *Transport) runRouted(a *engine.Attempt, x *routedExchange) engine.Ending {
 	c, m := x.conn, x.m
 	if m.Rest != nil {
 		x.deadline = time.Time{}
 		c.SetDeadline(time.Time{})
-		go x.upload(a)
+		go x.uploadAsync(a)
 	} else if err := c.write(m, 0, nil); err == nil {
-		x.sent = true
-	} else if c.written.Load() == 0 {
+		x.requestSent = true
+	} else if c.bytesWritten.Load() == 0 {
 		c.Close()
-		return t.ending(a, x, errNotWritten{err})
-	} else { // it may have answered all the same, and closed
-		x.deadline = time.Now().Add(answerTime)
+		return t.routedFailure(a, x, errNotWritten{err})
+	} else { // the server may still have responded, and closed
+		x.deadline = time.Now().Add(responseStallTimeout)
 		c.SetReadDeadline(x.deadline)
 	}
 	if m.Rest == nil {
 		a.At(engine.StageAnswer)
 	}
-	code, minor, err := x.answer()
+	code, minor, err := x.readFinalHead()
 	if err != nil {
 		c.Close()
-		return t.ending(a, x, err)
+		return t.routedFailure(a, x, err)
 	}
 	j := m.Terms.Judge(code, x.head.Values)
 	if j.Verdict == routes.Spoilt {
 		c.Close()
-		return t.ending(a, x, httpmsg.ErrHead)
+		return t.routedFailure(a, x, httpmsg.ErrHead)
 	}
 	answer := &httpmsg.Answer{Status: code, Length: -1, Bare: !routes.HasBody(m.Method, code)}
 	answer.Lines = make([]byte, 0, 256)
@@ -97,13 +99,13 @@
 	}
 	c.head.Discard(c.r)
 	last := c.head.Close || minor == 0 && !c.head.Keep || !answer.Bare && answer.Length < 0 && !c.head.Chunked
-	c.until, c.stall = time.Now().Add(never), m.Terms.Stall
+	c.exchangeDeadline, c.stallTimeout = time.Now().Add(noTimeout), m.Terms.Stall
 	length, chunked := c.head.Length, c.head.Chunked
 	if answer.Bare {
 		length, chunked = 0, false
 	}
-	c.body.ResetTo(c.r, length, chunked, never.Nanoseconds())
-	var trailer []byte // taken as the body ends: then c may be another request's
+	c.body.ResetTo(c.r, length, chunked, noTimeout.Nanoseconds())
+	var trailer []byte // copied when the body ends: c may then belong to another request
 	if chunked {
 		answer.Trailer = func() []byte { return trailer }
 	}
@@ -117,47 +119,48 @@
 		if end.Status = policy.AppError; j.Verdict == routes.NotRun {
 			end.Status = policy.Full
 		}
-		if x.hold(answer) {
+		if x.bufferBody(answer) {
 			m.Terms.Keep(answer, j.Verdict == routes.NotRun)
-			t.done(a, c, reusable())
+			t.releaseConn(a, c, reusable())
 			return end
 		}
-		if j.Verdict == routes.NotRun || !x.goesOn() { // it does not come whole, or is too long to be held
+		if j.Verdict == routes.NotRun || !x.canContinue() { // the body is incomplete or too long to be buffered
 			c.Close()
 			return end
 		}
-	} else if x.there() {
+	} else if x.bodyBuffered() {
 		answer.Body, err = c.body.UpTo(int64(c.r.Size()))
 		if err != nil {
 			c.Close()
-			return t.ending(a, x, err)
+			return t.routedFailure(a, x, err)
 		}
 		end.Reply = answer
-		t.done(a, c, reusable() && c.body.Ended())
+		t.releaseConn(a, c, reusable() && c.body.Ended())
 		return end
 	}
-	return t.passOn(a, c, answer, end, func() bool { return !reusable() })
+	return t.streamBody(a, c, answer, end, func() bool { return !reusable() })
 }
 
-// done ends the use of c by an attempt whose answer has been read.
-func (t *Transport) done(a *engine.Attempt, c *conn, reusable bool) {
-	if wanted := a.OnCancel(nil); wanted && reusable { // from here on c is no longer the attempt's
-		t.pool.keep(c)
+// releaseConn ends the use of c by an attempt whose response has been read.
+func (t *Transport) releaseConn(a *engine.Attempt, c *conn, reusable bool) {
+	if active := a.OnCancel(nil); active && reusable { // from here on c does not belong to the attempt
+		t.pool.putIdle(c)
 	} else {
 		c.Close()
 	}
 }
 
-// answer reads heads until that of a final answer, which then stands in x.head and still in x.r.
-func (x *exchange) answer() (code, minor int, err error) {
-	for range mostInterimWhole {
+// readFinalHead reads heads up to that of a final response, which is then in x.head and still in
+// x.r.
+func (x *routedExchange) readFinalHead() (code, minor int, err error) {
+	for range maxInterimRouted {
 		if _, err := x.r.Peek(1); err != nil {
 			return 0, 0, err
 		}
 		x.mu.Lock()
-		x.begun = true
+		x.headBegun = true
 		x.mu.Unlock()
-		x.until, x.stall, x.answers = time.Now().Add(headTime), headTime, true
+		x.exchangeDeadline, x.stallTimeout, x.responseBegun = time.Now().Add(headStallTimeout), headStallTimeout, true
 		if err := x.head.Read(x.r); err != nil {
 			return 0, 0, err
 		}
@@ -180,15 +183,15 @@
 		}
 		x.head.Discard(x.r)
 		x.mu.Lock()
-		x.begun, x.answers = false, false
+		x.headBegun, x.responseBegun = false, false
 		x.SetReadDeadline(x.deadline)
 		x.mu.Unlock()
 	}
 	return 0, 0, errors.New("too many interim answers")
 }
 
-// there reports whether all of the body lies in the buffer, or there is none.
-func (x *exchange) there() bool {
+// bodyBuffered reports whether the whole body is in the read buffer, or there is no body.
+func (x *routedExchange) bodyBuffered() bool {
 	switch {
 	case x.body.Ended():
 		return true
@@ -199,80 +202,81 @@
 	return x.head.Length >= 0 && x.head.Length <= int64(x.r.Buffered())
 }
 
-// hold reads the body of an answer that is not passed on yet, and reports whether it has come whole.
-func (x *exchange) hold(answer *httpmsg.Answer) (whole bool) {
+// bufferBody reads the body of a response that is not passed on yet, and reports whether it is
+// complete.
+func (x *routedExchange) bufferBody(answer *httpmsg.Answer) (whole bool) {
 	if x.head.Length > httpmsg.MaxWhole && !answer.Bare {
 		return false
 	}
-	x.stall = min(x.stall, heldTime)
-	x.until = time.Now().Add(heldTime)
-	x.answers = true
-	x.SetReadDeadline(x.until)
+	x.stallTimeout = min(x.stallTimeout, bufferTimeout)
+	x.exchangeDeadline = time.Now().Add(bufferTimeout)
+	x.responseBegun = true
+	x.SetReadDeadline(x.exchangeDeadline)
 	body, err := x.body.UpTo(httpmsg.MaxWhole)
 	answer.Body = body
-	x.until, x.stall = time.Now().Add(never), x.m.Terms.Stall
+	x.exchangeDeadline, x.stallTimeout = time.Now().Add(noTimeout), x.m.Terms.Stall
 	return err == nil && x.body.Ended()
 }
 
-// goesOn reports whether the rest of the body can still come, so that it can be passed on.
-func (x *exchange) goesOn() bool { return x.body.Broken() == nil }
+// canContinue reports whether the rest of the body can still arrive, so that it can be streamed.
+func (x *routedExchange) canContinue() bool { return x.body.Broken() == nil }
 
-// upload sends the request while its answer may already be coming.
-func (x *exchange) upload(a *engine.Attempt) {
+// uploadAsync sends the request while its response may already be arriving.
+func (x *routedExchange) uploadAsync(a *engine.Attempt) {
 	expects := x.m.Terms.Expect > 0
 	err := x.writeHead()
 	if err == nil && expects {
-		late := time.NewTimer(x.m.Terms.Expect)
+		timer := time.NewTimer(x.m.Terms.Expect)
 		select {
-		case <-x.goOn:
-		case <-late.C:
+		case <-x.proceedCh:
+		case <-timer.C:
 		}
-		late.Stop()
+		timer.Stop()
 		x.mu.Lock()
-		over := x.over
+		ended := x.ended
 		x.mu.Unlock()
-		if over { // it has answered without the body
+		if ended { // the server has responded without the body
 			return
 		}
 	}
 	if err == nil {
-		err = x.pieces()
+		err = x.uploadBody()
 	}
 	if err == nil {
 		deadline := a.UploadedBeside()
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		if x.sent, x.deadline = true, deadline; !x.begun && !x.over {
+		if x.requestSent, x.deadline = true, deadline; !x.headBegun && !x.ended {
 			x.SetReadDeadline(deadline)
 		}
 		return
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	var source errSource
-	if errors.As(err, &source) {
-		x.source = err
+	var bodyErr errBodySource
+	if errors.As(err, &bodyErr) {
+		x.bodyErr = err
 	}
-	if x.over {
+	if x.ended {
 		return
 	}
-	if x.deadline = time.Now().Add(answerTime); x.source != nil {
+	if x.deadline = time.Now().Add(responseStallTimeout); x.bodyErr != nil {
 		x.deadline = time.Now()
 	}
-	if !x.begun { // it may have answered all the same, and closed
+	if !x.headBegun { // the server may still have responded, and closed
 		x.SetReadDeadline(x.deadline)
 	}
 }
 
-// writeHead writes the head of a request whose body follows as it comes.
-func (x *exchange) writeHead() error {
+// writeHead writes the head of a request whose body follows as it arrives.
+func (x *routedExchange) writeHead() error {
 	c, m := x.conn, x.m
 	c.w.WriteString(m.Method + " " + m.Target + " HTTP/1.1\r\nHost: " + m.Host + "\r\n")
 	c.w.Write(m.Lines)
 	if m.Terms.Expect > 0 {
 		c.w.WriteString("Expect: 100-continue\r\n")
 	}
-	c.framing(m)
+	c.writeFraming(m)
 	c.SetWriteDeadline(time.Now().Add(x.m.Terms.Stall))
 	if m.Terms.Expect > 0 {
 		return c.w.Flush()
@@ -280,10 +284,10 @@
 	return nil
 }
 
-// pieces writes the body, unless the attempt has ended by then.
-func (x *exchange) pieces() error {
+// uploadBody writes the body, unless the attempt has ended.
+func (x *routedExchange) uploadBody() error {
 	x.mu.Lock()
-	if x.over {
+	if x.ended {
 		x.mu.Unlock()
 		return net.ErrClosed
 	}
@@ -292,17 +296,17 @@
 	return x.sendBody(x.m, x.m.Terms.Stall, func() bool { return false })
 }
 
-// proceed has the body sent.
-func (x *exchange) proceed() {
-	if x.goOn != nil {
-		x.once.Do(func() { close(x.goOn) })
+// proceed lets the upload send the body.
+func (x *routedExchange) proceed() {
+	if x.proceedCh != nil {
+		x.proceedOnce.Do(func() { close(x.proceedCh) })
 	}
 }
 
-// end tells the upload, if there is one, that nobody waits for it any more.
-func (x *exchange) end() {
+// finish marks the attempt as ended, and stops its upload if there is one.
+func (x *routedExchange) finish() {
 	x.mu.Lock()
-	x.over = true
+	x.ended = true
 	x.mu.Unlock()
 	x.proceed()
 	if x.m.Rest != nil && x.m.Rest.Started() {
@@ -310,28 +314,28 @@
 	}
 }
 
-func (x *exchange) wasSent() bool {
+func (x *routedExchange) wasSent() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.sent
+	return x.requestSent
 }
 
-// ending is the ending of an attempt that err broke.
-func (t *Transport) ending(a *engine.Attempt, x *exchange, err error) engine.Ending {
+// routedFailure returns the ending of an attempt that failed with err.
+func (t *Transport) routedFailure(a *engine.Attempt, x *routedExchange, err error) engine.Ending {
 	x.mu.Lock()
-	source, deadline := x.source, x.deadline
+	bodyErr, deadline := x.bodyErr, x.deadline
 	x.mu.Unlock()
 	status := policy.Reset
 	var notWritten errNotWritten
 	switch {
 	case a.Canceled():
 		status = policy.Canceled
-	case source != nil: // nothing was wrong with the server
+	case bodyErr != nil: // not the server's fault
 		status = policy.Moot
-		if x.written.Load() > 0 {
+		if x.bytesWritten.Load() > 0 {
 			status = policy.Canceled
 		}
-	case errors.As(err, &notWritten), x.written.Load() == 0: // whatever ended it, the server never had any of it
+	case errors.As(err, &notWritten), x.bytesWritten.Load() == 0: // whatever the cause, the server received nothing of it
 		status = policy.ConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded) && !deadline.IsZero() && !time.Now().Before(deadline) && x.wasSent():
 		status = policy.Timeout
--- a/internal/upstream/streamed_body_test.go
+++ b/internal/upstream/streamed_body_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// TestReadBehindTheEnd: whoever reads on behind the end of a long answer takes nothing of the next one on its connection, which
-// another request may have begun to read meanwhile.
-func TestReadBehindTheEnd(t *testing.T) {
+// TestReadAfterEnd checks that reads after the end of a streamed response take no data of the next
+// response on its connection, which another request may already be reading.
+func TestReadAfterEnd(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		text, length := "first", int64(5)
 		if chunked {
@@ -19,19 +19,19 @@
 		}
 		c := &conn{r: bufio.NewReader(strings.NewReader(text + "second"))}
 		c.body.Reset(c.r, length, chunked)
-		l := &long{c: c, done: make(chan struct{})}
-		l.settle = func(err error) {
+		body := &streamedBody{c: c, done: make(chan struct{})}
+		body.finish = func(err error) {
 			if err != io.EOF {
-				t.Errorf("settled with %v", err)
+				t.Errorf("finished with %v", err)
 			}
 			c.body.Reset(c.r, 6, false) // as the next exchange does
 		}
 		var got []byte
-		buf := make([]byte, 5) // as much as there is, so that nothing tells the end but the framing
+		buf := make([]byte, 5) // exactly the size of the body, so that only the framing tells the end
 		var err error
 		for range 10 {
 			var n int
-			n, err = l.Read(buf)
+			n, err = body.Read(buf)
 			if got = append(got, buf[:n]...); err != nil {
 				break
 			}
@@ -40,17 +40,17 @@
 			t.Errorf("chunked %v: %q, %v", chunked, got, err)
 		}
 		for range 2 {
-			if n, err := l.Read(buf); n != 0 || err != io.EOF {
-				t.Errorf("chunked %v: behind the end %q, %v", chunked, buf[:n], err)
+			if n, err := body.Read(buf); n != 0 || err != io.EOF {
+				t.Errorf("chunked %v: after the end %q, %v", chunked, buf[:n], err)
 			}
 		}
 		if next, err := io.ReadAll(&c.body); string(next) != "second" || err != nil {
-			t.Errorf("chunked %v: the next answer is %q, %v", chunked, next, err)
+			t.Errorf("chunked %v: next response: %q, %v", chunked, next, err)
 		}
 	}
-	l := &long{c: &conn{}, done: make(chan struct{}), settle: func(error) {}}
-	l.Close()
-	if n, err := l.Read(make([]byte, 1)); n != 0 || !errors.Is(err, net.ErrClosed) {
+	body := &streamedBody{c: &conn{}, done: make(chan struct{}), finish: func(error) {}}
+	body.Close()
+	if n, err := body.Read(make([]byte, 1)); n != 0 || !errors.Is(err, net.ErrClosed) {
 		t.Errorf("after Close: %d, %v", n, err)
 	}
 }
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -26,89 +26,91 @@
 )
 
 const (
-	// probeTimeout is how long a probe may take: an upstream may vanish without a word.
+	// probeTimeout bounds a probe: a server may vanish without closing its connections.
 	probeTimeout = 400 * time.Millisecond
-	// mostReport bounds the body of a probe's answer.
-	mostReport = 4 << 10
-	// mostStream bounds the time of an answer that is passed on as it comes: MaxBody at 64 kB a second, and some more.
-	mostStream = 10 * time.Minute
-	// faultEvery is how seldom the log is told of reports that cannot be used.
-	faultEvery = 10 * time.Second
-	// mostLoad is the highest figure of a report that is taken for real.
-	mostLoad = 1e9
+	// maxReportBytes limits the body of the response to a probe.
+	maxReportBytes = 4 << 10
+	// maxStreamTime bounds a streamed response: enough for MaxBody at 64 kB a second, and some
+	// more.
+	maxStreamTime = 10 * time.Minute
+	// faultLogInterval is the minimum time between log lines about invalid load reports.
+	faultLogInterval = 10 * time.Second
+	// maxLoadValue is the highest value in a load report that is accepted.
+	maxLoadValue = 1e9
 )
 
-// Transport implements engine.Transport over HTTP/1.1. Its requests' payloads are *httpmsg.Message, its replies *httpmsg.Answer.
+// Transport implements engine.Transport over HTTP/1.1. The payload of a request is a
+// *httpmsg.Message, the reply a *httpmsg.Answer.
 type Transport struct {
-	pool   pool
-	load   atomic.Pointer[loadForm]
-	log    *slog.Logger
-	faults rate.Sometimes // in reports
-	stop   context.CancelFunc
-	swept  sync.WaitGroup
+	pool       pool
+	loadFormat atomic.Pointer[loadFormat]
+	log        *slog.Logger
+	faultLog   rate.Sometimes // limits the log lines about invalid load reports
+	stop       context.CancelFunc
+	background sync.WaitGroup
 }
 
-// loadForm is how servers tell their load.
-type loadForm struct {
-	fields []string // names of the figures in a load report
-	inline bool     // answers carry reports
+// loadFormat describes how servers report their load.
+type loadFormat struct {
+	fields []string // names of the values in a load report
+	inline bool     // responses carry load reports
 }
 
-// New returns a transport that takes its descriptors from b, and runs until Close.
+// New returns a transport that takes its descriptors from b. It runs until Close.
 func New(s settings.Settings, b Descriptors, log *slog.Logger) *Transport {
 	ctx, stop := context.WithCancel(context.Background())
 	t := &Transport{
-		pool: pool{sockets: b, idle: map[engine.Endpoint][]*conn{}}, log: log, stop: stop,
-		faults: rate.Sometimes{First: 1, Interval: faultEvery},
+		pool: pool{descriptors: b, idle: map[engine.Endpoint][]*conn{}}, log: log, stop: stop,
+		faultLog: rate.Sometimes{First: 1, Interval: faultLogInterval},
 	}
 	t.Reconfigure(s)
-	t.swept.Go(func() { t.pool.sweep(ctx) })
+	t.background.Go(func() { t.pool.evictExpired(ctx) })
 	return t
 }
 
-// Reconfigure makes s what holds for all that begins from now on.
+// Reconfigure applies s to everything that begins from now on.
 func (t *Transport) Reconfigure(s settings.Settings) {
-	t.load.Store(&loadForm{s.Fields, s.Config.InlineReports})
+	t.loadFormat.Store(&loadFormat{s.Fields, s.Config.InlineReports})
 	t.pool.dialTimeout.Store(int64(s.Config.DialTimeout))
-	t.pool.idleFor.Store(int64(float64(s.Config.ConnIdle) * idleShare))
+	t.pool.idleTimeout.Store(int64(float64(s.Config.ConnIdle) * idleFraction))
 }
 
-// SetMaxHeaderBytes has heads of answers of up to n bytes read, from the next connection on.
-func (t *Transport) SetMaxHeaderBytes(n int) { t.pool.buffer = n }
+// SetMaxHeaderBytes sets the maximum size of response heads to n bytes, for new connections.
+func (t *Transport) SetMaxHeaderBytes(n int) { t.pool.readBuffer = n }
 
-// Close closes the idle connections, and keeps none from now on. Attempts that are out go on to their ends.
+// Close closes the idle connections, and keeps none from now on. Running attempts continue.
 func (t *Transport) Close() {
 	t.stop()
-	t.swept.Wait()
+	t.background.Wait()
 	t.pool.close()
 }
 
 // EvictIdle closes one idle connection, and reports whether there was one.
 func (t *Transport) EvictIdle() bool { return t.pool.closeIdle(0, 1) > 0 }
 
-// Dials returns how many connects have been begun.
+// Dials returns how many connects were started.
 func (t *Transport) Dials() int64 { return t.pool.dials.Load() }
 
 // Stats counts a transport's idle connections.
 type Stats struct {
-	Idle     int // in all
-	Stale    int // of them, those on which the server has closed or said something unasked
-	Settling int // of them, those that carry no request yet: see settleTime
+	Idle     int // all idle connections
+	Stale    int // those that the server has closed or sent unsolicited data on
+	Settling int // those that may not carry a request yet, see reuseDelay
 }
 
-// Stats returns the present counts.
+// Stats returns the current counts.
 func (t *Transport) Stats() Stats {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	var s Stats
-	settled := time.Now().Add(-t.pool.settle())
+	settled := time.Now().Add(-t.pool.currentReuseDelay())
 	for _, list := range t.pool.idle {
 		s.Idle += len(list)
 		for _, c := range list {
-			if !c.quiet() {
+			if !c.noPendingData() {
 				s.Stale++
 			}
-			if c.since.After(settled) {
+			if c.idleSince.After(settled) {
 				s.Settling++
 			}
 		}
@@ -116,33 +118,34 @@
 	return s
 }
 
-// HangUp is a method of engine.Transport.
-func (t *Transport) HangUp(to engine.Endpoint) { t.pool.hangUp(to) }
+// HangUp implements engine.Transport.
+func (t *Transport) HangUp(to engine.Endpoint) { t.pool.closeIdleTo(to) }
 
-// Do is a method of engine.Transport. What an attempt's end proves follows the protocol's table of outcomes.
+// Do implements engine.Transport. What the end of an attempt proves about its execution follows the
+// protocol's table of outcomes.
 func (t *Transport) Do(a *engine.Attempt, to engine.Endpoint) engine.Ending {
 	c := t.pool.reuse(to, a.Deadline)
 	if c == nil {
 		var err error
 		if c, err = t.dial(a, to); err != nil {
-			return t.broken(a, errNotWritten{err})
+			return t.failure(a, errNotWritten{err})
 		}
 	}
-	if !a.Sending(c.hangUp) {
-		t.pool.keep(c) // nothing was written to it
+	if !a.Sending(c.closeFunc) {
+		t.pool.putIdle(c) // nothing was written to it
 		return engine.Ending{Status: policy.Canceled}
 	}
 	m, _ := a.Payload().(*httpmsg.Message)
 	if m != nil && m.Terms != nil {
-		return t.whole(a, c, m)
+		return t.doRouted(a, c, m)
 	}
 	code, minor, early, err := c.exchange(m, max(time.Until(a.Deadline), 1), func() {
 		a.Uploaded()
-		c.setUntil(a.Deadline)
+		c.resetExchange(a.Deadline)
 	})
 	if err != nil {
 		c.Close()
-		return t.broken(a, err)
+		return t.failure(a, err)
 	}
 	end := engine.Ending{Status: policy.OK}
 	var answer *httpmsg.Answer
@@ -151,11 +154,11 @@
 	} else if end.Status = policy.AppError; code/100 == 4 {
 		end.Status = policy.Rejected
 	}
-	load := t.load.Load()
+	format := t.loadFormat.Load()
 	for _, f := range c.head.Fields {
 		switch {
-		case load.inline && f.Is("X-Server-Load"):
-			end.Load = t.report(to, string(f.Value), load.fields)
+		case format.inline && f.Is("X-Server-Load"):
+			end.Load = t.parseReport(to, string(f.Value), format.fields)
 		case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 			f.Is("X-Not-Processed") && string(f.Value) == "1":
 			end.Status = policy.Full
@@ -168,40 +171,41 @@
 		}
 	}
 	c.head.Discard(c.r)
-	last := c.begin(code, minor) || early
-	held := int64(httpmsg.MaxWhole)
-	if c.head.Length > held {
-		held = mostHeld
+	last := c.beginBody(code, minor) || early
+	limit := int64(httpmsg.MaxWhole)
+	if c.head.Length > limit {
+		limit = maxBufferedBody
 	}
-	body, err := c.body.UpTo(held)
+	body, err := c.body.UpTo(limit)
 	if answer != nil && err == nil && !c.body.Ended() {
 		answer.Body = body
-		c.until, c.stall = time.Now().Add(mostStream), streamTime
-		return t.passOn(a, c, answer, end, func() bool { return last })
+		c.exchangeDeadline, c.stallTimeout = time.Now().Add(maxStreamTime), streamStallTimeout
+		return t.streamBody(a, c, answer, end, func() bool { return last })
 	}
-	wanted := a.OnCancel(nil) // from here on c is no longer the attempt's
-	if last || err != nil || !wanted || !c.body.Ended() {
+	active := a.OnCancel(nil) // from here on c does not belong to the attempt
+	if last || err != nil || !active || !c.body.Ended() {
 		c.Close()
 	} else {
-		t.pool.keep(c)
+		t.pool.putIdle(c)
 	}
 	if answer != nil {
 		if err != nil {
-			return t.broken(a, err)
+			return t.failure(a, err)
 		}
 		answer.Body = body
 		end.Reply = answer
 	}
-	end.Spent = spent(a)
+	end.Spent = bodyConsumed(a)
 	return end
 }
 
-// passOn hands a long answer on as it comes, and waits for its end. end is the ending if it comes whole; last reports then whether the
-// connection can carry no further exchange.
-func (t *Transport) passOn(a *engine.Attempt, c *conn, answer *httpmsg.Answer, end engine.Ending, last func() bool) engine.Ending {
-	rest := &long{c: c, done: make(chan struct{}), settle: func(err error) {
+// streamBody passes a long response on as it arrives, and waits for its end. It returns end if the
+// body is complete or its reader closed it. last reports whether the connection can carry no
+// further exchange after a complete body.
+func (t *Transport) streamBody(a *engine.Attempt, c *conn, answer *httpmsg.Answer, end engine.Ending, last func() bool) engine.Ending {
+	rest := &streamedBody{c: c, done: make(chan struct{}), finish: func(err error) {
 		if a.OnCancel(nil) && err == io.EOF && !last() {
-			t.pool.keep(c)
+			t.pool.putIdle(c)
 		} else {
 			c.Close()
 		}
@@ -210,23 +214,23 @@
 	if c.head.Chunked {
 		answer.Length = -1
 	}
-	hangUp := func() { // also where nobody reads on
-		c.hangUp()
+	cancel := func() { // also ends the body if nobody reads it
+		c.closeFunc()
 		rest.end(net.ErrClosed, func(error) {})
 	}
-	if !a.OnCancel(hangUp) || !a.Begin(answer) {
+	if !a.OnCancel(cancel) || !a.Begin(answer) {
 		c.Close()
 		return engine.Ending{Status: policy.Canceled}
 	}
 	<-rest.done
-	if rest.err == io.EOF || rest.err == nil { // closed by whoever read it, which says nothing of the upstream
+	if rest.err == io.EOF || rest.err == nil { // closed by its reader, which says nothing about the server
 		return end
 	}
-	return t.broken(a, rest.err)
+	return t.failure(a, rest.err)
 }
 
-// spent reports whether a's payload cannot be sent again.
-func spent(a *engine.Attempt) bool {
+// bodyConsumed reports whether the payload of a cannot be sent again.
+func bodyConsumed(a *engine.Attempt) bool {
 	m, ok := a.Payload().(*httpmsg.Message)
 	return ok && m.Rest != nil && m.Rest.Started()
 }
@@ -242,26 +246,26 @@
 	return t.pool.dial(ctx, to, a.Deadline, func() { a.At(engine.StageConnect) })
 }
 
-// broken is the ending of an attempt that got no whole answer.
-func (t *Transport) broken(a *engine.Attempt, err error) engine.Ending {
+// failure returns the ending of an attempt without a complete response.
+func (t *Transport) failure(a *engine.Attempt, err error) engine.Ending {
 	status := policy.Reset
 	var notWritten errNotWritten
-	var source errSource
+	var bodyErr errBodySource
 	switch {
 	case a.Canceled():
 		status = policy.Canceled
-	case errors.Is(err, sockets.ErrNoDescriptor) || errors.As(err, &source): // nothing was wrong with the upstream
+	case errors.Is(err, sockets.ErrNoDescriptor) || errors.As(err, &bodyErr): // not the server's fault
 		status = policy.Moot
-	case errors.As(err, &notWritten): // whatever ended it, the upstream never had the whole
+	case errors.As(err, &notWritten): // whatever the cause, the server never had the whole request
 		status = policy.ConnectFailed
-	case errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(a.Deadline): // else the answer has stalled
+	case errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(a.Deadline): // otherwise the response has stalled
 		status = policy.Timeout
 	}
 	t.log.Debug("attempt", "request", a.Name(), "upstream", a.Server, "status", status, "err", err)
-	return engine.Ending{Status: status, Spent: spent(a)}
+	return engine.Ending{Status: status, Spent: bodyConsumed(a)}
 }
 
-// Probe is a method of engine.Transport. It takes up to 400 ms.
+// Probe implements engine.Transport. It takes up to 400 ms.
 func (t *Transport) Probe(ctx context.Context, to engine.Endpoint) (policy.Status, *policy.Load) {
 	until := time.Now().Add(probeTimeout)
 	c := t.pool.reuse(to, until)
@@ -275,14 +279,14 @@
 			return policy.ConnectFailed, nil
 		}
 	}
-	defer context.AfterFunc(ctx, c.hangUp)()
+	defer context.AfterFunc(ctx, c.closeFunc)()
 	code, minor, _, err := c.exchange(&httpmsg.Message{Method: http.MethodGet, Target: "/load", Host: to.Addr}, 0, nil)
 	var body []byte
 	last := false
 	if err == nil {
 		c.head.Discard(c.r)
-		last = c.begin(code, minor)
-		body, err = c.body.UpTo(mostReport)
+		last = c.beginBody(code, minor)
+		body, err = c.body.UpTo(maxReportBytes)
 	}
 	var notWritten errNotWritten
 	switch {
@@ -300,44 +304,46 @@
 	if last || !c.body.Ended() {
 		c.Close()
 	} else {
-		t.pool.keep(c)
+		t.pool.putIdle(c)
 	}
 	switch code {
 	case http.StatusOK:
-		return policy.OK, t.report(to, string(body), t.load.Load().fields)
+		return policy.OK, t.parseReport(to, string(body), t.loadFormat.Load().fields)
 	case http.StatusServiceUnavailable:
 		return policy.Full, nil
 	}
 	return policy.AppError, nil
 }
 
-// report reads a load report. What is wrong in one is told to the log, one line for all of faultEvery.
-func (t *Transport) report(from engine.Endpoint, text string, fields []string) *policy.Load {
+// parseReport parses a load report. Invalid reports are logged, at most one line per
+// faultLogInterval.
+func (t *Transport) parseReport(from engine.Endpoint, text string, fields []string) *policy.Load {
 	load, err := parseLoad(text, fields)
 	if err != nil {
-		t.faults.Do(func() { t.log.Warn("a load report has what cannot be used", "server", string(from.ID), "fault", err) })
+		t.faultLog.Do(func() { t.log.Warn("a load report has what cannot be used", "server", string(from.ID), "fault", err) })
 	}
 	return load
 }
 
-// parseLoad reads a report such as "TEXT queue=2, util=0.61" by the names of its fields. It returns nil if
-// there is nothing in it that can be read, and an error that names the first field that cannot: such a one counts as not told.
+// parseLoad parses a report such as "TEXT queue=2, util=0.61", of which it uses the values named in
+// fields. It returns nil if there is no valid value, and an error that names the first invalid one.
+// Invalid values count as not reported.
 func parseLoad(text string, fields []string) (*policy.Load, error) {
 	text = strings.TrimSpace(text)
 	if format, rest, ok := strings.Cut(text, " "); ok && !strings.ContainsAny(format, "=,") {
 		text = rest
 	}
 	load, found := settings.NoLoad(), false
-	var fault error
+	var firstErr error
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(part, "=")
 		if name = strings.TrimSpace(name); !ok || !slices.Contains(fields, name) {
 			continue
 		}
 		v, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
-		if err != nil || !(v >= 0 && v <= mostLoad) { // guards against NaN too
-			if fault == nil {
-				fault = fmt.Errorf("%s is %.40q", name, value)
+		if err != nil || !(v >= 0 && v <= maxLoadValue) { // also rejects NaN
+			if firstErr == nil {
+				firstErr = fmt.Errorf("%s is %.40q", name, value)
 			}
 			continue
 		}
@@ -345,7 +351,7 @@
 		found = true
 	}
 	if !found {
-		return nil, fault
+		return nil, firstErr
 	}
-	return &load, fault
+	return &load, firstErr
 }
