--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -254,7 +254,7 @@
 
 // Route says what becomes of a request. An error is a *Rejection or an httpcall.Rejection.
 func (r *Router) Route(q *Asked) (*Call, error) {
-	if _, err := httpcall.PathOf(q.Target); err != nil {
+	if _, err := httpcall.DecodePath(q.Target); err != nil {
 		return nil, err
 	}
 	for {
@@ -303,7 +303,7 @@
 		return nil, reject(http.StatusBadRequest, err.Error())
 	}
 	idem := q.Header("Idempotency-Key")
-	if len(idem) > 1 || len(idem) == 1 && len(idem[0]) > httpcall.MostName { // of two keys each reader might take another one
+	if len(idem) > 1 || len(idem) == 1 && len(idem[0]) > httpcall.MaxIdentifierLength { // of two keys each reader might take another one
 		return nil, reject(http.StatusBadRequest, "Idempotency-Key is given more than once or too long")
 	}
 	keyed := len(idem) == 1 && idem[0] != ""
@@ -312,7 +312,7 @@
 		effect = policy.Unsafe
 	}
 	key, tenant := found.RequestKey(), found.RequestTenant()
-	if len(key) > httpcall.MostName || len(tenant) > httpcall.MostName {
+	if len(key) > httpcall.MaxIdentifierLength || len(tenant) > httpcall.MaxIdentifierLength {
 		return nil, reject(http.StatusBadRequest, "what the request is about, or whose it is, is told by too many bytes")
 	}
 	name, err := st.pick(&found, q, effect, key, idem)
@@ -335,7 +335,7 @@
 	answers := found.Answers
 	return &Call{
 		Route: found.Name, Pool: name, Engine: p.Engine, Room: p.Room, Taken: p.leave, Late: p.late,
-		Request: &engine.Request{Class: class, Tenant: tenant, Key: key, Wait: k.Deadline},
+		Request: &engine.Request{Class: class, Tenant: tenant, Key: key, Timeout: k.Deadline},
 		Judge: func(code int, header func(string) []string) routes.Judgment {
 			return answers.Judge(code, header, time.Now())
 		},
@@ -381,7 +381,7 @@
 	if found.Fallback == "" {
 		return s.Pick(now, key, firm, nil), nil
 	}
-	usable := func(name string) bool { return st.pools[name].Engine.Usable() }
+	usable := func(name string) bool { return st.pools[name].Engine.HasUsableServer() }
 	if name := s.Pick(now, key, firm, usable); name != "" {
 		return name, nil
 	}
--- a/internal/upstream/load_test.go
+++ b/internal/upstream/load_test.go
@@ -50,7 +50,7 @@
 // one line, however many reports there are.
 func TestInvalidReportsAreLoggedOnce(t *testing.T) {
 	var log bytes.Buffer
-	tr := New(settings.Settings{Fields: []string{"queue"}}, sockets.New(100), slog.New(slog.NewTextHandler(&log, nil)))
+	tr := New(settings.Settings{LoadFields: []string{"queue"}}, sockets.New(100), slog.New(slog.NewTextHandler(&log, nil)))
 	defer tr.Close()
 	for range 1000 {
 		tr.parseReport(engine.Endpoint{ID: "box-7"}, "TEXT queue=-3", []string{"queue"})
--- a/internal/upstream/routed.go
+++ b/internal/upstream/routed.go
@@ -45,18 +45,18 @@
 
 // doRouted carries out an attempt of a message with Terms on c. What its end proves about its
 // execution follows RFC 9110: a request that was partly written may have been executed.
-func (t *Transport) doRouted(a *engine.Attempt, c *conn, m *httpmsg.Message) engine.Ending {
+func (t *Transport) doRouted(a *engine.Attempt, c *conn, m *httpmsg.Message) engine.AttemptResult {
 	x := &routedExchange{conn: c, m: m, deadline: a.Deadline}
 	if m.Rest != nil {
 		x.proceedCh = make(chan struct{})
 	}
 	end := t.runRouted(a, x)
 	x.finish()
-	end.Spent = bodyConsumed(a) // from here on this attempt reads no more of the body
+	end.PayloadConsumed = bodyConsumed(a) // from here on this attempt reads no more of the body
 	return end
 }
 
-func (t *Transport) runRouted(a *engine.Attempt, x *routedExchange) engine.Ending {
+func (t *Transport) runRouted(a *engine.Attempt, x *routedExchange) engine.AttemptResult {
 	c, m := x.conn, x.m
 	if m.Rest != nil {
 		x.deadline = time.Time{}
@@ -72,7 +72,7 @@
 		c.SetReadDeadline(x.deadline)
 	}
 	if m.Rest == nil {
-		a.At(engine.StageAnswer)
+		a.SetStage(engine.StageAnswer)
 	}
 	code, minor, err := x.readFinalHead()
 	if err != nil {
@@ -113,11 +113,11 @@
 		trailer = c.body.Trailer()
 		return !last && x.wasSent()
 	}
-	end := engine.Ending{Status: policy.OK}
+	end := engine.AttemptResult{Status: policy.OK}
 	if j.Verdict != routes.Final {
-		end.Avoid = j.Avoid
+		end.AvoidFor = j.Avoid
 		if end.Status = policy.AppError; j.Verdict == routes.NotRun {
-			end.Status = policy.Full
+			end.Status = policy.Overloaded
 		}
 		if x.bufferBody(answer) {
 			m.Terms.Keep(answer, j.Verdict == routes.NotRun)
@@ -243,7 +243,7 @@
 		err = x.uploadBody()
 	}
 	if err == nil {
-		deadline := a.UploadedBeside()
+		deadline := a.UploadedConcurrently()
 		x.mu.Lock()
 		defer x.mu.Unlock()
 		if x.requestSent, x.deadline = true, deadline; !x.headBegun && !x.ended {
@@ -321,7 +321,7 @@
 }
 
 // routedFailure returns the ending of an attempt that failed with err.
-func (t *Transport) routedFailure(a *engine.Attempt, x *routedExchange, err error) engine.Ending {
+func (t *Transport) routedFailure(a *engine.Attempt, x *routedExchange, err error) engine.AttemptResult {
 	x.mu.Lock()
 	bodyErr, deadline := x.bodyErr, x.deadline
 	x.mu.Unlock()
@@ -331,7 +331,7 @@
 	case a.Canceled():
 		status = policy.Canceled
 	case bodyErr != nil: // not the server's fault
-		status = policy.Moot
+		status = policy.NotSent
 		if x.bytesWritten.Load() > 0 {
 			status = policy.Canceled
 		}
@@ -340,6 +340,6 @@
 	case errors.Is(err, os.ErrDeadlineExceeded) && !deadline.IsZero() && !time.Now().Before(deadline) && x.wasSent():
 		status = policy.Timeout
 	}
-	t.log.Debug("attempt", "request", a.Name(), "upstream", a.Server, "status", status, "err", err)
-	return engine.Ending{Status: status}
+	t.log.Debug("attempt", "request", a.ExternalID(), "upstream", a.Server, "status", status, "err", err)
+	return engine.AttemptResult{Status: status}
 }
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -70,9 +70,9 @@
 
 // Reconfigure applies s to everything that begins from now on.
 func (t *Transport) Reconfigure(s settings.Settings) {
-	t.loadFormat.Store(&loadFormat{s.Fields, s.Config.InlineReports})
+	t.loadFormat.Store(&loadFormat{s.LoadFields, s.Config.InlineReports})
 	t.pool.dialTimeout.Store(int64(s.Config.DialTimeout))
-	t.pool.idleTimeout.Store(int64(float64(s.Config.ConnIdle) * idleFraction))
+	t.pool.idleTimeout.Store(int64(float64(s.Config.ConnIdleTimeout) * idleFraction))
 }
 
 // SetMaxHeaderBytes sets the maximum size of response heads to n bytes, for new connections.
@@ -123,7 +123,7 @@
 
 // Do implements engine.Transport. What the end of an attempt proves about its execution follows the
 // protocol's table of outcomes.
-func (t *Transport) Do(a *engine.Attempt, to engine.Endpoint) engine.Ending {
+func (t *Transport) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	c := t.pool.reuse(to, a.Deadline)
 	if c == nil {
 		var err error
@@ -133,7 +133,7 @@
 	}
 	if !a.Sending(c.closeFunc) {
 		t.pool.putIdle(c) // nothing was written to it
-		return engine.Ending{Status: policy.Canceled}
+		return engine.AttemptResult{Status: policy.Canceled}
 	}
 	m, _ := a.Payload().(*httpmsg.Message)
 	if m != nil && m.Terms != nil {
@@ -147,7 +147,7 @@
 		c.Close()
 		return t.failure(a, err)
 	}
-	end := engine.Ending{Status: policy.OK}
+	end := engine.AttemptResult{Status: policy.OK}
 	var answer *httpmsg.Answer
 	if code == http.StatusOK {
 		answer = &httpmsg.Answer{}
@@ -161,7 +161,7 @@
 			end.Load = t.parseReport(to, string(f.Value), format.fields)
 		case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 			f.Is("X-Not-Processed") && string(f.Value) == "1":
-			end.Status = policy.Full
+			end.Status = policy.Overloaded
 		}
 		if answer != nil && !c.head.Hop(f) {
 			if answer.Lines == nil {
@@ -195,14 +195,14 @@
 		answer.Body = body
 		end.Reply = answer
 	}
-	end.Spent = bodyConsumed(a)
+	end.PayloadConsumed = bodyConsumed(a)
 	return end
 }
 
 // streamBody passes a long response on as it arrives, and waits for its end. It returns end if the
 // body is complete or its reader closed it. last reports whether the connection can carry no
 // further exchange after a complete body.
-func (t *Transport) streamBody(a *engine.Attempt, c *conn, answer *httpmsg.Answer, end engine.Ending, last func() bool) engine.Ending {
+func (t *Transport) streamBody(a *engine.Attempt, c *conn, answer *httpmsg.Answer, end engine.AttemptResult, last func() bool) engine.AttemptResult {
 	rest := &streamedBody{c: c, done: make(chan struct{}), finish: func(err error) {
 		if a.OnCancel(nil) && err == io.EOF && !last() {
 			t.pool.putIdle(c)
@@ -218,9 +218,9 @@
 		c.closeFunc()
 		rest.end(net.ErrClosed, func(error) {})
 	}
-	if !a.OnCancel(cancel) || !a.Begin(answer) {
+	if !a.OnCancel(cancel) || !a.BeginReply(answer) {
 		c.Close()
-		return engine.Ending{Status: policy.Canceled}
+		return engine.AttemptResult{Status: policy.Canceled}
 	}
 	<-rest.done
 	if rest.err == io.EOF || rest.err == nil { // closed by its reader, which says nothing about the server
@@ -242,12 +242,12 @@
 	if !a.OnCancel(cancel) {
 		return nil, context.Canceled
 	}
-	a.At(engine.StageDescriptor)
-	return t.pool.dial(ctx, to, a.Deadline, func() { a.At(engine.StageConnect) })
+	a.SetStage(engine.StageDescriptor)
+	return t.pool.dial(ctx, to, a.Deadline, func() { a.SetStage(engine.StageConnect) })
 }
 
 // failure returns the ending of an attempt without a complete response.
-func (t *Transport) failure(a *engine.Attempt, err error) engine.Ending {
+func (t *Transport) failure(a *engine.Attempt, err error) engine.AttemptResult {
 	status := policy.Reset
 	var notWritten errNotWritten
 	var bodyErr errBodySource
@@ -255,14 +255,14 @@
 	case a.Canceled():
 		status = policy.Canceled
 	case errors.Is(err, sockets.ErrNoDescriptor) || errors.As(err, &bodyErr): // not the server's fault
-		status = policy.Moot
+		status = policy.NotSent
 	case errors.As(err, &notWritten): // whatever the cause, the server never had the whole request
 		status = policy.ConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(a.Deadline): // otherwise the response has stalled
 		status = policy.Timeout
 	}
-	t.log.Debug("attempt", "request", a.Name(), "upstream", a.Server, "status", status, "err", err)
-	return engine.Ending{Status: status, Spent: bodyConsumed(a)}
+	t.log.Debug("attempt", "request", a.ExternalID(), "upstream", a.Server, "status", status, "err", err)
+	return engine.AttemptResult{Status: status, PayloadConsumed: bodyConsumed(a)}
 }
 
 // Probe implements engine.Transport. It takes up to 400 ms.
@@ -273,7 +273,7 @@
 		var err error
 		c, err = t.pool.dial(ctx, to, until, func() {})
 		if errors.Is(err, sockets.ErrNoDescriptor) {
-			return policy.Moot, nil
+			return policy.NotSent, nil
 		}
 		if err != nil {
 			return policy.ConnectFailed, nil
@@ -310,7 +310,7 @@
 	case http.StatusOK:
 		return policy.OK, t.parseReport(to, string(body), t.loadFormat.Load().fields)
 	case http.StatusServiceUnavailable:
-		return policy.Full, nil
+		return policy.Overloaded, nil
 	}
 	return policy.AppError, nil
 }
@@ -333,7 +333,7 @@
 	if format, rest, ok := strings.Cut(text, " "); ok && !strings.ContainsAny(format, "=,") {
 		text = rest
 	}
-	load, found := settings.NoLoad(), false
+	load, found := settings.EmptyLoad(), false
 	var firstErr error
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(part, "=")
@@ -347,7 +347,7 @@
 			}
 			continue
 		}
-		settings.Set(&load, name, v)
+		settings.SetLoadField(&load, name, v)
 		found = true
 	}
 	if !found {
