--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -68,7 +68,7 @@
 		}
 		state, ok := healthStates[e.Health]
 		if !ok || e.Host == "" {
-			fault("host %.80q has health %.80q", e.Host, e.Health)
+			fault("invalid entry: host %.80q, health %.80q", e.Host, e.Health)
 			continue
 		}
 		if err := checkDialable(e.Dial); err != nil && state != policy.Gone {
@@ -86,10 +86,10 @@
 func checkDialable(addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
-		return fmt.Errorf("%.80q: no host and port", addr)
+		return fmt.Errorf("%.80q has no host and port", addr)
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 || host == "" {
-		return fmt.Errorf("%.80q: no host, or no port from 1 to 65535", addr)
+		return fmt.Errorf("%.80q has no host, or no port from 1 to 65535", addr)
 	}
 	return nil
 }
@@ -110,13 +110,13 @@
 
 const (
 	// responseTimeout is how long discovery may take to begin its response if it serves calls one
-	// after the other. Discovery assumes after 6 s that a watch which gets no data from the start
-	// has received the changes: this leaves 2 s for the next call. If calls queue for longer than
+	// after the other. Changes that a watch misses which gets no data from its start count as
+	// delivered 6 s later: this leaves 2 s for the next call. If calls queue for longer than
 	// responseTimeout, none is served.
 	responseTimeout = 4 * time.Second
-	// agentResponseTimeout is the timeout for a local agent, which responds at once. Discovery
-	// assumes that the agent has received what it was sent when discovery comes back; a call that
-	// the agent left without a response does not get it.
+	// agentResponseTimeout is the timeout for a local agent, which responds at once. Changes that
+	// the agent gets when discovery is back count as delivered at that moment, and a call that the
+	// agent has left without a response does not get them.
 	agentResponseTimeout = time.Second
 	// silenceTimeout is how long a watch may send nothing, not even an empty line, before it counts
 	// as broken, and how long a message may take from its first byte to its last. An empty line
@@ -137,7 +137,7 @@
 }
 
 // Watch implements engine.Source.
-func (c Client) Watch(ctx context.Context, since int64, tell func(engine.List)) error {
+func (c Client) Watch(ctx context.Context, since int64, deliver func(engine.List)) error {
 	query := "follow=1"
 	if since != engine.UnknownSeq {
 		query += "&since=" + strconv.FormatInt(since, 10)
@@ -169,7 +169,7 @@
 	}
 	head.N = math.MaxInt64
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("discovery answers %s", resp.Status)
+		return fmt.Errorf("discovery responded with %s", resp.Status)
 	}
 	body := &pacedReader{conn: conn, r: resp.Body, awaitingFirst: true}
 	messages := json.NewDecoder(body) // a message may be indented, so it may span several lines
@@ -185,12 +185,12 @@
 		if err != nil {
 			return err
 		}
-		tell(l)
+		deliver(l)
 	}
 }
 
 // errMessageTooLong reports a message larger than maxMessageBytes.
-var errMessageTooLong = fmt.Errorf("a message of over %d bytes", maxMessageBytes)
+var errMessageTooLong = fmt.Errorf("message exceeds %d bytes", maxMessageBytes)
 
 // pacedReader reads the body of a watch. It limits the size of a message, and its duration: however
 // its bytes arrive, a message has silenceTimeout from its first byte to its last. Between messages
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -30,12 +30,12 @@
 	// server that writes its response in parts with longer pauses is given up wrongly.
 	responseStallTimeout = 500 * time.Millisecond
 	// streamStallTimeout is the same for a response that is being streamed: its request cannot be
-	// attempted timer.
+	// attempted again.
 	streamStallTimeout = 5 * time.Second
 	// writeStallTimeout is how long a server may accept no bytes of a request.
 	writeStallTimeout = 2 * time.Second
 	// maxBufferedBody is how much of a long response is buffered before it is streamed. Broken
-	// responses mostly break near their start, and until then the request can be attempted timer.
+	// responses mostly break near their start, and until then the request can be attempted again.
 	maxBufferedBody = 16 << 10
 	// idleFraction is the fraction of the idle limit after which an idle connection is closed. The
 	// server closes it at the limit, and a request sent at that moment is lost to a reset.
@@ -291,7 +291,7 @@
 
 // write writes m and its remaining time. If the body is still arriving, it calls uploaded when all
 // of it is written.
-func (c *conn) write(m *httpmsg.Message, left time.Duration, uploaded func()) error {
+func (c *conn) write(m *httpmsg.Message, remaining time.Duration, uploaded func()) error {
 	w := c.w
 	w.WriteString(m.Method)
 	w.WriteByte(' ')
@@ -300,8 +300,8 @@
 	w.WriteString(m.Host)
 	w.WriteString("\r\n")
 	w.Write(m.Lines)
-	if left > 0 {
-		c.writeInt("X-Timeout-Ms: ", max(1, left.Milliseconds()))
+	if remaining > 0 {
+		c.writeInt("X-Timeout-Ms: ", max(1, remaining.Milliseconds()))
 	}
 	if m.Rest != nil {
 		return c.upload(m, uploaded)
@@ -321,7 +321,7 @@
 }
 
 // errEarlyResponse reports that a response has begun before the request was fully written.
-var errEarlyResponse = errors.New("the upstream answers early")
+var errEarlyResponse = errors.New("the response began before the request was complete")
 
 // errBodySource wraps an error of the source of a request body, which is not the server's fault.
 type errBodySource struct{ error }
@@ -351,9 +351,9 @@
 }
 
 // sendBody writes a body as it arrives. The server may accept no bytes for up to stall. Once
-// answers reports that the server has responded, it returns errEarlyResponse. Errors of the body's
-// source are returned as errBodySource.
-func (c *conn) sendBody(m *httpmsg.Message, stall time.Duration, answers func() bool) error {
+// responded reports that the server has responded, it returns errEarlyResponse. Errors of the
+// body's source are returned as errBodySource.
+func (c *conn) sendBody(m *httpmsg.Message, stall time.Duration, responded func() bool) error {
 	chunked := m.Length < 0
 	writePart := func(b []byte) error {
 		c.SetWriteDeadline(time.Now().Add(stall))
@@ -374,7 +374,7 @@
 	for {
 		n, err := m.Rest.Read(buf)
 		if n > 0 {
-			if answers() {
+			if responded() {
 				return errEarlyResponse
 			}
 			if err := writePart(buf[:n]); err != nil {
@@ -407,8 +407,8 @@
 // exchange writes m and reads the head of the response, which is then in c.head and still in c.r.
 // If the body of m is still arriving, it calls uploaded once all of it is written. early reports
 // that the response began before that.
-func (c *conn) exchange(m *httpmsg.Message, left time.Duration, uploaded func()) (code, minor int, early bool, err error) {
-	if err := c.write(m, left, uploaded); errors.Is(err, errEarlyResponse) {
+func (c *conn) exchange(m *httpmsg.Message, remaining time.Duration, uploaded func()) (code, minor int, early bool, err error) {
+	if err := c.write(m, remaining, uploaded); errors.Is(err, errEarlyResponse) {
 		early = true
 		// The upload may have lasted longer than the time that was left when it began.
 		if soon := time.Now().Add(responseStallTimeout); c.exchangeDeadline.Before(soon) {
@@ -439,7 +439,7 @@
 		}
 		c.head.Discard(c.r)
 	}
-	return 0, 0, early, errors.New("too many interim answers")
+	return 0, 0, early, errors.New("too many interim responses")
 }
 
 // status parses the status line of the head in c.head. Chunked responses with HTTP/1.0 are
--- a/internal/upstream/routed.go
+++ b/internal/upstream/routed.go
@@ -50,10 +50,10 @@
 	if m.Rest != nil {
 		x.proceedCh = make(chan struct{})
 	}
-	end := t.runRouted(a, x)
+	result := t.runRouted(a, x)
 	x.finish()
-	end.PayloadConsumed = bodyConsumed(a) // from here on this attempt reads no more of the body
-	return end
+	result.PayloadConsumed = bodyConsumed(a) // from here on this attempt reads no more of the body
+	return result
 }
 
 func (t *Transport) runRouted(a *engine.Attempt, x *routedExchange) engine.AttemptResult {
@@ -113,20 +113,20 @@
 		trailer = c.body.Trailer()
 		return !last && x.wasSent()
 	}
-	end := engine.AttemptResult{Status: policy.OK}
+	result := engine.AttemptResult{Status: policy.OK}
 	if j.Verdict != routes.Final {
-		end.AvoidFor = j.Avoid
-		if end.Status = policy.AppError; j.Verdict == routes.NotRun {
-			end.Status = policy.Overloaded
+		result.AvoidFor = j.Avoid
+		if result.Status = policy.AppError; j.Verdict == routes.NotRun {
+			result.Status = policy.Overloaded
 		}
 		if x.bufferBody(answer) {
 			m.Terms.Keep(answer, j.Verdict == routes.NotRun)
 			t.releaseConn(a, c, reusable())
-			return end
+			return result
 		}
 		if j.Verdict == routes.NotRun || !x.canContinue() { // the body is incomplete or too long to be buffered
 			c.Close()
-			return end
+			return result
 		}
 	} else if x.bodyBuffered() {
 		answer.Body, err = c.body.UpTo(int64(c.r.Size()))
@@ -134,11 +134,11 @@
 			c.Close()
 			return t.routedFailure(a, x, err)
 		}
-		end.Reply = answer
+		result.Reply = answer
 		t.releaseConn(a, c, reusable() && c.body.Ended())
-		return end
+		return result
 	}
-	return t.streamBody(a, c, answer, end, func() bool { return !reusable() })
+	return t.streamBody(a, c, answer, result, func() bool { return !reusable() })
 }
 
 // releaseConn ends the use of c by an attempt whose response has been read.
@@ -187,7 +187,7 @@
 		x.SetReadDeadline(x.deadline)
 		x.mu.Unlock()
 	}
-	return 0, 0, errors.New("too many interim answers")
+	return 0, 0, errors.New("too many interim responses")
 }
 
 // bodyBuffered reports whether the whole body is in the read buffer, or there is no body.
@@ -320,7 +320,7 @@
 	return x.requestSent
 }
 
-// routedFailure returns the ending of an attempt that failed with err.
+// routedFailure returns the result of an attempt that failed with err.
 func (t *Transport) routedFailure(a *engine.Attempt, x *routedExchange, err error) engine.AttemptResult {
 	x.mu.Lock()
 	bodyErr, deadline := x.bodyErr, x.deadline
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -147,21 +147,21 @@
 		c.Close()
 		return t.failure(a, err)
 	}
-	end := engine.AttemptResult{Status: policy.OK}
+	result := engine.AttemptResult{Status: policy.OK}
 	var answer *httpmsg.Answer
 	if code == http.StatusOK {
 		answer = &httpmsg.Answer{}
-	} else if end.Status = policy.AppError; code/100 == 4 {
-		end.Status = policy.Rejected
+	} else if result.Status = policy.AppError; code/100 == 4 {
+		result.Status = policy.Rejected
 	}
 	format := t.loadFormat.Load()
 	for _, f := range c.head.Fields {
 		switch {
 		case format.inline && f.Is("X-Server-Load"):
-			end.Load = t.parseReport(to, string(f.Value), format.fields)
+			result.Load = t.parseReport(to, string(f.Value), format.fields)
 		case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 			f.Is("X-Not-Processed") && string(f.Value) == "1":
-			end.Status = policy.Overloaded
+			result.Status = policy.Overloaded
 		}
 		if answer != nil && !c.head.Hop(f) {
 			if answer.Lines == nil {
@@ -180,7 +180,7 @@
 	if answer != nil && err == nil && !c.body.Ended() {
 		answer.Body = body
 		c.exchangeDeadline, c.stallTimeout = time.Now().Add(maxStreamTime), streamStallTimeout
-		return t.streamBody(a, c, answer, end, func() bool { return last })
+		return t.streamBody(a, c, answer, result, func() bool { return last })
 	}
 	active := a.OnCancel(nil) // from here on c does not belong to the attempt
 	if last || err != nil || !active || !c.body.Ended() {
@@ -193,16 +193,16 @@
 			return t.failure(a, err)
 		}
 		answer.Body = body
-		end.Reply = answer
+		result.Reply = answer
 	}
-	end.PayloadConsumed = bodyConsumed(a)
-	return end
+	result.PayloadConsumed = bodyConsumed(a)
+	return result
 }
 
-// streamBody passes a long response on as it arrives, and waits for its end. It returns end if the
-// body is complete or its reader closed it. last reports whether the connection can carry no
+// streamBody passes a long response on as it arrives, and waits for its end. It returns result if
+// the body is complete or its reader closed it. last reports whether the connection can carry no
 // further exchange after a complete body.
-func (t *Transport) streamBody(a *engine.Attempt, c *conn, answer *httpmsg.Answer, end engine.AttemptResult, last func() bool) engine.AttemptResult {
+func (t *Transport) streamBody(a *engine.Attempt, c *conn, answer *httpmsg.Answer, result engine.AttemptResult, last func() bool) engine.AttemptResult {
 	rest := &streamedBody{c: c, done: make(chan struct{}), finish: func(err error) {
 		if a.OnCancel(nil) && err == io.EOF && !last() {
 			t.pool.putIdle(c)
@@ -224,7 +224,7 @@
 	}
 	<-rest.done
 	if rest.err == io.EOF || rest.err == nil { // closed by its reader, which says nothing about the server
-		return end
+		return result
 	}
 	return t.failure(a, rest.err)
 }
@@ -246,7 +246,7 @@
 	return t.pool.dial(ctx, to, a.Deadline, func() { a.SetStage(engine.StageConnect) })
 }
 
-// failure returns the ending of an attempt without a complete response.
+// failure returns the result of an attempt without a complete response.
 func (t *Transport) failure(a *engine.Attempt, err error) engine.AttemptResult {
 	status := policy.Reset
 	var notWritten errNotWritten
