--- a/members/sim_test.go
+++ b/members/sim_test.go
@@ -14,229 +14,229 @@
 	sec = time.Second
 )
 
-// link is how datagrams fare in one direction between two.
+// link describes the delivery of datagrams in one direction between two processes.
 type link struct {
-	cut         bool
-	loss, dup   float64
-	least, var_ time.Duration
+	cut              bool
+	loss, dup        float64
+	minDelay, jitter time.Duration
 }
 
-// world is processes in virtual time. Equal seeds give equal plays.
-type world struct {
-	t        testing.TB
-	rng      *rand.Rand
-	now      time.Duration
-	queue    happenings
-	seq      int
-	all      []*process
-	at       map[netip.AddrPort]int
-	link     func(from, to int) link
-	every    time.Duration
-	baseline int         // processes, if plain SWIM is played in place of Nodes
-	alter    func(*Node) // changes each new node
-	false_   int         // verdicts on processes that were up and never cut or stopped
-	flaps    map[string]int
-	fault    map[int]bool // whose verdicts are no mistakes
-	onEvent  func(of int, e Event)
+// simulation runs processes in virtual time. Equal seeds give equal runs.
+type simulation struct {
+	t             testing.TB
+	rng           *rand.Rand
+	now           time.Duration
+	events        eventQueue
+	seq           int
+	processes     []*process
+	byAddress     map[netip.AddrPort]int
+	link          func(from, to int) link
+	tickInterval  time.Duration
+	swimSize      int         // number of processes if plain SWIM runs in place of Nodes
+	modifyNode    func(*Node) // applied to each new node
+	falseVerdicts int         // verdicts on processes that were up and never cut off or stalled
+	flaps         map[string]int
+	faulty        map[int]bool // processes on which a verdict is not an error
+	onEvent       func(of int, e Event)
 }
 
-// player is what the world plays: a Node, or the baseline.
-type player interface {
+// participant is what the simulation runs: a Node, or plain SWIM.
+type participant interface {
 	Tick(time.Duration)
 	Receive(time.Duration, []byte)
 	Ready() ([]Datagram, []Event)
 }
 
 type process struct {
-	player
-	n      *Node
-	up     bool
-	frozen time.Duration // until then it stands still
-	inbox  [][]byte
-	clock  bool // it stands
-	start  int
-	bytes  int
-	events []Event
+	participant
+	n            *Node
+	up           bool
+	frozenUntil  time.Duration // until then the process is stalled
+	inbox        [][]byte
+	clockStopped bool // the process receives no ticks
+	generation   int
+	bytes        int
+	events       []Event
 }
 
-type happening struct {
+type scheduledEvent struct {
 	at  time.Duration
 	seq int
-	f   func()
+	run func()
 }
 
-type happenings []happening
+type eventQueue []scheduledEvent
 
-func (h happenings) Len() int { return len(h) }
-func (h happenings) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (h happenings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(x any)   { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any {
-	old := *h
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	x := old[len(old)-1]
-	*h = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return x
 }
 
-func newWorld(t testing.TB, seed uint64) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), at: map[netip.AddrPort]int{}, every: 50 * ms, flaps: map[string]int{}, fault: map[int]bool{}}
-	w.link = func(int, int) link { return link{least: ms, var_: 2 * ms} }
-	return w
+func newSimulation(t testing.TB, seed uint64) *simulation {
+	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), byAddress: map[netip.AddrPort]int{}, tickInterval: 50 * ms, flaps: map[string]int{}, faulty: map[int]bool{}}
+	sim.link = func(int, int) link { return link{minDelay: ms, jitter: 2 * ms} }
+	return sim
 }
 
-func (w *world) after(d time.Duration, f func()) {
-	w.seq++
-	heap.Push(&w.queue, happening{w.now + d, w.seq, f})
+func (sim *simulation) after(d time.Duration, run func()) {
+	sim.seq++
+	heap.Push(&sim.events, scheduledEvent{sim.now + d, sim.seq, run})
 }
 
-func (w *world) run(d time.Duration) {
-	end := w.now + d
-	for len(w.queue) > 0 && w.queue[0].at <= end {
-		h := heap.Pop(&w.queue).(happening)
-		w.now = h.at
-		h.f()
+func (sim *simulation) run(d time.Duration) {
+	end := sim.now + d
+	for len(sim.events) > 0 && sim.events[0].at <= end {
+		event := heap.Pop(&sim.events).(scheduledEvent)
+		sim.now = event.at
+		event.run()
 	}
-	w.now = end
+	sim.now = end
 }
 
 func addrOf(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(1 + i>>16), byte(i >> 8), byte(i)}), 7946)
 }
 
-// config is that of process i at its present start.
-func (w *world) config(i, start int) Config {
-	return Config{Name: fmt.Sprintf("p%d", i), Zone: "z", Cluster: "c", Address: addrOf(i), Epoch: uint64(1_700_000_000_000 + int(w.now/ms) + start), Seed: w.rng.Uint64()}
+// config returns the configuration of process i for its current start.
+func (sim *simulation) config(i, start int) Config {
+	return Config{Name: fmt.Sprintf("p%d", i), Zone: "z", Cluster: "c", Address: addrOf(i), Epoch: uint64(1_700_000_000_000 + int(sim.now/ms) + start), Seed: sim.rng.Uint64()}
 }
 
-// add starts n processes that know the first ones as seeds.
-func (w *world) add(n int) {
+// add starts n processes that use the first ones as seeds.
+func (sim *simulation) add(n int) {
 	for range n {
-		w.all = append(w.all, &process{})
-		w.start(len(w.all)-1, nil)
+		sim.processes = append(sim.processes, &process{})
+		sim.start(len(sim.processes)-1, nil)
 	}
 }
 
-func (w *world) start(i int, change func(*Config)) {
-	p := w.all[i]
-	p.start++
-	cfg := w.config(i, p.start)
-	if change != nil {
-		change(&cfg)
+func (sim *simulation) start(i int, modify func(*Config)) {
+	p := sim.processes[i]
+	p.generation++
+	cfg := sim.config(i, p.generation)
+	if modify != nil {
+		modify(&cfg)
 	}
 	n, err := New(cfg)
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	if w.alter != nil {
-		w.alter(n)
+	if sim.modifyNode != nil {
+		sim.modifyNode(n)
 	}
 	n.SetSeeds([]netip.AddrPort{addrOf(0), addrOf(1), addrOf(2)})
-	p.n, p.player, p.up, p.inbox = n, n, true, nil
-	if w.baseline > 0 {
-		p.player = newSWIM(i, w.baseline, w.rng.Uint64())
+	p.n, p.participant, p.up, p.inbox = n, n, true, nil
+	if sim.swimSize > 0 {
+		p.participant = newSWIM(i, sim.swimSize, sim.rng.Uint64())
 	}
-	w.at[cfg.Address] = i
-	mine := p.start
+	sim.byAddress[cfg.Address] = i
+	generation := p.generation
 	var tick func()
 	tick = func() {
-		if !p.up || p.start != mine {
+		if !p.up || p.generation != generation {
 			return
 		}
-		if w.now >= p.frozen {
-			w.wake(i)
-			if !p.clock {
-				p.Tick(w.now)
+		if sim.now >= p.frozenUntil {
+			sim.receiveInbox(i)
+			if !p.clockStopped {
+				p.Tick(sim.now)
 			}
-			w.flush(i)
+			sim.flush(i)
 		}
-		w.after(w.every, tick)
+		sim.after(sim.tickInterval, tick)
 	}
-	w.after(time.Duration(w.rng.Int64N(int64(w.every))), tick)
+	sim.after(time.Duration(sim.rng.Int64N(int64(sim.tickInterval))), tick)
 }
 
-func (w *world) wake(i int) {
-	p := w.all[i]
+func (sim *simulation) receiveInbox(i int) {
+	p := sim.processes[i]
 	inbox := p.inbox
 	p.inbox = nil
 	for _, b := range inbox {
-		p.Receive(w.now, b)
+		p.Receive(sim.now, b)
 	}
 }
 
-func (w *world) kill(i int) { w.all[i].up = false; w.fault[i] = true }
+func (sim *simulation) kill(i int) { sim.processes[i].up = false; sim.faulty[i] = true }
 
-func (w *world) freeze(i int, d time.Duration) { w.all[i].frozen = w.now + d }
+func (sim *simulation) freeze(i int, d time.Duration) { sim.processes[i].frozenUntil = sim.now + d }
 
-func (w *world) flush(i int) {
-	p := w.all[i]
+func (sim *simulation) flush(i int) {
+	p := sim.processes[i]
 	sends, events := p.Ready()
 	for _, e := range events {
 		p.events = append(p.events, e)
-		if w.onEvent != nil {
-			w.onEvent(i, e)
+		if sim.onEvent != nil {
+			sim.onEvent(i, e)
 		}
 		if e.Kind == DeclaredGone {
-			w.flaps[fmt.Sprint(i, e.Member.Name)]++
+			sim.flaps[fmt.Sprint(i, e.Member.Name)]++
 			var of int
 			fmt.Sscanf(e.Member.Name, "p%d", &of)
-			if !w.fault[of] {
-				w.false_++
+			if !sim.faulty[of] {
+				sim.falseVerdicts++
 			}
 		}
 	}
 	for _, d := range sends {
 		p.bytes += len(d.Data)
 		if len(d.Data) > p.n.cfg.DatagramSize {
-			w.t.Fatalf("a datagram of %d bytes", len(d.Data))
+			sim.t.Fatalf("datagram of %d bytes exceeds DatagramSize", len(d.Data))
 		}
-		to, ok := w.at[d.To]
+		to, ok := sim.byAddress[d.To]
 		if !ok {
 			continue
 		}
-		w.carry(i, to, d.Data)
+		sim.deliver(i, to, d.Data)
 	}
 }
 
-func (w *world) carry(from, to int, b []byte) {
-	l := w.link(from, to)
+func (sim *simulation) deliver(from, to int, b []byte) {
+	l := sim.link(from, to)
 	copies := 1
-	if l.dup > 0 && w.rng.Float64() < l.dup {
+	if l.dup > 0 && sim.rng.Float64() < l.dup {
 		copies = 2
 	}
 	for range copies {
-		if l.cut || l.loss > 0 && w.rng.Float64() < l.loss {
+		if l.cut || l.loss > 0 && sim.rng.Float64() < l.loss {
 			continue
 		}
-		d := l.least
-		if l.var_ > 0 {
-			d += time.Duration(w.rng.Int64N(int64(l.var_)))
+		d := l.minDelay
+		if l.jitter > 0 {
+			d += time.Duration(sim.rng.Int64N(int64(l.jitter)))
 		}
-		w.after(d, func() {
-			q := w.all[to]
+		sim.after(d, func() {
+			q := sim.processes[to]
 			switch {
 			case !q.up:
-			case w.now < q.frozen:
-				if len(q.inbox) < 200 { // what a socket's buffer holds
+			case sim.now < q.frozenUntil:
+				if len(q.inbox) < 200 { // capacity of a socket buffer
 					q.inbox = append(q.inbox, b)
 				}
 			default:
-				w.wake(to)
-				q.Receive(w.now, b)
-				w.flush(to)
+				sim.receiveInbox(to)
+				q.Receive(sim.now, b)
+				sim.flush(to)
 			}
 		})
 	}
 }
 
-// agreed reports whether those of the processes that are up and of part (all: nil) know just one another.
-func (w *world) agreed(part func(int) bool) bool {
+// converged reports whether the included processes that are up (nil: all) know exactly one another.
+func (sim *simulation) converged(included func(int) bool) bool {
 	want, count := uint64(0), 0
 	var views []uint64
-	for i, p := range w.all {
-		if p.up && (part == nil || part(i)) && p.n.self.there() && !p.n.out {
-			want += mark(&p.n.self)
+	for i, p := range sim.processes {
+		if p.up && (included == nil || included(i)) && p.n.self.present() && !p.n.displaced {
+			want += digestOf(&p.n.self)
 			count++
 			views = append(views, p.n.ViewDigest())
 		}
@@ -249,28 +249,28 @@
 	return count > 0
 }
 
-// until runs until f holds, at most d, and returns how long that took.
-func (w *world) until(d time.Duration, f func() bool) time.Duration {
-	began := w.now
-	for w.now-began < d {
+// until runs until f holds, for at most d, and returns how long that took.
+func (sim *simulation) until(d time.Duration, f func() bool) time.Duration {
+	started := sim.now
+	for sim.now-started < d {
 		if f() {
-			return w.now - began
+			return sim.now - started
 		}
-		w.run(50 * ms)
+		sim.run(50 * ms)
 	}
 	if !f() {
-		w.t.Errorf("not within %v: %s", d, w)
+		sim.t.Errorf("not within %v: %s", d, sim)
 	}
-	return w.now - began
+	return sim.now - started
 }
 
-func (w *world) String() string {
+func (sim *simulation) String() string {
 	text := ""
-	for i, p := range w.all {
+	for i, p := range sim.processes {
 		if i == 12 {
 			return text + "..."
 		}
-		text += fmt.Sprintf("[%d up=%v living=%d out=%v] ", i, p.up, p.n.LiveCount(), p.n.out)
+		text += fmt.Sprintf("[%d up=%v living=%d out=%v] ", i, p.up, p.n.LiveCount(), p.n.displaced)
 	}
 	return text
 }
