--- a/internal/sockets/budget.go
+++ b/internal/sockets/budget.go
@@ -40,7 +40,8 @@
 
 	scaling       sync.Mutex         // held while withheld changes
 	cancelScaling context.CancelFunc // ends the withholding that is under way
-	withheld      [2]atomic.Int32    // places that this process must not use at present: of all, and of clients
+	// Withheld places must not be used by this process at present: of all, and of clients.
+	withheld [2]atomic.Int32
 }
 
 // New returns the budget of a process that may use limit descriptors, which must exceed Reserved.
--- a/internal/sockets/quota.go
+++ b/internal/sockets/quota.go
@@ -82,8 +82,9 @@
 	s.quota.notifyWaiters()
 }
 
-// canTake reports whether s may take n more places. Within its guarantee it always may, as no other
-// share can use those; beyond it, the unused guarantees of the other shares stay free.
+// canTake reports whether s may take n more places: the unused guarantees of the other shares have
+// to stay free. Within its guarantee s can always take places, as no other share can use those,
+// unless others took them before the guarantee was raised and have not given them back yet.
 func (q *Quota) canTake(s *Share, n int64) bool {
 	reserved := int64(0)
 	for o := range q.shares {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -140,7 +140,8 @@
 			return nil
 		}
 		c := list[i]
-		p.idle[to] = slices.Delete(list, i, i+1) // empty lists are deleted by closeIdle or closeIdleTo, as upstreams come and go
+		// CloseIdle and closeIdleTo delete empty lists, as upstreams come and go.
+		p.idle[to] = slices.Delete(list, i, i+1)
 		p.mu.Unlock()
 		c.resetExchange(deadline)
 		if time.Since(c.idleSince) < time.Duration(p.idleTimeout.Load()) && c.noPendingData() {
@@ -468,11 +469,14 @@
 // streamedBody is the rest of a response that is streamed. It implements io.ReadCloser, for use by
 // one goroutine.
 type streamedBody struct {
-	c      *conn
-	finish func(error) // makes the connection idle, or closes it; gets io.EOF if all was read, nil if closed early
+	c *conn
+	// Finish makes the connection idle, or closes it. It gets io.EOF if all was read, nil if closed
+	// early.
+	finish func(error)
 	ended  atomic.Bool
 	done   chan struct{} // closed once the body is read to its end or closed
-	err    error         // set before done is closed: what ended the body; nil: it was closed before its end
+	// Err is set before done is closed: what ended the body; nil: it was closed before its end.
+	err error
 }
 
 // Read implements io.Reader. The last bytes come with io.EOF. After that the connection may belong
--- a/internal/upstream/routed.go
+++ b/internal/upstream/routed.go
@@ -39,7 +39,8 @@
 	requestSent bool      // the request has been fully written
 	bodyErr     error     // an error of the source of the request body
 
-	proceedCh   chan struct{} // closed when the server requests the body, or when the attempt has ended
+	// ProceedCh is closed when the server requests the body, or when the attempt has ended.
+	proceedCh   chan struct{}
 	proceedOnce sync.Once
 }
 
@@ -124,7 +125,8 @@
 			t.releaseConn(a, c, reusable())
 			return result
 		}
-		if j.Verdict == routes.NotRun || !x.canContinue() { // the body is incomplete or too long to be buffered
+		// The body is incomplete or too long to be buffered.
+		if j.Verdict == routes.NotRun || !x.canContinue() {
 			c.Close()
 			return result
 		}
@@ -143,7 +145,8 @@
 
 // releaseConn ends the use of c by an attempt whose response has been read.
 func (t *Transport) releaseConn(a *engine.Attempt, c *conn, reusable bool) {
-	if active := a.OnCancel(nil); active && reusable { // from here on c does not belong to the attempt
+	// From here on c does not belong to the attempt.
+	if active := a.OnCancel(nil); active && reusable {
 		t.pool.putIdle(c)
 	} else {
 		c.Close()
@@ -335,7 +338,8 @@
 		if x.bytesWritten.Load() > 0 {
 			status = policy.Canceled
 		}
-	case errors.As(err, &notWritten), x.bytesWritten.Load() == 0: // whatever the cause, the server received nothing of it
+	case errors.As(err, &notWritten), x.bytesWritten.Load() == 0:
+		// Whatever the cause, the server received nothing of it.
 		status = policy.ConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded) && !deadline.IsZero() && !time.Now().Before(deadline) && x.wasSent():
 		status = policy.Timeout
--- a/internal/upstream/streamed_body_test.go
+++ b/internal/upstream/streamed_body_test.go
@@ -27,7 +27,8 @@
 			c.body.Reset(c.r, 6, false) // as the next exchange does
 		}
 		var got []byte
-		buf := make([]byte, 5) // exactly the size of the body, so that only the framing tells the end
+		// Exactly the size of the body, so that only the framing tells the end.
+		buf := make([]byte, 5)
 		var err error
 		for range 10 {
 			var n int
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -223,7 +223,8 @@
 		return engine.AttemptResult{Status: policy.Canceled}
 	}
 	<-rest.done
-	if rest.err == io.EOF || rest.err == nil { // closed by its reader, which says nothing about the server
+	// A body that its reader closed says nothing about the server.
+	if rest.err == io.EOF || rest.err == nil {
 		return result
 	}
 	return t.failure(a, rest.err)
@@ -254,11 +255,13 @@
 	switch {
 	case a.Canceled():
 		status = policy.Canceled
-	case errors.Is(err, sockets.ErrNoDescriptor) || errors.As(err, &bodyErr): // not the server's fault
+	case errors.Is(err, sockets.ErrNoDescriptor) || errors.As(err, &bodyErr):
+		// Not the server's fault.
 		status = policy.NotSent
 	case errors.As(err, &notWritten): // whatever the cause, the server never had the whole request
 		status = policy.ConnectFailed
-	case errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(a.Deadline): // otherwise the response has stalled
+	case errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(a.Deadline):
+		// Otherwise the response has stalled.
 		status = policy.Timeout
 	}
 	t.log.Debug("attempt", "request", a.ExternalID(), "upstream", a.Server, "status", status, "err", err)
