--- a/internal/sockets/budget.go
+++ b/internal/sockets/budget.go
@@ -40,7 +40,7 @@
 
 	scaling       sync.Mutex         // held while withheld changes
 	cancelScaling context.CancelFunc // ends the withholding that is under way
-	// Withheld places must not be used by this process at present: of all, and of clients.
+	// withheld counts the places that this process must not use at present: of all, and of clients.
 	withheld [2]atomic.Int32
 }
 
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -470,12 +470,12 @@
 // one goroutine.
 type streamedBody struct {
 	c *conn
-	// Finish makes the connection idle, or closes it. It gets io.EOF if all was read, nil if closed
+	// finish makes the connection idle, or closes it. It gets io.EOF if all was read, nil if closed
 	// early.
 	finish func(error)
 	ended  atomic.Bool
 	done   chan struct{} // closed once the body is read to its end or closed
-	// Err is set before done is closed: what ended the body; nil: it was closed before its end.
+	// err is set before done is closed: what ended the body; nil: it was closed before its end.
 	err error
 }
 
--- a/internal/upstream/routed.go
+++ b/internal/upstream/routed.go
@@ -39,7 +39,7 @@
 	requestSent bool      // the request has been fully written
 	bodyErr     error     // an error of the source of the request body
 
-	// ProceedCh is closed when the server requests the body, or when the attempt has ended.
+	// proceedCh is closed when the server requests the body, or when the attempt has ended.
 	proceedCh   chan struct{}
 	proceedOnce sync.Once
 }
