--- a/internal/httpfront/drain.go
+++ b/internal/httpfront/drain.go
@@ -7,21 +7,24 @@
 )
 
 const (
-	// sweepEvery is how often a server that drains looks for quiet connections, and freshTime how long a new one may be
-	// quiet then: it was opened to be used at once. usedTime is the same of one that was used: a client that asks again
-	// and again is about to, and learns with its next answer that the connection ends, while a request that crosses the
-	// close is turned back unheard.
-	sweepEvery = 20 * time.Millisecond
-	freshTime  = time.Second
-	usedTime   = 100 * time.Millisecond
-	// lastReads is how long what has come by the exit may take to be read and refused.
-	lastReads = 20 * time.Millisecond
+	// sweepInterval is the interval at which a draining server looks for idle connections.
+	// newConnGrace is how long a new connection may then be idle: it was opened to be used at
+	// once. usedConnGrace is the same for a used connection: a client that sends requests
+	// continuously is about to send the next one and learns from its response that the connection
+	// ends, whereas a request that crosses the close is reset unread.
+	sweepInterval = 20 * time.Millisecond
+	newConnGrace  = time.Second
+	usedConnGrace = 100 * time.Millisecond
+	// finalReadTime limits how long data that has arrived by the exit may take to be read and
+	// refused.
+	finalReadTime = 20 * time.Millisecond
 )
 
-// Drain begins the end of the server, or brings it forward. Every answer is the last one of its connection, and
-// connections on which none is owed are closed: a request that crosses this comes again on a new connection, which is
-// still accepted. From the points of the schedule on nothing is forwarded any more, all that was read has its answer,
-// and all is closed. It is not undone by Rejoin.
+// Drain begins the shutdown of the server. If it has already begun, the earlier times of both
+// schedules apply. Every response closes its connection, and connections that wait for no
+// response are closed. A client whose request crosses the close repeats it on a new connection,
+// which is still accepted. The schedule determines when forwarding stops, when every request read
+// has its response, and when all connections are closed. Rejoin does not undo Drain.
 func (s *Server) Drain(schedule shutdown.Schedule) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,105 +33,108 @@
 	s.sweep()
 }
 
-// Evacuate does what Drain does, but at no time, and has the sidecar say that it is not ready, until Rejoin. New
-// connections are still served: whoever sends clients here learns of it only after a while.
+// Evacuate closes connections as Drain does, but without a schedule, and makes readiness probes
+// fail until Rejoin is called. New connections are still served, because whoever routes clients
+// here notices the change only after a while.
 func (s *Server) Evacuate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = true
+	s.evacuated = true
 	s.sweep()
 }
 
-// Rejoin ends what Evacuate began.
+// Rejoin undoes Evacuate.
 func (s *Server) Rejoin() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = false
+	s.evacuated = false
 }
 
-// draining reports whether connections are not kept. Called with the lock held.
-func (s *Server) draining() bool { return !s.schedule.IsZero() || s.away }
+// draining reports whether connections are to be closed after their responses. s.mu must be held.
+func (s *Server) draining() bool { return !s.schedule.IsZero() || s.evacuated }
 
-// sweep closes quiet connections now and as they become quiet, as long as the server drains. Each is closed after a look
-// that nothing has come, never because of its phase alone: an answer that was written just before did not say that its
-// connection ends, and the next request may be there. Called with the lock held.
+// sweep closes idle connections now, and again at each sweepInterval while the server drains. A
+// connection is closed only after a check that no data has arrived, never because of its phase
+// alone: a response written just before did not announce the close, and the next request may have
+// arrived. s.mu must be held.
 func (s *Server) sweep() {
-	s.closeQuiet(usedTime, freshTime)
+	s.closeIdle(usedConnGrace, newConnGrace)
 	if s.sweeping {
 		return
 	}
 	s.sweeping = true
-	time.AfterFunc(sweepEvery, func() {
+	time.AfterFunc(sweepInterval, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.sweeping = false
-		if s.draining() && !s.over {
+		if s.draining() && !s.closed {
 			s.sweep()
 		}
 	})
 }
 
-// closeQuiet closes connections on which nothing has come for a time, if they were used before or if they are fresh.
-// Called with the lock held.
-func (s *Server) closeQuiet(used, unused time.Duration) {
+// closeIdle closes used connections that have been idle for at least used, and new ones that have
+// been idle for at least unused, if no data has arrived on them. s.mu must be held.
+func (s *Server) closeIdle(used, unused time.Duration) {
 	for c := range s.conns {
-		quiet := time.Since(c.since)
-		if (c.phase == idle && quiet >= used || c.phase == fresh && quiet >= unused) && !c.heard.Load() && c.peek.Empty() {
-			s.drop(c)
+		idle := time.Since(c.since)
+		if (c.phase == phaseIdle && idle >= used || c.phase == phaseNew && idle >= unused) && !c.received.Load() && c.peek.Empty() {
+			s.closeConn(c)
 		}
 	}
 }
 
-// stopForwarding has nothing more sent for the requests that are open; mayServe lets no others in.
+// stopForwarding stops sending for all open requests; admit rejects further ones.
 func (s *Server) stopForwarding() {
 	for _, open := range s.openRequests() {
 		open.engine.StopSending(open.request)
 	}
 }
 
-// answerAll has all requests answered that are open, and all refused that have come in part. What comes later is refused
-// as soon as it is heard: see serve.
+// answerAll ends all open requests and refuses those that have been read in part. Later ones are
+// refused as soon as their first byte arrives: see serve.
 func (s *Server) answerAll() {
-	s.answersDue()
+	s.endAnswerCtx()
 	for _, open := range s.openRequests() {
 		open.engine.GiveUp(open.request)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if c.phase == reading {
+		if c.phase == phaseReading {
 			c.SetReadDeadline(time.Now())
 		}
 	}
 }
 
-// openRequests returns the requests that are open.
+// openRequests returns all open requests.
 func (s *Server) openRequests() []openRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []openRequest
 	for c := range s.conns {
-		if c.open.request != nil {
-			all = append(all, c.open)
+		if c.current.request != nil {
+			all = append(all, c.current)
 		}
 	}
 	return all
 }
 
-// Exited is closed once the schedule's exit has come, or all connections were closed for good.
+// Exited returns a channel that is closed at the exit time of the schedule, or when CloseAll is
+// called.
 func (s *Server) Exited() <-chan struct{} { return s.sequencer.Exited() }
 
-// Wait waits until Serve and all connections have ended. At the exit it closes those that are left, and reports false if
-// there were requests among them.
+// Wait waits until Serve and all connections have ended. At the exit time it closes the remaining
+// connections, and reports false if some still had requests.
 func (s *Server) Wait() bool {
 	select {
-	case <-s.served:
+	case <-s.serveDone:
 	case <-s.Exited():
 		s.endAccepting()
 	}
 	ended := make(chan struct{})
 	go func() {
-		s.open.Wait()
+		s.connWG.Wait()
 		close(ended)
 	}()
 	select {
@@ -137,39 +143,39 @@
 	case <-s.Exited():
 	}
 	s.mu.Lock()
-	s.closeQuiet(0, 0)
+	s.closeIdle(0, 0)
 	s.mu.Unlock()
 	select {
 	case <-ended:
 		return true
-	case <-time.After(lastReads):
+	case <-time.After(finalReadTime):
 	}
 	s.CloseAll()
 	return false
 }
 
-// endAccepting has no further connection taken: none is once it has returned.
+// endAccepting stops accepting. Once it has returned, no further connection is served.
 func (s *Server) endAccepting() {
 	s.stopAccepting()
-	s.mu.Lock() // take holds it while it adds one
+	s.mu.Lock() // startConn holds it while it adds a connection
 	defer s.mu.Unlock()
 }
 
-// CloseAll closes all connections, for good.
+// CloseAll closes all connections permanently.
 func (s *Server) CloseAll() {
 	s.endAccepting()
-	s.answersDue()
+	s.endAnswerCtx()
 	s.sequencer.Stop()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.over = true
+	s.closed = true
 	for c := range s.conns {
-		s.drop(c)
+		s.closeConn(c)
 	}
 }
 
-// Close closes all connections, for good, and waits until nothing serves them any more.
+// Close closes all connections permanently and waits for their goroutines.
 func (s *Server) Close() {
 	s.CloseAll()
-	s.open.Wait()
+	s.connWG.Wait()
 }
