--- a/policy/api.go
+++ b/policy/api.go
@@ -3,38 +3,39 @@
 // time, and the Balancer answers by calling methods of Actions. It starts no
 // goroutines and reads no clock, so equal events give equal actions.
 //
-// This file is the whole interface; every decision is in policy.go.
+// This file declares the types of the interface: configuration, events and actions. The decisions
+// are in policy.go.
 package policy
 
 import "time"
 
-// Time is an instant on the host's monotonic clock; its origin means nothing.
+// Time is an instant on the host's monotonic clock; its origin is arbitrary.
 type Time = time.Duration
 
-// ServerID names a server. Only equality, order and hash of it are used.
+// ServerID names a server. Only its equality, order and hash are used.
 type ServerID string
 
-// RequestID names a request; the host never uses one twice.
+// RequestID names a request. The host never reuses an ID.
 type RequestID uint64
 
-// Effect says what repeating a request of a class may do.
+// Effect says whether a request of a class may be repeated.
 type Effect int
 
 // The effects.
 const (
 	Safe   Effect = iota // may be repeated freely
-	Keyed                // repeats are dropped within a group for a while
+	Keyed                // a group drops repeats of the same key for KeyTTL
 	Unsafe               // must never run twice
 )
 
-// Group says which servers drop the repeats of a keyed request.
+// Group says which servers recognize and drop repeats of a keyed request.
 type Group int
 
 // The groups.
 const (
 	GroupAll  Group = iota // every server
-	GroupZone              // the servers of the zone that got it first
-	GroupCell              // the servers of the cell that got it first
+	GroupZone              // the servers of the zone that received it first
+	GroupCell              // the servers of the cell that received it first
 )
 
 // Class describes one class of requests.
@@ -42,51 +43,53 @@
 	Name      string
 	Effect    Effect
 	Group     Group         // for Keyed
-	KeyTTL    time.Duration // for Keyed: how long repeats are dropped
-	Aim       time.Duration // answers within it have the full worth
-	Deadline  time.Duration // the client's patience over all its tries
+	KeyTTL    time.Duration // for Keyed: how long repeats are recognized
+	Aim       time.Duration // answers within this time have the full worth
+	Deadline  time.Duration // how long the client waits, over all its tries
 	Worth     float64
-	LateShare float64 // share of the worth left after Aim
+	LateShare float64 // share of Worth that an answer after Aim keeps
 }
 
-// Tenant describes one tenant's allowance over all sidecars.
+// Tenant describes the request rate one tenant is allowed over all sidecars.
 type Tenant struct {
 	Name               string
 	AllowancePerSecond float64 // requests a second
 }
 
-// Config is what a sidecar is told at start.
+// Config is the configuration of a Balancer. ColdOverloadFactor is a multiple of the current
+// capacity of the cold server.
 type Config struct {
-	Ordinal, GroupSize int // this sidecar's number among its peers
+	Ordinal, GroupSize int // this sidecar's index among its peers, and their number
 	Zone               string
 	Classes            []Class
 	Tenants            []Tenant
 	OverAllowanceWorth float64 // worth of traffic beyond a tenant's allowance
 
-	ListPushed             bool // the server list arrives unasked
+	ListPushed             bool // the server list is pushed, without a subscription
 	MayProbe               bool
 	MayCancel              bool
-	MayDuplicate           bool // a request may have two attempts out at once
-	ClientsHonorRetryAfter bool // clients heed the delay given with a refusal
+	MayDuplicate           bool // a request may have two outstanding attempts
+	ClientsHonorRetryAfter bool // clients wait for the delay given with a refusal
 	MaxAttempts            int
 	MaxRetryAfter          time.Duration
 	DialTimeout            time.Duration
 	ConnIdleTimeout        time.Duration
-	Tick                   time.Duration // least time between two events
+	Tick                   time.Duration // shortest time between two events
 
-	InlineReports    bool // answers carry load reports; otherwise only probes do
-	ServersCacheKeys bool // a server does less work for a key that it met lately
+	InlineReports    bool // answers carry load reports; otherwise only probe replies do
+	ServersCacheKeys bool // a server does less work for a key it has seen recently
 
-	RefreshInterval    time.Duration // without news this long, the list counts as told
-	AnswerGrace        time.Duration
-	ColdCapacity       float64       // least share of capacity at a server's start
-	Ramp               time.Duration // a server is warm after it
-	ColdOverloadFactor float64       // a cold server stands this multiple of its present capacity for a while; 0: not known
+	RefreshInterval    time.Duration // after this long without news the list is assumed to be known
+	AnswerGrace        time.Duration // how long after Request.Expires a final answer is still in time
+	ColdCapacity       float64       // minimum share of its capacity that a server has when it starts
+	Ramp               time.Duration // a server is warm this long after its start
+	ColdOverloadFactor float64       // overload that a cold server briefly withstands; 0: unknown
 
+	// Costs that traffic between sidecar and servers is charged with.
 	ProbeTariff, ConnectionTariff, HandshakeTariff, CrossZoneTariff float64
 }
 
-// ServerState is what the list says of a server.
+// ServerState is the state of a server according to the server list.
 type ServerState int
 
 // The server states.
@@ -106,37 +109,39 @@
 	Started Time // zero: long ago
 }
 
-// ListKind says how a list update is to be read.
+// ListKind says how to interpret a server list update.
 type ListKind int
 
 // The list kinds.
 const (
-	ListDelta  ListKind = iota // changed entries only
-	ListFull                   // everything; absent servers are gone
-	ListCached                 // everything, perhaps out of date
+	ListDelta  ListKind = iota // only changed entries
+	ListFull                   // complete; absent servers are gone
+	ListCached                 // complete, but possibly out of date
 	ListFailed                 // a call failed or the subscription broke
-	ListEnded                  // changed entries only, and nothing will be told any more
+	ListEnded                  // only changed entries, and no further update will come
 )
 
-// Complete reports whether servers that a list does not name are gone.
+// Complete reports whether servers missing from a list of kind k are gone.
 func (k ListKind) Complete() bool { return k == ListFull || k == ListCached }
 
-// Request is a client's request.
+// Request describes a client's request. While Uploading it can be sent only once, and its time
+// starts to count with the last byte of the body.
 type Request struct {
 	ID            RequestID
 	Class         string
 	Tenant        string
 	Key           string
-	Cost          time.Duration // rough expected work; zero: unknown
+	Cost          time.Duration // rough estimate of the work; zero: unknown
 	Retry         bool
-	Expires       Time           // the client gives this try up
-	ClientTimeout time.Duration  // what the client gave it, if that is known to be more than is left; zero: that
-	Uploading     bool           // it is still coming, can be sent only once, and its time counts from its end: see Uploaded
-	PriorAttempts []PriorAttempt // attempts under its key by requests before it, that may have run
+	Expires       Time           // when the client abandons this try
+	ClientTimeout time.Duration  // set by the client, if known and above the time left
+	Uploading     bool           // body still arriving; see UploadComplete
+	PriorAttempts []PriorAttempt // earlier attempts under the same key that may have run
 }
 
-// PriorAttempt is an attempt that was made for an earlier request under the same key and may have run. It bars what an attempt of this
-// request's own would bar, and counts as none of its attempts.
+// PriorAttempt is an attempt of an earlier request with the same key that may have run. It
+// restricts further sends like an attempt of the request itself, but does not count towards
+// MaxAttempts.
 type PriorAttempt struct {
 	Zone string
 	Cell int
@@ -146,7 +151,7 @@
 // Status says how an attempt or a probe ended.
 type Status int
 
-// The statuses. NotRun tells which prove that nothing was executed.
+// The statuses. NotRun reports which of them prove that nothing was executed.
 const (
 	OK Status = iota
 	AppError
@@ -156,21 +161,21 @@
 	Reset
 	Canceled
 	NotSent
-	Rejected // the server holds the request itself for unusable, which says nothing of the server's health
+	Rejected // the request is unusable; says nothing about the server's health
 )
 
 // NotRun reports whether s proves that the attempt was never executed.
 func (s Status) NotRun() bool { return s == Overloaded || s == ConnectFailed || s == NotSent }
 
-// Load is a server's report; negative fields were not reported.
+// Load is a server's load report. Negative fields were not reported.
 type Load struct {
-	Queue     float64 // requests that wait
-	Inflight  float64 // requests that it holds in all
+	Queue     float64 // waiting requests
+	Inflight  float64 // waiting and running requests
 	Latency   float64 // recent service time in milliseconds
-	ErrorRate float64 // errors a second
+	ErrorRate float64 // errors per second
 }
 
-// Outcome is the end of one attempt.
+// Outcome is the result of one attempt.
 type Outcome struct {
 	ID       RequestID
 	Attempt  int
@@ -178,11 +183,11 @@
 	Status   Status
 	Delay    time.Duration
 	Final    bool // the request has ended
-	NoResend bool // the request cannot be sent again, whatever the rules would allow
+	NoResend bool // the request cannot be sent again, even if the rules allow it
 	Load     *Load
 }
 
-// ProbeResult is the end of one probe.
+// ProbeResult is the result of one probe.
 type ProbeResult struct {
 	Server ServerID
 	Status Status
@@ -190,42 +195,44 @@
 	Load   *Load
 }
 
-// SitePlan says which sites, which are servers' zones, may take what, by what befalls them. It must give equal answers to equal
-// calls.
+// SitePlan decides which sites, which are the zones of servers, may serve a request. Decisions
+// depend on the recorded traffic. Equal calls must give equal results.
 type SitePlan interface {
-	// RecordRequest notes a request of a client, and whether it has asked before, as far as can be told.
+	// RecordRequest records a client's request, and whether the client has asked before, as far as
+	// that is known.
 	RecordRequest(now Time, class, tenant string, again bool)
-	// RecordAttempt notes an attempt at a server of a site.
+	// RecordAttempt records an attempt at a server of a site.
 	RecordAttempt(now Time, site string)
-	// HomeSites returns the sites that requests of a class and tenant are meant for, nil for all that are listed, and which part
-	// of them is meant for sites that the list has lost.
+	// HomeSites returns the sites assigned to the requests of a class and tenant (nil: all listed
+	// sites), and the share of them assigned to sites that are missing from the list.
 	HomeSites(class, tenant string) (sites []string, lost float64)
-	// Spill returns the site that takes over a request which is meant for the site from, empty for one that the list has lost,
-	// and may not go there. Where none has room to is empty, and after is when one may. weight is what the request is worth
-	// beside the most that any is, 0 to 1.
+	// Spill returns the site that takes over a request that is assigned to the site from and may
+	// not go there. An empty from is a site that is missing from the list. If no site has room,
+	// to is empty and after is the time until one may have. weight is the worth of the request
+	// relative to the highest of any request, 0 to 1.
 	Spill(now Time, class, tenant, from string, weight float64) (to string, after time.Duration)
-	// HasSpareCapacity reports whether what has been asked before may go to a site now: it has room for more than its own.
+	// HasSpareCapacity reports whether a site has room for retries beside its own requests.
 	HasSpareCapacity(now Time, to string, weight float64) bool
 }
 
-// Actions carries out what the Balancer decides. Calls take effect in order.
+// Actions carries out the decisions of a Balancer. Calls take effect in order.
 type Actions interface {
-	// Send starts the request's next attempt, numbered from 0.
+	// Send starts the request's next attempt. Attempts are numbered from 0.
 	Send(id RequestID, server ServerID, timeout time.Duration)
-	// Refuse ends a request, promising that a retry is harmless.
+	// Refuse ends a request with the promise that a retry is harmless.
 	Refuse(id RequestID, retryAfter time.Duration)
-	// Fail ends a request without any promise.
+	// Fail ends a request without that promise.
 	Fail(id RequestID)
-	// Cancel calls an attempt off.
+	// Cancel cancels an attempt.
 	Cancel(id RequestID, attempt int)
-	// SetTimer asks for a Timer event.
+	// SetTimer requests a Timer event with the given token.
 	SetTimer(after time.Duration, token string)
 	// Probe asks a server for a load report.
 	Probe(server ServerID)
 	// CloseIdle closes the idle connections to a server.
 	CloseIdle(server ServerID)
-	// Watch subscribes to the server list.
+	// Watch subscribes to the server list, or ends the subscription.
 	Watch(on bool)
-	// Log adds a line for staff.
+	// Log writes a log line for operators.
 	Log(text string)
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -47,7 +47,7 @@
 			s.Weight = 6
 		}
 		small.Weight = 2
-		b.rebuild() // the mean is 5
+		b.rebuildReadySet() // the mean is 5
 		for age := time.Duration(0); age <= cfg.Ramp; age += 50 * time.Millisecond {
 			large.Started, small.Started = now-age, now-age
 			can := cfg.ColdCapacity + (1-cfg.ColdCapacity)*float64(age)/float64(cfg.Ramp)
@@ -74,7 +74,7 @@
 		gap   time.Duration // between requests
 		most  float64       // of the time
 	}{
-		{"safe", time.Second, queueShare}, {"cheap", time.Second, queueShare / 4},
+		{"safe", time.Second, maxQueueShare}, {"cheap", time.Second, maxQueueShare / 4},
 		{"safe", 20 * time.Microsecond, 1}, {"cheap", 20 * time.Microsecond, 0.5},
 	} {
 		b, rec := start(t, cfg, 2)
@@ -88,14 +88,14 @@
 				t.Fatalf("%s: not sent", tt.class)
 			}
 			if i >= 1000 { // the gap is known by then
-				least, most = min(least, r.limit), max(most, r.limit)
+				least, most = min(least, r.delayLimit), max(most, r.delayLimit)
 			}
 			b.Outcome(now, Outcome{ID: id, Server: r.attempts[0].server.ID, Status: OK, Final: true}, rec)
 			rec.take("")
 		}
 		share := func(d time.Duration) float64 { return float64(d) / float64(200*time.Millisecond) }
-		if share(most) > tt.most*1.001 || share(most) < tt.most*0.97 || share(least) > tt.most*0.64 || share(least) < tt.most*(1-lateBand)*0.97 {
-			t.Errorf("%s, one in %v: %.3f to %.3f of the time, want %.3f to %.3f", tt.class, tt.gap, share(least), share(most), tt.most*(1-lateBand), tt.most)
+		if share(most) > tt.most*1.001 || share(most) < tt.most*0.97 || share(least) > tt.most*0.64 || share(least) < tt.most*(1-refusalBand)*0.97 {
+			t.Errorf("%s, one in %v: %.3f to %.3f of the time, want %.3f to %.3f", tt.class, tt.gap, share(least), share(most), tt.most*(1-refusalBand), tt.most)
 		}
 	}
 }
@@ -106,11 +106,11 @@
 	cfg := testConfig()
 	cfg.MayProbe = false
 	b, rec := start(t, cfg, 4)
-	b.delay.learn(0, float64(10*time.Millisecond))
+	b.delay.observe(0, float64(10*time.Millisecond))
 	now := time.Minute
 	for i := range 4 {
 		s := b.servers[ServerID(fmt.Sprint("s", i))]
-		if s.reported, s.told = true, now-time.Second; i > 0 { // too old to look for another by
+		if s.reported, s.reportedAt = true, now-time.Second; i > 0 { // too old to look for another by
 			s.queue = 18 // within the aim, over every limit of a sidecar that sends little
 		}
 	}
@@ -170,11 +170,11 @@
 		cfg := testConfig()
 		cfg.ProbeTariff = 0.08
 		b, _ := start(t, cfg, 4)
-		b.gap, b.credit, b.busy = float64(gap), 0, 1
-		b.earn(1)
-		return b.credit
+		b.requestGap, b.probeCredit, b.busyShare = float64(gap), 0, 1
+		b.earnProbeCredit(1)
+		return b.probeCredit
 	}
-	if quiet, busy := earned(time.Second), earned(time.Microsecond); math.Abs(quiet-quietSpend/0.08) > 1e-3 || math.Abs(busy-probeSpend/0.08) > 1e-3 {
+	if quiet, busy := earned(time.Second), earned(time.Microsecond); math.Abs(quiet-quietProbeBudget/0.08) > 1e-3 || math.Abs(busy-probeBudget/0.08) > 1e-3 {
 		t.Errorf("%.3f probes for a request of a quiet sidecar, %.3f of a busy one", quiet, busy)
 	}
 	if half := earned(100 * time.Millisecond); half <= earned(time.Microsecond) || half >= earned(time.Second) {
--- a/policy/list_ended_test.go
+++ b/policy/list_ended_test.go
@@ -58,7 +58,7 @@
 				b.Probed(now, ProbeResult{Server: ServerID(p[len("probe "):]), Load: &Load{}}, rec)
 			}
 			r := b.requests[id]
-			if r != nil && len(r.attempts) == 0 && r.patience == 0 {
+			if r != nil && len(r.attempts) == 0 && r.heldUntil == 0 {
 				waits++
 			}
 			if r != nil && len(r.attempts) > 0 {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -76,8 +76,8 @@
 			probes = append(probes, l[6:])
 		}
 	}
-	if len(probes) != probeSample {
-		t.Fatalf("probes = %v, want %d of them", probes, probeSample)
+	if len(probes) != probesPerRound {
+		t.Fatalf("probes = %v, want %d of them", probes, probesPerRound)
 	}
 	b.servers["s0"].marked, b.servers["s0"].queue = true, 9
 	rec.take("")
@@ -92,7 +92,7 @@
 			t.Errorf("%s marked = %v, want %v", id, got, want)
 		}
 	}
-	b.credit = -10 // no further round
+	b.probeCredit = -10 // no further round
 	b.Request(0, Request{ID: 2, Class: "safe", Expires: time.Second}, rec)
 	if got := rec.take("send"); !slices.Equal(got, []string{"send 2 s2"}) {
 		t.Errorf("sent %v, want the marked s2", got)
@@ -125,7 +125,7 @@
 			c = &class{Class: Class{Effect: Unsafe}}
 		}
 		s := b.servers["s0"]
-		r := &request{Request: Request{Expires: time.Second}, class: c, most: b.cfg.MaxAttempts}
+		r := &request{Request: Request{Expires: time.Second}, class: c, maxAttempts: b.cfg.MaxAttempts}
 		r.attempts = []attempt{{server: s, zone: s.Zone, cell: s.Cell, notRun: tt.first.NotRun()}}
 		var again []ServerID
 		for _, id := range sortedKeys(b.servers) {
@@ -148,8 +148,8 @@
 		cfg.MayDuplicate = may
 		b, _ := start(t, cfg, 2)
 		s := b.servers["s0"]
-		r := &request{Request: Request{Expires: time.Second}, class: b.classes["safe"], out: 1, most: b.cfg.MaxAttempts}
-		r.attempts = []attempt{{server: s, out: true}}
+		r := &request{Request: Request{Expires: time.Second}, class: b.classes["safe"], outstanding: 1, maxAttempts: b.cfg.MaxAttempts}
+		r.attempts = []attempt{{server: s, pending: true}}
 		if got := b.maySend(0, r, b.servers["s1"]); got != may {
 			t.Errorf("MayDuplicate %v: maySend = %v", may, got)
 		}
@@ -184,13 +184,13 @@
 			}
 			r := &request{
 				Request: Request{ID: RequestID(i + 1), Expires: now + time.Second},
-				class:   b.classes["safe"], most: b.cfg.MaxAttempts, useful: now + time.Second, end: now + time.Second,
+				class:   b.classes["safe"], maxAttempts: b.cfg.MaxAttempts, aimEnd: now + time.Second, answerBy: now + time.Second,
 			}
-			b.send(now, r, b.set(now, r), rec)
+			b.sendNext(now, r, b.readySet(now, r), rec)
 			if n := len(r.attempts); n > 0 && r.attempts[0].server == cold {
 				sent++
 			}
-			again := b.send(now, r, b.set(now, r), rec)
+			again := b.sendNext(now, r, b.readySet(now, r), rec)
 			if n := len(r.attempts); again && n > 1 && r.attempts[n-1].server == cold {
 				t.Fatalf("%s: a further attempt went to a cold server", tc.name)
 			}
@@ -209,17 +209,17 @@
 	b, rec := start(t, testConfig(), 4)
 	s := b.servers["s0"]
 	s.marked = true
-	b.failed(0, s, AppError)
-	if s.marked || slices.Contains(b.set(0, &request{}), s) {
+	b.recordFailure(0, s, AppError)
+	if s.marked || slices.Contains(b.readySet(0, &request{}), s) {
 		t.Error("a server that erred is still marked or in the ready set")
 	}
-	if !slices.Contains(b.set(firstEject, &request{}), s) {
+	if !slices.Contains(b.readySet(firstEjection, &request{}), s) {
 		t.Error("the ejection does not end")
 	}
 	for _, id := range sortedKeys(b.servers) {
-		b.failed(0, b.servers[id], ConnectFailed)
+		b.recordFailure(0, b.servers[id], ConnectFailed)
 	}
-	if got := b.set(0, &request{}); len(got) != b.setSize {
+	if got := b.readySet(0, &request{}); len(got) != b.setSize {
 		t.Errorf("with all ejected the ready set has %d servers, want %d", len(got), b.setSize)
 	}
 	rec.take("")
@@ -232,7 +232,7 @@
 	if got := rec.take("send"); len(got) != 0 {
 		t.Fatalf("sent %v on no figures at all", got)
 	}
-	b.Timer(b.requests[1].patience, token(1), rec)
+	b.Timer(b.requests[1].heldUntil, timerToken(1), rec)
 	if got := rec.take("refuse"); !slices.Equal(got, []string{"refuse 1"}) {
 		t.Errorf("got %v, want a refusal", got)
 	}
@@ -250,7 +250,7 @@
 func TestBegan(t *testing.T) {
 	const ms = time.Millisecond
 	usual := []Request{{Expires: 400 * ms}, {Expires: 400 * ms}}
-	owed := &request{Request: Request{Tenant: "t", Key: "k"}, began: 100 * ms}
+	owed := &request{Request: Request{Tenant: "t", Key: "k"}, startedAt: 100 * ms}
 	tests := []struct {
 		name   string
 		before []Request // at 0
@@ -269,7 +269,7 @@
 			Request{Expires: 700 * ms, Tenant: "t"}, 300 * ms},
 		{"of another hint", usual, []*request{owed}, 300 * ms,
 			Request{Expires: 700 * ms, Tenant: "t", Key: "k", Cost: ms}, 300 * ms},
-		{"nothing to tell it by", usual, []*request{{Request: Request{Tenant: "t"}, began: 100 * ms}}, 300 * ms,
+		{"nothing to tell it by", usual, []*request{{Request: Request{Tenant: "t"}, startedAt: 100 * ms}}, 300 * ms,
 			Request{Expires: 700 * ms, Tenant: "t"}, 300 * ms},
 		{"too late for it", usual, []*request{owed}, 800 * ms,
 			Request{Expires: 1200 * ms, Tenant: "t", Key: "k"}, 800 * ms},
@@ -277,10 +277,10 @@
 	for _, tc := range tests {
 		c := &class{Class: Class{Deadline: time.Second}}
 		for _, q := range tc.before {
-			c.began(0, q, 5*ms)
+			c.estimateStart(0, q, 5*ms)
 		}
-		c.owed = tc.owed
-		if got := c.began(tc.now, tc.q, 5*ms); got != tc.want {
+		c.unanswered = tc.owed
+		if got := c.estimateStart(tc.now, tc.q, 5*ms); got != tc.want {
 			t.Errorf("%s: began %v, want %v", tc.name, got, tc.want)
 		}
 	}
@@ -290,7 +290,7 @@
 func TestWorthlessTryIsFailedAtOnce(t *testing.T) {
 	b, rec := start(t, testConfig(), 0)
 	b.Request(0, Request{ID: 1, Class: "safe", Cost: 1, Expires: 500 * time.Millisecond}, rec)
-	b.Timer(b.requests[1].end, token(1), rec)
+	b.Timer(b.requests[1].answerBy, timerToken(1), rec)
 	b.Request(210*time.Millisecond, Request{ID: 2, Class: "safe", Cost: 1, Expires: 710 * time.Millisecond}, rec)
 	if got := rec.take("fail"); !slices.Equal(got, []string{"fail 1", "fail 2"}) {
 		t.Errorf("got %v, want both requests failed", got)
@@ -306,7 +306,7 @@
 	for i := range cfg.GroupSize {
 		cfg.Ordinal = i
 		b, _ := start(t, cfg, 40)
-		for _, s := range b.set(0, &request{}) {
+		for _, s := range b.readySet(0, &request{}) {
 			count[s.ID]++
 		}
 	}
@@ -352,7 +352,7 @@
 				probed[p] = true
 			}
 		}
-		if homes := len(probed) == probeSample; homes != warm {
+		if homes := len(probed) == probesPerRound; homes != warm {
 			t.Errorf("warm keys %v: rounds for one key asked %d servers", warm, len(probed))
 		}
 	}
@@ -362,7 +362,7 @@
 // going without them once servers fail.
 func TestProbesFollowNeed(t *testing.T) {
 	cfg := testConfig()
-	cfg.ProbeTariff = probeSpend // one probe a request, at most
+	cfg.ProbeTariff = probeBudget // one probe a request, at most
 	b, rec := start(t, cfg, 4)
 	id := RequestID(0)
 	probes := func(queue float64) (n int) {
@@ -385,8 +385,8 @@
 		t.Errorf("%d probes in wait, %d with all idle: want some, a quarter at most", waiting, calm)
 	}
 	b.Outcome(0, Outcome{ID: 999, Server: "s0", Status: AppError}, rec)
-	if b.busy != 1 {
-		t.Errorf("busy %v after a failure, want 1", b.busy)
+	if b.busyShare != 1 {
+		t.Errorf("busy %v after a failure, want 1", b.busyShare)
 	}
 }
 
@@ -443,11 +443,11 @@
 		t.Errorf("%d records and %d ready of one server", len(b.servers), len(b.ready))
 	}
 	c := b.classes["safe"]
-	for range 10 * mostOwed {
-		c.owe(&request{})
+	for range 10 * maxUnanswered {
+		c.addUnanswered(&request{})
 	}
-	if len(c.owed) > mostOwed {
-		t.Errorf("%d requests are owed", len(c.owed))
+	if len(c.unanswered) > maxUnanswered {
+		t.Errorf("%d requests are owed", len(c.unanswered))
 	}
 }
 
@@ -461,8 +461,8 @@
 		{queue: 1, delay: 2e7, variance: 4, covariance: -1e9}, // flat: longer queues were answered faster
 	} {
 		b.delay = m
-		if b.inTime(s, time.Minute) {
-			t.Errorf("in time with %+v, expected after %v", m, b.expected(s))
+		if b.withinLimit(s, time.Minute) {
+			t.Errorf("in time with %+v, expected after %v", m, b.expectedDelay(s))
 		}
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -378,11 +378,11 @@
 	rec.take("")
 	now := 10 * time.Second
 	b.Request(now, Request{ID: 9, Class: "safe", Expires: now + 300*time.Millisecond, ClientTimeout: 400 * time.Millisecond}, rec)
-	if r := b.requests[9]; r == nil || r.began != now || len(rec.take("send")) != 1 {
+	if r := b.requests[9]; r == nil || r.startedAt != now || len(rec.take("send")) != 1 {
 		t.Errorf("a request with 100 ms spent is not sent as a fresh one: %+v", r)
 	}
 	b.Request(now, Request{ID: 10, Class: "safe", Expires: now + 300*time.Millisecond, ClientTimeout: 300 * time.Millisecond}, rec)
-	if r := b.requests[10]; r != nil && r.began == now {
+	if r := b.requests[10]; r != nil && r.startedAt == now {
 		t.Error("a last try passes for a fresh one")
 	}
 }
--- a/policy/site_plan_test.go
+++ b/policy/site_plan_test.go
@@ -192,15 +192,15 @@
 	b.SetSitePlan(&stubPlan{home: []string{"a"}, after: time.Second})
 	sent, refused := 0, 0
 	for i := range 200 {
-		b.credit = probeSample
+		b.probeCredit = probesPerRound
 		id := RequestID(i + 1)
 		b.Request(now, Request{ID: id, Class: "safe", Expires: now + time.Second}, rec)
-		if r := b.requests[id]; r != nil && r.patience > 0 {
+		if r := b.requests[id]; r != nil && r.heldUntil > 0 {
 			for _, s := range r.probed {
 				b.Probed(now, ProbeResult{Server: s.ID, Load: &Load{Queue: 0, Inflight: -1}}, rec)
 			}
 		}
-		if r := b.requests[id]; r != nil && !r.ended && len(r.attempts) == 0 && r.patience == 0 {
+		if r := b.requests[id]; r != nil && !r.ended && len(r.attempts) == 0 && r.heldUntil == 0 {
 			t.Fatalf("request %d waits for nothing", id)
 		}
 		for _, l := range rec.take("") {
