--- a/policy/state.go
+++ b/policy/state.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// validate reports what in cfg is out of range.
+// validate reports the first setting in cfg that is out of range.
 func (cfg Config) validate() error {
 	switch {
 	case cfg.GroupSize < 1 || cfg.Ordinal < 0 || cfg.Ordinal >= cfg.GroupSize:
@@ -33,29 +33,33 @@
 
 type class struct {
 	Class
-	usualTryTime time.Duration // the time that clients give most tries; the last one gets all that is left
-	usualVotes   int           // by how many the tries of the usual time lead
-	unanswered   []*request    // ended unanswered while their clients go on: a try of each may follow
+	// Timeout that clients give most tries; the last try gets all the time left.
+	usualTryTime time.Duration
+	usualVotes   int // lead of the tries with the usual timeout in the majority vote
+	// Requests that ended unanswered while their clients go on; a retry of each may follow.
+	unanswered []*request
 }
 
-// minVotes tells that the usual time of a try is known.
+// minVotes is the lead from which the usual timeout of a try counts as known.
 const minVotes = 2
 
-// estimateStart estimates when the request estimateStart of which q is a try, as few clients mark their retries. A last
-// try, which gets all the time that is left of the deadline rather than the usual, tells it exactly.
-// Another is taken for a retry of a request owed to the same tenant and key with the same hint of its cost, if one could
-// come now. Guards against a spiral: in dense traffic without keys every fresh request looks like the retry of one
-// refused, counts as begun long ago, is refused as late, and so is owed in turn. Requests that carry neither key nor
-// hint are never matched; where hints change from try to try, retries pass for fresh and get more patience than is due.
+// estimateStart estimates when the client first sent the request of which q is a try, because few
+// clients mark their retries. A last try gets all the time left until the deadline instead of the
+// usual timeout, and so shows the start exactly. Any other try counts as a retry of an unanswered
+// request with the same tenant, key and cost hint, if a retry could come now. This guards against
+// a feedback loop: in dense traffic without keys every fresh request would look like the retry of
+// a refused one, count as started long ago, be refused as too late, and become unanswered in
+// turn. Requests without key and hint are never matched. If hints change from try to try, retries
+// count as fresh and are held longer than they should be.
 func (c *class) estimateStart(now Time, q Request, tick time.Duration) Time {
-	left := cmp.Or(q.ClientTimeout, q.Expires-now)
-	near := (left - c.usualTryTime).Abs() <= 2*tick
+	remaining := cmp.Or(q.ClientTimeout, q.Expires-now)
+	isUsual := (remaining - c.usualTryTime).Abs() <= 2*tick
 	known := c.usualVotes >= minVotes
-	switch { // the majority vote of Boyer and Moore
-	case near:
+	switch { // Boyer-Moore majority vote
+	case isUsual:
 		c.usualVotes = min(c.usualVotes+1, 4*minVotes)
 	case c.usualVotes == 0:
-		c.usualTryTime, c.usualVotes = left, 1
+		c.usualTryTime, c.usualVotes = remaining, 1
 	default:
 		c.usualVotes--
 	}
@@ -67,16 +71,17 @@
 			return r.startedAt
 		}
 	}
-	if known && !near {
+	if known && !isUsual {
 		return min(now, max(now, q.Expires)-c.Deadline)
 	}
 	return now
 }
 
-// maxUnanswered bounds the requests that are owed; the oldest are the first whose clients give up.
+// maxUnanswered limits the number of unanswered requests kept. The clients of the oldest give up
+// first.
 const maxUnanswered = 1000
 
-// addUnanswered notes that r ended unanswered while its client goes on.
+// addUnanswered records that r ended unanswered while its client goes on.
 func (c *class) addUnanswered(r *request) {
 	if len(c.unanswered) >= maxUnanswered {
 		c.unanswered = slices.Delete(c.unanswered, 0, len(c.unanswered)-maxUnanswered+1)
@@ -86,31 +91,32 @@
 
 type server struct {
 	Server
-	queue        float64 // latest reported queue
-	reported     bool
-	reportedAt   Time // the latest report
-	marked       bool
-	markedAt     Time
-	failures     int // failures in a row
-	lastOK       Time
-	lastSend     Time    // the last send
-	connOpen     bool    // a connection may be open
-	slowness     float64 // smoothed: delay of its answers over that expected
-	outstanding  int     // attempts of this sidecar that have no outcome
+	queue      float64 // latest reported queue
+	reported   bool
+	reportedAt Time // time of the latest report
+	marked     bool
+	markedAt   Time
+	failures   int // failures in a row
+	lastOK     Time
+	lastSend   Time // time of the last send
+	connOpen   bool // a connection may be open
+	// Moving average of the delay of its answers relative to the expected delay.
+	slowness     float64
+	outstanding  int // attempts of this sidecar without an outcome
 	ejectedUntil Time
 }
 
-// assumedCores is how many requests a server works on at once, which is not told, until the
-// answers have taught the slope: two is the least that has any.
+// assumedCores is the assumed number of requests that a server processes at once, which is not
+// reported, until the answers have shown the slope. Two is the minimum of any server.
 const assumedCores = 2
 
-// delayModel is a running least-squares line of the delay of answers by the depth that the server had when they were
-// sent. Stale figures flatten the line by themselves, and so count for less.
+// delayModel is a running least-squares line of the delay of answers by the queue depth of the
+// server at the send. Stale figures flatten the line by themselves and so have less effect.
 type delayModel struct {
 	queue, delay, variance, covariance float64
 }
 
-// observe takes one answer.
+// observe adds one answer.
 func (m *delayModel) observe(queue, delay float64) {
 	if math.IsInf(queue, 1) {
 		return
@@ -125,16 +131,17 @@
 	m.covariance = (1 - smoothing) * (m.covariance + smoothing*dq*dd)
 }
 
-// delayAt is the delay to expect delayAt a reported queue. Until queues have varied by a request or so the
-// slope is that of assumedCores.
+// delayAt is the expected delay at a reported queue. Until queues have varied by about one
+// request, the slope is that of assumedCores.
 func (m *delayModel) delayAt(queue float64) float64 {
 	prior := m.delay / (1 + m.queue/assumedCores) / assumedCores
 	slope := max(0, (m.covariance+prior)/(m.variance+1))
 	return max(m.delay+slope*(queue-m.queue), m.delay/4)
 }
 
-// queueLength is the queue of JBT-d: all that a server holds, where it tells. Those that take many requests
-// at once are slow long before any of them waits. It is negative if l tells neither.
+// queueLength is the queue in terms of JBT-d: all requests in a server, if it reports them.
+// Servers that process many requests at once become slow long before any request waits. It is
+// negative if l reports neither value.
 func queueLength(l *Load) float64 {
 	if l == nil {
 		return -1
@@ -148,46 +155,48 @@
 	cell      int
 	canceled  bool
 	sent      Time
-	depth     float64 // of the server when it was sent
+	depth     float64 // of the server at the send
 	pending   bool    // no outcome yet
-	notRun    bool    // proven never to have run
-	executing bool    // its server works on it, as far as is known
+	notRun    bool    // proven not to have run
+	executing bool    // the server is working on it, as far as is known
 }
 
-// setExecuting notes whether its server setExecuting on a: not before the last byte of a request has come, nor once the answer has begun.
-// Guards against servers that pass for loaded because peers are slow to write or read.
-func (a *attempt) setExecuting(is bool) {
+// setExecuting records whether the server is working on a: not before the last byte of the
+// request has arrived, and not after the response has begun. This guards against servers that
+// look loaded because their peers are slow to write or read.
+func (a *attempt) setExecuting(executing bool) {
 	switch {
-	case is && !a.executing:
+	case executing && !a.executing:
 		a.server.outstanding++
-	case !is && a.executing:
+	case !executing && a.executing:
 		a.server.outstanding--
 	}
-	a.executing = is
+	a.executing = executing
 }
 
 type request struct {
 	Request
-	class           *class
-	maxAttempts     int           // attempts that it may have
-	delayLimit      time.Duration // an expected delay over it means refusal
-	startedAt       Time          // when the client first asked, as far as can be told
-	aimEnd          Time          // an answer after this has lost worth
-	answerBy        Time          // a final answer is given then at the latest
-	heldUntil       Time          // while held: a refusal is given then
-	probed          []*server     // by the round it has started
-	probeReplies    int           // of them, to all its rounds
-	attempts        []attempt
-	priorAttempts   []attempt // of earlier requests under its key: they may have run
-	outstanding     int
-	ended           bool
-	noMoreSends     bool          // nothing is left that could be sent
-	receivedAt      Time          // when it came, or its upload ended
-	sites           []string      // that may have it; nil: all
-	spilled         bool          // it goes to a site that takes over for others
-	relativeWorth   float64       // its worth for its time beside the most that any has
-	spillRetryAfter time.Duration // refused for want of room at other sites: until there may be some
-	responseStarted bool          // the answer has begun; the client has it
+	class         *class
+	maxAttempts   int           // attempts that it may have
+	delayLimit    time.Duration // a longer expected delay means a refusal
+	startedAt     Time          // estimated time of the client's first try
+	aimEnd        Time          // an answer after this has lost worth
+	answerBy      Time          // latest time of a final answer
+	heldUntil     Time          // while held: when the request is refused
+	probed        []*server     // servers probed by the latest round that it started
+	probeReplies  int           // probe replies to all its rounds
+	attempts      []attempt
+	priorAttempts []attempt // of earlier requests under its key, which may have run
+	outstanding   int
+	ended         bool
+	noMoreSends   bool     // no further attempt may be sent
+	receivedAt    Time     // when it arrived, or when its upload ended
+	sites         []string // sites that may serve it; nil: all
+	spilled       bool     // assigned to a site that takes over from another
+	relativeWorth float64  // worth for its time, relative to the highest of all classes
+	// If refused because other sites are full: time until one may have room.
+	spillRetryAfter time.Duration
+	responseStarted bool // the response has begun and reached the client
 }
 
 func timerToken(id RequestID) string { return strconv.FormatUint(uint64(id), 36) }
