--- a/policy/policy.go
+++ b/policy/policy.go
@@ -185,7 +185,8 @@
 	maps.DeleteFunc(b.servers, func(_ ServerID, s *server) bool { return s.State == Gone })
 	b.rebuildReadySet()
 	if kind == ListCached && !b.cfg.ListPushed && !b.watching {
-		act.SetTimer(b.jitter(b.cfg.RefreshInterval*6/10), "watch") // spread over most of the time allowed by the rules
+		// Spread over most of the time allowed by the rules.
+		act.SetTimer(b.jitter(b.cfg.RefreshInterval*6/10), "watch")
 	} else if b.watching {
 		b.watchFailures = 0
 	}
