--- a/balancer.go
+++ b/balancer.go
@@ -170,12 +170,12 @@
 		module = m
 	}
 	b := &Balancer{
-		sockets: sockets.New(p.limits.Connections + sockets.Spare),
+		sockets: sockets.New(p.limits.Connections + sockets.Reserved),
 		room:    semaphore.NewWeighted(p.limits.BodyBytes), places: semaphore.NewWeighted(int64(p.limits.Requests)),
 		log: o.log,
 	}
 	b.transport = upstream.New(p.settings, b.sockets, o.log)
-	b.sockets.OnShortage(b.transport.MakeRoom, nil)
+	b.sockets.OnShortage(b.transport.EvictIdle, nil)
 	var transport engine.Transport = b.transport
 	var book orders.Book
 	var retention func(string) time.Duration
@@ -188,7 +188,7 @@
 		transport = orders.Transport(transport)
 	}
 	engineOptions := engine.Options{
-		Config: p.settings.Config, Module: module, Transport: transport, Source: p.source, Known: p.known, Log: o.log,
+		Config: p.settings.Config, Module: module, Transport: transport, Source: p.source, CachedList: p.known, Log: o.log,
 	}
 	if err := o.watchSites(&engineOptions); err != nil {
 		b.transport.Close()
@@ -202,7 +202,7 @@
 		b.desk = orders.New(orders.Options{Engine: b.engine, Book: book, Codec: httpmsg.Codec{}, Retention: retention, Log: o.log})
 	}
 	if p.move {
-		b.engine.Move(p.source)
+		b.engine.SetSource(p.source)
 	}
 	return b, nil
 }
--- a/config.go
+++ b/config.go
@@ -254,7 +254,7 @@
 		return plan{}, err
 	}
 	return plan{
-		settings: settings.Settings{Config: p, Fields: fields}, limits: limits, source: source, known: known, move: true,
+		settings: settings.Settings{Config: p, LoadFields: fields}, limits: limits, source: source, known: known, move: true,
 	}, nil
 }
 
@@ -271,7 +271,7 @@
 		}
 	}
 	p.limits, err = Limits{
-		Attempts: min(c.Settings.Config.MaxAttempts, mostAttempts), Connections: c.Sockets - sockets.Spare,
+		Attempts: min(c.Settings.Config.MaxAttempts, mostAttempts), Connections: c.Sockets - sockets.Reserved,
 		BodyBytes: int64(c.MemoryMB) << 20 / 8,
 	}.withDefaults()
 	return p, err
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -120,7 +120,7 @@
 		if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
 			t.Fatalf("answer %d", resp.StatusCode)
 		}
-		if n := w.inUse(); n > config.LeastSockets-sockets.Spare {
+		if n := w.inUse(); n > config.LeastSockets-sockets.Reserved {
 			t.Fatalf("%d descriptors in use", n)
 		}
 	}
@@ -130,7 +130,7 @@
 // keep clients out. The one that has been silent longest goes, and no other.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
 	w := start(t, newScript(), peer(t, say(okAnswer)), "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.LeastSockets })
-	quiet := func() int { return w.server.Stats().Quiet }
+	quiet := func() int { return w.server.Stats().Idle }
 	var silent []*client
 	begun := w.connect(t) // a head that is slow to come is not silence
 	begun.write(plainGet[:20])
@@ -220,9 +220,9 @@
 	}
 	eventually(t, "all is gone", func() bool {
 		// One place for the connection that the listener waits for.
-		return w.engine.Snapshot().Held == 0 && w.engine.Snapshot().Probing == 0 && w.inUse() <= 1 && w.clients() <= 1
+		return w.engine.Snapshot().Retained == 0 && w.engine.Snapshot().Probing == 0 && w.inUse() <= 1 && w.clients() <= 1
 	})
-	if due := w.engine.Snapshot().LastDue; due > w.engine.Longest() {
+	if due := w.engine.Snapshot().LastDue; due > w.engine.LongestDeadline() {
 		t.Errorf("a timer is due in %v", due)
 	}
 }
--- a/internal/engine/rules.go
+++ b/internal/engine/classes.go
@@ -43,8 +43,8 @@
 	return false
 }
 
-// Longest is the longest time that a request may wait: the longest deadline of the classes.
-func (e *Engine) Longest() time.Duration { return e.rules.Load().longest }
+// LongestDeadline is the longest time that a request may wait: the longest deadline of the classes.
+func (e *Engine) LongestDeadline() time.Duration { return e.rules.Load().longest }
 
 // Class returns the class of requests of that name.
 func (e *Engine) Class(name string) (c policy.Class, known bool) {
@@ -78,7 +78,7 @@
 func (e *Engine) reconfigure(now policy.Time, given policy.Config, group int) error {
 	cfg := given
 	if group > 0 {
-		cfg.Ordinal, cfg.GroupSize = members.Number(given.Ordinal, given.GroupSize, group), group
+		cfg.Ordinal, cfg.GroupSize = members.ScaleOrdinal(given.Ordinal, given.GroupSize, group), group
 	}
 	if err := e.module.Reconfigure(cfg); err != nil {
 		return err
--- a/internal/services/http.go
+++ b/internal/services/http.go
@@ -41,8 +41,8 @@
 type web struct {
 	log    *slog.Logger
 	budget *sockets.Budget
-	conns  *sockets.Shares // descriptors for servers
-	bodies *sockets.Shares // memory
+	conns  *sockets.Quota // descriptors for servers
+	bodies *sockets.Quota // memory
 	router *router.Router
 	ctx    context.Context // ends with close
 	stop   context.CancelFunc
@@ -66,8 +66,8 @@
 	name      string
 	cfg       pool.Config // as it was taken over last
 	transport *webTransport
-	conns     *sockets.Part
-	room      *sockets.Part
+	conns     *sockets.Share
+	room      *sockets.Share
 	route     *router.Pool
 	former    []former // under which requests may still be on their way to the engine
 }
@@ -86,7 +86,7 @@
 }
 
 // Do is a method of engine.Transport.
-func (t *webTransport) Do(a *engine.Attempt, to engine.Endpoint) engine.Ending {
+func (t *webTransport) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	t.out.Add(a.Server, 1)
 	end := t.Transport.Do(a, to)
 	t.out.Add(a.Server, -1)
@@ -109,7 +109,7 @@
 // newWeb returns the pools that the routes lead to; none where there is no [[http]].
 func newWeb(cfg config.Services, list []routes.Route, memory int64, b *sockets.Budget, log *slog.Logger) (*web, error) {
 	w := &web{
-		log: log, budget: b, conns: b.ServerShares(), bodies: sockets.NewShares(max(memory, 1<<20)), pools: map[string]*webPool{},
+		log: log, budget: b, conns: b.ServerQuota(), bodies: sockets.NewQuota(max(memory, 1<<20)), pools: map[string]*webPool{},
 	}
 	w.ctx, w.stop = context.WithCancel(context.Background())
 	var err error
@@ -198,7 +198,7 @@
 			w.replace(p, before)
 		}
 	}
-	places, bytes := map[*sockets.Part]int64{}, map[*sockets.Part]int64{}
+	places, bytes := map[*sockets.Share]int64{}, map[*sockets.Share]int64{}
 	for name, p := range w.pools {
 		if next[name] != p { // else those that come and those that go would be promised all there is, and nobody could borrow
 			places[p.conns], bytes[p.room] = 0, 0
@@ -210,8 +210,8 @@
 		places[p.conns] = or(int64(c.Descriptors), w.conns.Total()/2/int64(len(wanted)))
 		bytes[p.room] = or(c.Memory, w.bodies.Total()/2/int64(len(wanted)))
 	}
-	w.conns.Promise(places)
-	w.bodies.Promise(bytes)
+	w.conns.SetGuarantees(places)
+	w.bodies.SetGuarantees(bytes)
 	w.pools = next
 	return fresh, nil
 }
@@ -287,15 +287,15 @@
 }
 
 func settingsOf(c pool.Config) settings.Settings {
-	return settings.Settings{Config: policy.Config{DialTimeout: c.DialTimeout(), ConnIdleTimeout: c.IdleTimeout()}, Fields: c.Fields()}
+	return settings.Settings{Config: policy.Config{DialTimeout: c.DialTimeout(), ConnIdleTimeout: c.IdleTimeout()}, LoadFields: c.Fields()}
 }
 
 func (w *web) open(c pool.Config) (*webPool, error) {
 	log := w.log.With("pool", c.Name)
-	p := &webPool{name: c.Name, cfg: c, conns: w.conns.Part(), room: w.bodies.Part()}
-	lender := w.budget.Lend(p.conns, w.makeRoomFor(p))
+	p := &webPool{name: c.Name, cfg: c, conns: w.conns.NewShare(), room: w.bodies.NewShare()}
+	lender := w.budget.ForPool(p.conns, w.makeRoomFor(p))
 	p.transport = &webTransport{Transport: upstream.New(settingsOf(c), lender, log)}
-	p.transport.HoldHeads(config.ServerHead)
+	p.transport.SetMaxHeaderBytes(config.ServerHead)
 	p.transport.cfg.Store(&c)
 	var err error
 	if p.Pool, err = c.Open(p.transport, log); err != nil {
@@ -321,7 +321,7 @@
 		if used, promised := p.conns.Used(); but != nil && (p == but || used <= promised) {
 			continue
 		}
-		if p.transport.MakeRoom() {
+		if p.transport.EvictIdle() {
 			return true
 		}
 	}
@@ -331,7 +331,7 @@
 // retire ends a pool that no route leads to any more, once its last request has ended: its servers get nothing but what it had taken, for
 // graceTime at most, and open requests end where they began. Called with the lock held.
 func (w *web) retire(p *webPool) {
-	w.log.Info("pool ends", "pool", p.cfg.Name, "held", p.Held())
+	w.log.Info("pool ends", "pool", p.cfg.Name, "held", p.RetainedRequests())
 	w.old = append(w.old, p)
 	through := []<-chan struct{}{p.route.Retire()}
 	for _, f := range p.former {
@@ -347,20 +347,20 @@
 		}
 		until(func() bool {
 			through = slices.DeleteFunc(through, isClosed)
-			return len(through) == 0 && p.Open() == 0 || time.Now().After(over)
+			return len(through) == 0 && p.OpenRequests() == 0 || time.Now().After(over)
 		})
 		p.Retire()
 		p.transport.Close() // what is idle is of no use any more
 		for _, t := range through {
 			wait(w, t)
 		}
-		until(func() bool { return p.Held() == 0 })
+		until(func() bool { return p.RetainedRequests() == 0 })
 		w.end(p)
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.old = slices.DeleteFunc(w.old, func(o *webPool) bool { return o == p })
 		w.ends.Pools++
-		w.ends.Cut += p.Cut()
+		w.ends.Cut += p.UnservedSinceRetire()
 	})
 }
 
@@ -449,13 +449,13 @@
 	patience time.Duration
 
 	mu    sync.Mutex
-	ln    *sockets.Backlog // nil: it has not begun
+	ln    *sockets.DrainableListener // nil: it has not begun
 	ended bool
 }
 
 // Serve is a method of front.
 func (f *webFront) Serve(ln net.Listener) error {
-	b := sockets.NewBacklog(ln.(*net.TCPListener))
+	b := sockets.NewDrainableListener(ln.(*net.TCPListener))
 	f.mu.Lock()
 	f.ln = b
 	ended := f.ended
@@ -504,7 +504,7 @@
 func (s *Services) http(c config.HTTP) {
 	whole := c.Whole
 	whole.Router = s.web.router
-	f := &webFront{Server: httpfront.NewWhole(whole, s.budget, s.log.With("http", c.Name)), patience: c.Patience}
+	f := &webFront{Server: httpfront.NewProxy(whole, s.budget, s.log.With("http", c.Name)), patience: c.Patience}
 	s.all = append(s.all, &service{
 		kind: "http", name: c.Name, listen: c.Listen, front: f, makeRoom: func() bool { return s.web.makeRoom(nil) }, close: func() {},
 		clients: f.Server,
@@ -563,7 +563,7 @@
 // waiting returns the requests of all pools that have waited for longer than d.
 func (w *web) waiting(d time.Duration) (all []Waiting) {
 	for _, p := range w.all() {
-		for _, r := range p.Waiting(d) {
+		for _, r := range p.PendingRequests(d) {
 			all = append(all, Waiting{p.name, r})
 		}
 	}
