--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -6,27 +6,28 @@
 	"time"
 )
 
-// nothing takes actions and does nothing.
-type nothing struct{ server ServerID }
+// noopActions is an Actions that only remembers the server of the latest send.
+type noopActions struct{ server ServerID }
 
-func (n *nothing) Send(_ RequestID, s ServerID, _ time.Duration) { n.server = s }
-func (*nothing) Refuse(RequestID, time.Duration)                 {}
-func (*nothing) Fail(RequestID)                                  {}
-func (*nothing) Cancel(RequestID, int)                           {}
-func (*nothing) CloseIdle(ServerID)                              {}
-func (*nothing) Log(string)                                      {}
-func (*nothing) Probe(ServerID)                                  {}
-func (*nothing) Watch(bool)                                      {}
-func (*nothing) SetTimer(time.Duration, string)                  {}
+func (n *noopActions) Send(_ RequestID, s ServerID, _ time.Duration) { n.server = s }
+func (*noopActions) Refuse(RequestID, time.Duration)                 {}
+func (*noopActions) Fail(RequestID)                                  {}
+func (*noopActions) Cancel(RequestID, int)                           {}
+func (*noopActions) CloseIdle(ServerID)                              {}
+func (*noopActions) Log(string)                                      {}
+func (*noopActions) Probe(ServerID)                                  {}
+func (*noopActions) Watch(bool)                                      {}
+func (*noopActions) SetTimer(time.Duration, string)                  {}
 
-// BenchmarkEvent is one event of each kind, at fleets of many sizes: what a request with its answer, and one changed entry of the list, cost.
+// BenchmarkEvent measures, for fleets of several sizes, a request with its answer and an update
+// of one entry of the server list.
 func BenchmarkEvent(b *testing.B) {
 	for _, n := range []int{16, 128, 1024, 8192, 65_536} {
 		servers := make([]Server, n)
 		for i := range servers {
 			servers[i] = Server{ID: ServerID(fmt.Sprintf("server-%d", i)), State: Ready, Weight: 1}
 		}
-		start := func(b *testing.B) (*Balancer, *nothing) {
+		start := func(b *testing.B) (*Balancer, *noopActions) {
 			m, err := New(Config{
 				GroupSize: 1, MayProbe: true, MayCancel: true, MaxAttempts: 3, DialTimeout: time.Second, ConnIdleTimeout: 15 * time.Second, Tick: time.Millisecond,
 				RefreshInterval: 10 * time.Second, Ramp: 9 * time.Second, ProbeTariff: 0.05, ColdCapacity: 0.3,
@@ -35,7 +36,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			act := &nothing{}
+			act := &noopActions{}
 			m.UpdateServers(time.Hour, ListFull, servers, act)
 			return m, act
 		}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"quillfront/policy"
 )
 
-// printer is a host that prints what it is asked to do.
+// printer is an Actions that prints each action.
 type printer struct{}
 
 func (printer) Send(id policy.RequestID, s policy.ServerID, d time.Duration) {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -8,39 +8,41 @@
 	"time"
 )
 
-// TestWarmth: where a cold server stands twice of what it can do it is held for warm after half of the ramp, and at no age for
-// twice as strong as it is at least; elsewhere for no stronger than that at any age.
-func TestWarmth(t *testing.T) {
+// TestWarmthByOverloadFactor checks how warm a cold server counts. If it withstands twice its
+// capacity, it counts as warm after half of the ramp and at any age as less than twice its
+// minimum capacity. Otherwise it never counts as more than its minimum.
+func TestWarmthByOverloadFactor(t *testing.T) {
 	for multiple, most := range map[float64]float64{0: 1, 1.5: 1, 2: 2, 2.5: 2} {
 		cfg := testConfig()
 		cfg.ColdOverloadFactor = multiple
-		b, _ := start(t, cfg, 1)
+		b, _ := newTestBalancer(t, cfg, 1)
 		now := time.Minute
 		s := b.servers["s0"]
-		worst := 0.0
+		highest := 0.0
 		for age := time.Duration(0); age <= cfg.Ramp; age += 50 * time.Millisecond {
 			s.Started = now - age
 			least := cfg.ColdCapacity + (1-cfg.ColdCapacity)*float64(age)/float64(cfg.Ramp)
 			w := b.warmth(now, s)
-			worst = max(worst, w/least)
+			highest = max(highest, w/least)
 			if w < least-1e-9 || w > 1 {
-				t.Fatalf("multiple %v, age %v: %.2f, at least %.2f", multiple, age, w, least)
+				t.Fatalf("multiple %v, age %v: warmth %.2f, minimum %.2f", multiple, age, w, least)
 			}
 		}
-		if worst > most-0.2 && worst > 1+1e-9 || most == 2 && worst < 1.2 {
-			t.Errorf("multiple %v: held for up to %.2f times as strong as it is at least", multiple, worst)
+		if highest > most-0.2 && highest > 1+1e-9 || most == 2 && highest < 1.2 {
+			t.Errorf("multiple %v: warmth is up to %.2f times the minimum capacity", multiple, highest)
 		}
 	}
 }
 
-// TestWarmthLeavesRoom guards against pushing a cold server over with no more than its share of a busy fleet's traffic: what it is
-// held for stays below what it stands by a margin for chance, and a server that the list has for smaller gets less.
-func TestWarmthLeavesRoom(t *testing.T) {
+// TestWarmthKeepsMargin guards against overloading a cold server with no more than its share of a
+// busy fleet's traffic: the estimated warmth has to stay below what the server withstands by a
+// margin for chance, and a server with a lower weight has to get less.
+func TestWarmthKeepsMargin(t *testing.T) {
 	const margin = 1.2
 	for _, multiple := range []float64{2, 2.5, 3, 10} {
 		cfg := testConfig()
 		cfg.ColdCapacity, cfg.ColdOverloadFactor, cfg.Ramp = 0.15, multiple, 9*time.Second
-		b, _ := start(t, cfg, 4)
+		b, _ := newTestBalancer(t, cfg, 4)
 		now := time.Minute
 		large, small := b.servers["s0"], b.servers["s1"]
 		for _, s := range b.servers {
@@ -52,18 +54,19 @@
 			large.Started, small.Started = now-age, now-age
 			can := cfg.ColdCapacity + (1-cfg.ColdCapacity)*float64(age)/float64(cfg.Ramp)
 			if w := b.warmth(now, large); w*margin > can*multiple {
-				t.Errorf("multiple %v, age %v: held for %.2f, can do %.2f", multiple, age, w, can)
+				t.Errorf("multiple %v, age %v: warmth %.2f, capacity %.2f", multiple, age, w, can)
 			}
-			if w, of := b.warmth(now, small), b.warmth(now, large); w < 1 && math.Abs(w-of*2/5) > 1e-9 {
-				t.Errorf("multiple %v, age %v: a small one is held for %.2f, a large one for %.2f", multiple, age, w, of)
+			if w, full := b.warmth(now, small), b.warmth(now, large); w < 1 && math.Abs(w-full*2/5) > 1e-9 {
+				t.Errorf("multiple %v, age %v: warmth of a small server %.2f, of a large one %.2f", multiple, age, w, full)
 			}
 		}
 	}
 }
 
-// TestQueuesByWhatIsSeen: a sidecar that sends little lets a request wait for a short queue only, by the request's worth; one
-// that sends much lets it have all of the time that it has left, less a band, and what is worth a quarter half of that.
-func TestQueuesByWhatIsSeen(t *testing.T) {
+// TestDelayLimitByTraffic checks the delay limit. With little traffic a request may wait only for
+// a short queue, in proportion to its worth. With much traffic it may use all its remaining time
+// less a band, and a request of a quarter of the worth half of that.
+func TestDelayLimitByTraffic(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe = false
 	cheap := cfg.Classes[0]
@@ -77,7 +80,7 @@
 		{"safe", time.Second, maxQueueShare}, {"cheap", time.Second, maxQueueShare / 4},
 		{"safe", 20 * time.Microsecond, 1}, {"cheap", 20 * time.Microsecond, 0.5},
 	} {
-		b, rec := start(t, cfg, 2)
+		b, rec := newTestBalancer(t, cfg, 2)
 		now, least, most := time.Minute, time.Hour, time.Duration(0)
 		for i := range 2000 {
 			now += tt.gap
@@ -100,18 +103,18 @@
 	}
 }
 
-// TestFirstAttemptWithinTheLimit: the first attempt is drawn among servers whose queue is short enough for the request, not
-// refused because the draw fell on another.
-func TestFirstAttemptWithinTheLimit(t *testing.T) {
+// TestFirstAttemptWithinLimit guards against refusals because the random draw chose a server
+// whose queue is too long while another is short enough for the request.
+func TestFirstAttemptWithinLimit(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe = false
-	b, rec := start(t, cfg, 4)
+	b, rec := newTestBalancer(t, cfg, 4)
 	b.delay.observe(0, float64(10*time.Millisecond))
 	now := time.Minute
 	for i := range 4 {
 		s := b.servers[ServerID(fmt.Sprint("s", i))]
-		if s.reported, s.reportedAt = true, now-time.Second; i > 0 { // too old to look for another by
-			s.queue = 18 // within the aim, over every limit of a sidecar that sends little
+		if s.reported, s.reportedAt = true, now-time.Second; i > 0 { // too old for another server to be chosen by it
+			s.queue = 18 // within the aim, above any limit of a sidecar with little traffic
 		}
 	}
 	for i := range 200 {
@@ -124,13 +127,14 @@
 	}
 }
 
-// TestOwnZoneFirst: where leaving the zone costs, requests go to servers of the own zone that would answer in time, and abroad
-// where there are none; where it costs nothing, to all alike.
+// TestOwnZoneFirst checks that, if leaving the zone costs, requests go to servers of the own zone
+// that would answer in time, and to others only if there are none. If it costs nothing all
+// servers are equal.
 func TestOwnZoneFirst(t *testing.T) {
-	abroad := func(tariff float64, full bool) (share float64) {
+	remoteShare := func(tariff float64, full bool) (share float64) {
 		cfg := testConfig()
 		cfg.MayProbe, cfg.CrossZoneTariff = false, tariff
-		b, rec := start(t, cfg, 4) // s0 and s2 are of zone a
+		b, rec := newTestBalancer(t, cfg, 4) // s0 and s2 are of zone a
 		now := time.Minute
 		if full {
 			b.servers["s0"].queue, b.servers["s2"].queue = math.Inf(1), math.Inf(1)
@@ -152,32 +156,32 @@
 		}
 		return share
 	}
-	if got := abroad(0.03, false); got != 0 {
-		t.Errorf("%.2f go abroad though the own zone has room", got)
+	if got := remoteShare(0.03, false); got != 0 {
+		t.Errorf("%.2f leave the zone although it has room", got)
 	}
-	if got := abroad(0.03, true); got < 0.999 {
-		t.Errorf("%.2f go abroad though the own zone has none", got)
+	if got := remoteShare(0.03, true); got < 0.999 {
+		t.Errorf("%.2f leave the zone although it has no room", got)
 	}
-	if got := abroad(0, false); got < 0.4 || got > 0.6 {
-		t.Errorf("%.2f go abroad where that costs nothing", got)
+	if got := remoteShare(0, false); got < 0.4 || got > 0.6 {
+		t.Errorf("%.2f leave the zone although that costs nothing", got)
 	}
 }
 
-// TestProbesByTraffic: a sidecar that sends less than a request in a mark's life may spend more on probes for each than one that
-// learns from its own answers.
-func TestProbesByTraffic(t *testing.T) {
+// TestProbeCreditByTraffic checks that a sidecar that sends less than one request per mark
+// lifetime may spend more on probes per request than one that learns from its own answers.
+func TestProbeCreditByTraffic(t *testing.T) {
 	earned := func(gap time.Duration) float64 {
 		cfg := testConfig()
 		cfg.ProbeTariff = 0.08
-		b, _ := start(t, cfg, 4)
+		b, _ := newTestBalancer(t, cfg, 4)
 		b.requestGap, b.probeCredit, b.busyShare = float64(gap), 0, 1
 		b.earnProbeCredit(1)
 		return b.probeCredit
 	}
 	if quiet, busy := earned(time.Second), earned(time.Microsecond); math.Abs(quiet-quietProbeBudget/0.08) > 1e-3 || math.Abs(busy-probeBudget/0.08) > 1e-3 {
-		t.Errorf("%.3f probes for a request of a quiet sidecar, %.3f of a busy one", quiet, busy)
+		t.Errorf("%.3f probes per request in a quiet sidecar, %.3f in a busy one", quiet, busy)
 	}
 	if half := earned(100 * time.Millisecond); half <= earned(time.Microsecond) || half >= earned(time.Second) {
-		t.Errorf("%.3f between them", half)
+		t.Errorf("%.3f between the two", half)
 	}
 }
--- a/policy/lifecycle_test.go
+++ b/policy/lifecycle_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// TestRefusedBesideColdServers: of the requests that warm servers are too slow for, one that warms up gets a part of its
-// turns, one at a time, and never by an answer that could not be in time.
-func TestRefusedBesideColdServers(t *testing.T) {
+// TestReliefByColdServers checks that, of the requests that warm servers are too slow for, a cold
+// server gets a part of its draws, one at a time, and none that it could not answer in time.
+func TestReliefByColdServers(t *testing.T) {
 	now := time.Minute
 	try := func(out, busy int, limit time.Duration) (sent, refused int) {
-		b, rec := start(t, testConfig(), 2)
+		b, rec := newTestBalancer(t, testConfig(), 2)
 		b.servers["s1"].outstanding = busy
 		cold := b.servers["s0"]
 		cold.Started, cold.reported, cold.queue, cold.outstanding = now, true, 0, out
@@ -23,7 +23,7 @@
 				delayLimit: limit, aimEnd: now + time.Second, answerBy: now + time.Second}
 			b.requests[r.ID] = r
 			b.relieveOrRefuse(now, r, rec)
-			cold.outstanding = out // as if it were answered at once
+			cold.outstanding = out // as if the request were answered at once
 		}
 		for _, l := range rec.take("") {
 			switch {
@@ -43,28 +43,29 @@
 		t.Errorf("%d of 4000 sent, want about %.0f", sent, cfg.ColdCapacity*coldReliefShare/2*4000)
 	}
 	if sent, _ := try(1, 0, time.Second); sent > 0 {
-		t.Errorf("%d sent beside one that is out", sent)
+		t.Errorf("%d sent beside one outstanding request", sent)
 	}
-	// With 10 at the warm one, 3 may be at one that has 0.3 of its capacity.
+	// With 10 requests at the warm server, 3 may be at one with 0.3 of its capacity.
 	if sent, _ := try(2, 10, time.Minute); sent < 1500 {
-		t.Errorf("%d of 4000 sent beside 2, want each turn", sent)
+		t.Errorf("%d of 4000 sent beside 2 outstanding, want one per draw", sent)
 	}
 	if sent, _ := try(3, 10, time.Minute); sent > 0 {
-		t.Errorf("%d sent beside 3", sent)
+		t.Errorf("%d sent beside 3 outstanding", sent)
 	}
 	if sent, _ := try(0, 0, -1); sent > 0 {
-		t.Errorf("%d sent though none could be in time", sent)
+		t.Errorf("%d sent although none could be answered in time", sent)
 	}
 }
 
-// TestUploadAndStream: a server works on a request from its last byte to the first of the answer; meanwhile and after nothing
-// of it is sent again, and its time counts from its last byte.
-func TestUploadAndStream(t *testing.T) {
-	b, rec := start(t, testConfig(), 3)
+// TestUploadAndResponse checks that a server counts as working on a request from the last byte of
+// the request to the first byte of the response. From the first send on nothing is sent again,
+// and the request's time starts with its last byte.
+func TestUploadAndResponse(t *testing.T) {
+	b, rec := newTestBalancer(t, testConfig(), 3)
 	now := time.Second
 	b.Request(now, Request{ID: 1, Class: "safe", Expires: now + time.Second, Uploading: true}, rec)
 	r := b.requests[1]
-	if len(r.attempts) == 0 { // held for its probes
+	if len(r.attempts) == 0 { // held for its probe replies
 		for _, s := range r.probed {
 			b.Probed(now, ProbeResult{Server: s.ID, Load: &Load{Queue: 0, Inflight: -1}}, rec)
 		}
@@ -74,12 +75,12 @@
 	}
 	s := r.attempts[0].server
 	if s.outstanding != 0 {
-		t.Error("the server works on what has not come")
+		t.Error("the server counts as working on a body that has not arrived")
 	}
 	rec.take("")
 	b.Timer(now+2*time.Second, timerToken(1), rec)
 	if got := rec.take(""); len(got) > 0 || r.ended {
-		t.Errorf("its time ran out while it came: %v", got)
+		t.Errorf("its time ran out during the upload: %v", got)
 	}
 	if b.maySend(now, r, b.ready[0]) || b.maySend(now, r, b.ready[1]) {
 		t.Error("a second attempt may be sent beside an upload")
@@ -87,27 +88,28 @@
 	now += 3 * time.Second
 	b.UploadComplete(now, 1, rec)
 	if s.outstanding != 1 || r.Expires != now+time.Second || r.attempts[0].sent != now {
-		t.Errorf("after its last byte: %d out, expires %v, sent %v", s.outstanding, r.Expires, r.attempts[0].sent)
+		t.Errorf("after its last byte: %d outstanding, expires %v, sent %v", s.outstanding, r.Expires, r.attempts[0].sent)
 	}
 	b.ResponseStarted(now, 1, 0, rec)
 	if s.outstanding != 0 {
-		t.Error("the server works on what it has answered")
+		t.Error("the server counts as working on a request that it has answered")
 	}
 	rec.take("")
 	b.Timer(now+2*time.Second, timerToken(1), rec)
 	if got := rec.take(""); len(got) > 0 {
-		t.Errorf("an answer that has begun was cut: %v", got)
+		t.Errorf("a response that had begun was cut off: %v", got)
 	}
 	b.Outcome(now+3*time.Second, Outcome{ID: 1, Server: s.ID, Status: Reset, Final: true}, rec)
 	if s.outstanding != 0 || len(b.requests) != 0 {
-		t.Errorf("%d out, %d requests kept", s.outstanding, len(b.requests))
+		t.Errorf("%d outstanding, %d requests kept", s.outstanding, len(b.requests))
 	}
 }
 
-// TestSpent: what cannot be sent again is refused if it has not run, and has failed if it may have.
-func TestSpent(t *testing.T) {
+// TestNoResend checks that a request that cannot be sent again is refused if it has not run and
+// fails if it may have.
+func TestNoResend(t *testing.T) {
 	for status, want := range map[Status]string{Overloaded: "refuse 1", AppError: "fail 1"} {
-		b, rec := start(t, testConfig(), 3)
+		b, rec := newTestBalancer(t, testConfig(), 3)
 		r := &request{Request: Request{ID: 1, Expires: time.Second}, class: b.classes["unsafe"], maxAttempts: 3, aimEnd: time.Second, answerBy: time.Second}
 		b.requests[1] = r
 		b.sendNext(0, r, b.readySet(0, r), rec)
@@ -119,10 +121,10 @@
 	}
 }
 
-// TestReconfigure: what comes is of the new classes, what is open keeps its own, and a configuration that is out of range
-// changes nothing.
+// TestReconfigure checks that new requests get the new classes, open requests keep theirs, and a
+// configuration out of range changes nothing.
 func TestReconfigure(t *testing.T) {
-	b, rec := start(t, testConfig(), 3)
+	b, rec := newTestBalancer(t, testConfig(), 3)
 	r := &request{Request: Request{ID: 1, Expires: time.Second}, class: b.classes["safe"], maxAttempts: 3, aimEnd: time.Second, answerBy: time.Second}
 	b.requests[1] = r
 	next := testConfig()
@@ -132,7 +134,7 @@
 	bad := next
 	bad.MaxAttempts = 0
 	if err := b.Reconfigure(bad); err == nil || b.cfg.MaxAttempts != testConfig().MaxAttempts {
-		t.Errorf("no attempts at all: %v", err)
+		t.Errorf("a configuration without attempts: %v", err)
 	}
 	b.classes["safe"].usualTryTime = 7
 	if err := b.Reconfigure(next); err != nil {
@@ -142,11 +144,11 @@
 		t.Errorf("the class is %+v", c)
 	}
 	if !b.maySend(0, r, b.ready[0]) || r.class.Effect != Safe {
-		t.Error("the open request goes by the new rules")
+		t.Error("the open request follows the new rules")
 	}
 	r.attempts = []attempt{{server: b.ready[1]}, {server: b.ready[2]}}
 	if !b.maySend(0, r, b.ready[0]) {
-		t.Error("the open request may not have its third attempt")
+		t.Error("the open request is denied its third attempt")
 	}
 	b.Request(0, Request{ID: 2, Class: "safe", Expires: time.Second}, rec)
 	if q := b.requests[2]; q != nil && (q.maxAttempts != 1 || q.class.Effect != Unsafe) {
@@ -154,9 +156,10 @@
 	}
 }
 
-// TestBackFromADrain: what a server failed at while it was to be left alone does not keep it out when it is back.
-func TestBackFromADrain(t *testing.T) {
-	b, rec := start(t, testConfig(), 3)
+// TestReadyAfterDrain checks that failures during a drain do not exclude a server that becomes
+// ready again.
+func TestReadyAfterDrain(t *testing.T) {
+	b, rec := newTestBalancer(t, testConfig(), 3)
 	s := b.servers["s0"]
 	entry := s.Server
 	entry.State = Draining
@@ -167,30 +170,31 @@
 	entry.State = Ready
 	b.UpdateServers(time.Millisecond, ListDelta, []Server{entry}, rec)
 	if !slices.Contains(b.readySet(time.Millisecond, &request{}), b.servers["s0"]) {
-		t.Error("it is left out")
+		t.Error("the server is left out of the ready set")
 	}
 }
 
-// TestLearned: what one has learnt another begins with, and what cannot be is left out.
-func TestLearned(t *testing.T) {
-	a, _ := start(t, testConfig(), 3)
+// TestLearnedRoundTrip checks that a Balancer starts with the estimates of another, and that
+// values out of range are left out.
+func TestLearnedRoundTrip(t *testing.T) {
+	a, _ := newTestBalancer(t, testConfig(), 3)
 	a.delay = delayModel{2, 5e7, 3, 1e7}
 	a.busyShare, a.requestGap, a.maxSetSize = 0.3, 3e6, 20
 	a.servers["s1"].slowness, a.servers["s2"].ejectedUntil = 2, 3*time.Second
 	a.classes["safe"].usualTryTime, a.classes["safe"].usualVotes = 300*time.Millisecond, minVotes
-	b, _ := start(t, testConfig(), 3)
+	b, _ := newTestBalancer(t, testConfig(), 3)
 	b.Restore(time.Minute, a.Learned(time.Second))
 	if b.delay != a.delay || b.busyShare != 0.3 || b.requestGap != 3e6 || b.maxSetSize != 20 || b.servers["s1"].slowness != 2 ||
 		b.servers["s2"].ejectedUntil != time.Minute+2*time.Second || b.classes["safe"].usualTryTime != 300*time.Millisecond {
 		t.Errorf("%+v, busy %v, gap %v, set %d", b.delay, b.busyShare, b.requestGap, b.maxSetSize)
 	}
-	c, _ := start(t, testConfig(), 3)
+	c, _ := newTestBalancer(t, testConfig(), 3)
 	c.Restore(time.Minute, Learned{
 		Queue: math.NaN(), Delay: -1, Busy: math.Inf(1), Gap: -1, MaxReadySet: 1 << 40, Slowness: map[ServerID]float64{"s0": math.Inf(1), "x": 1},
 		Ejected: map[ServerID]time.Duration{"s0": 1 << 60}, UsualTryTime: map[string]time.Duration{"safe": 1 << 60},
 	})
 	if c.delay != (delayModel{}) || c.busyShare != 1 || c.requestGap != float64(time.Second) || c.maxSetSize > 1000 || c.servers["s0"].slowness != 1 ||
 		c.servers["s0"].ejectedUntil > time.Minute+c.cfg.Ramp || c.classes["safe"].usualVotes != 0 {
-		t.Errorf("what cannot be was learnt: %+v, busy %v, gap %v, set %d", c.delay, c.busyShare, c.requestGap, c.maxSetSize)
+		t.Errorf("values out of range were restored: %+v, busy %v, gap %v, set %d", c.delay, c.busyShare, c.requestGap, c.maxSetSize)
 	}
 }
--- a/policy/list_ended_test.go
+++ b/policy/list_ended_test.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// TestListEnded: what waits for a server, or for a report, when no list will be told any more is refused at once, and so is what comes later.
-// Until then it waits, as a list may name one.
+// TestListEnded checks that, once no further list update will come, requests that wait for a
+// server or a report are refused at once, and so are later ones. Until then they wait, because an
+// update may name a server.
 func TestListEnded(t *testing.T) {
-	b, rec := start(t, testConfig(), 4)
-	gone := func(kind ListKind) {
+	b, rec := newTestBalancer(t, testConfig(), 4)
+	drainAll := func(kind ListKind) {
 		var all []Server
 		for i := range 4 {
 			all = append(all, Server{ID: ServerID(fmt.Sprint("s", i)), State: Draining})
@@ -20,30 +21,31 @@
 	}
 	b.Request(0, Request{ID: 1, Class: "safe", Expires: time.Second}, rec) // waits for a report
 	if b.held == nil {
-		t.Fatal("nothing waits for a report")
+		t.Fatal("no request waits for a report")
 	}
-	gone(ListDelta)
+	drainAll(ListDelta)
 	b.Request(0, Request{ID: 2, Class: "unsafe", Expires: 2 * time.Second}, rec) // waits for a list
 	for _, p := range []ServerID{"s0", "s1", "s2", "s3"} {
 		b.Probed(0, ProbeResult{Server: p, Load: &Load{}}, rec)
 	}
 	if got := rec.take("refuse"); len(got) > 0 {
-		t.Fatalf("%v though a list may name a server", got)
+		t.Fatalf("%v although an update may name a server", got)
 	}
-	gone(ListEnded)
+	drainAll(ListEnded)
 	b.Request(0, Request{ID: 3, Class: "keyed", Expires: 2 * time.Second}, rec)
 	if got := rec.take("refuse"); !slices.Equal(got, []string{"refuse 1", "refuse 2", "refuse 3"}) {
 		t.Errorf("%v, want all three refused", got)
 	}
 	if len(b.requests) != 0 || len(b.held) != 0 {
-		t.Errorf("%d requests and %d that are held are left", len(b.requests), len(b.held))
+		t.Errorf("%d requests and %d held requests are left", len(b.requests), len(b.held))
 	}
 }
 
-// TestAllCold: beside servers that are all cold no request is left without a send, a probe or an answer until its time is up.
+// TestAllCold guards against requests that wait in vain until their time is up when all servers
+// are cold: each is sent, probed for or answered.
 func TestAllCold(t *testing.T) {
 	for _, servers := range []int{1, 2, 5} {
-		b, rec := start(t, testConfig(), 0)
+		b, rec := newTestBalancer(t, testConfig(), 0)
 		var list []Server
 		for i := range servers {
 			list = append(list, Server{ID: ServerID(fmt.Sprint("s", i)), Zone: "a", Started: time.Second})
@@ -66,9 +68,9 @@
 				b.Outcome(now, Outcome{ID: id, Server: r.attempts[0].server.ID, Delay: 10 * time.Millisecond, Load: &Load{}}, rec)
 			}
 		}
-		t.Logf("%d servers: %d of 200 sent, %d wait for nothing", servers, sent, waits)
+		t.Logf("%d servers: %d of 200 sent, %d wait in vain", servers, sent, waits)
 		if waits > 0 {
-			t.Errorf("%d servers: %d of 200 wait for nothing", servers, waits)
+			t.Errorf("%d servers: %d of 200 wait in vain", servers, waits)
 		}
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// recorder is an Actions that notes each action as a line of text.
+// recorder is an Actions that records each action as a line of text.
 type recorder struct{ lines []string }
 
-func (r *recorder) note(format string, args ...any) {
+func (r *recorder) record(format string, args ...any) {
 	r.lines = append(r.lines, fmt.Sprintf(format, args...))
 }
 
-func (r *recorder) Send(id RequestID, s ServerID, d time.Duration) { r.note("send %d %s", id, s) }
-func (r *recorder) Refuse(id RequestID, d time.Duration)           { r.note("refuse %d", id) }
-func (r *recorder) Fail(id RequestID)                              { r.note("fail %d", id) }
-func (r *recorder) Cancel(id RequestID, attempt int)               { r.note("cancel %d %d", id, attempt) }
-func (r *recorder) SetTimer(d time.Duration, token string)         { r.note("timer %v %s", d, token) }
-func (r *recorder) Probe(s ServerID)                               { r.note("probe %s", s) }
-func (r *recorder) CloseIdle(s ServerID)                           { r.note("hangup %s", s) }
-func (r *recorder) Watch(on bool)                                  { r.note("watch %v", on) }
-func (r *recorder) Log(text string)                                { r.note("log %s", text) }
+func (r *recorder) Send(id RequestID, s ServerID, d time.Duration) { r.record("send %d %s", id, s) }
+func (r *recorder) Refuse(id RequestID, d time.Duration)           { r.record("refuse %d", id) }
+func (r *recorder) Fail(id RequestID)                              { r.record("fail %d", id) }
+func (r *recorder) Cancel(id RequestID, attempt int)               { r.record("cancel %d %d", id, attempt) }
+func (r *recorder) SetTimer(d time.Duration, token string)         { r.record("timer %v %s", d, token) }
+func (r *recorder) Probe(s ServerID)                               { r.record("probe %s", s) }
+func (r *recorder) CloseIdle(s ServerID)                           { r.record("hangup %s", s) }
+func (r *recorder) Watch(on bool)                                  { r.record("watch %v", on) }
+func (r *recorder) Log(text string)                                { r.record("log %s", text) }
 
-// take returns the lines that start with prefix and clears all.
+// take returns the lines that start with prefix and clears all lines.
 func (r *recorder) take(prefix string) []string {
 	got := slices.DeleteFunc(r.lines, func(l string) bool { return !strings.HasPrefix(l, prefix) })
 	r.lines = nil
@@ -49,8 +49,9 @@
 	}
 }
 
-// start returns a balancer that knows n servers s0, s1, ... in zones a and b and cells of two.
-func start(t *testing.T, cfg Config, n int) (*Balancer, *recorder) {
+// newTestBalancer returns a Balancer with n servers s0, s1, ... in zones a and b and in cells of
+// two.
+func newTestBalancer(t *testing.T, cfg Config, n int) (*Balancer, *recorder) {
 	t.Helper()
 	b, err := New(cfg, 1)
 	if err != nil {
@@ -67,8 +68,10 @@
 	return b, rec
 }
 
-func TestThresholdMarksAndSpending(t *testing.T) {
-	b, rec := start(t, testConfig(), 4)
+// TestThresholdAndMarks checks that the shortest queue of a round becomes the threshold, that
+// servers above it lose their marks, and that a send uses up the mark.
+func TestThresholdAndMarks(t *testing.T) {
+	b, rec := newTestBalancer(t, testConfig(), 4)
 	b.Request(0, Request{ID: 1, Class: "safe", Expires: time.Second}, rec)
 	var probes []string
 	for _, l := range rec.lines {
@@ -98,11 +101,13 @@
 		t.Errorf("sent %v, want the marked s2", got)
 	}
 	if b.servers["s2"].marked {
-		t.Error("the send did not spend its mark")
+		t.Error("the send did not use up the mark")
 	}
 }
 
-func TestRefuseAndSendLegality(t *testing.T) {
+// TestAllowedRepeatsAndRefusals checks which servers may get a second attempt after each status,
+// and whether the request may be refused.
+func TestAllowedRepeatsAndRefusals(t *testing.T) {
 	tests := []struct {
 		class     string
 		first     Status
@@ -119,7 +124,7 @@
 		{"unknown", Timeout, nil, false},
 	}
 	for _, tt := range tests {
-		b, _ := start(t, testConfig(), 4)
+		b, _ := newTestBalancer(t, testConfig(), 4)
 		c := b.classes[tt.class]
 		if c == nil {
 			c = &class{Class: Class{Effect: Unsafe}}
@@ -142,11 +147,13 @@
 	}
 }
 
-func TestNoSecondCopyWhereForbidden(t *testing.T) {
+// TestDuplicatesOnlyIfAllowed checks that a second attempt beside an outstanding one needs
+// MayDuplicate.
+func TestDuplicatesOnlyIfAllowed(t *testing.T) {
 	cfg := testConfig()
 	for _, may := range []bool{true, false} {
 		cfg.MayDuplicate = may
-		b, _ := start(t, cfg, 2)
+		b, _ := newTestBalancer(t, cfg, 2)
 		s := b.servers["s0"]
 		r := &request{Request: Request{Expires: time.Second}, class: b.classes["safe"], outstanding: 1, maxAttempts: b.cfg.MaxAttempts}
 		r.attempts = []attempt{{server: s, pending: true}}
@@ -156,9 +163,9 @@
 	}
 }
 
-// TestColdServerIsSentItsShare guards against pushing over a server that has just started: its queue is
-// short because it is new, so marks and probe rounds would choose it.
-func TestColdServerIsSentItsShare(t *testing.T) {
+// TestColdServerGetsItsShare guards against overloading a server that has just started: its queue
+// is short because it is new, so marks and probe rounds would choose it.
+func TestColdServerGetsItsShare(t *testing.T) {
 	cfg := testConfig()
 	now := time.Minute
 	tests := []struct {
@@ -167,10 +174,10 @@
 		want    float64 // share of requests that s0 is sent
 	}{
 		{"one of two", false, cfg.ColdCapacity / 2},
-		{"both", true, cfg.ColdCapacity}, // at most; the rest is refused or goes to the other
+		{"both", true, cfg.ColdCapacity}, // at most; the rest is refused or goes to the other server
 	}
 	for _, tc := range tests {
-		b, rec := start(t, cfg, 2)
+		b, rec := newTestBalancer(t, cfg, 2)
 		cold := b.servers["s0"]
 		cold.Started = now
 		if tc.allCold {
@@ -204,14 +211,15 @@
 	}
 }
 
-// TestFailingServerIsLeftOut guards against a server that errs at once and so keeps a short queue.
-func TestFailingServerIsLeftOut(t *testing.T) {
-	b, rec := start(t, testConfig(), 4)
+// TestFailingServerIsEjected guards against a server that fails quickly and therefore keeps a
+// short queue.
+func TestFailingServerIsEjected(t *testing.T) {
+	b, rec := newTestBalancer(t, testConfig(), 4)
 	s := b.servers["s0"]
 	s.marked = true
 	b.recordFailure(0, s, AppError)
 	if s.marked || slices.Contains(b.readySet(0, &request{}), s) {
-		t.Error("a server that erred is still marked or in the ready set")
+		t.Error("a failed server is still marked or in the ready set")
 	}
 	if !slices.Contains(b.readySet(firstEjection, &request{}), s) {
 		t.Error("the ejection does not end")
@@ -225,12 +233,13 @@
 	rec.take("")
 }
 
-// TestHeldRequestIsRefusedWithoutReply guards against sending into queues that nobody can see past.
+// TestHeldRequestIsRefusedWithoutReply guards against sending requests into queues of unknown
+// length.
 func TestHeldRequestIsRefusedWithoutReply(t *testing.T) {
-	b, rec := start(t, testConfig(), 4)
+	b, rec := newTestBalancer(t, testConfig(), 4)
 	b.Request(0, Request{ID: 1, Class: "safe", Expires: time.Second}, rec)
 	if got := rec.take("send"); len(got) != 0 {
-		t.Fatalf("sent %v on no figures at all", got)
+		t.Fatalf("sent %v without any load report", got)
 	}
 	b.Timer(b.requests[1].heldUntil, timerToken(1), rec)
 	if got := rec.take("refuse"); !slices.Equal(got, []string{"refuse 1"}) {
@@ -245,33 +254,33 @@
 	}
 }
 
-// TestBegan guards against work for a client's later try whose aim has passed, and against taking first
-// tries for late ones because the last try of a request gets longer.
-func TestBegan(t *testing.T) {
+// TestEstimateStart guards against work on a client's later try whose aim has passed, and against
+// taking first tries for late ones because the last try of a request has a longer timeout.
+func TestEstimateStart(t *testing.T) {
 	const ms = time.Millisecond
 	usual := []Request{{Expires: 400 * ms}, {Expires: 400 * ms}}
-	owed := &request{Request: Request{Tenant: "t", Key: "k"}, startedAt: 100 * ms}
+	earlier := &request{Request: Request{Tenant: "t", Key: "k"}, startedAt: 100 * ms}
 	tests := []struct {
-		name   string
-		before []Request // at 0
-		owed   []*request
-		now    Time
-		q      Request
-		want   Time
+		name       string
+		before     []Request // at 0
+		unanswered []*request
+		now        Time
+		q          Request
+		want       Time
 	}{
 		{"nothing known", nil, nil, 300 * ms, Request{Expires: 700 * ms}, 300 * ms},
-		{"a usual try", usual, nil, 300 * ms, Request{Expires: 700 * ms}, 300 * ms},
-		{"a last try gets longer", usual, nil, 300 * ms, Request{Expires: 1200 * ms}, 200 * ms},
-		{"a last try is cut short", usual, nil, 900 * ms, Request{Expires: 1000 * ms}, 0},
-		{"a retry of one owed", usual, []*request{owed}, 300 * ms,
+		{"usual try", usual, nil, 300 * ms, Request{Expires: 700 * ms}, 300 * ms},
+		{"last try with a longer timeout", usual, nil, 300 * ms, Request{Expires: 1200 * ms}, 200 * ms},
+		{"last try with a shorter timeout", usual, nil, 900 * ms, Request{Expires: 1000 * ms}, 0},
+		{"retry of an unanswered request", usual, []*request{earlier}, 300 * ms,
 			Request{Expires: 700 * ms, Tenant: "t", Key: "k"}, 100 * ms},
-		{"of another key", usual, []*request{owed}, 300 * ms,
+		{"retry with another key", usual, []*request{earlier}, 300 * ms,
 			Request{Expires: 700 * ms, Tenant: "t"}, 300 * ms},
-		{"of another hint", usual, []*request{owed}, 300 * ms,
+		{"retry with another cost hint", usual, []*request{earlier}, 300 * ms,
 			Request{Expires: 700 * ms, Tenant: "t", Key: "k", Cost: ms}, 300 * ms},
-		{"nothing to tell it by", usual, []*request{{Request: Request{Tenant: "t"}, startedAt: 100 * ms}}, 300 * ms,
+		{"neither key nor cost hint", usual, []*request{{Request: Request{Tenant: "t"}, startedAt: 100 * ms}}, 300 * ms,
 			Request{Expires: 700 * ms, Tenant: "t"}, 300 * ms},
-		{"too late for it", usual, []*request{owed}, 800 * ms,
+		{"too late to be a retry", usual, []*request{earlier}, 800 * ms,
 			Request{Expires: 1200 * ms, Tenant: "t", Key: "k"}, 800 * ms},
 	}
 	for _, tc := range tests {
@@ -279,16 +288,16 @@
 		for _, q := range tc.before {
 			c.estimateStart(0, q, 5*ms)
 		}
-		c.unanswered = tc.owed
+		c.unanswered = tc.unanswered
 		if got := c.estimateStart(tc.now, tc.q, 5*ms); got != tc.want {
-			t.Errorf("%s: began %v, want %v", tc.name, got, tc.want)
+			t.Errorf("%s: start %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestWorthlessTryIsFailedAtOnce guards against work for a retry of a request whose aim has passed.
-func TestWorthlessTryIsFailedAtOnce(t *testing.T) {
-	b, rec := start(t, testConfig(), 0)
+// TestTryPastAimFailsAtOnce guards against work on a retry of a request whose aim has passed.
+func TestTryPastAimFailsAtOnce(t *testing.T) {
+	b, rec := newTestBalancer(t, testConfig(), 0)
 	b.Request(0, Request{ID: 1, Class: "safe", Cost: 1, Expires: 500 * time.Millisecond}, rec)
 	b.Timer(b.requests[1].answerBy, timerToken(1), rec)
 	b.Request(210*time.Millisecond, Request{ID: 2, Class: "safe", Cost: 1, Expires: 710 * time.Millisecond}, rec)
@@ -298,14 +307,14 @@
 }
 
 // TestReadySetsAreBalanced guards against connections from every sidecar to every server, and
-// against sets that fall on some servers more than on others.
+// against ready sets that contain some servers more often than others.
 func TestReadySetsAreBalanced(t *testing.T) {
 	cfg := testConfig()
 	cfg.GroupSize, cfg.ConnectionTariff = 600, 0.08
 	count := map[ServerID]int{}
 	for i := range cfg.GroupSize {
 		cfg.Ordinal = i
-		b, _ := start(t, cfg, 40)
+		b, _ := newTestBalancer(t, cfg, 40)
 		for _, s := range b.readySet(0, &request{}) {
 			count[s.ID]++
 		}
@@ -318,6 +327,7 @@
 	}
 }
 
+// TestConfigOutOfRange checks that New rejects settings that are out of range.
 func TestConfigOutOfRange(t *testing.T) {
 	tests := map[string]func(*Config){
 		"no group":         func(c *Config) { c.GroupSize = 0 },
@@ -339,12 +349,13 @@
 	}
 }
 
-// TestWarmKeysHaveHomes guards against spreading a key over servers that each have to learn it anew.
-func TestWarmKeysHaveHomes(t *testing.T) {
+// TestCachedKeysKeepTheirServers guards against spreading a key over servers that each have to
+// cache it anew.
+func TestCachedKeysKeepTheirServers(t *testing.T) {
 	for _, warm := range []bool{false, true} {
 		cfg := testConfig()
 		cfg.ServersCacheKeys = warm
-		b, rec := start(t, cfg, 12)
+		b, rec := newTestBalancer(t, cfg, 12)
 		probed := map[string]bool{}
 		for id := range RequestID(20) {
 			b.Request(0, Request{ID: id + 1, Class: "safe", Key: "k", Expires: time.Second}, rec)
@@ -352,18 +363,18 @@
 				probed[p] = true
 			}
 		}
-		if homes := len(probed) == probesPerRound; homes != warm {
-			t.Errorf("warm keys %v: rounds for one key asked %d servers", warm, len(probed))
+		if few := len(probed) == probesPerRound; few != warm {
+			t.Errorf("cached keys %v: rounds for one key probed %d servers", warm, len(probed))
 		}
 	}
 }
 
 // TestProbesFollowNeed guards against paying for probes while every server is idle, and against
-// going without them once servers fail.
+// sending none once servers fail.
 func TestProbesFollowNeed(t *testing.T) {
 	cfg := testConfig()
-	cfg.ProbeTariff = probeBudget // one probe a request, at most
-	b, rec := start(t, cfg, 4)
+	cfg.ProbeTariff = probeBudget // one probe per request, at most
+	b, rec := newTestBalancer(t, cfg, 4)
 	id := RequestID(0)
 	probes := func(queue float64) (n int) {
 		for range 100 {
@@ -382,7 +393,7 @@
 	probes(0)
 	calm := probes(0)
 	if calm*4 > waiting || calm == 0 {
-		t.Errorf("%d probes in wait, %d with all idle: want some, a quarter at most", waiting, calm)
+		t.Errorf("%d probes with requests waiting, %d with all servers idle: want some, at most a quarter", waiting, calm)
 	}
 	b.Outcome(0, Outcome{ID: 999, Server: "s0", Status: AppError}, rec)
 	if b.busyShare != 1 {
@@ -390,11 +401,11 @@
 	}
 }
 
-// TestFirstPauseAfterABrokenWatch guards against incident rf8e670: after a watch that worked, the list is asked
-// for again soon; while calls go on failing, ever less often.
-func TestFirstPauseAfterABrokenWatch(t *testing.T) {
+// TestPauseAfterBrokenWatch guards against incident rf8e670: after a watch that worked, the list
+// has to be asked for again soon; while calls keep failing, at growing intervals.
+func TestPauseAfterBrokenWatch(t *testing.T) {
 	cfg := testConfig()
-	b, act := start(t, cfg, 2)
+	b, act := newTestBalancer(t, cfg, 2)
 	fail := func() time.Duration {
 		b.watching = true
 		act.take("")
@@ -424,10 +435,10 @@
 	}
 }
 
-// TestRecordsAreBounded: a fleet that keeps being replaced, and clients that keep being refused, leave nothing
-// behind.
+// TestRecordsAreBounded guards against records that grow without end when servers keep being
+// replaced and clients keep being refused.
 func TestRecordsAreBounded(t *testing.T) {
-	b, act := start(t, testConfig(), 0)
+	b, act := newTestBalancer(t, testConfig(), 0)
 	for i := range 1000 {
 		name := ServerID(fmt.Sprint("n", i))
 		b.UpdateServers(Time(i), ListDelta, []Server{{ID: name}}, act)
@@ -447,18 +458,20 @@
 		c.addUnanswered(&request{})
 	}
 	if len(c.unanswered) > maxUnanswered {
-		t.Errorf("%d requests are owed", len(c.unanswered))
+		t.Errorf("%d unanswered requests are kept", len(c.unanswered))
 	}
 }
 
-func TestEndlessQueueIsNeverInTime(t *testing.T) {
-	b, _ := start(t, testConfig(), 2)
+// TestInfiniteQueueIsNeverInTime guards against sending to a server without a known queue,
+// whatever the slope of the delay line.
+func TestInfiniteQueueIsNeverInTime(t *testing.T) {
+	b, _ := newTestBalancer(t, testConfig(), 2)
 	s := b.servers["s0"]
 	s.queue, s.reported = math.Inf(1), true
 	for _, m := range []delayModel{
 		{},
 		{queue: 1, delay: 2e7, variance: 4, covariance: 1e6},
-		{queue: 1, delay: 2e7, variance: 4, covariance: -1e9}, // flat: longer queues were answered faster
+		{queue: 1, delay: 2e7, variance: 4, covariance: -1e9}, // flat line: longer queues were answered faster
 	} {
 		b.delay = m
 		if b.withinLimit(s, time.Minute) {
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -12,11 +12,12 @@
 	"time"
 )
 
-var record = flag.Bool("record", false, "write testdata/scripts.txt anew, from the module as it is")
+var record = flag.Bool("record", false, "rewrite testdata/scripts.txt with the current behavior")
 
-// script plays a host with a fleet of its own draws: requests, outcomes, probes, lists, timers and withdrawals. It returns a
-// hash of all actions so far after each hundredth event. The host draws nothing from what the module draws.
-func script(t *testing.T, seed uint64, events int) (marks []string) {
+// runScript simulates a host with a fleet drawn from seed: requests, outcomes, probes, list
+// updates, timers and disconnects. It returns a hash of all actions so far after every 100th
+// event. The random numbers of the host are independent of those of the Balancer.
+func runScript(t *testing.T, seed uint64, events int) (hashes []string) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	cfg := testConfig()
 	cfg.MayProbe, cfg.MayDuplicate, cfg.ClientsHonorRetryAfter = seed%4 != 1, seed%3 != 1, seed%2 == 0
@@ -26,7 +27,7 @@
 	}
 	cfg.GroupSize, cfg.Ordinal = 10, int(seed%10)
 	n := 1 + rng.IntN(14)
-	b, rec := start(t, cfg, n)
+	b, rec := newTestBalancer(t, cfg, n)
 	type sent struct {
 		id      RequestID
 		attempt int
@@ -113,21 +114,21 @@
 		}
 		drain()
 		if e%100 == 99 {
-			marks = append(marks, fmt.Sprintf("%016x", sum.Sum64()))
+			hashes = append(hashes, fmt.Sprintf("%016x", sum.Sum64()))
 		}
 	}
-	return marks
+	return hashes
 }
 
-// TestScripts replays recorded scripts of events: without sites configured the module acts as the one they were recorded
-// from, which knew of none. A change of behaviour that is meant is recorded anew (go test -run TestScripts -record), and its
-// commit says why.
+// TestScripts replays recorded scripts of events: without sites the Balancer has to act as the
+// version that they were recorded with, which did not support sites. An intended change of
+// behavior is recorded again (go test -run TestScripts -record), and its commit says why.
 func TestScripts(t *testing.T) {
 	const name, scripts, events = "testdata/scripts.txt", 24, 3000
 	if *record {
 		var text strings.Builder
 		for seed := range uint64(scripts) {
-			fmt.Fprintln(&text, strings.Join(script(t, seed, events), " "))
+			fmt.Fprintln(&text, strings.Join(runScript(t, seed, events), " "))
 		}
 		if err := os.WriteFile(name, []byte(text.String()), 0o644); err != nil {
 			t.Fatal(err)
@@ -143,13 +144,13 @@
 	seed := uint64(0)
 	for ; lines.Scan(); seed++ {
 		want := strings.Fields(lines.Text())
-		got := script(t, seed, events)
+		got := runScript(t, seed, events)
 		if len(want) != events/100 {
-			t.Fatalf("script %d has %d marks", seed, len(want))
+			t.Fatalf("script %d has %d hashes", seed, len(want))
 		}
 		for i := range want {
 			if got[i] != want[i] {
-				t.Errorf("script %d: other actions between events %d and %d", seed, i*100, i*100+99)
+				t.Errorf("script %d: actions differ between events %d and %d", seed, i*100, i*100+99)
 				break
 			}
 		}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// checker is an Actions that plays the host: it keeps what the rules need to judge each action, by
-// its own books and not by the balancer's, and reports breaches.
-type checker struct {
+// ruleChecker is an Actions that plays the host. It checks each action against the rules with its
+// own records, independent of those of the Balancer, and reports violations.
+type ruleChecker struct {
 	t        *testing.T
 	cfg      Config
 	now      Time
 	classes  map[string]Class
 	servers  map[ServerID]Server
-	drained  map[ServerID]bool // told draining or gone
+	drained  map[ServerID]bool // reported as draining or gone
 	requests map[RequestID]*openRequest
 	timers   []timerEvent
 	probes   []ServerID
@@ -31,155 +31,156 @@
 
 type openRequest struct {
 	Request
-	asked    Time
+	received Time
 	class    Class
 	attempts []openAttempt
 	answers  int
 	ended    bool
-	stopped  bool // nothing more may be sent for it
+	stopped  bool // no further send is allowed
 }
 
 type openAttempt struct {
-	server Server
-	sent   Time
-	out    bool
-	status Status
+	server  Server
+	sent    Time
+	pending bool
+	status  Status
 }
 
-func (c *checker) breach(format string, args ...any) {
+func (c *ruleChecker) violation(format string, args ...any) {
 	c.t.Helper()
 	c.failed = true
 	c.t.Errorf("at %v: %s", c.now, fmt.Sprintf(format, args...))
 }
 
-func (c *checker) Send(id RequestID, s ServerID, timeout time.Duration) {
+func (c *ruleChecker) Send(id RequestID, s ServerID, timeout time.Duration) {
 	c.log = append(c.log, fmt.Sprint("send ", id, s, timeout))
 	r := c.requests[id]
 	srv, ok := c.servers[s]
 	switch {
 	case r == nil || r.ended:
-		c.breach("send for the ended or unknown request %d", id)
+		c.violation("send for the ended or unknown request %d", id)
 		return
 	case !ok:
-		c.breach("send to the unknown server %s", s)
+		c.violation("send to the unknown server %s", s)
 		return
 	case r.stopped:
-		c.breach("send for request %d, for which nothing more may be sent", id)
+		c.violation("send for request %d, for which no further send is allowed", id)
 	case c.drained[s]:
-		c.breach("send to %s, which drains or is gone", s)
+		c.violation("send to %s, which is draining or gone", s)
 	case len(r.attempts) >= c.cfg.MaxAttempts:
-		c.breach("attempt %d of %d", len(r.attempts)+1, c.cfg.MaxAttempts)
+		c.violation("attempt %d of %d", len(r.attempts)+1, c.cfg.MaxAttempts)
 	}
 	for _, a := range r.attempts {
-		if a.out && !c.cfg.MayDuplicate {
-			c.breach("second copy of %d, which the site forbids", id)
+		if a.pending && !c.cfg.MayDuplicate {
+			c.violation("duplicate of request %d, which the configuration forbids", id)
 		}
-		proven := !a.out && (a.status == Overloaded || a.status == ConnectFailed || a.status == NotSent)
+		proven := !a.pending && (a.status == Overloaded || a.status == ConnectFailed || a.status == NotSent)
 		if proven || r.class.Effect == Safe {
 			continue
 		}
 		switch {
 		case r.class.Effect == Unsafe:
-			c.breach("unsafe request %d sent again", id)
+			c.violation("unsafe request %d sent again", id)
 		case c.now > a.sent+r.class.KeyTTL:
-			c.breach("keyed request %d sent again %v after its first send", id, c.now-a.sent)
+			c.violation("keyed request %d sent again %v after its first send", id, c.now-a.sent)
 		case r.class.Group == GroupZone && a.server.Zone != srv.Zone,
 			r.class.Group == GroupCell && a.server.Cell != srv.Cell:
-			c.breach("keyed request %d sent outside its group", id)
+			c.violation("keyed request %d sent outside its group", id)
 		}
 	}
 	for _, p := range r.PriorAttempts {
 		switch {
 		case r.class.Effect == Unsafe:
-			c.breach("unsafe request %d sent though it may have run before", id)
+			c.violation("unsafe request %d sent although it may have run before", id)
 		case r.class.Effect != Keyed:
-		case c.now > r.asked-p.Age+r.class.KeyTTL:
-			c.breach("keyed request %d sent %v after its first send for an earlier one", id, c.now-r.asked+p.Age)
+		case c.now > r.received-p.Age+r.class.KeyTTL:
+			c.violation("keyed request %d sent %v after the first send of an earlier request", id, c.now-r.received+p.Age)
 		case r.class.Group == GroupZone && p.Zone != srv.Zone, r.class.Group == GroupCell && p.Cell != srv.Cell:
-			c.breach("keyed request %d sent outside the group that has it", id)
+			c.violation("keyed request %d sent outside the group that recognizes it", id)
 		}
 	}
-	r.attempts = append(r.attempts, openAttempt{server: srv, sent: c.now, out: true})
+	r.attempts = append(r.attempts, openAttempt{server: srv, sent: c.now, pending: true})
 }
 
-func (c *checker) answer(id RequestID) *openRequest {
+func (c *ruleChecker) answer(id RequestID) *openRequest {
 	r := c.requests[id]
 	if r == nil {
-		c.breach("answer to the unknown request %d", id)
+		c.violation("answer to the unknown request %d", id)
 		return nil
 	}
 	if r.ended {
-		c.breach("second answer to request %d", id)
+		c.violation("second answer to request %d", id)
 	}
 	if c.now > r.Expires+c.cfg.AnswerGrace {
-		c.breach("answer to request %d comes %v late", id, c.now-r.Expires)
+		c.violation("answer to request %d is %v late", id, c.now-r.Expires)
 	}
 	r.ended = true
 	return r
 }
 
-func (c *checker) Refuse(id RequestID, d time.Duration) {
+func (c *ruleChecker) Refuse(id RequestID, d time.Duration) {
 	c.log = append(c.log, fmt.Sprint("refuse ", id, d))
 	r := c.answer(id)
 	if r != nil && len(r.PriorAttempts) > 0 {
-		c.breach("request %d may have run before and is refused", id)
+		c.violation("request %d may have run before and is refused", id)
 	}
 	if r == nil || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll {
 		return
 	}
 	for _, a := range r.attempts {
-		if a.out || a.status != Overloaded && a.status != ConnectFailed && a.status != NotSent {
-			c.breach("request %d may have run and is refused", id)
+		if a.pending || a.status != Overloaded && a.status != ConnectFailed && a.status != NotSent {
+			c.violation("request %d may have run and is refused", id)
 		}
 	}
 }
 
-func (c *checker) Fail(id RequestID) {
+func (c *ruleChecker) Fail(id RequestID) {
 	c.log = append(c.log, fmt.Sprint("fail ", id))
 	c.answer(id)
 }
 
-func (c *checker) Cancel(id RequestID, attempt int) {
+func (c *ruleChecker) Cancel(id RequestID, attempt int) {
 	c.log = append(c.log, fmt.Sprint("cancel ", id, attempt))
 	if r := c.requests[id]; r == nil || attempt >= len(r.attempts) {
-		c.breach("cancel of attempt %d of %d, which was never made", attempt, id)
+		c.violation("cancel of attempt %d of %d, which was never made", attempt, id)
 	}
 	if !c.cfg.MayCancel {
-		c.breach("cancel where the site forbids it")
+		c.violation("cancel although the configuration forbids it")
 	}
 }
 
-func (c *checker) SetTimer(d time.Duration, token string) {
+func (c *ruleChecker) SetTimer(d time.Duration, token string) {
 	c.log = append(c.log, fmt.Sprint("timer ", d, token))
 	if d > 71*time.Minute || token == "" || len(token) > 64 {
-		c.breach("timer of %v named %q", d, token)
+		c.violation("timer of %v named %q", d, token)
 	}
 	c.timers = append(c.timers, timerEvent{c.now + max(d, c.cfg.Tick), token})
 }
 
-func (c *checker) Probe(s ServerID) {
+func (c *ruleChecker) Probe(s ServerID) {
 	c.log = append(c.log, fmt.Sprint("probe ", s))
 	if !c.cfg.MayProbe {
-		c.breach("probe where the site forbids it")
+		c.violation("probe although the configuration forbids it")
 	}
 	if _, ok := c.servers[s]; !ok {
-		c.breach("probe of the unknown server %s", s)
+		c.violation("probe of the unknown server %s", s)
 	}
 	c.probes = append(c.probes, s)
 }
 
-func (c *checker) CloseIdle(s ServerID) {
+func (c *ruleChecker) CloseIdle(s ServerID) {
 	c.log = append(c.log, fmt.Sprint("hangup ", s))
 	if _, ok := c.servers[s]; !ok {
-		c.breach("hang-up of the unknown server %s", s)
+		c.violation("close of idle connections to the unknown server %s", s)
 	}
 }
 
-func (c *checker) Watch(on bool)   { c.log = append(c.log, fmt.Sprint("watch ", on)) }
-func (c *checker) Log(text string) { c.log = append(c.log, "log "+text) }
+func (c *ruleChecker) Watch(on bool)   { c.log = append(c.log, fmt.Sprint("watch ", on)) }
+func (c *ruleChecker) Log(text string) { c.log = append(c.log, "log "+text) }
 
-// play runs a random legal sequence of events drawn from seed and returns the actions taken.
-func play(t *testing.T, seed uint64, steps int) []string {
+// runRandomEvents runs a random legal sequence of events drawn from seed and returns the actions
+// taken.
+func runRandomEvents(t *testing.T, seed uint64, steps int) []string {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	cfg := testConfig()
 	cfg.GroupSize = 1 + rng.IntN(20)
@@ -194,7 +195,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &checker{
+	c := &ruleChecker{
 		t: t, cfg: cfg, classes: map[string]Class{}, servers: map[ServerID]Server{},
 		drained: map[ServerID]bool{}, requests: map[RequestID]*openRequest{},
 	}
@@ -237,7 +238,7 @@
 	}
 	settle := func(r *openRequest, i int, status Status) {
 		a := &r.attempts[i]
-		a.out, a.status = false, status
+		a.pending, a.status = false, status
 		if status == OK {
 			r.ended = true
 		}
@@ -259,14 +260,14 @@
 				c.timers = append(c.timers, e)
 			}
 		}
-		for _, id := range ids { // the host's own time-out at the client's deadline
+		for _, id := range ids { // the host's own timeout at the client's deadline
 			r := c.requests[id]
 			if !r.ended && c.now > r.Expires+cfg.AnswerGrace {
-				c.breach("request %d got no answer in time", id)
+				c.violation("request %d got no answer in time", id)
 				return c.log
 			}
 			for i := range r.attempts {
-				if r.attempts[i].out && c.now >= r.Expires {
+				if r.attempts[i].pending && c.now >= r.Expires {
 					settle(r, i, Timeout)
 				}
 			}
@@ -286,10 +287,10 @@
 			id := RequestID(step + 1)
 			patience := time.Duration(1+rng.IntN(900)) * time.Millisecond
 			q := Request{ID: id, Class: name, Expires: c.now + patience}
-			if id%5 == 0 && cl.Effect == Keyed { // some have been sent for an earlier request
+			if id%5 == 0 && cl.Effect == Keyed { // some were sent before for an earlier request
 				q.PriorAttempts = []PriorAttempt{{Zone: cfg.Zone, Cell: int(id) % 3, Age: cl.KeyTTL * time.Duration(id%7) / 6}}
 			}
-			c.requests[id] = &openRequest{Request: q, class: cl, asked: c.now}
+			c.requests[id] = &openRequest{Request: q, class: cl, received: c.now}
 			ids = append(ids, id)
 			b.Request(c.now, q, c)
 		case 5:
@@ -303,8 +304,8 @@
 				r := c.requests[ids[rng.IntN(len(ids))]]
 				r.stopped = true
 				b.StopSending(c.now, r.ID, c)
-				if out := slices.ContainsFunc(r.attempts, func(a openAttempt) bool { return a.out }); !out && !r.ended {
-					c.breach("request %d has nothing out, may have nothing more sent, and is left open", r.ID)
+				if out := slices.ContainsFunc(r.attempts, func(a openAttempt) bool { return a.pending }); !out && !r.ended {
+					c.violation("request %d has no outstanding attempt, allows no further send, and is left open", r.ID)
 				}
 			}
 		case 13:
@@ -313,7 +314,7 @@
 				r.stopped = true
 				b.GiveUp(c.now, r.ID, c)
 				if !r.ended {
-					c.breach("request %d is given up and left open", r.ID)
+					c.violation("request %d is given up and left open", r.ID)
 				}
 			}
 		case 6, 7:
@@ -328,7 +329,7 @@
 			}
 			r := c.requests[ids[len(ids)-1-rng.IntN(min(len(ids), 5))]]
 			for i := range r.attempts {
-				if r.attempts[i].out {
+				if r.attempts[i].pending {
 					settle(r, i, Status(rng.IntN(8)))
 					break
 				}
@@ -341,36 +342,38 @@
 	return c.log
 }
 
-// TestRulesOnRandomEvents guards rules 1 to 3 and the wire's obligations on every path.
+// TestRulesOnRandomEvents guards rules 1 to 3 and the obligations of the protocol on every path.
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := range uint64(300) {
-		play(t, seed, 400)
+		runRandomEvents(t, seed, 400)
 		if t.Failed() {
 			t.Fatalf("with seed %d", seed)
 		}
 	}
 }
 
-// TestEqualEventsGiveEqualActions guards against clocks, map order and shared state.
-func TestEqualEventsGiveEqualActions(t *testing.T) {
+// TestDeterministicActions guards against decisions that depend on clocks, map order or shared
+// state.
+func TestDeterministicActions(t *testing.T) {
 	for seed := range uint64(20) {
-		if !slices.Equal(play(t, seed, 400), play(t, seed, 400)) {
+		if !slices.Equal(runRandomEvents(t, seed, 400), runRandomEvents(t, seed, 400)) {
 			t.Fatalf("seed %d: two runs differ", seed)
 		}
 	}
 }
 
+// FuzzRules checks the rules on random events drawn from the fuzzed seed.
 func FuzzRules(f *testing.F) {
 	f.Add(uint64(1))
-	f.Fuzz(func(t *testing.T, seed uint64) { play(t, seed, 400) })
+	f.Fuzz(func(t *testing.T, seed uint64) { runRandomEvents(t, seed, 400) })
 }
 
-// TestTimeSpentBeforeTheEvent: a fresh request of which a busy machine has spent a part of the time before its event is no last try of an
-// old one, whose time is past.
-func TestTimeSpentBeforeTheEvent(t *testing.T) {
-	b, rec := start(t, testConfig(), 4)
+// TestDelayBeforeRequestEvent guards against taking a fresh request for the last try of an old
+// one because a busy machine used up a part of its time before the event.
+func TestDelayBeforeRequestEvent(t *testing.T) {
+	b, rec := newTestBalancer(t, testConfig(), 4)
 	b.cfg.MayProbe = false
-	for i := range 5 { // the usual time of a try is known
+	for i := range 5 { // the usual timeout of a try is known afterwards
 		now := Time(i+1) * time.Second
 		b.Request(now, Request{ID: RequestID(i), Class: "safe", Expires: now + 400*time.Millisecond, ClientTimeout: 400 * time.Millisecond}, rec)
 		b.Outcome(now, Outcome{ID: RequestID(i), Server: b.requests[RequestID(i)].attempts[0].server.ID, Status: OK, Final: true}, rec)
@@ -379,10 +382,10 @@
 	now := 10 * time.Second
 	b.Request(now, Request{ID: 9, Class: "safe", Expires: now + 300*time.Millisecond, ClientTimeout: 400 * time.Millisecond}, rec)
 	if r := b.requests[9]; r == nil || r.startedAt != now || len(rec.take("send")) != 1 {
-		t.Errorf("a request with 100 ms spent is not sent as a fresh one: %+v", r)
+		t.Errorf("a request with 100 ms used up is not sent as a fresh one: %+v", r)
 	}
 	b.Request(now, Request{ID: 10, Class: "safe", Expires: now + 300*time.Millisecond, ClientTimeout: 300 * time.Millisecond}, rec)
 	if r := b.requests[10]; r != nil && r.startedAt == now {
-		t.Error("a last try passes for a fresh one")
+		t.Error("a last try counts as a fresh one")
 	}
 }
--- a/policy/site_plan_test.go
+++ b/policy/site_plan_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// stubPlan is a Plan by the book: what is meant for whom, who takes over, and whether attempts may be added.
+// stubPlan is a SitePlan with fixed answers.
 type stubPlan struct {
 	home    []string
 	lost    float64
 	to      string
 	after   time.Duration
 	added   bool
-	spilled []string // from where
+	spilled []string // the sites that Spill was called for
 }
 
 func (p *stubPlan) HomeSites(string, string) ([]string, float64) { return p.home, p.lost }
@@ -30,13 +30,13 @@
 
 func (p *stubPlan) HasSpareCapacity(Time, string, float64) bool { return p.added }
 
-// planned sends n requests of a class, each of which is served at once by the server that gets it, and returns how many went to
-// servers of each zone, and how many were refused.
-func planned(t *testing.T, p *stubPlan, shares map[string]float64, class string, n int) (zones map[string]int, refused int) {
+// runWithPlan sends n requests of a class, each answered at once by its server. It returns the
+// number of requests per zone and the number refused.
+func runWithPlan(t *testing.T, p *stubPlan, shares map[string]float64, class string, n int) (zones map[string]int, refused int) {
 	t.Helper()
 	cfg := testConfig()
 	cfg.MayProbe = false
-	b, rec := start(t, cfg, 12)
+	b, rec := newTestBalancer(t, cfg, 12)
 	b.SetSitePlan(p)
 	b.SetSiteShares(shares)
 	now := time.Minute
@@ -59,66 +59,68 @@
 	return zones, refused
 }
 
-// TestPlan: requests go to the sites that they are meant for, those that a site may not take to the one that the plan names, and
-// are refused where it names none.
-func TestPlan(t *testing.T) {
+// TestSitePlan checks that requests go to their home sites, that requests a site may not take go
+// to the site named by the plan, and that they are refused if it names none.
+func TestSitePlan(t *testing.T) {
 	const n = 4000
-	if zones, refused := planned(t, &stubPlan{}, nil, "safe", n); zones["a"] < n/3 || zones["b"] < n/3 || refused > 0 {
+	if zones, refused := runWithPlan(t, &stubPlan{}, nil, "safe", n); zones["a"] < n/3 || zones["b"] < n/3 || refused > 0 {
 		t.Errorf("without shares: %v, %d refused", zones, refused)
 	}
-	if zones, refused := planned(t, &stubPlan{home: []string{"b"}}, nil, "safe", n); zones["b"] != n || refused > 0 {
-		t.Errorf("meant for b: %v, %d refused", zones, refused)
+	if zones, refused := runWithPlan(t, &stubPlan{home: []string{"b"}}, nil, "safe", n); zones["b"] != n || refused > 0 {
+		t.Errorf("home b: %v, %d refused", zones, refused)
 	}
 	p := &stubPlan{to: "b"}
-	zones, refused := planned(t, p, map[string]float64{"a": 0.1, "b": 1}, "keyed", n)
-	if meant := len(p.spilled) + zones["a"]; zones["a"] < meant*7/100 || zones["a"] > meant*13/100 || refused > 0 || zones["a"]+zones["b"] != n {
-		t.Errorf("a takes a tenth: %v of %d, %d refused", zones, meant, refused)
+	zones, refused := runWithPlan(t, p, map[string]float64{"a": 0.1, "b": 1}, "keyed", n)
+	if assigned := len(p.spilled) + zones["a"]; zones["a"] < assigned*7/100 || zones["a"] > assigned*13/100 || refused > 0 || zones["a"]+zones["b"] != n {
+		t.Errorf("a takes a tenth: %v of %d, %d refused", zones, assigned, refused)
 	}
 	p = &stubPlan{to: "b"}
-	if dear, _ := planned(t, p, map[string]float64{"a": 0.1, "b": 1}, "safe", n); dear["a"] > zones["a"]/2 || dear["a"] == 0 {
-		t.Errorf("of what is worth most %v go to a site that may take a tenth, of the rest %v", dear, zones)
+	if valuable, _ := runWithPlan(t, p, map[string]float64{"a": 0.1, "b": 1}, "safe", n); valuable["a"] > zones["a"]/2 || valuable["a"] == 0 {
+		t.Errorf("requests worth most at a site that may take a tenth: %v, others: %v", valuable, zones)
 	}
 	p = &stubPlan{after: 300 * time.Millisecond}
-	if zones, refused = planned(t, p, map[string]float64{"a": 0.01}, "safe", n); refused != len(p.spilled) || refused < n/4 || zones["b"] < n/4 {
-		t.Errorf("nobody takes over: %v, %d refused of %d", zones, refused, len(p.spilled))
+	if zones, refused = runWithPlan(t, p, map[string]float64{"a": 0.01}, "safe", n); refused != len(p.spilled) || refused < n/4 || zones["b"] < n/4 {
+		t.Errorf("no site takes over: %v, %d refused of %d", zones, refused, len(p.spilled))
 	}
 	p = &stubPlan{lost: 0.25, to: "b"}
-	if planned(t, p, nil, "safe", n); len(p.spilled) < n/5 || len(p.spilled) > n*3/10 || p.spilled[0] != "" {
-		t.Errorf("%d of %d are meant for sites that are lost", len(p.spilled), n)
+	if runWithPlan(t, p, nil, "safe", n); len(p.spilled) < n/5 || len(p.spilled) > n*3/10 || p.spilled[0] != "" {
+		t.Errorf("%d of %d are assigned to missing sites", len(p.spilled), n)
 	}
-	if zones, refused = planned(t, &stubPlan{home: []string{"gone"}, to: "a"}, nil, "safe", n); zones["a"] != n || refused > 0 {
-		t.Errorf("meant for a site without servers: %v, %d refused", zones, refused)
+	if zones, refused = runWithPlan(t, &stubPlan{home: []string{"gone"}, to: "a"}, nil, "safe", n); zones["a"] != n || refused > 0 {
+		t.Errorf("home site without servers: %v, %d refused", zones, refused)
 	}
 }
 
-// TestPlanTells: a refusal for want of room at other sites says when there may be some.
-func TestPlanTells(t *testing.T) {
+// TestSpillRetryAfter checks that a refusal because other sites are full says when there may be
+// room.
+func TestSpillRetryAfter(t *testing.T) {
 	cfg := testConfig()
 	cfg.ClientsHonorRetryAfter, cfg.MaxRetryAfter = true, time.Second
-	b, _ := start(t, cfg, 4)
+	b, _ := newTestBalancer(t, cfg, 4)
 	b.SetSitePlan(&stubPlan{lost: 1, after: 700 * time.Millisecond})
-	var told refusals
-	b.Request(time.Minute, Request{ID: 1, Class: "safe", Expires: time.Minute + time.Second}, &told)
-	if len(told.after) != 1 || told.after[0] != 700*time.Millisecond {
-		t.Errorf("told %v", told.after)
+	var rec refusalRecorder
+	b.Request(time.Minute, Request{ID: 1, Class: "safe", Expires: time.Minute + time.Second}, &rec)
+	if len(rec.after) != 1 || rec.after[0] != 700*time.Millisecond {
+		t.Errorf("delays %v", rec.after)
 	}
 }
 
-// refusals is an Actions that keeps what refusals say.
-type refusals struct {
+// refusalRecorder is an Actions that also records the delays given with refusals.
+type refusalRecorder struct {
 	recorder
 	after []time.Duration
 }
 
-func (r *refusals) Refuse(_ RequestID, d time.Duration) { r.after = append(r.after, d) }
+func (r *refusalRecorder) Refuse(_ RequestID, d time.Duration) { r.after = append(r.after, d) }
 
-// TestPlanAndAttempts: a further attempt stays at the first one's site unless another may have it, and whatever the plan says
-// the rules of a class hold: what may repeat in one zone only is never repeated in another.
-func TestPlanAndAttempts(t *testing.T) {
+// TestSitePlanAndAttempts checks that a further attempt stays at the site of the first unless
+// another site takes it over, and that the rules of a class hold whatever the plan says: requests
+// that may repeat in one zone only are never repeated in another.
+func TestSitePlanAndAttempts(t *testing.T) {
 	try := func(class string, p *stubPlan, home []string) (zones []string) {
 		cfg := testConfig()
 		cfg.MayProbe = false
-		b, rec := start(t, cfg, 4)
+		b, rec := newTestBalancer(t, cfg, 4)
 		p.home = home
 		b.SetSitePlan(p)
 		now := time.Minute
@@ -138,25 +140,26 @@
 	}
 	for range 20 {
 		if z := try("safe", &stubPlan{}, nil); crossed(z) || len(z) != 2 {
-			t.Fatalf("attempts at %v though none may be added", z)
+			t.Fatalf("attempts at %v although no site takes over", z)
 		}
 	}
 	if z := try("safe", &stubPlan{to: "b", added: true}, []string{"a"}); strings.Join(z, "") != "abb" {
-		t.Errorf("attempts at %v, want the site's, and then those of the one that has room", z)
+		t.Errorf("attempts at %v, want the home site first, then the site with room", z)
 	}
 	for range 20 {
 		if z := try("zonal", &stubPlan{to: "b", added: true}, []string{"a"}); crossed(z) {
-			t.Fatalf("one that repeats in a zone only has attempts at %v", z)
+			t.Fatalf("a request that may repeat in its zone only has attempts at %v", z)
 		}
 		if z := try("unsafe", &stubPlan{to: "b", added: true}, nil); len(z) != 1 {
-			t.Fatalf("one that may not repeat has attempts at %v", z)
+			t.Fatalf("a request that may not repeat has attempts at %v", z)
 		}
 	}
 }
 
-// TestPlanAndDrains: a site all of whose servers drain gets nothing, whatever is meant for it.
-func TestPlanAndDrains(t *testing.T) {
-	b, rec := start(t, testConfig(), 4)
+// TestSitePlanAndDrains checks that a site whose servers all drain gets no requests, whatever is
+// assigned to it.
+func TestSitePlanAndDrains(t *testing.T) {
+	b, rec := newTestBalancer(t, testConfig(), 4)
 	b.SetSitePlan(&stubPlan{home: []string{"a"}, to: "a"})
 	b.SetSiteShares(map[string]float64{"b": 0.5})
 	var drained []Server
@@ -177,10 +180,11 @@
 	}
 }
 
-// TestPlanWaitsForNothing: a request that its probes speak for, at a site all of whose servers are cold and take a part of what
-// comes only, is sent or turned away at once: it does not wait until its time is up.
-func TestPlanWaitsForNothing(t *testing.T) {
-	b, rec := start(t, testConfig(), 4)
+// TestSitePlanNeverWaitsInVain checks that a request with a good probe reply, at a site whose
+// servers are all cold and take only a part of the requests, is sent or refused at once instead
+// of waiting until its time is up.
+func TestSitePlanNeverWaitsInVain(t *testing.T) {
+	b, rec := newTestBalancer(t, testConfig(), 4)
 	now := time.Minute
 	var cold []Server
 	for _, s := range b.ready {
@@ -201,7 +205,7 @@
 			}
 		}
 		if r := b.requests[id]; r != nil && !r.ended && len(r.attempts) == 0 && r.heldUntil == 0 {
-			t.Fatalf("request %d waits for nothing", id)
+			t.Fatalf("request %d waits in vain", id)
 		}
 		for _, l := range rec.take("") {
 			switch {
