--- a/internal/account/recorder.go
+++ b/internal/account/recorder.go
@@ -171,7 +171,7 @@
 	return v
 }
 
-// Members is a method of policy.Balancer, as are those below.
+// UpdateServers is a method of policy.Balancer, as are those below.
 func (r *Recorder) UpdateServers(now policy.Time, kind policy.ListKind, list []policy.Server, act policy.Actions) {
 	r.tick(now)
 	if kind == policy.ListFailed {
--- a/internal/standin/memory.go
+++ b/internal/standin/memory.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// Withdrawn is the method of engine.Module.
+// ClientDisconnected is the method of engine.Module.
 func (Once) ClientDisconnected(_ policy.Time, id policy.RequestID, act policy.Actions) {
 	act.Cancel(id, 0)
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -80,8 +80,8 @@
 	ServersCacheKeys bool // a server does less work for a key it has seen recently
 
 	RefreshInterval    time.Duration // after this long without news the list is assumed to be known
-	AnswerGrace        time.Duration // how long after Request.Expires a final answer is still in time
-	ColdCapacity       float64       // minimum share of its capacity that a server has when it starts
+	AnswerGrace        time.Duration // a final answer may come this long after Request.Expires
+	ColdCapacity       float64       // minimum share of capacity when a server starts
 	Ramp               time.Duration // a server is warm this long after its start
 	ColdOverloadFactor float64       // overload that a cold server briefly withstands; 0: unknown
 
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -113,7 +113,7 @@
 	now := time.Minute
 	for i := range 4 {
 		s := b.servers[ServerID(fmt.Sprint("s", i))]
-		if s.reported, s.reportedAt = true, now-time.Second; i > 0 { // too old for another server to be chosen by it
+		if s.reported, s.reportedAt = true, now-time.Second; i > 0 { // too old to choose by
 			s.queue = 18 // within the aim, above any limit of a sidecar with little traffic
 		}
 	}
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -13,7 +13,7 @@
 	Queue, Delay, Variance, Covariance float64       // regression of delay on queue depth
 	Busy                               float64       // share of probes that found a waiting request
 	Gap                                time.Duration // between requests
-	MaxReadySet                        int           `json:"MostSet"` // size that the traffic allows
+	MaxReadySet                        int           `json:"MostSet"` // for the traffic
 	Slowness                           map[ServerID]float64
 	Ejected                            map[ServerID]time.Duration // remaining time of the ejection
 	UsualTryTime                       map[string]time.Duration   `json:"Usual"` // by class
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -13,8 +13,7 @@
 )
 
 const (
-	// probesPerRound is the parameter d of JBT-d. Two random choices already balance the load
-	// well.
+	// probesPerRound is the parameter d of JBT-d. A choice between two is enough to tilt the pick.
 	probesPerRound = 2
 	// defaultReadySet is the ready set's size at low traffic. In a larger set each member would
 	// get too few requests and probes of this sidecar to keep its figures fresh. A sidecar that
@@ -38,8 +37,8 @@
 	connectionBudget = 0.02
 	// minReadySet leaves a choice of two servers if one of three members fails.
 	minReadySet = 3
-	// holdDivisor: a request may wait for a good probe reply for 1/holdDivisor of its remaining
-	// time. After that it still has to wait in the server's queue.
+	// holdDivisor limits the wait for a usable probe reply to 1/holdDivisor of the time that a
+	// request has left, because it then still has to wait in the queue of a server.
 	holdDivisor = 6
 	// refusalBand is the part of the remaining time over which the probability of a refusal rises
 	// to 1. It is wide enough for queues to settle within it, below the aim, although each
@@ -48,9 +47,9 @@
 	// maxQueueShare is the part of the time left after the work itself that a queue may take from
 	// the requests with the highest worth, in a sidecar with little traffic. A refused client
 	// retries at once, mostly in time for another server, while a waiting client is late for good
-	// if its server is slower than the last report said. A sidecar that sees at least
-	// busyRequests requests per mark lifetime learns queue lengths from its own traffic and
-	// allows the whole time.
+	// if its server is slower than the last report said. A sidecar that sees more than
+	// busyRequests requests per mark lifetime learns queue lengths from its own traffic, and
+	// allows the more of the time the more it sees, up to all of it.
 	maxQueueShare = 0.45
 	busyRequests  = 16
 	// firstEjection is the duration of the first ejection. Each further failure in a row doubles
@@ -936,6 +935,7 @@
 	return min(max(wait-max(r.delayLimit, 0), b.cfg.Tick, r.spillRetryAfter), b.cfg.MaxRetryAfter).Round(time.Millisecond)
 }
 
+// cancelAll cancels the outstanding attempts of r, if the configuration allows it.
 func (b *Balancer) cancelAll(r *request, act Actions) {
 	for i, a := range r.attempts {
 		if a.pending && b.cfg.MayCancel && !a.canceled {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -174,7 +174,8 @@
 		want    float64 // share of requests that s0 is sent
 	}{
 		{"one of two", false, cfg.ColdCapacity / 2},
-		{"both", true, cfg.ColdCapacity}, // at most; the rest is refused or goes to the other server
+		// At most; the rest is refused or goes to the other server.
+		{"both", true, cfg.ColdCapacity},
 	}
 	for _, tc := range tests {
 		b, rec := newTestBalancer(t, cfg, 2)
@@ -471,7 +472,7 @@
 	for _, m := range []delayModel{
 		{},
 		{queue: 1, delay: 2e7, variance: 4, covariance: 1e6},
-		{queue: 1, delay: 2e7, variance: 4, covariance: -1e9}, // flat line: longer queues were answered faster
+		{queue: 1, delay: 2e7, variance: 4, covariance: -1e9}, // flat: longer queues, faster answers
 	} {
 		b.delay = m
 		if b.withinLimit(s, time.Minute) {
--- a/policy/state.go
+++ b/policy/state.go
@@ -15,13 +15,13 @@
 func (cfg Config) validate() error {
 	switch {
 	case cfg.GroupSize < 1 || cfg.Ordinal < 0 || cfg.Ordinal >= cfg.GroupSize:
-		return fmt.Errorf("policy: ordinal %d outside a group of %d", cfg.Ordinal, cfg.GroupSize)
+		return fmt.Errorf("policy: ordinal %d is outside the group of %d", cfg.Ordinal, cfg.GroupSize)
 	case cfg.MaxAttempts < 1:
-		return errors.New("policy: MaxAttempts below 1")
+		return errors.New("policy: MaxAttempts must be at least 1")
 	case !(cfg.ColdCapacity >= 0 && cfg.ColdCapacity <= 1) || cfg.Ramp < 0:
-		return errors.New("policy: ColdFrom outside 0..1 or negative Ramp")
+		return errors.New("policy: ColdFrom must be within 0..1 and Ramp must not be negative")
 	case cfg.Tick < 0 || cfg.RefreshInterval < 0 || cfg.AnswerGrace < 0 || cfg.DialTimeout < 0:
-		return errors.New("policy: negative time in Config")
+		return errors.New("policy: times in Config must not be negative")
 	}
 	for _, c := range cfg.Classes {
 		if c.Aim <= 0 || c.Deadline < c.Aim || c.Worth < 0 || c.KeyTTL < 0 {
@@ -31,6 +31,7 @@
 	return nil
 }
 
+// class is a Class with what was observed of its requests.
 type class struct {
 	Class
 	// Timeout that clients give most tries; the last try gets all the time left.
@@ -89,6 +90,7 @@
 	c.unanswered = append(c.unanswered, r)
 }
 
+// server is a Server with the state that the Balancer keeps of it.
 type server struct {
 	Server
 	queue      float64 // latest reported queue
@@ -149,6 +151,7 @@
 	return max(l.Queue, l.Inflight)
 }
 
+// attempt is one attempt of a request.
 type attempt struct {
 	server    *server
 	zone      string
@@ -174,6 +177,7 @@
 	a.executing = executing
 }
 
+// request is a Request with the state that the Balancer keeps until it has ended.
 type request struct {
 	Request
 	class         *class
@@ -199,6 +203,7 @@
 	responseStarted bool // the response has begun and reached the client
 }
 
+// timerToken returns the token of the timers of a request.
 func timerToken(id RequestID) string { return strconv.FormatUint(uint64(id), 36) }
 
 // sortByHash sorts servers by a hash of their ID and salt.
@@ -208,6 +213,7 @@
 	})
 }
 
+// hash returns a hash of id and salt.
 func hash(id ServerID, salt uint64) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id))
@@ -216,6 +222,7 @@
 	return x ^ x>>31
 }
 
+// sortedKeys returns the keys of m in ascending order.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
