--- a/policy/api.go
+++ b/policy/api.go
@@ -134,8 +134,8 @@
 	Cost          time.Duration // rough estimate of the work; zero: unknown
 	Retry         bool
 	Expires       Time           // when the client abandons this try
-	ClientTimeout time.Duration  // set by the client, if known and above the time left
-	Uploading     bool           // body still arriving; see UploadComplete
+	ClientTimeout time.Duration  // the client's, if known to exceed the time left; zero: that
+	Uploading     bool           // the body is still arriving; see UploadComplete
 	PriorAttempts []PriorAttempt // earlier attempts under the same key that may have run
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -469,10 +469,11 @@
 	b, _ := newTestBalancer(t, testConfig(), 2)
 	s := b.servers["s0"]
 	s.queue, s.reported = math.Inf(1), true
+	// In the last model longer queues were answered faster, so its line is flat.
 	for _, m := range []delayModel{
 		{},
 		{queue: 1, delay: 2e7, variance: 4, covariance: 1e6},
-		{queue: 1, delay: 2e7, variance: 4, covariance: -1e9}, // flat: longer queues, faster answers
+		{queue: 1, delay: 2e7, variance: 4, covariance: -1e9}, // flat
 	} {
 		b.delay = m
 		if b.withinLimit(s, time.Minute) {
