--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -81,7 +81,7 @@
 	Attempts   int             // number of attempts made
 	LastStatus policy.Status   // not Served: status of the attempt that ended last, if Attempts > 0
 	Replayed   bool            // Served: the reply belongs to an earlier request under the same key
-	// not Served: every attempt has ended and was provably never executed
+	// NotRun is set unless Served, if every attempt has ended and was provably never executed.
 	NotRun bool
 	// MayHaveRun is set on Failed: this request was not sent, but an earlier one under its key may
 	// have run.
