--- a/internal/engine/timer.go
+++ b/internal/engine/timer.go
@@ -7,27 +7,27 @@
 	"quillfront/policy"
 )
 
-// SetTimer is a method of policy.Actions.
+// SetTimer implements policy.Actions.
 func (e *Engine) SetTimer(after time.Duration, token string) {
 	if e.closed {
 		return
 	}
 	heap.Push(&e.timers, timer{e.Now() + max(0, after), token})
-	e.setAlarm()
+	e.scheduleWake()
 }
 
-// setAlarm makes the alarm ring when the first timer is due.
-func (e *Engine) setAlarm() {
-	if len(e.timers) > 0 && (e.alarmAt == 0 || e.timers[0].at < e.alarmAt) {
-		e.alarmAt = e.timers[0].at
-		e.alarm.Reset(max(0, e.alarmAt-e.Now()))
+// scheduleWake sets wakeTimer to the time when the earliest timer is due.
+func (e *Engine) scheduleWake() {
+	if len(e.timers) > 0 && (e.wakeAt == 0 || e.timers[0].at < e.wakeAt) {
+		e.wakeAt = e.timers[0].at
+		e.wakeTimer.Reset(max(0, e.wakeAt-e.Now()))
 	}
 }
 
-// ring hands the timers that are due to the module, all in one go.
-func (e *Engine) ring() {
+// fireTimers passes all timers that are due to the module, within one event.
+func (e *Engine) fireTimers() {
 	e.event(func(now policy.Time) {
-		e.alarmAt = 0
+		e.wakeAt = 0
 		var due []string
 		for len(e.timers) > 0 && e.timers[0].at <= now {
 			due = append(due, heap.Pop(&e.timers).(timer).token)
@@ -35,16 +35,17 @@
 		for _, token := range due {
 			e.module.Timer(now, token, e)
 		}
-		e.setAlarm()
+		e.scheduleWake()
 	})
 }
 
+// timer is a timer that the module has set.
 type timer struct {
 	at    policy.Time
 	token string
 }
 
-// timerHeap implements heap.Interface, the timer that is due first at its top.
+// timerHeap implements heap.Interface with the earliest timer at the top.
 type timerHeap []timer
 
 func (t timerHeap) Len() int           { return len(t) }
@@ -54,7 +55,7 @@
 func (t *timerHeap) Pop() any {
 	last := len(*t) - 1
 	x := (*t)[last]
-	(*t)[last] = timer{} // lets go of the token
+	(*t)[last] = timer{} // releases the token
 	*t = (*t)[:last]
 	return x
 }
--- a/internal/httpfront/proxy.go
+++ b/internal/httpfront/proxy.go
@@ -324,7 +324,7 @@
 			// A body with a trailer is sent in chunks, and chunked bodies are streamed.
 			q.Room.Release(n)
 			q.msg.Rest, q.msg.Length = httpmsg.NewUpload(bytes.NewReader(q.msg.Body)), -1
-			q.msg.Body, q.msg.Trailer, q.Request.Upload = nil, c.body.Trailer, true
+			q.msg.Body, q.msg.Trailer, q.Request.Uploading = nil, c.body.Trailer, true
 			return nil
 		}
 	}
@@ -332,7 +332,7 @@
 		q.msg.Terms.Expect = s.proxy.ExpectTimeout
 		src.onFirstRead = func() { s.writeInterim(c, q, "HTTP/1.1 100 Continue\r\n\r\n") }
 	}
-	q.msg.Rest, q.msg.Length, q.Request.Upload = httpmsg.NewUpload(src), q.length, true
+	q.msg.Rest, q.msg.Length, q.Request.Uploading = httpmsg.NewUpload(src), q.length, true
 	if chunked {
 		q.msg.Trailer = c.body.Trailer
 	}
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -737,7 +737,7 @@
 		return bodyError(err)
 	}
 	if !c.body.Ended() {
-		m.Rest, m.Length, r.Upload = httpmsg.NewUpload(&minRateReader{c: c, start: time.Now(), bytesRead: n, limits: &s.limits}), length, true
+		m.Rest, m.Length, r.Uploading = httpmsg.NewUpload(&minRateReader{c: c, start: time.Now(), bytesRead: n, limits: &s.limits}), length, true
 	}
 	return nil
 }
