--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -22,9 +22,11 @@
 {"cmd":"Pool","Page":0,"Lines":[{"Lifecycle":"on","Az":"a","Upstream":"10.0.0.1:80","CapacityHint":1,"Novel":3}]},
 {"cmd":"BackendsChanged","How":"stale_copy","Version":1,"Page":0}]}]}`)
 
+// oneLine removes the line breaks from s.
 func oneLine(s string) string { return strings.ReplaceAll(s, "\n", "") }
 
-func to0(msg string) string {
+// message returns a batch with one message to instance sidecar/0.
+func message(msg string) string {
 	return `{"AtTimeUs":20,"groups":[{"Sidecar":"sidecar/0","msgs":[` + msg + `]}]}`
 }
 
@@ -34,8 +36,10 @@
 	return out.String(), err
 }
 
+// TestServe verifies that every batch gets a reply line, also an empty one, and that request IDs of
+// 52 bits keep their exact value.
 func TestServe(t *testing.T) {
-	demand := to0(`{"cmd":"Demand","Corr":4503599627370495,"Item":"91f03b7c55d20a64","ExpiresUs":400020,"Type":"q"}`)
+	demand := message(`{"cmd":"Demand","Corr":4503599627370495,"Item":"91f03b7c55d20a64","ExpiresUs":400020,"Type":"q"}`)
 	got, err := serve(`{"AtTimeUs":1,"groups":[]}`, openLine, demand)
 	if err != nil {
 		t.Fatal(err)
@@ -53,18 +57,20 @@
 	}
 }
 
+// TestServeBadInput verifies that malformed input yields an error that names the message or value
+// at fault.
 func TestServeBadInput(t *testing.T) {
 	tests := []struct{ name, line, want string }{
 		{"malformed JSON", `{"AtTimeUs":`, "batch"},
-		{"no clock", `{"groups":[]}`, "AtTimeUs"},
-		{"unknown message", to0(`{"cmd":"Hurray"}`), `"Hurray"`},
+		{"no time", `{"groups":[]}`, "AtTimeUs"},
+		{"unknown message", message(`{"cmd":"Hurray"}`), `"Hurray"`},
 		{"closed instance", `{"AtTimeUs":2,"groups":[{"Sidecar":"sidecar/9","msgs":[{"cmd":"Halt"}]}]}`, "sidecar/9"},
-		{"unknown outcome", to0(`{"cmd":"ReportBack","Corr":1,"Disposition":"lucky"}`), `"lucky"`},
-		{"unknown list kind", to0(`{"cmd":"BackendsChanged","How":"hearsay"}`), `"hearsay"`},
-		{"list out of range", to0(`{"cmd":"Pool","Page":16}`), `"Pool"`},
-		{"unknown state", to0(`{"cmd":"Pool","Lines":[{"Lifecycle":"odd"}]}`), `"odd"`},
-		{"config out of range", to0(`{"cmd":"OpenInstance","Settings":{"GroupSize":0}}`), "OpenInstance"},
-		{"unknown effect", to0(`{"cmd":"OpenInstance","Settings":{"RequestClasses":[{"Effect":"odd"}]}}`), `"odd"`},
+		{"unknown outcome", message(`{"cmd":"ReportBack","Corr":1,"Disposition":"lucky"}`), `"lucky"`},
+		{"unknown list kind", message(`{"cmd":"BackendsChanged","How":"hearsay"}`), `"hearsay"`},
+		{"list out of range", message(`{"cmd":"Pool","Page":16}`), `"Pool"`},
+		{"unknown state", message(`{"cmd":"Pool","Lines":[{"Lifecycle":"odd"}]}`), `"odd"`},
+		{"config out of range", message(`{"cmd":"OpenInstance","Settings":{"GroupSize":0}}`), "OpenInstance"},
+		{"unknown effect", message(`{"cmd":"OpenInstance","Settings":{"RequestClasses":[{"Effect":"odd"}]}}`), `"odd"`},
 	}
 	for _, tt := range tests {
 		if _, err := serve(openLine, tt.line); err == nil || !strings.Contains(err.Error(), tt.want) {
@@ -73,6 +79,8 @@
 	}
 }
 
+// TestUnknownRequestsAndFieldsAreSkipped verifies that events for unknown requests, servers or
+// timers, and unknown fields, are ignored without a Fault.
 func TestUnknownRequestsAndFieldsAreSkipped(t *testing.T) {
 	for _, msg := range []string{
 		`{"cmd":"ReportBack","Corr":99,"Shot":0,"Disposition":"delivered","Upstream":"10.9.9.9:1","Novel":true}`,
@@ -80,12 +88,14 @@
 		`{"cmd":"HealthResult","Upstream":"10.9.9.9:1","Disposition":"delivered","Metrics":[1]}`,
 		`{"cmd":"Memo","Neighbour":3,"Msg":"AAAA"}`, `{"cmd":"BackendsChanged","How":"broken"}`,
 	} {
-		if got, err := serve(openLine, to0(msg)); err != nil || strings.Contains(got, "Fault") {
+		if got, err := serve(openLine, message(msg)); err != nil || strings.Contains(got, "Fault") {
 			t.Errorf("%s: %v, %s", msg, err, got)
 		}
 	}
 }
 
+// TestPanicBecomesFault verifies that a panic during an event yields a Fault action instead of
+// ending the process.
 func TestPanicBecomesFault(t *testing.T) {
 	h := &host{instances: map[string]*instance{"sidecar/0": {}}} // no balancer: any event panics
 	got, err := h.dispatch(0, "sidecar/0", &event{Cmd: "Demand"})
@@ -94,7 +104,9 @@
 	}
 }
 
-func TestOrdersRoundTrip(t *testing.T) {
+// TestActionsEncoding verifies the JSON form of every action, including zero values that must be
+// present.
+func TestActionsEncoding(t *testing.T) {
 	i := &instance{}
 	i.Send(5, "10.0.0.1:80", 80*time.Millisecond)
 	i.Refuse(5, time.Second)
@@ -105,7 +117,7 @@
 	i.CloseIdle("10.0.0.1:80")
 	i.Watch(false)
 	i.Log("hello")
-	text, err := json.Marshal(i.orders)
+	text, err := json.Marshal(i.actions)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,10 +127,12 @@
 		`{"cmd":"Ping","Upstream":"10.0.0.1:80"},{"cmd":"HangUp","Upstream":"10.0.0.1:80"},` +
 		`{"cmd":"KeepInformed","Active":false},{"cmd":"JournalLine","Text":"hello"}]`
 	if string(text) != want {
-		t.Errorf("orders = %s\nwant     %s", text, want)
+		t.Errorf("actions = %s\nwant      %s", text, want)
 	}
 }
 
+// TestLoadReport verifies that load values are assigned by field name, that missing ones are -1,
+// and that unknown fields are ignored.
 func TestLoadReport(t *testing.T) {
 	tests := []struct {
 		fields []string
@@ -131,27 +145,28 @@
 		{[]string{"inflight", "util"}, []float64{4, 0.5}, &policy.Load{Queue: -1, Inflight: 4, Latency: -1, ErrorRate: -1}},
 	}
 	for _, tt := range tests {
-		i := &instance{fields: tt.fields}
-		if got := i.load(tt.row); !reflect.DeepEqual(got, tt.want) {
+		i := &instance{loadFields: tt.fields}
+		if got := i.parseLoad(tt.row); !reflect.DeepEqual(got, tt.want) {
 			t.Errorf("load(%v) of %v = %+v, want %+v", tt.row, tt.fields, got, tt.want)
 		}
 	}
 }
 
-// TestSitesWatched: with a watch the instances go by its rules, without one by none.
+// TestSitesWatched verifies that instances apply the rules of the site configuration, if there is
+// one.
 func TestSitesWatched(t *testing.T) {
-	demand := to0(`{"cmd":"Demand","Corr":1,"Item":"k","ExpiresUs":400020,"Type":"q"}`)
+	demand := message(`{"cmd":"Demand","Corr":1,"Item":"k","ExpiresUs":400020,"Type":"q"}`)
 	for _, tt := range []struct {
-		watch *sites.Config
-		want  string
+		siteConfig *sites.Config
+		want       string
 	}{
 		{nil, `"cmd":"Route"`},
 		{&sites.Config{}, `"cmd":"Route"`},
 		{&sites.Config{Rules: []sites.Rule{{Tiers: []sites.Tier{{Sites: []string{"elsewhere"}}}}}}, `"cmd":"OverloadReply"`},
 	} {
 		var out strings.Builder
-		if err := Serve(strings.NewReader(openLine+"\n"+demand+"\n"), &out, tt.watch); err != nil || !strings.Contains(out.String(), tt.want) {
-			t.Errorf("%v: %v, %s lacks %s", tt.watch, err, out.String(), tt.want)
+		if err := Serve(strings.NewReader(openLine+"\n"+demand+"\n"), &out, tt.siteConfig); err != nil || !strings.Contains(out.String(), tt.want) {
+			t.Errorf("%v: %v, %s lacks %s", tt.siteConfig, err, out.String(), tt.want)
 		}
 	}
 }
