--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -20,9 +20,9 @@
 
 	"golang.org/x/time/rate"
 
-	"quillfront/internal/siting"
+	"quillfront/exclusion"
+	"quillfront/internal/sitewatch"
 	"quillfront/policy"
-	"quillfront/roster"
 	"quillfront/sites"
 )
 
@@ -122,7 +122,7 @@
 	endpoints        map[policy.ServerID]Endpoint  // endpoints of the listed servers
 	listed           map[policy.ServerID]Server    // the list as the source sent it
 	counts           map[string]*Counts            // by class
-	sites            *siting.Host                  // monitors sites while siteConfig is set
+	sites            *sitewatch.Watcher            // monitors sites while siteConfig is set
 	config           policy.Config                 // configuration that the module uses
 	baseConfig       policy.Config                 // config before groupOverride is applied
 	groupOverride    int                           // replaces baseConfig.GroupSize; 0: no override
@@ -131,9 +131,9 @@
 	listReceived     bool                            // the source has sent a list
 	futureStarts     map[policy.ServerID]futureStart // listed servers whose start lay in the future
 	entryErrors      entryErrorLog
-	absences         roster.Absences // servers that operators have removed from the list
-	avoided          roster.Avoided  // servers that get no new requests for a limited time
-	avoidTimer       *time.Timer     // ends the next avoidance; nil before the first one
+	absences         exclusion.State   // servers that operators have removed from the list
+	avoided          exclusion.Avoided // servers that get no new requests for a limited time
+	avoidTimer       *time.Timer       // ends the next avoidance; nil before the first one
 	source           Source
 	seq              int64              // version of the last list from source
 	stopWatch        context.CancelFunc // nil if no watch is running
@@ -161,7 +161,7 @@
 		module: o.Module, requests: map[policy.RequestID]*Request{},
 		openByExternalID: map[string]*Request{}, endpoints: map[policy.ServerID]Endpoint{}, source: o.Source, seq: UnknownSeq,
 		drained: make(chan struct{}), listed: map[policy.ServerID]Server{}, counts: map[string]*Counts{},
-		sites: siting.New(o.Module, o.Log), config: o.Config, baseConfig: o.Config, futureStarts: map[policy.ServerID]futureStart{},
+		sites: sitewatch.New(o.Module, o.Log), config: o.Config, baseConfig: o.Config, futureStarts: map[policy.ServerID]futureStart{},
 		entryErrors: entryErrorLog{limit: rate.Sometimes{First: 1, Interval: entryErrorLogInterval}},
 	}
 	e.classes.Store(newClassSet(o.Config))
@@ -402,7 +402,7 @@
 	r.lastStatus = result.Status
 	r.mayHaveRun = r.mayHaveRun || !result.Status.NotRun()
 	e.countsOf(r).Attempts[result.Status]++
-	e.sites.Ended(now, a.Server, result.Status)
+	e.sites.RecordOutcome(now, a.Server, result.Status)
 	if result.AvoidFor > 0 {
 		e.avoid(now, a.Server, result.AvoidFor)
 	}
@@ -522,7 +522,7 @@
 		status, load := e.transport.Probe(e.ctx, to)
 		e.event(func(now policy.Time) {
 			e.probing--
-			e.sites.Ended(now, server, status)
+			e.sites.RecordOutcome(now, server, status)
 			if !e.closed {
 				e.module.Probed(now, policy.ProbeResult{Server: server, Status: status, Delay: now - sent, Load: load}, e)
 			}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"quillfront/internal/settings"
-	"quillfront/internal/siting"
+	"quillfront/internal/sitewatch"
 	"quillfront/policy"
 	"quillfront/sites"
 )
@@ -144,8 +144,8 @@
 	if err != nil {
 		return nil, err
 	}
-	inst := &instance{balancer: b, sites: siting.New(b, slog.New(slog.DiscardHandler)), loadFields: s.LoadFields}
-	if err := inst.sites.Watch(now, siteConfig, s.Config); err != nil {
+	inst := &instance{balancer: b, sites: sitewatch.New(b, slog.New(slog.DiscardHandler)), loadFields: s.LoadFields}
+	if err := inst.sites.Configure(now, siteConfig, s.Config); err != nil {
 		return nil, err
 	}
 	return inst, nil
@@ -155,7 +155,7 @@
 // implements policy.Actions.
 type instance struct {
 	balancer   *policy.Balancer
-	sites      *siting.Host
+	sites      *sitewatch.Watcher
 	loadFields []string // names of the values in a load report, in order
 	actions    []action
 }
@@ -241,7 +241,7 @@
 			}
 			lines = h.lists[e.Page]
 		}
-		inst.sites.Members(now, kind, lines)
+		inst.sites.UpdateServers(now, kind, lines)
 		b.UpdateServers(now, kind, lines, inst)
 	case "Demand":
 		tenant, _ := e.Project.(string)
@@ -258,7 +258,7 @@
 			return fmt.Errorf("unknown outcome %q", e.Disposition)
 		}
 		server, delay, load := policy.ServerID(e.Upstream), settings.Micros(e.DelaySeenUs), inst.parseLoad(e.Metrics)
-		inst.sites.Ended(now, server, status)
+		inst.sites.RecordOutcome(now, server, status)
 		if e.Cmd == "HealthResult" {
 			b.Probed(now, policy.ProbeResult{Server: server, Status: status, Delay: delay, Load: load}, inst)
 			return nil
