--- a/config.go
+++ b/config.go
@@ -131,7 +131,7 @@
 // withDefaults returns l with its defaults.
 func (l Limits) withDefaults() (Limits, error) {
 	err := errors.Join(
-		bound("BodyBytes", &l.BodyBytes, 16<<20, httpmsg.MaxWhole, math.MaxInt64),
+		bound("BodyBytes", &l.BodyBytes, 16<<20, httpmsg.MaxFullBody, math.MaxInt64),
 		bound("DialTimeout", &l.DialTimeout, 250*time.Millisecond, 1, time.Minute),
 		bound("IdleTimeout", &l.IdleTimeout, 15*time.Second, 1, time.Hour),
 		bound("RetryAfter", &l.RetryAfter, time.Second, 1, time.Hour),
--- a/http.go
+++ b/http.go
@@ -26,7 +26,7 @@
 
 // do carries out one request whose answer is wanted until ctx ends. body is nil if it has none. wake makes a Read of it that is
 // under way return, or is nil if that is left to the caller, which body then may outlast.
-func (b *Balancer) do(ctx context.Context, call *httpcall.Call, header http.Header, body io.Reader, wake func()) (*httpmsg.Answer, error) {
+func (b *Balancer) do(ctx context.Context, call *httpcall.Call, header http.Header, body io.Reader, wake func()) (*httpmsg.Response, error) {
 	if !b.places.TryAcquire(1) {
 		return nil, &RefusedError{}
 	}
@@ -39,8 +39,8 @@
 		return nil, requestError(err)
 	}
 	m := &httpmsg.Message{Method: call.Method, Target: call.Target, Host: call.Host}
-	m.Lines = httpmsg.Field{Name: []byte("X-Request-ID"), Value: []byte(call.ID)}.Append(nil)
-	m.Lines = httpmsg.AppendHeader(m.Lines, header, ownHeader)
+	m.HeaderLines = httpmsg.Field{Name: []byte("X-Request-ID"), Value: []byte(call.ID)}.Append(nil)
+	m.HeaderLines = httpmsg.AppendHeader(m.HeaderLines, header, ownHeader)
 	r.Payload = m
 	release, more, err := b.readBody(ctx, call, m, body)
 	if err != nil {
@@ -74,8 +74,8 @@
 	}
 	if up != nil {
 		select {
-		case <-m.Rest.Done():
-			if err := m.Rest.Broken(); err != nil {
+		case <-m.Upload.Done():
+			if err := m.Upload.SourceErr(); err != nil {
 				if b.engine.Withdraw(r) {
 					return nil, err
 				}
@@ -85,7 +85,7 @@
 				return nil, err
 			}
 		case result := <-r.Result():
-			if err := m.Rest.Broken(); err != nil && result.Kind != engine.Served {
+			if err := m.Upload.SourceErr(); err != nil && result.Kind != engine.Served {
 				return nil, err
 			}
 			return b.result(result)
@@ -119,12 +119,12 @@
 }
 
 // result is what the caller gets of an engine's result.
-func (b *Balancer) result(r engine.Result) (*httpmsg.Answer, error) {
+func (b *Balancer) result(r engine.Result) (*httpmsg.Response, error) {
 	switch r.Kind {
 	case engine.Served:
-		if a, ok := r.Reply.(*httpmsg.Answer); ok {
+		if a, ok := r.Reply.(*httpmsg.Response); ok {
 			if r.Replayed {
-				a = &httpmsg.Answer{Lines: append([]byte(httpmsg.ReplayedLine), a.Lines...), Body: a.Body} // kept ones are whole
+				a = &httpmsg.Response{HeaderLines: append([]byte(httpmsg.ReplayedLine), a.HeaderLines...), Body: a.Body} // kept ones are whole
 			}
 			return a, nil
 		}
@@ -164,8 +164,8 @@
 		return func() {}, nil, nil
 	}
 	n := call.Length
-	if n < 0 || n > httpmsg.MaxWhole {
-		n = httpmsg.MaxWhole
+	if n < 0 || n > httpmsg.MaxFullBody {
+		n = httpmsg.MaxFullBody
 	}
 	if err := b.room.Acquire(ctx, n); err != nil {
 		return nil, nil, context.Cause(ctx)
@@ -242,7 +242,7 @@
 
 func send(m *httpmsg.Message, body io.Reader, length int64) *upload {
 	r, w := io.Pipe()
-	m.Rest, m.Length = httpmsg.NewUpload(r), length
+	m.Upload, m.Length = httpmsg.NewUpload(r), length
 	u := &upload{pipe: w, done: make(chan struct{})}
 	go func() {
 		defer close(u.done)
@@ -312,25 +312,25 @@
 	}
 	return &http.Response{
 		Status: "200 OK", StatusCode: http.StatusOK, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: httpmsg.ParseHeader(a.Lines), Body: bodyOf(q.Context(), a), ContentLength: lengthOf(a), Request: q,
+		Header: httpmsg.ParseHeader(a.HeaderLines), Body: bodyOf(q.Context(), a), ContentLength: lengthOf(a), Request: q,
 	}, nil
 }
 
 // lengthOf is the length of a's whole body; -1: not told.
-func lengthOf(a *httpmsg.Answer) int64 {
-	if a.Rest == nil {
+func lengthOf(a *httpmsg.Response) int64 {
+	if a.BodyRest == nil {
 		return int64(len(a.Body))
 	}
 	return max(a.Length, -1)
 }
 
 // bodyOf returns a's body. Where it is still coming, it ends with ctx.
-func bodyOf(ctx context.Context, a *httpmsg.Answer) io.ReadCloser {
-	if a.Rest == nil {
+func bodyOf(ctx context.Context, a *httpmsg.Response) io.ReadCloser {
+	if a.BodyRest == nil {
 		return io.NopCloser(bytes.NewReader(a.Body))
 	}
-	stop := context.AfterFunc(ctx, func() { a.Rest.Close() })
-	return &longBody{io.MultiReader(bytes.NewReader(a.Body), a.Rest), a.Rest, stop}
+	stop := context.AfterFunc(ctx, func() { a.BodyRest.Close() })
+	return &longBody{io.MultiReader(bytes.NewReader(a.Body), a.BodyRest), a.BodyRest, stop}
 }
 
 // longBody is a body that is still coming.
@@ -372,7 +372,7 @@
 	}
 	err := requestError(call.AddHeader(q.Header))
 	call.Host, call.HostOptional = q.Host, !q.ProtoAtLeast(1, 1)
-	var a *httpmsg.Answer
+	var a *httpmsg.Response
 	body := &wireBody{ReadCloser: q.Body}
 	if err == nil {
 		a, err = b.do(q.Context(), &call, q.Header, body, func() { http.NewResponseController(w).SetReadDeadline(time.Now()) })
@@ -387,7 +387,7 @@
 		writeError(w, err)
 		return
 	}
-	for name, values := range httpmsg.ParseHeader(a.Lines) {
+	for name, values := range httpmsg.ParseHeader(a.HeaderLines) {
 		header[name] = values
 	}
 	if n := lengthOf(a); n >= 0 {
@@ -396,7 +396,7 @@
 	answer := bodyOf(q.Context(), a)
 	defer answer.Close()
 	w.WriteHeader(http.StatusOK)
-	if _, err := io.Copy(w, answer); err != nil && a.Rest != nil {
+	if _, err := io.Copy(w, answer); err != nil && a.BodyRest != nil {
 		panic(http.ErrAbortHandler) // the client must be able to tell that it has not come whole
 	}
 }
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -40,8 +40,8 @@
 }
 
 // answers reads the table. The error names the key at fault.
-func (t *answersTable) answers() (routes.Answers, string, error) {
-	a := routes.Answers{Mark: t.Mark, Bare: t.Bare}
+func (t *answersTable) answers() (routes.ResponseRules, string, error) {
+	a := routes.ResponseRules{NotRunHeader: t.Mark, NotRunByStatus: t.Bare}
 	var err error
 	if a.Failure, err = routes.ParseStatuses(t.Failure); err != nil {
 		return a, "answers.failure", err
@@ -52,7 +52,7 @@
 	switch t.RetryAfter {
 	case "", "tell":
 	case "avoid":
-		a.Back = routes.Avoid
+		a.RetryAfter = routes.AvoidServer
 	default:
 		return a, "answers.retry_after", fmt.Errorf("%q is none of tell and avoid", t.RetryAfter)
 	}
@@ -94,18 +94,18 @@
 		Name:  t.Name,
 		Match: routes.Match{Hosts: t.Hosts, Methods: t.Methods, Path: t.Path, Headers: listed(t.Headers), Query: listed(t.Query)},
 		Order: t.Order, Class: t.Class, Override: t.Override, Fallback: t.Fallback, Timeout: time.Duration(t.Timeout),
-		Effect: effect, TrustKey: t.TrustKey,
+		Effect: effect, TrustIdempotencyKey: t.TrustKey,
 	}
 	var err error
 	var key string
-	if r.Answers, key, err = t.Answers.answers(); err != nil {
+	if r.ResponseRules, key, err = t.Answers.answers(); err != nil {
 		return wrong(key, "%v", err)
 	}
 	if t.Pool != "" {
-		r.Pools = []routes.Weighted{{Pool: t.Pool, Weight: 1}}
+		r.Pools = []routes.WeightedPool{{Pool: t.Pool, Weight: 1}}
 	}
 	for _, pool := range sortedKeys(t.Split) {
-		r.Pools = append(r.Pools, routes.Weighted{Pool: pool, Weight: t.Split[pool]})
+		r.Pools = append(r.Pools, routes.WeightedPool{Pool: pool, Weight: t.Split[pool]})
 	}
 	for key, from := range map[string][]string{"key": t.Key, "tenant": t.Tenant} {
 		for _, text := range from {
@@ -131,17 +131,17 @@
 }
 
 // part reads where a value is taken from: "path:NAME", "header:NAME" or "query:NAME".
-func part(text string) (routes.Part, error) {
+func part(text string) (routes.ValueSource, error) {
 	from, name, ok := strings.Cut(text, ":")
 	if ok && name != "" {
 		switch from {
 		case "path":
-			return routes.Part{Path: name}, nil
+			return routes.ValueSource{Path: name}, nil
 		case "header":
-			return routes.Part{Header: name}, nil
+			return routes.ValueSource{Header: name}, nil
 		case "query":
-			return routes.Part{Query: name}, nil
+			return routes.ValueSource{Query: name}, nil
 		}
 	}
-	return routes.Part{}, fmt.Errorf("%q is none of path:NAME, header:NAME and query:NAME", text)
+	return routes.ValueSource{}, fmt.Errorf("%q is none of path:NAME, header:NAME and query:NAME", text)
 }
--- a/internal/config/show.go
+++ b/internal/config/show.go
@@ -125,6 +125,6 @@
 		return
 	}
 	list := func(s routes.Statuses) []string { return strings.Split(s.String(), ", ") }
-	t.Answers.Failure, t.Answers.NotRun, t.Answers.Mark = list(a.Failure), list(a.NotRun), a.Mark
+	t.Answers.Failure, t.Answers.NotRun, t.Answers.Mark = list(a.Failure), list(a.NotRun), a.NotRunHeader
 	t.Answers.RetryAfter = cmp.Or(t.Answers.RetryAfter, "tell")
 }
--- a/internal/conformance/edge.go
+++ b/internal/conformance/edge.go
@@ -351,7 +351,7 @@
 // length.
 func expressed(raw string) (*http.Request, bool) {
 	var head httpmsg.Head
-	if err := head.Read(bufio.NewReaderSize(strings.NewReader(raw), 32<<10)); err != nil && !errors.Is(err, httpmsg.ErrNominated) {
+	if err := head.Read(bufio.NewReaderSize(strings.NewReader(raw), 32<<10)); err != nil && !errors.Is(err, httpmsg.ErrConnectionOption) {
 		return nil, false
 	}
 	r := bufio.NewReader(strings.NewReader(raw))
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -42,7 +42,7 @@
 func TestForwardsUnchanged(t *testing.T) {
 	addr, got := recording(t)
 	w := start(t, newScript(), addr, "127.0.0.1:1")
-	big := strings.Repeat("0123456789abcdef", httpmsg.MaxWhole/16)
+	big := strings.Repeat("0123456789abcdef", httpmsg.MaxFullBody/16)
 	tests := []struct{ name, line, headers, body string }{
 		{"plain", "GET /read/k", "", ""},
 		{"target kept byte for byte", "GET /read/a%2Fb//c/..d/%41?x=1&&y=%20;z/../", "", ""},
@@ -83,7 +83,7 @@
 	addr, got := recording(t)
 	w := start(t, newScript(), addr, "127.0.0.1:1")
 	head := "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\nTransfer-Encoding: chunked\n\n"
-	for _, n := range []int{0, 1, 8 << 10, httpmsg.MaxWhole} {
+	for _, n := range []int{0, 1, 8 << 10, httpmsg.MaxFullBody} {
 		body := strings.Repeat("0123456789abcdef", n/16+1)[:n]
 		c := w.connect(t)
 		c.write(head)
--- a/internal/httpfront/connection_fuzz_test.go
+++ b/internal/httpfront/connection_fuzz_test.go
@@ -28,7 +28,7 @@
 		if !standin.Hold(a, 10*time.Millisecond, nil) {
 			return engine.AttemptResult{Status: policy.Canceled}
 		}
-		return engine.AttemptResult{Status: policy.OK, Reply: &httpmsg.Answer{Body: strconv.AppendInt(nil, int64(n), 10)}}
+		return engine.AttemptResult{Status: policy.OK, Reply: &httpmsg.Response{Body: strconv.AppendInt(nil, int64(n), 10)}}
 	}}
 }
 
--- a/internal/httpfront/proxy.go
+++ b/internal/httpfront/proxy.go
@@ -56,7 +56,7 @@
 
 // proxyCall is the request that a connection currently serves.
 type proxyCall struct {
-	*router.Call
+	*router.Decision
 	msg             *httpmsg.Message
 	method          string
 	length          int64 // of the body; negative: unknown
@@ -90,25 +90,25 @@
 	if err := c.head.Read(c.r); err != nil {
 		return nil, connClose, err
 	}
-	method, target, minor, err := c.head.Request()
+	method, target, minor, err := c.head.ParseRequestLine()
 	if err != nil {
 		return nil, connClose, err
 	}
 	c.omitBody, c.minor = string(method) == http.MethodHead, minor
 	keep := connKeepAlive
 	switch {
-	case c.head.Close || minor == 0 && !c.head.Keep:
+	case c.head.Close || minor == 0 && !c.head.KeepAlive:
 		keep = connClose
 	case minor == 0:
 		keep = connKeepAliveExplicit
 	}
-	q := &proxyCall{method: proxyMethodName(method), length: max(c.head.Length, 0)}
+	q := &proxyCall{method: proxyMethodName(method), length: max(c.head.ContentLength, 0)}
 	if c.head.Chunked {
 		if q.length = -1; minor == 0 { // HTTP/1.0 has no chunked encoding
 			return nil, connClose, httpmsg.ErrFraming
 		}
 	}
-	asked := router.Asked{Method: q.method, Target: string(target), Header: c.head.Values}
+	asked := router.Request{Method: q.method, Target: string(target), Header: c.head.Values}
 	if err := s.resolveTarget(&asked, minor); err != nil {
 		return nil, connClose, err
 	}
@@ -119,27 +119,27 @@
 		}
 		return nil, keep, nil
 	}
-	if q.Call, err = s.proxy.Router.Route(&asked); err != nil {
+	if q.Decision, err = s.proxy.Router.Route(&asked); err != nil {
 		return nil, connClose, err
 	}
-	defer func() { q.Taken() }()
+	defer func() { q.Release() }()
 	r := q.Request
 	if retried := c.head.Values("X-Retried"); len(retried) == 1 {
 		r.Retry = retried[0] == "1"
 	}
-	q.msg = &httpmsg.Message{Method: q.method, Target: asked.Target, Host: asked.Host, Lines: s.serverHeader(c, q, minor)}
-	q.msg.Terms = &httpmsg.Terms{Judge: q.Judge, Stall: s.proxy.StallTimeout, Interim: func(code int, lines []byte) { s.forwardInterim(c, q, code, lines) }}
+	q.msg = &httpmsg.Message{Method: q.method, Target: asked.Target, Host: asked.Host, HeaderLines: s.serverHeader(c, q, minor)}
+	q.msg.Exchange = &httpmsg.Exchange{Evaluate: q.Evaluate, StallTimeout: s.proxy.StallTimeout, OnInterim: func(code int, lines []byte) { s.forwardInterim(c, q, code, lines) }}
 	r.Payload = q.msg
 	c.head.Discard(c.r)
 	if err := s.readProxyBody(c, q); err != nil {
 		return nil, connClose, err
 	}
 	// The head has been discarded.
-	q.Call = s.proxy.Router.Again(q.Call, q.bodyReserved, func() *router.Asked {
-		return &router.Asked{Method: q.msg.Method, Host: q.msg.Host, Target: q.msg.Target, Header: httpmsg.ParseHeader(q.msg.Lines).Values}
+	q.Decision = s.proxy.Router.Reroute(q.Decision, q.bodyReserved, func() *router.Request {
+		return &router.Request{Method: q.msg.Method, Host: q.msg.Host, Target: q.msg.Target, Header: httpmsg.ParseHeader(q.msg.HeaderLines).Values}
 	})
-	q.msg.Terms.Judge = q.Judge
-	if room, n := q.Room, q.bodyReserved; n > 0 {
+	q.msg.Exchange.Evaluate = q.Evaluate
+	if room, n := q.BodyBudget, q.bodyReserved; n > 0 {
 		q.Request.Release = func() { room.Release(n) }
 	}
 	r = q.Request
@@ -160,7 +160,7 @@
 
 // resolveTarget sets the host of a request and converts its target to origin form (RFC 9112,
 // section 3.2).
-func (s *Server) resolveTarget(a *router.Asked, minor int) error {
+func (s *Server) resolveTarget(a *router.Request, minor int) error {
 	hosts := a.Header("Host")
 	if len(hosts) > 1 || len(hosts) == 0 && minor > 0 {
 		return rejection(http.StatusBadRequest, "no Host, or more than one")
@@ -230,7 +230,7 @@
 		case f.Is("Te"):
 			trailers = trailers || bytes.Contains(bytes.ToLower(f.Value), []byte("trailers"))
 			continue
-		case c.head.Hop(f):
+		case c.head.IsHopByHop(f):
 			if !c.head.Chunked || !f.Is("Trailer") {
 				continue
 			}
@@ -297,7 +297,7 @@
 		return rejection(http.StatusRequestEntityTooLarge, httpmsg.ErrBodyTooLong.Error())
 	}
 	chunked := q.length < 0
-	c.body.ResetTo(c.r, q.length, chunked, maxBody)
+	c.body.ResetWithLimit(c.r, q.length, chunked, maxBody)
 	src := &minRateReader{c: c, start: time.Now(), limits: &s.limits}
 	buffered := chunked && c.bodyBuffered()
 	if q.expectsContinue = q.expectsContinue && c.r.Buffered() == 0; !q.expectsContinue && (buffered || !chunked && q.length <= s.proxy.MaxBufferedBody) {
@@ -305,16 +305,16 @@
 		if chunked {
 			n = int64(c.r.Buffered())
 		}
-		if q.Room.TryAcquire(n) {
+		if q.BodyBudget.TryAcquire(n) {
 			var err error
 			if chunked {
-				q.msg.Body, err = c.body.UpTo(n)
+				q.msg.Body, err = c.body.ReadUpTo(n)
 			} else {
 				q.msg.Body = make([]byte, n)
 				_, err = io.ReadFull(src, q.msg.Body)
 			}
 			if err != nil {
-				q.Room.Release(n)
+				q.BodyBudget.Release(n)
 				return bodyError(err)
 			}
 			if t := c.body.Trailer(); t == nil {
@@ -322,17 +322,17 @@
 				return nil
 			}
 			// A body with a trailer is sent in chunks, and chunked bodies are streamed.
-			q.Room.Release(n)
-			q.msg.Rest, q.msg.Length = httpmsg.NewUpload(bytes.NewReader(q.msg.Body)), -1
+			q.BodyBudget.Release(n)
+			q.msg.Upload, q.msg.Length = httpmsg.NewUpload(bytes.NewReader(q.msg.Body)), -1
 			q.msg.Body, q.msg.Trailer, q.Request.Upload = nil, c.body.Trailer, true
 			return nil
 		}
 	}
 	if q.expectsContinue {
-		q.msg.Terms.Expect = s.proxy.ExpectTimeout
+		q.msg.Exchange.ExpectTimeout = s.proxy.ExpectTimeout
 		src.onFirstRead = func() { s.writeInterim(c, q, "HTTP/1.1 100 Continue\r\n\r\n") }
 	}
-	q.msg.Rest, q.msg.Length, q.Request.Upload = httpmsg.NewUpload(src), q.length, true
+	q.msg.Upload, q.msg.Length, q.Request.Upload = httpmsg.NewUpload(src), q.length, true
 	if chunked {
 		q.msg.Trailer = c.body.Trailer
 	}
@@ -342,7 +342,7 @@
 // bodyBuffered reports whether a whole chunked body is in the buffer of c.
 func (c *clientConn) bodyBuffered() bool {
 	b, _ := c.r.Peek(c.r.Buffered())
-	return httpmsg.ChunksEnd(b)
+	return httpmsg.ChunkedBodyComplete(b)
 }
 
 // forwardInterim forwards an forwardInterim response.
@@ -367,7 +367,7 @@
 // respondProxy waits for the final result of q and writes the response. It reports whether the
 // connection can be used again.
 func (s *Server) respondProxy(c *clientConn, keep persistence, q *proxyCall) bool {
-	r, rest := q.Request, q.msg.Rest
+	r, rest := q.Request, q.msg.Upload
 	if rest != nil {
 		result, gone := s.awaitPolling(c, q.Engine, r, rest)
 		if gone {
@@ -375,14 +375,14 @@
 			return false
 		}
 		if result != nil {
-			if err := rest.Broken(); err != nil && result.Kind != engine.Served {
+			if err := rest.SourceErr(); err != nil && result.Kind != engine.Served {
 				s.endInterim(q)
 				s.rejectProxy(c, bodyError(err))
 				return false
 			}
 			return s.writeProxyEarly(c, keep, q, *result)
 		}
-		if err := rest.Broken(); err != nil {
+		if err := rest.SourceErr(); err != nil {
 			if !q.Engine.Withdraw(r) {
 				if result := <-r.Result(); result.Kind == engine.Served {
 					s.writeProxy(c, connClose, q, result)
@@ -440,7 +440,7 @@
 // that reads only after it has sent everything would otherwise not get the response. If the
 // client still waits for 100 Continue, nothing is read: the connection is closed.
 func (s *Server) writeProxyEarly(c *clientConn, keep persistence, q *proxyCall, result engine.Result) bool {
-	rest := q.msg.Rest
+	rest := q.msg.Upload
 	bodyNotSent := q.expectsContinue && !rest.Started()
 	if bodyNotSent {
 		keep = connClose
@@ -449,7 +449,7 @@
 	// A Read in progress ends by itself while the client writes. If it is interrupted, the body
 	// cannot be read any further.
 	timer := time.AfterFunc(lingerTimeout, func() { c.SetReadDeadline(time.Now()) })
-	src := rest.TakeBack(func() {})
+	src := rest.Reclaim(func() {})
 	timer.Stop()
 	if src == nil || bodyNotSent {
 		return reusable
@@ -469,45 +469,45 @@
 		keep = connClose
 	}
 	s.mu.Unlock()
-	a, _ := result.Reply.(*httpmsg.Answer)
+	a, _ := result.Reply.(*httpmsg.Response)
 	if result.Kind != engine.Served || a == nil {
-		if a = q.msg.Terms.Last(result.Kind == engine.Refused || result.NotRun); a == nil {
+		if a = q.msg.Exchange.LastResponse(result.Kind == engine.Refused || result.NotRun); a == nil {
 			a = localResponse(result)
 		}
 	}
 	status := a.Status
-	chunked := !a.Bare && (a.Rest != nil && a.Length < 0 || a.Rest == nil && a.Trailer != nil && len(a.Trailer()) > 0)
+	chunked := !a.NoBody && (a.BodyRest != nil && a.Length < 0 || a.BodyRest == nil && a.Trailer != nil && len(a.Trailer()) > 0)
 	// HTTP/1.0 has no chunked encoding: the close of the connection ends the body.
 	if chunked && c.minor == 0 {
 		chunked, keep = false, connClose
 	}
 	b := appendStatus(c.scratch[:0], status)
 	switch {
-	case a.Bare:
+	case a.NoBody:
 		if a.Length >= 0 && status != http.StatusNoContent {
-			b = httpmsg.AppendInt(b, "Content-Length", a.Length)
+			b = httpmsg.AppendIntField(b, "Content-Length", a.Length)
 		}
 	case chunked:
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
-	case a.Rest == nil:
-		b = httpmsg.AppendInt(b, "Content-Length", int64(len(a.Body)))
+	case a.BodyRest == nil:
+		b = httpmsg.AppendIntField(b, "Content-Length", int64(len(a.Body)))
 	case a.Length >= 0:
-		b = httpmsg.AppendInt(b, "Content-Length", a.Length)
+		b = httpmsg.AppendIntField(b, "Content-Length", a.Length)
 	}
 	b = s.appendPersistence(b, keep)
-	b = append(b, a.Lines...)
-	if result.Kind == engine.Refused && !a.Asks {
+	b = append(b, a.HeaderLines...)
+	if result.Kind == engine.Refused && !a.HasRetryAfter {
 		b = appendRetryAfter(b, result.RetryAfter)
 	}
-	if !a.Dated { // a proxy adds a missing Date: RFC 9110, section 6.6.1
+	if !a.HasDate { // a proxy adds a missing Date: RFC 9110, section 6.6.1
 		b = append(b, "Date: "...)
 		b = time.Now().UTC().AppendFormat(b, http.TimeFormat)
 		b = append(b, "\r\n"...)
 	}
 	b = router.AppendVia(b, 1, s.proxy.Pseudonym)
 	b = append(b, "\r\n"...)
-	if a.Rest != nil {
-		defer c.watchDisconnect(a.Rest)()
+	if a.BodyRest != nil {
+		defer c.watchDisconnect(a.BodyRest)()
 		return s.stream(c, b, a, chunked) && keep != connClose
 	}
 	if chunked {
@@ -516,7 +516,7 @@
 			b = append(append(b, a.Body...), "\r\n"...)
 		}
 		b = append(b, lastChunk(a)...)
-	} else if !a.Bare {
+	} else if !a.NoBody {
 		b = append(b, a.Body...)
 	}
 	if c.scratch = nil; cap(b) <= maxScratch {
@@ -553,8 +553,8 @@
 
 // localResponse returns the response if no server has responded: 503 if no attempt ran, so that a
 // retry is harmless, 504 if the last server took too long, and 502 for other failures.
-func localResponse(result engine.Result) *httpmsg.Answer {
-	a := &httpmsg.Answer{Status: http.StatusBadGateway}
+func localResponse(result engine.Result) *httpmsg.Response {
+	a := &httpmsg.Response{Status: http.StatusBadGateway}
 	switch {
 	case result.Kind == engine.Refused || result.NotRun:
 		a.Status = http.StatusServiceUnavailable
@@ -571,7 +571,7 @@
 	if after <= 0 {
 		return b
 	}
-	return httpmsg.AppendInt(b, "Retry-After", int64((after+time.Second-1)/time.Second))
+	return httpmsg.AppendIntField(b, "Retry-After", int64((after+time.Second-1)/time.Second))
 }
 
 // rejectProxy writes the error response to a request that is not served and closes the
@@ -586,7 +586,7 @@
 	if len(r.Allow) > 0 {
 		lines = "Allow: " + strings.Join(r.Allow, ", ") + "\r\n"
 	}
-	if r.Unknown {
+	if r.OutcomeUnknown {
 		lines += httpmsg.UnknownLine
 	}
 	s.rejectWith(c, r.Rejection, lines)
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -39,7 +39,7 @@
 	// headTimeout limits the time to read a request head, from the start of a new connection. Bad
 	// clients have to be disconnected within 3 s of it, and clients may take up to 2 s.
 	headTimeout = 2500 * time.Millisecond
-	// bodyTimeout limits the time to read a body of up to httpmsg.MaxWhole, so that no client
+	// bodyTimeout limits the time to read a body of up to httpmsg.MaxFullBody, so that no client
 	// holds body memory and a descriptor forever. A client on a link that needs longer for 64 KiB
 	// is cut off although it is healthy.
 	bodyTimeout = 2 * time.Second
@@ -88,7 +88,7 @@
 // whole length of a body is reserved before it is read. However many clients send at once, their
 // bodies use a fixed share of the memory, and the data of the others waits in the kernel.
 func NewBodyBudget(memoryMB int) *semaphore.Weighted {
-	return semaphore.NewWeighted(max(int64(memoryMB)<<20/bodyMemoryDivisor, httpmsg.MaxWhole))
+	return semaphore.NewWeighted(max(int64(memoryMB)<<20/bodyMemoryDivisor, httpmsg.MaxFullBody))
 }
 
 // Server serves client connections. It parses requests itself because net/http's server does not
@@ -400,7 +400,7 @@
 }
 
 // readyResponse is the reply to a readiness probe while the server is ready.
-var readyResponse = &httpmsg.Answer{}
+var readyResponse = &httpmsg.Response{}
 
 // readiness returns the result of a readiness probe.
 func (s *Server) readiness() engine.Result {
@@ -428,14 +428,14 @@
 	if err := c.head.Read(c.r); err != nil {
 		return nil, connClose, nil, err
 	}
-	method, target, minor, err := c.head.Request()
+	method, target, minor, err := c.head.ParseRequestLine()
 	if err != nil {
 		return nil, connClose, nil, err
 	}
 	c.omitBody, c.minor = string(method) == http.MethodHead, minor
 	keep := connKeepAlive
 	switch {
-	case c.head.Close || minor == 0 && !c.head.Keep:
+	case c.head.Close || minor == 0 && !c.head.KeepAlive:
 		keep = connClose
 	case minor == 0:
 		keep = connKeepAliveExplicit
@@ -443,7 +443,7 @@
 	if minor == 0 && c.head.Chunked { // HTTP/1.0 has no chunked encoding
 		return nil, connClose, nil, httpmsg.ErrFraming
 	}
-	call := httpcall.Call{Method: methodName(method), Target: string(target), Length: max(c.head.Length, 0)}
+	call := httpcall.Call{Method: methodName(method), Target: string(target), Length: max(c.head.ContentLength, 0)}
 	if c.head.Chunked {
 		call.Length = -1
 	}
@@ -466,16 +466,16 @@
 	if err != nil {
 		return nil, connClose, nil, err
 	}
-	m := &httpmsg.Message{Method: call.Method, Target: call.Target, Host: call.Host, Lines: make([]byte, 0, lines)}
+	m := &httpmsg.Message{Method: call.Method, Target: call.Target, Host: call.Host, HeaderLines: make([]byte, 0, lines)}
 	expects := false
 	for _, f := range c.head.Fields {
 		switch {
 		case f.Is("Expect"):
 			expects = bytes.EqualFold(f.Value, []byte("100-continue"))
 		// The transport writes its own fields.
-		case f.Is("Host") || f.Is("X-Timeout-Ms") || c.head.Hop(f):
+		case f.Is("Host") || f.Is("X-Timeout-Ms") || c.head.IsHopByHop(f):
 		default:
-			m.Lines = f.Append(m.Lines)
+			m.HeaderLines = f.Append(m.HeaderLines)
 		}
 	}
 	r.Payload = m
@@ -483,7 +483,7 @@
 	if err := s.readBody(c, r, m, call.Length, expects); err != nil {
 		return nil, connClose, nil, err
 	}
-	if m.Rest == nil && c.r.Buffered() > 0 {
+	if m.Upload == nil && c.r.Buffered() > 0 {
 		err = errPipelined
 	} else if err = s.admit(c, s.engine, r); err == nil {
 		err = s.submit(r, &call, m)
@@ -501,7 +501,7 @@
 		}
 		return nil, connClose, nil, err
 	}
-	return r, keep, m.Rest, nil
+	return r, keep, m.Upload, nil
 }
 
 // clientGone reports whether the client of c has disconnected; see admit.
@@ -552,13 +552,13 @@
 			return false
 		}
 		if result != nil {
-			if err := rest.Broken(); err != nil && result.Kind != engine.Served {
+			if err := rest.SourceErr(); err != nil && result.Kind != engine.Served {
 				s.reject(c, bodyError(err))
 				return false
 			}
 			return s.respondEarly(c, keep, rest, *result)
 		}
-		if err := rest.Broken(); err != nil {
+		if err := rest.SourceErr(); err != nil {
 			if s.engine.Withdraw(r) {
 				s.reject(c, bodyError(err))
 			} else if result := <-r.Result(); result.Kind != engine.Served {
@@ -590,7 +590,7 @@
 // discards the rest of the body. Otherwise a client that reads only after it has sent everything
 // would not get the response before the connection ends.
 func (s *Server) respondEarly(c *clientConn, keep persistence, rest *httpmsg.Upload, result engine.Result) bool {
-	src := rest.TakeBack(func() { c.SetReadDeadline(time.Now()) })
+	src := rest.Reclaim(func() { c.SetReadDeadline(time.Now()) })
 	reusable := s.write(c, keep, result)
 	if src != nil {
 		if _, err := io.Copy(io.Discard, src); err != nil {
@@ -666,7 +666,7 @@
 		ans = httpcall.Rejection{Status: http.StatusRequestTimeout, Text: "the request did not come whole in time"}
 	case errors.Is(err, httpmsg.ErrHeadTooLong):
 		ans = httpcall.Rejection{Status: http.StatusRequestHeaderFieldsTooLarge, Text: err.Error()}
-	case errors.Is(err, httpmsg.ErrHead) || errors.Is(err, httpmsg.ErrFraming) || errors.Is(err, httpmsg.ErrNominated):
+	case errors.Is(err, httpmsg.ErrMalformedHead) || errors.Is(err, httpmsg.ErrFraming) || errors.Is(err, httpmsg.ErrConnectionOption):
 		ans.Text = err.Error()
 	}
 	s.rejectWith(c, ans, "")
@@ -708,11 +708,11 @@
 		return nil
 	}
 	n := length
-	if n < 0 || n > httpmsg.MaxWhole && (n > maxBufferedBody || !s.bodyBudget.TryAcquire(n)) {
-		n = httpmsg.MaxWhole // the rest is streamed to the server
+	if n < 0 || n > httpmsg.MaxFullBody && (n > maxBufferedBody || !s.bodyBudget.TryAcquire(n)) {
+		n = httpmsg.MaxFullBody // the rest is streamed to the server
 	}
 	until := time.Now().Add(bodyTimeout)
-	if n <= httpmsg.MaxWhole && !s.bodyBudget.TryAcquire(n) {
+	if n <= httpmsg.MaxFullBody && !s.bodyBudget.TryAcquire(n) {
 		ctx, cancel := context.WithDeadline(s.answerCtx, until)
 		defer cancel()
 		if s.bodyBudget.Acquire(ctx, n) != nil {
@@ -726,8 +726,8 @@
 	}
 	c.body.Reset(c.r, length, length < 0)
 	var err error
-	if n <= httpmsg.MaxWhole {
-		m.Body, err = c.body.UpTo(n)
+	if n <= httpmsg.MaxFullBody {
+		m.Body, err = c.body.ReadUpTo(n)
 	} else {
 		m.Body = make([]byte, n)
 		_, err = io.ReadFull(&minRateReader{c: c, start: time.Now(), limits: &s.limits}, m.Body)
@@ -737,7 +737,7 @@
 		return bodyError(err)
 	}
 	if !c.body.Ended() {
-		m.Rest, m.Length, r.Upload = httpmsg.NewUpload(&minRateReader{c: c, start: time.Now(), bytesRead: n, limits: &s.limits}), length, true
+		m.Upload, m.Length, r.Upload = httpmsg.NewUpload(&minRateReader{c: c, start: time.Now(), bytesRead: n, limits: &s.limits}), length, true
 	}
 	return nil
 }
@@ -795,23 +795,23 @@
 	status, a := http.StatusBadGateway, &emptyResponse
 	switch result.Kind {
 	case engine.Served:
-		if served, ok := result.Reply.(*httpmsg.Answer); ok {
+		if served, ok := result.Reply.(*httpmsg.Response); ok {
 			status, a = http.StatusOK, served
 		}
 	case engine.Refused:
 		status = http.StatusServiceUnavailable
 	}
-	chunked := a.Rest != nil && a.Length < 0
+	chunked := a.BodyRest != nil && a.Length < 0
 	// HTTP/1.0 has no chunked encoding: the close of the connection ends the body.
 	if chunked && c.minor == 0 {
 		chunked, keep = false, connClose
 	}
 	b := appendStatus(c.scratch[:0], status)
 	switch {
-	case a.Rest == nil:
-		b = httpmsg.AppendInt(b, "Content-Length", int64(len(a.Body)))
+	case a.BodyRest == nil:
+		b = httpmsg.AppendIntField(b, "Content-Length", int64(len(a.Body)))
 	case a.Length >= 0:
-		b = httpmsg.AppendInt(b, "Content-Length", a.Length)
+		b = httpmsg.AppendIntField(b, "Content-Length", a.Length)
 	case chunked:
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 	}
@@ -827,9 +827,9 @@
 	if result.MayHaveRun {
 		b = append(b, httpmsg.UnknownLine...)
 	}
-	b = append(b, a.Lines...)
+	b = append(b, a.HeaderLines...)
 	b = append(b, "\r\n"...)
-	if a.Rest != nil {
+	if a.BodyRest != nil {
 		return s.stream(c, b, a, chunked) && keep != connClose
 	}
 	b = append(b, a.Body...)
@@ -862,14 +862,14 @@
 }
 
 // emptyResponse is written if no server has responded.
-var emptyResponse httpmsg.Answer
+var emptyResponse httpmsg.Response
 
 // stream writes head and a response that is still being received, and reports whether the client
 // has received all of it. If not, the connection ends in a way that shows this to the client:
 // before Content-Length bytes, without the last chunk, or with a reset if only the close of the
 // connection ends the body.
-func (s *Server) stream(c *clientConn, head []byte, a *httpmsg.Answer, chunked bool) bool {
-	defer a.Rest.Close()
+func (s *Server) stream(c *clientConn, head []byte, a *httpmsg.Response, chunked bool) bool {
+	defer a.BodyRest.Close()
 	s.setCloseDelimited(c, !chunked && a.Length < 0)
 	var size [20]byte
 	writePart := func(first, b []byte) error {
@@ -887,11 +887,11 @@
 	start, sent := time.Now(), int64(len(a.Body))
 	err := writePart(head, a.Body)
 	by := "client"
-	buf, release := httpmsg.Buffer()
+	buf, release := httpmsg.CopyBuffer()
 	defer release()
 	for err == nil {
 		var n int
-		if n, err = a.Rest.Read(buf); err != nil {
+		if n, err = a.BodyRest.Read(buf); err != nil {
 			by = "server"
 		}
 		if n > 0 {
@@ -925,7 +925,7 @@
 }
 
 // lastChunk returns the end of a chunked response, with its trailers.
-func lastChunk(a *httpmsg.Answer) []byte {
+func lastChunk(a *httpmsg.Response) []byte {
 	b := []byte("0\r\n")
 	if a.Trailer != nil {
 		b = append(b, a.Trailer()...)
--- a/internal/httpmsg/body.go
+++ b/internal/httpmsg/body.go
@@ -14,9 +14,9 @@
 const (
 	// MaxBody is the longest body that a message may have, in bytes, by the protocol.
 	MaxBody = 32 << 20
-	// MaxWhole is the longest body that is always held whole before it goes on, in bytes. Above it the first bytes of an answer
+	// MaxFullBody is the longest body that is always held whole before it goes on, in bytes. Above it the first bytes of an answer
 	// are what counts.
-	MaxWhole = 64 << 10
+	MaxFullBody = 64 << 10
 	// mostTrailer bounds the trailer section after a chunked body, in bytes; what in it speaks of framing, routes or rights is dropped.
 	mostTrailer = 4 << 10
 )
@@ -35,11 +35,11 @@
 
 // Reset makes b the body of a message of that length, which is -1 where only the end of the connection ends it.
 func (b *Body) Reset(r *bufio.Reader, length int64, chunked bool) {
-	b.ResetTo(r, length, chunked, MaxBody)
+	b.ResetWithLimit(r, length, chunked, MaxBody)
 }
 
-// ResetTo is Reset for a body that may have up to limit bytes.
-func (b *Body) ResetTo(r *bufio.Reader, length int64, chunked bool, limit int64) {
+// ResetWithLimit is Reset for a body that may have up to limit bytes.
+func (b *Body) ResetWithLimit(r *bufio.Reader, length int64, chunked bool, limit int64) {
 	*b = Body{r: r, left: length, limit: limit}
 	if chunked {
 		b.chunks = httputil.NewChunkedReader(r)
@@ -49,8 +49,8 @@
 	}
 }
 
-// Broken returns what broke the body; nil: it has ended in order, or not yet.
-func (b *Body) Broken() error {
+// ReadErr returns what broke the body; nil: it has ended in order, or not yet.
+func (b *Body) ReadErr() error {
 	if b.err == io.EOF {
 		return nil
 	}
@@ -109,17 +109,17 @@
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok || !token(name) || hasControl(line) {
-			return ErrHead
+			return ErrMalformedHead
 		}
-		if !HopName(name) && !meantForAll(name) {
+		if !IsHopByHopName(name) && !meantForAll(name) {
 			b.lines = Field{name, bytes.Trim(value, " \t")}.Append(b.lines)
 		}
 	}
 }
 
-// UpTo reads until n bytes have come or the body has ended, which Ended tells. Where its length is not told, it reads one
+// ReadUpTo reads until n bytes have come or the body has ended, which Ended tells. Where its length is not told, it reads one
 // more to learn whether it has.
-func (b *Body) UpTo(n int64) ([]byte, error) {
+func (b *Body) ReadUpTo(n int64) ([]byte, error) {
 	if b.err != nil && b.err != io.EOF {
 		return nil, b.err
 	}
@@ -148,20 +148,20 @@
 	return buf, nil
 }
 
-// Whole reads the rest of the body, of at most limit bytes; beyond that it gives ErrBodyTooLong.
-func (b *Body) Whole(limit int64) ([]byte, error) {
+// ReadAll reads the rest of the body, of at most limit bytes; beyond that it gives ErrBodyTooLong.
+func (b *Body) ReadAll(limit int64) ([]byte, error) {
 	if b.chunks == nil && b.left > limit {
 		return nil, ErrBodyTooLong
 	}
-	body, err := b.UpTo(limit)
+	body, err := b.ReadUpTo(limit)
 	if err == nil && int64(len(body)) > limit {
 		return nil, ErrBodyTooLong
 	}
 	return body, err
 }
 
-// ChunksEnd reports whether b, which begins with the head of a chunk, holds all of a chunked body up to the end of its trailer section.
-func ChunksEnd(b []byte) bool {
+// ChunkedBodyComplete reports whether b, which begins with the head of a chunk, holds all of a chunked body up to the end of its trailer section.
+func ChunkedBodyComplete(b []byte) bool {
 	for {
 		line, rest, ok := bytes.Cut(b, []byte("\n"))
 		if !ok {
@@ -192,8 +192,8 @@
 
 var buffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
 
-// Buffer returns a buffer through which a long body can go, and the function that gives it back.
-func Buffer() (b []byte, release func()) {
+// CopyBuffer returns a buffer through which a long body can go, and the function that gives it back.
+func CopyBuffer() (b []byte, release func()) {
 	p := buffers.Get().(*[copyBuffer]byte)
 	return p[:], func() { buffers.Put(p) }
 }
@@ -206,8 +206,8 @@
 	return err
 }
 
-// ErrTakenBack tells a reader of an Upload that whoever owns it has taken it back.
-var ErrTakenBack = errors.New("the rest of the body was taken back")
+// ErrReclaimed tells a reader of an Upload that whoever owns it has taken it back.
+var ErrReclaimed = errors.New("the rest of the body was taken back")
 
 // Upload is what is still to come of a request's body. It is read once, by whoever carries out the attempt that begins to
 // read it; the front that it comes from learns of its end by Done, and may take it back.
@@ -229,7 +229,7 @@
 	u.reading.Lock()
 	defer u.reading.Unlock()
 	if u.taken.Load() {
-		return 0, ErrTakenBack
+		return 0, ErrReclaimed
 	}
 	u.started.Store(true)
 	n, err := u.src.Read(p)
@@ -249,8 +249,8 @@
 // Stop ends the reading for good without waiting for a Read that is under way, which gives what it has got to nobody.
 func (u *Upload) Stop() { u.taken.Store(true) }
 
-// Start notes that the body is about to be read, and so can be sent once only.
-func (u *Upload) Start() { u.started.Store(true) }
+// MarkStarted notes that the body is about to be read, and so can be sent once only.
+func (u *Upload) MarkStarted() { u.started.Store(true) }
 
 // Started reports whether something has been read, so that the body cannot be sent again.
 func (u *Upload) Started() bool { return u.started.Load() }
@@ -268,24 +268,24 @@
 	}
 }
 
-// Broken returns what broke the body on its way here, if something has.
-func (u *Upload) Broken() error {
-	if err := u.Err(); err != io.EOF && err != ErrTakenBack {
+// SourceErr returns what broke the body on its way here, if something has.
+func (u *Upload) SourceErr() error {
+	if err := u.Err(); err != io.EOF && err != ErrReclaimed {
 		return err
 	}
 	return nil
 }
 
-// TakeBack ends the reading: wake makes a Read that is under way return. It returns the source, of which nothing is read
+// Reclaim ends the reading: wake makes a Read that is under way return. It returns the source, of which nothing is read
 // any more by others, and nil if it has been read to its end.
-func (u *Upload) TakeBack(wake func()) io.Reader {
+func (u *Upload) Reclaim(wake func()) io.Reader {
 	u.taken.Store(true)
 	if !u.reading.TryLock() {
 		wake()
 		u.reading.Lock()
 	}
 	defer u.reading.Unlock()
-	u.end(ErrTakenBack)
+	u.end(ErrReclaimed)
 	if u.err == io.EOF {
 		return nil
 	}
--- a/internal/httpmsg/fuzz_test.go
+++ b/internal/httpmsg/fuzz_test.go
@@ -43,7 +43,7 @@
 		if h.Read(r) != nil {
 			return
 		}
-		method, target, minor, err := h.Request()
+		method, target, minor, err := h.ParseRequestLine()
 		if err != nil || minor == 0 && h.Chunked { // the front rejects the latter
 			return
 		}
@@ -103,6 +103,6 @@
 
 func bodyOf(h *Head, r *bufio.Reader) ([]byte, error) {
 	var b Body
-	b.Reset(r, max(h.Length, 0), h.Chunked)
-	return b.Whole(MaxWhole)
+	b.Reset(r, max(h.ContentLength, 0), h.Chunked)
+	return b.ReadAll(MaxFullBody)
 }
--- a/internal/httpmsg/head.go
+++ b/internal/httpmsg/head.go
@@ -17,11 +17,11 @@
 
 // What can be wrong with a message.
 var (
-	ErrHeadTooLong = errors.New("the head is too long")
-	ErrHead        = errors.New("the head cannot be read")
-	ErrFraming     = errors.New("the head gives the length of its body in more than one way")
-	ErrBodyTooLong = errors.New("the body is too long")
-	ErrNominated   = errors.New("Connection names a field that is meant for every recipient")
+	ErrHeadTooLong      = errors.New("the head is too long")
+	ErrMalformedHead    = errors.New("the head cannot be read")
+	ErrFraming          = errors.New("the head gives the length of its body in more than one way")
+	ErrBodyTooLong      = errors.New("the body is too long")
+	ErrConnectionOption = errors.New("Connection names a field that is meant for every recipient")
 )
 
 // Field is one line of a head. Both parts lie in the reader's buffer.
@@ -53,12 +53,12 @@
 // Head is the head of one message. It lies in the buffer of the reader that it was read from: it holds until Discard, and
 // a Head may be used again for the next message.
 type Head struct {
-	First   []byte // the request line or status line
-	Fields  []Field
-	Length  int64 // of the body by Content-Length; -1 without one
-	Chunked bool  // the body is in chunks
-	Close   bool  // the sender ends the connection after this message
-	Keep    bool  // the sender asks to keep it, which only HTTP/1.0 must
+	StartLine     []byte // the request line or status line
+	Fields        []Field
+	ContentLength int64 // of the body by Content-Length; -1 without one
+	Chunked       bool  // the body is in chunks
+	Close         bool  // the sender ends the connection after this message
+	KeepAlive     bool  // the sender asks to keep it, which only HTTP/1.0 must
 
 	listed [][]byte // further names that Connection lists
 	size   int
@@ -102,23 +102,23 @@
 // Discard takes the head out of r's buffer. Nothing of h may be used afterwards but Length, Chunked, Close and Keep.
 func (h *Head) Discard(r *bufio.Reader) {
 	r.Discard(h.size)
-	h.First, h.Fields, h.listed = nil, h.Fields[:0], h.listed[:0]
+	h.StartLine, h.Fields, h.listed = nil, h.Fields[:0], h.listed[:0]
 }
 
 func (h *Head) parse(head []byte) error {
-	*h = Head{Fields: h.Fields[:0], listed: h.listed[:0], Length: -1, size: len(head)}
+	*h = Head{Fields: h.Fields[:0], listed: h.listed[:0], ContentLength: -1, size: len(head)}
 	lengths := 0
 	for len(head) > 0 {
 		var line []byte
 		line, head, _ = bytes.Cut(head, []byte("\n"))
 		if line = trimLine(line); hasControl(line) {
-			return ErrHead
+			return ErrMalformedHead
 		}
-		if h.First == nil {
+		if h.StartLine == nil {
 			if len(line) == 0 {
-				return ErrHead
+				return ErrMalformedHead
 			}
-			h.First = line
+			h.StartLine = line
 			continue
 		}
 		if len(line) == 0 {
@@ -126,7 +126,7 @@
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok || !token(name) {
-			return ErrHead
+			return ErrMalformedHead
 		}
 		f := Field{name, bytes.Trim(value, " \t")}
 		switch {
@@ -134,13 +134,13 @@
 			lengths++
 			n, ok := decimal(f.Value)
 			if !ok {
-				return ErrHead
+				return ErrMalformedHead
 			}
-			h.Length = n
+			h.ContentLength = n
 		case f.Is("Transfer-Encoding"):
 			lengths++
 			if !equalFold(f.Value, "chunked") {
-				return ErrHead
+				return ErrMalformedHead
 			}
 			h.Chunked = true
 		case f.Is("Connection"):
@@ -151,9 +151,9 @@
 				case equalFold(option, "close"):
 					h.Close = true
 				case equalFold(option, "keep-alive"):
-					h.Keep = true
+					h.KeepAlive = true
 				case meantForAll(option):
-					return ErrNominated
+					return ErrConnectionOption
 				case len(option) > 0:
 					h.listed = append(h.listed, option)
 				}
@@ -217,27 +217,27 @@
 	return all
 }
 
-// Request reads the request line: the method, the target as it stands, and the minor version of HTTP/1.
-func (h *Head) Request() (method, target []byte, minor int, err error) {
-	method, rest, ok := bytes.Cut(h.First, []byte(" "))
+// ParseRequestLine reads the request line: the method, the target as it stands, and the minor version of HTTP/1.
+func (h *Head) ParseRequestLine() (method, target []byte, minor int, err error) {
+	method, rest, ok := bytes.Cut(h.StartLine, []byte(" "))
 	target, version, ok2 := bytes.Cut(rest, []byte(" "))
 	if !ok || !ok2 || !token(method) || len(target) == 0 || bytes.IndexByte(target, '\t') >= 0 {
-		return nil, nil, 0, ErrHead
+		return nil, nil, 0, ErrMalformedHead
 	}
 	if minor, ok = version1(version); !ok {
-		return nil, nil, 0, ErrHead
+		return nil, nil, 0, ErrMalformedHead
 	}
 	return method, target, minor, nil
 }
 
-// Status reads the status line: the code, and the minor version of HTTP/1.
-func (h *Head) Status() (code, minor int, err error) {
-	version, rest, ok := bytes.Cut(h.First, []byte(" "))
+// ParseStatusLine reads the status line: the code, and the minor version of HTTP/1.
+func (h *Head) ParseStatusLine() (code, minor int, err error) {
+	version, rest, ok := bytes.Cut(h.StartLine, []byte(" "))
 	minor, ok1 := version1(version)
 	text, _, _ := bytes.Cut(rest, []byte(" "))
 	n, ok2 := decimal(text)
 	if !ok || !ok1 || !ok2 || len(text) != 3 || n < 100 {
-		return 0, 0, ErrHead
+		return 0, 0, ErrMalformedHead
 	}
 	return int(n), minor, nil
 }
@@ -249,14 +249,14 @@
 	return int(b[7] - '0'), true
 }
 
-// Hop reports whether f concerns one connection only (RFC 9110, section 7.6.1), or frames the body.
-func (h *Head) Hop(f Field) bool {
+// IsHopByHop reports whether f concerns one connection only (RFC 9110, section 7.6.1), or frames the body.
+func (h *Head) IsHopByHop(f Field) bool {
 	for _, listed := range h.listed {
 		if bytes.EqualFold(listed, f.Name) {
 			return true
 		}
 	}
-	return HopName(f.Name)
+	return IsHopByHopName(f.Name)
 }
 
 // hopNames concern one connection only.
@@ -265,8 +265,8 @@
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// HopName reports whether fields of that name concern one connection only, or frame the body.
-func HopName(name []byte) bool {
+// IsHopByHopName reports whether fields of that name concern one connection only, or frame the body.
+func IsHopByHopName(name []byte) bool {
 	for _, hop := range hopNames {
 		if equalFold(name, hop) {
 			return true
@@ -299,7 +299,7 @@
 	for _, v := range h["Connection"] {
 		for option := range strings.SplitSeq(v, ",") {
 			if meantForAll([]byte(strings.Trim(option, " \t"))) {
-				return ErrNominated
+				return ErrConnectionOption
 			}
 		}
 	}
@@ -314,8 +314,8 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendInt appends a line with a number.
-func AppendInt(b []byte, name string, n int64) []byte {
+// AppendIntField appends a line with a number.
+func AppendIntField(b []byte, name string, n int64) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
 	b = strconv.AppendInt(b, n, 10)
--- a/internal/httpmsg/header.go
+++ b/internal/httpmsg/header.go
@@ -22,7 +22,7 @@
 		}
 	}
 	for _, name := range names {
-		if HopName([]byte(name)) || skip != nil && skip(name) || slices.Contains(listed, textproto.CanonicalMIMEHeaderKey(name)) {
+		if IsHopByHopName([]byte(name)) || skip != nil && skip(name) || slices.Contains(listed, textproto.CanonicalMIMEHeaderKey(name)) {
 			continue
 		}
 		for _, v := range h[name] {
--- a/internal/httpmsg/httpmsg_test.go
+++ b/internal/httpmsg/httpmsg_test.go
@@ -33,26 +33,26 @@
 		{"two lengths", "GET / HTTP/1.1\nContent-Length: 1\nContent-Length: 1\n\n", ErrFraming, 0, false, false},
 		{"both ways", "GET / HTTP/1.1\nContent-Length: 1\nTransfer-Encoding: chunked\n\n", ErrFraming, 0, false, false},
 		{"two codings", "GET / HTTP/1.1\nTransfer-Encoding: chunked\nTransfer-Encoding: chunked\n\n", ErrFraming, 0, false, false},
-		{"another coding", "GET / HTTP/1.1\nTransfer-Encoding: gzip, chunked\n\n", ErrHead, 0, false, false},
-		{"a sign", "GET / HTTP/1.1\nContent-Length: +1\n\n", ErrHead, 0, false, false},
-		{"no digits", "GET / HTTP/1.1\nContent-Length:\n\n", ErrHead, 0, false, false},
-		{"too many digits", "GET / HTTP/1.1\nContent-Length: 9999999999999999999\n\n", ErrHead, 0, false, false},
-		{"a folded line", "GET / HTTP/1.1\nA: b\n c: d\n\n", ErrHead, 0, false, false},
-		{"white space in a name", "GET / HTTP/1.1\nContent-Length : 1\n\n", ErrHead, 0, false, false},
-		{"no colon", "GET / HTTP/1.1\nnonsense\n\n", ErrHead, 0, false, false},
-		{"no name", "GET / HTTP/1.1\n: x\n\n", ErrHead, 0, false, false},
-		{"a control character", "GET / HTTP/1.1\nA: \x00\n\n", ErrHead, 0, false, false},
-		{"a bare CR", "GET / HTTP/1.1\nA: b\rContent-Length: 3\n\n", ErrHead, 0, false, false},
-		{"an empty first line", "\nGET / HTTP/1.1\n\n", ErrHead, 0, false, false},
-		{"a field for all named by Connection", "GET / HTTP/1.1\nConnection: close, idempotency-KEY\n\n", ErrNominated, 0, false, false},
-		{"the same in a second line", "GET / HTTP/1.1\nConnection: close\nA: b\nConnection: x-a,\tHost ,\n\n", ErrNominated, 0, false, false},
+		{"another coding", "GET / HTTP/1.1\nTransfer-Encoding: gzip, chunked\n\n", ErrMalformedHead, 0, false, false},
+		{"a sign", "GET / HTTP/1.1\nContent-Length: +1\n\n", ErrMalformedHead, 0, false, false},
+		{"no digits", "GET / HTTP/1.1\nContent-Length:\n\n", ErrMalformedHead, 0, false, false},
+		{"too many digits", "GET / HTTP/1.1\nContent-Length: 9999999999999999999\n\n", ErrMalformedHead, 0, false, false},
+		{"a folded line", "GET / HTTP/1.1\nA: b\n c: d\n\n", ErrMalformedHead, 0, false, false},
+		{"white space in a name", "GET / HTTP/1.1\nContent-Length : 1\n\n", ErrMalformedHead, 0, false, false},
+		{"no colon", "GET / HTTP/1.1\nnonsense\n\n", ErrMalformedHead, 0, false, false},
+		{"no name", "GET / HTTP/1.1\n: x\n\n", ErrMalformedHead, 0, false, false},
+		{"a control character", "GET / HTTP/1.1\nA: \x00\n\n", ErrMalformedHead, 0, false, false},
+		{"a bare CR", "GET / HTTP/1.1\nA: b\rContent-Length: 3\n\n", ErrMalformedHead, 0, false, false},
+		{"an empty first line", "\nGET / HTTP/1.1\n\n", ErrMalformedHead, 0, false, false},
+		{"a field for all named by Connection", "GET / HTTP/1.1\nConnection: close, idempotency-KEY\n\n", ErrConnectionOption, 0, false, false},
+		{"the same in a second line", "GET / HTTP/1.1\nConnection: close\nA: b\nConnection: x-a,\tHost ,\n\n", ErrConnectionOption, 0, false, false},
 		{"cut off", "GET / HTTP/1.1\nHost", io.EOF, 0, false, false},
 		{"without end", "GET / HTTP/1.1\nA: " + strings.Repeat("x", 2000), ErrHeadTooLong, 0, false, false},
 	} {
 		h, _, err := read(tt.text)
 		if !errors.Is(err, tt.err) || tt.err == nil && err != nil {
 			t.Errorf("%s: error %v, want %v", tt.name, err, tt.err)
-		} else if err == nil && (h.Length != tt.length || h.Chunked != tt.chunked || h.Close != tt.close) {
+		} else if err == nil && (h.ContentLength != tt.length || h.Chunked != tt.chunked || h.Close != tt.close) {
 			t.Errorf("%s: %+v", tt.name, h)
 		}
 	}
@@ -64,8 +64,8 @@
 		"GET /a?b HTTP/1.1": true, "POST /a HTTP/1.0": true, "GET /a": false, "GET  /a HTTP/1.1": false, "GET /a b HTTP/1.1": false,
 		"G(T /a HTTP/1.1": false, "GET /a HTTP/2.0": false, "GET /a HTTP/1.1x": false, "GET /a http/1.1": false, "GET /a HTTP/1.": false,
 	} {
-		h := Head{First: []byte(line)}
-		if _, _, _, err := h.Request(); (err == nil) != want {
+		h := Head{StartLine: []byte(line)}
+		if _, _, _, err := h.ParseRequestLine(); (err == nil) != want {
 			t.Errorf("%q: %v", line, err)
 		}
 	}
@@ -73,8 +73,8 @@
 		"HTTP/1.1 200 OK": 200, "HTTP/1.0 503": 503, "HTTP/1.1 503 ": 503, "HTTP/1.1 20": 0, "HTTP/1.1 2000": 0, "HTTP/1.1 099 x": 0,
 		"HTTP/3.1 200 OK": 0, "200 OK": 0, "HTTP/1.1 -20 x": 0, "": 0,
 	} {
-		h := Head{First: []byte(line)}
-		if code, _, err := h.Status(); (err == nil) != (want > 0) || err == nil && code != want {
+		h := Head{StartLine: []byte(line)}
+		if code, _, err := h.ParseStatusLine(); (err == nil) != (want > 0) || err == nil && code != want {
 			t.Errorf("%q: %d, %v", line, code, err)
 		}
 	}
@@ -88,7 +88,7 @@
 	}
 	var kept []string
 	for _, f := range h.Fields {
-		if !h.Hop(f) {
+		if !h.IsHopByHop(f) {
 			kept = append(kept, string(f.Name))
 		}
 	}
@@ -112,7 +112,7 @@
 		r := bufio.NewReader(strings.NewReader(strings.ReplaceAll(text, "\n", "\r\n")))
 		var b Body
 		b.Reset(r, -1, true)
-		body, err := b.Whole(MaxWhole)
+		body, err := b.ReadAll(MaxFullBody)
 		rest, _ := io.ReadAll(r)
 		return string(body), string(rest), err
 	}
@@ -137,16 +137,16 @@
 		limit   int64
 		want    error
 	}{
-		{"chunks over the limit", endless(), -1, true, MaxWhole, ErrBodyTooLong},
+		{"chunks over the limit", endless(), -1, true, MaxFullBody, ErrBodyTooLong},
 		{"chunks over the bound", endless(), -1, true, MaxBody, ErrBodyTooLong},
 		{"a length over the bound", endless(), MaxBody + 1, false, MaxBody, ErrBodyTooLong},
-		{"a length over the limit", endless(), MaxWhole + 1, false, MaxWhole, ErrBodyTooLong},
-		{"no end", bufio.NewReader(zeros{}), -1, false, MaxWhole, ErrBodyTooLong},
-		{"cut off", bufio.NewReader(strings.NewReader("ab")), 3, false, MaxWhole, io.ErrUnexpectedEOF},
+		{"a length over the limit", endless(), MaxFullBody + 1, false, MaxFullBody, ErrBodyTooLong},
+		{"no end", bufio.NewReader(zeros{}), -1, false, MaxFullBody, ErrBodyTooLong},
+		{"cut off", bufio.NewReader(strings.NewReader("ab")), 3, false, MaxFullBody, io.ErrUnexpectedEOF},
 	} {
 		var b Body
 		b.Reset(tt.r, tt.length, tt.chunked)
-		if _, err := b.Whole(tt.limit); !errors.Is(err, tt.want) {
+		if _, err := b.ReadAll(tt.limit); !errors.Is(err, tt.want) {
 			t.Errorf("%s: %v, want %v", tt.name, err, tt.want)
 		}
 	}
@@ -167,7 +167,7 @@
 		r := bufio.NewReader(strings.NewReader(tt.text))
 		var b Body
 		b.Reset(r, tt.length, tt.chunked)
-		part, err := b.UpTo(4)
+		part, err := b.ReadUpTo(4)
 		if !strings.HasPrefix("abcde", string(part)) || len(part) < 4 || err != nil || b.Ended() {
 			t.Errorf("%q, %v, ended %v", part, err, b.Ended())
 		}
@@ -189,7 +189,7 @@
 		t.Errorf("%q, %v", b, err)
 	}
 	<-u.Done()
-	if u.Err() != io.EOF || u.TakeBack(func() {}) != nil {
+	if u.Err() != io.EOF || u.Reclaim(func() {}) != nil {
 		t.Errorf("it ended with %v", u.Err())
 	}
 	near, far := io.Pipe()
@@ -204,8 +204,8 @@
 	for !u.Started() {
 		runtime.Gosched()
 	}
-	src := u.TakeBack(func() { far.Write([]byte("x")) })
-	if first, second := <-read, <-read; first != nil || second != ErrTakenBack || src != near || u.Err() != ErrTakenBack {
+	src := u.Reclaim(func() { far.Write([]byte("x")) })
+	if first, second := <-read, <-read; first != nil || second != ErrReclaimed || src != near || u.Err() != ErrReclaimed {
 		t.Errorf("%v, then %v, taken back %v", first, second, u.Err())
 	}
 }
@@ -226,13 +226,13 @@
 		var whole, pieces Head
 		err := whole.Read(bufio.NewReaderSize(bytes.NewReader(text), 4096))
 		perr := pieces.Read(bufio.NewReaderSize(oneByOne{bytes.NewReader(text)}, 4096))
-		if (err == nil) != (perr == nil) || err == nil && (whole.Length != pieces.Length || len(whole.Fields) != len(pieces.Fields)) {
+		if (err == nil) != (perr == nil) || err == nil && (whole.ContentLength != pieces.ContentLength || len(whole.Fields) != len(pieces.Fields)) {
 			t.Fatalf("whole %v, in pieces %v", err, perr)
 		}
 		if err != nil {
 			return
 		}
-		method, _, _, err := whole.Request()
+		method, _, _, err := whole.ParseRequestLine()
 		if err != nil || string(method) == "PRI" || whole.Chunked {
 			return
 		}
@@ -240,7 +240,7 @@
 		if err != nil {
 			return // it may be stricter about targets, hosts and trailers
 		}
-		if length := max(whole.Length, 0); q.ContentLength != length {
+		if length := max(whole.ContentLength, 0); q.ContentLength != length {
 			t.Errorf("length %d, and %d by net/http", length, q.ContentLength)
 		}
 	})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -28,9 +28,9 @@
 
 // Pool is a pool that routes lead to.
 type Pool struct {
-	Engine *engine.Engine
-	Config pool.Config
-	Room   Room // for bodies
+	Engine     *engine.Engine
+	Config     pool.Config
+	BodyBudget BodyBudget // for bodies
 
 	mu      sync.Mutex
 	taking  int           // requests that are on their way to the engine
@@ -75,31 +75,31 @@
 	return p.retired
 }
 
-// Room is the memory, in bytes, that bodies of requests may hold.
-type Room interface {
+// BodyBudget is the memory, in bytes, that bodies of requests may hold.
+type BodyBudget interface {
 	TryAcquire(n int64) bool
 	Release(n int64)
 }
 
-// Asked is what of a request decides over it.
-type Asked struct {
+// Request is what of a request decides over it.
+type Request struct {
 	Method, Host string
 	Target       string                     // in origin form, as it stands on the wire
 	Header       func(name string) []string // the values of a field, by its name in any case
 }
 
-// Call is what becomes of a request.
-type Call struct {
-	Route   string
-	Pool    string
-	Engine  *engine.Engine
-	Request *engine.Request // without payload
-	Judge   func(code int, header func(name string) []string) routes.Judgment
-	Room    Room
-	Taken   func() // called once, when the engine has the request or nobody will give it to it
-	// Late reports whether the table that led here has been replaced by one that does not: who has not given the request to the engine yet
+// Decision is what becomes of a request.
+type Decision struct {
+	Route      string
+	Pool       string
+	Engine     *engine.Engine
+	Request    *engine.Request // without payload
+	Evaluate   func(code int, header func(name string) []string) routes.Evaluation
+	BodyBudget BodyBudget
+	Release    func() // called once, when the engine has the request or nobody will give it to it
+	// PoolRetired reports whether the table that led here has been replaced by one that does not: who has not given the request to the engine yet
 	// asks again.
-	Late func() bool
+	PoolRetired func() bool
 }
 
 // Router goes by a table of routes, which can be replaced while it is asked. Its methods may be called from many goroutines at once.
@@ -121,7 +121,7 @@
 type split struct {
 	mu     sync.Mutex
 	origin time.Time
-	pools  []routes.Weighted
+	pools  []routes.WeightedPool
 	*routes.Splitter
 	requests atomic.Uint64
 }
@@ -139,7 +139,7 @@
 func Classes(p pool.Config, list []routes.Route) []pool.Class {
 	all := slices.Clone(p.Classes)
 	for _, r := range list {
-		leads := r.Fallback == p.Name || slices.ContainsFunc(r.Pools, func(w routes.Weighted) bool { return w.Pool == p.Name })
+		leads := r.Fallback == p.Name || slices.ContainsFunc(r.Pools, func(w routes.WeightedPool) bool { return w.Pool == p.Name })
 		k, ok := p.Class(r.Class)
 		name := classOf(&r, k)
 		if !leads || !ok || slices.ContainsFunc(all, func(o pool.Class) bool { return o.Name == name }) {
@@ -179,7 +179,7 @@
 			switch {
 			case !ok || !k.ByRequest:
 				return fmt.Errorf("[[routes]] %s: class: pool %q has no class %q with effect \"by-request\"", r.Name, name, r.Class)
-			case (r.Effect == routes.Keyed || r.TrustKey) && k.Window == 0:
+			case (r.Effect == routes.Keyed || r.TrustIdempotencyKey) && k.Window == 0:
 				return fmt.Errorf("[[routes]] %s: class %q of pool %q has no window: for how long do servers drop repeats of a key?", r.Name, r.Class, name)
 			}
 		}
@@ -235,8 +235,8 @@
 // Rejection is why a request is not served, beside what httpcall has.
 type Rejection struct {
 	httpcall.Rejection
-	Allow   []string // with 405
-	Unknown bool     // an earlier request under the same key may have run
+	Allow          []string // with 405
+	OutcomeUnknown bool     // an earlier request under the same key may have run
 }
 
 // Unwrap makes it an httpcall.Rejection.
@@ -247,13 +247,13 @@
 }
 
 // Matches reports whether some route takes a request.
-func (r *Router) Matches(q *Asked) bool {
+func (r *Router) Matches(q *Request) bool {
 	_, err := r.state.Load().table.Find(&routes.Request{Host: q.Host, Method: q.Method, Target: q.Target, Header: q.Header})
 	return err == nil
 }
 
 // Route says what becomes of a request. An error is a *Rejection or an httpcall.Rejection.
-func (r *Router) Route(q *Asked) (*Call, error) {
+func (r *Router) Route(q *Request) (*Decision, error) {
 	if _, err := httpcall.DecodePath(q.Target); err != nil {
 		return nil, err
 	}
@@ -265,24 +265,24 @@
 	}
 }
 
-// Again routes a request anew that has not come to its engine yet and whose call is late, as its body was long in coming. It returns the call
+// Reroute routes a request anew that has not come to its engine yet and whose call is late, as its body was long in coming. It returns the call
 // to go on with, which is c where c is not late or nothing else takes the request: its pool then refuses it as long as that is true. held
 // bytes of its body move to the other pool's room, and what the request has been told of itself with them.
-func (r *Router) Again(c *Call, held int64, asked func() *Asked) *Call {
-	for c.Late() {
+func (r *Router) Reroute(c *Decision, held int64, asked func() *Request) *Decision {
+	for c.PoolRetired() {
 		next, err := r.Route(asked())
 		if err != nil {
 			return c
 		}
-		if held > 0 && !next.Room.TryAcquire(held) {
-			next.Taken()
+		if held > 0 && !next.BodyBudget.TryAcquire(held) {
+			next.Release()
 			return c
 		}
 		if held > 0 {
-			c.Room.Release(held)
+			c.BodyBudget.Release(held)
 		}
 		next.Request.Payload, next.Request.Retry, next.Request.Upload = c.Request.Payload, c.Request.Retry, c.Request.Upload
-		c.Taken()
+		c.Release()
 		c = next
 	}
 	return c
@@ -291,7 +291,7 @@
 // errRetired tells that the table has just been replaced.
 var errRetired = errors.New("the pool takes no more requests")
 
-func (st *state) route(q *Asked) (*Call, error) {
+func (st *state) route(q *Request) (*Decision, error) {
 	found, err := st.table.Find(&routes.Request{Host: q.Host, Method: q.Method, Target: q.Target, Header: q.Header})
 	var method *routes.MethodError
 	switch {
@@ -332,19 +332,19 @@
 	case policy.Keyed:
 		class = pool.KeyedOf(k.Name)
 	}
-	answers := found.Answers
-	return &Call{
-		Route: found.Name, Pool: name, Engine: p.Engine, Room: p.Room, Taken: p.leave, Late: p.late,
+	answers := found.ResponseRules
+	return &Decision{
+		Route: found.Name, Pool: name, Engine: p.Engine, BodyBudget: p.BodyBudget, Release: p.leave, PoolRetired: p.late,
 		Request: &engine.Request{Class: class, Tenant: tenant, Key: key, Timeout: k.Deadline},
-		Judge: func(code int, header func(string) []string) routes.Judgment {
-			return answers.Judge(code, header, time.Now())
+		Evaluate: func(code int, header func(string) []string) routes.Evaluation {
+			return answers.Evaluate(code, header, time.Now())
 		},
 	}, nil
 }
 
 // pick says which pool takes a request. A key whose order may have run stays with its pool for as long as servers there remember it,
 // and a new one goes by the override, the weights, and the fallback where its pool has no server.
-func (st *state) pick(found *routes.Found, q *Asked, effect policy.Effect, key string, idem []string) (string, error) {
+func (st *state) pick(found *routes.MatchedRoute, q *Request, effect policy.Effect, key string, idem []string) (string, error) {
 	s := st.splits[found.Name]
 	s.requests.Add(1)
 	firm := effect == policy.Keyed
@@ -360,20 +360,20 @@
 	defer s.mu.Unlock()
 	now := time.Since(s.origin)
 	if firm {
-		if held, ok := s.Held(now, key); ok {
+		if held, ok := s.PinnedPool(now, key); ok {
 			if st.pools[held] == nil {
-				return "", &Rejection{Rejection: httpcall.Rejection{Status: http.StatusBadGateway, Text: "the pool of an earlier request under this key has gone"}, Unknown: true}
+				return "", &Rejection{Rejection: httpcall.Rejection{Status: http.StatusBadGateway, Text: "the pool of an earlier request under this key has gone"}, OutcomeUnknown: true}
 			}
 			return s.Pick(now, key, true, nil), nil
 		}
 	}
 	if found.Override != "" {
 		if named := q.Header(found.Override); len(named) == 1 {
-			if !slices.ContainsFunc(found.Pools, func(w routes.Weighted) bool { return w.Pool == named[0] }) {
+			if !slices.ContainsFunc(found.Pools, func(w routes.WeightedPool) bool { return w.Pool == named[0] }) {
 				return "", reject(http.StatusBadRequest, fmt.Sprintf("%s names no pool of the route", found.Override))
 			}
 			if firm {
-				s.Hold(now, key, named[0])
+				s.Pin(now, key, named[0])
 			}
 			return named[0], nil
 		}
@@ -389,16 +389,16 @@
 		return "", reject(http.StatusServiceUnavailable, "no pool has a server")
 	}
 	if firm {
-		s.Hold(now, key, found.Fallback)
+		s.Pin(now, key, found.Fallback)
 	}
 	return found.Fallback, nil
 }
 
 // Stats counts what the routes have done.
 type Stats struct {
-	Requests uint64
-	Held     int   // keys that are kept with their pools
-	Early    int64 // keys that were let go before their window had passed, for want of room
+	Requests       uint64
+	PinnedKeys     int   // keys that are kept with their pools
+	EarlyEvictions int64 // keys that were let go before their window had passed, for want of room
 }
 
 // Stats returns the counts by route.
@@ -406,7 +406,7 @@
 	all := map[string]Stats{}
 	for name, s := range r.state.Load().splits {
 		s.mu.Lock()
-		all[name] = Stats{s.requests.Load(), s.Count(), s.Early()}
+		all[name] = Stats{s.requests.Load(), s.PinnedKeys(), s.EarlyEvictions()}
 		s.mu.Unlock()
 	}
 	return all
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -23,17 +23,17 @@
 
 func steps(canary float64) []routes.Route {
 	return []routes.Route{{
-		Name: "orders", Match: routes.Match{Path: "/{farm}"}, Class: "c", Key: []routes.Part{{Path: "farm"}}, TrustKey: true,
-		Pools: []routes.Weighted{{Pool: "stable", Weight: 100 - canary}, {Pool: "canary", Weight: canary}}, Override: "X-Pool",
+		Name: "orders", Match: routes.Match{Path: "/{farm}"}, Class: "c", Key: []routes.ValueSource{{Path: "farm"}}, TrustIdempotencyKey: true,
+		Pools: []routes.WeightedPool{{Pool: "stable", Weight: 100 - canary}, {Pool: "canary", Weight: canary}}, Override: "X-Pool",
 	}}
 }
 
-func asked(method, target string, header ...string) *Asked {
+func asked(method, target string, header ...string) *Request {
 	h := http.Header{}
 	for i := 0; i+1 < len(header); i += 2 {
 		h.Add(header[i], header[i+1])
 	}
-	return &Asked{Method: method, Target: target, Host: "h", Header: h.Values}
+	return &Request{Method: method, Target: target, Host: "h", Header: h.Values}
 }
 
 // TestSplitUnderLoad: while a split moves from 0 to 100 in steps, no key of an order is with two pools within its window, keys of reads
@@ -60,13 +60,13 @@
 						t.Error(err)
 						return
 					}
-					call.Taken()
+					call.Release()
 					read, err := r.Route(asked("GET", fmt.Sprintf("/farm-%d", k)))
 					if err != nil {
 						t.Error(err)
 						return
 					}
-					read.Taken()
+					read.Release()
 					mu.Lock()
 					if was := orders[k]; was != "" && was != call.Pool {
 						t.Errorf("the order of key %d went to %s and %s", k, was, call.Pool)
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	var rejection *Rejection
-	if _, err := r.Route(asked("POST", "/farm-1", "Idempotency-Key", "k1")); !errors.As(err, &rejection) || !rejection.Unknown || rejection.Status != 502 {
+	if _, err := r.Route(asked("POST", "/farm-1", "Idempotency-Key", "k1")); !errors.As(err, &rejection) || !rejection.OutcomeUnknown || rejection.Status != 502 {
 		t.Errorf("an order whose pool has gone: %v", err)
 	}
 	if call, err := r.Route(asked("POST", "/farm-1", "Idempotency-Key", "other")); err != nil || call.Pool != "canary" {
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	for _, tt := range []struct {
-		q     *Asked
+		q     *Request
 		class string
 	}{
 		{asked("GET", "/a"), "c@300ms+read"},
@@ -132,10 +132,10 @@
 			t.Errorf("%s: %+v, %v", tt.q.Method, call, err)
 			continue
 		}
-		call.Taken()
+		call.Release()
 	}
 	for _, tt := range []struct {
-		q    *Asked
+		q    *Request
 		want int
 	}{
 		{asked("GET", "/a/b"), 404}, {asked("GET", "/../a"), 400}, {asked("GET", "/"+strings.Repeat("x", 300)), 400},
@@ -159,6 +159,6 @@
 		t.Error("a request is still on its way")
 	default:
 	}
-	call.Taken()
+	call.Release()
 	<-through
 }
--- a/internal/services/http.go
+++ b/internal/services/http.go
@@ -185,7 +185,7 @@
 	for name, p := range next {
 		lead[name] = p.route
 		if p.route == nil || !reflect.DeepEqual(p.route.Config, p.cfg) {
-			lead[name] = &router.Pool{Engine: p.Engine, Config: p.cfg, Room: p.room}
+			lead[name] = &router.Pool{Engine: p.Engine, Config: p.cfg, BodyBudget: p.room}
 			replaced[p] = p.route
 		}
 	}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -276,8 +276,8 @@
 		total(poolsCut, st.Ends.Cut, f.Name)
 		for route, n := range st.Routes {
 			total(routeRequests, n.Requests, f.Name, route)
-			gauge(routeKeys, float64(n.Held), f.Name, route)
-			total(routeEarly, uint64(n.Early), f.Name, route)
+			gauge(routeKeys, float64(n.PinnedKeys), f.Name, route)
+			total(routeEarly, uint64(n.EarlyEvictions), f.Name, route)
 		}
 	}
 	gauge(serviceGuests, float64(g.Current), f.Name)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -300,14 +300,14 @@
 	w.WriteString(" HTTP/1.1\r\nHost: ")
 	w.WriteString(m.Host)
 	w.WriteString("\r\n")
-	w.Write(m.Lines)
+	w.Write(m.HeaderLines)
 	if remaining > 0 {
 		c.writeInt("X-Timeout-Ms: ", max(1, remaining.Milliseconds()))
 	}
-	if m.Rest != nil {
+	if m.Upload != nil {
 		return c.upload(m, uploaded)
 	}
-	if len(m.Body) > 0 || (m.Terms == nil || declaresLength(m.Method)) && m.Method != "GET" {
+	if len(m.Body) > 0 || (m.Exchange == nil || declaresLength(m.Method)) && m.Method != "GET" {
 		c.writeInt("Content-Length: ", int64(len(m.Body)))
 	}
 	w.WriteString("\r\n")
@@ -370,10 +370,10 @@
 	if err := writePart(m.Body); err != nil {
 		return err
 	}
-	buf, release := httpmsg.Buffer()
+	buf, release := httpmsg.CopyBuffer()
 	defer release()
 	for {
-		n, err := m.Rest.Read(buf)
+		n, err := m.Upload.Read(buf)
 		if n > 0 {
 			if responded() {
 				return errEarlyResponse
@@ -447,7 +447,7 @@
 // rejected: a sender that does not know chunks has part of its response taken for a length (RFC
 // 9112, section 6.1).
 func (c *conn) status() (code, minor int, err error) {
-	if code, minor, err = c.head.Status(); err == nil && minor == 0 && c.head.Chunked {
+	if code, minor, err = c.head.ParseStatusLine(); err == nil && minor == 0 && c.head.Chunked {
 		err = httpmsg.ErrFraming
 	}
 	return code, minor, err
@@ -456,8 +456,8 @@
 // beginBody makes c.body the body of the response whose head has been discarded. last reports
 // whether the connection can carry no further exchange once the body has been read.
 func (c *conn) beginBody(code, minor int) (last bool) {
-	last = c.head.Close || minor == 0 && !c.head.Keep
-	length := c.head.Length
+	last = c.head.Close || minor == 0 && !c.head.KeepAlive
+	length := c.head.ContentLength
 	if code == 204 || code == 304 { // these have no body, whatever their heads say
 		length = 0
 		c.head.Chunked = false
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -22,7 +22,7 @@
 		far.Close()
 	}()
 	c := newConn(near, engine.Endpoint{}, func() {}, defaultReadBuffer)
-	m := &httpmsg.Message{Method: "POST", Target: "/order/k", Host: "s", Body: []byte(strings.Repeat("x", httpmsg.MaxWhole))}
+	m := &httpmsg.Message{Method: "POST", Target: "/order/k", Host: "s", Body: []byte(strings.Repeat("x", httpmsg.MaxFullBody))}
 	var notWritten errNotWritten
 	if _, _, _, err := c.exchange(m, time.Second, nil); !errors.As(err, &notWritten) {
 		t.Errorf("error %v, want errNotWritten", err)
--- a/internal/upstream/response_fuzz_test.go
+++ b/internal/upstream/response_fuzz_test.go
@@ -62,7 +62,7 @@
 		}
 		c.head.Discard(c.r)
 		last := c.beginBody(code, minor)
-		body, err := c.body.Whole(httpmsg.MaxWhole)
+		body, err := c.body.ReadAll(httpmsg.MaxFullBody)
 		if err != nil {
 			return
 		}
--- a/internal/upstream/routed.go
+++ b/internal/upstream/routed.go
@@ -26,8 +26,8 @@
 	noTimeout = 100 * 365 * 24 * time.Hour
 )
 
-// routedExchange is one attempt of a message with Terms: the rules of its route apply, and the
-// response may arrive, and be streamed, while the request body is still being sent.
+// routedExchange is one attempt of a message with an Exchange: the rules of its route apply, and
+// the response may arrive, and be streamed, while the request body is still being sent.
 type routedExchange struct {
 	*conn
 	m *httpmsg.Message
@@ -44,11 +44,11 @@
 	proceedOnce sync.Once
 }
 
-// doRouted carries out an attempt of a message with Terms on c. What its end proves about its
+// doRouted carries out an attempt of a message with an Exchange on c. What its end proves about its
 // execution follows RFC 9110: a request that was partly written may have been executed.
 func (t *Transport) doRouted(a *engine.Attempt, c *conn, m *httpmsg.Message) engine.AttemptResult {
 	x := &routedExchange{conn: c, m: m, deadline: a.Deadline}
-	if m.Rest != nil {
+	if m.Upload != nil {
 		x.proceedCh = make(chan struct{})
 	}
 	result := t.runRouted(a, x)
@@ -59,7 +59,7 @@
 
 func (t *Transport) runRouted(a *engine.Attempt, x *routedExchange) engine.AttemptResult {
 	c, m := x.conn, x.m
-	if m.Rest != nil {
+	if m.Upload != nil {
 		x.deadline = time.Time{}
 		c.SetDeadline(time.Time{})
 		go x.uploadAsync(a)
@@ -72,7 +72,7 @@
 		x.deadline = time.Now().Add(responseStallTimeout)
 		c.SetReadDeadline(x.deadline)
 	}
-	if m.Rest == nil {
+	if m.Upload == nil {
 		a.SetStage(engine.StageAnswer)
 	}
 	code, minor, err := x.readFinalHead()
@@ -80,32 +80,32 @@
 		c.Close()
 		return t.routedFailure(a, x, err)
 	}
-	j := m.Terms.Judge(code, x.head.Values)
-	if j.Verdict == routes.Spoilt {
+	j := m.Exchange.Evaluate(code, x.head.Values)
+	if j.Verdict == routes.Invalid {
 		c.Close()
-		return t.routedFailure(a, x, httpmsg.ErrHead)
+		return t.routedFailure(a, x, httpmsg.ErrMalformedHead)
 	}
-	answer := &httpmsg.Answer{Status: code, Length: -1, Bare: !routes.HasBody(m.Method, code)}
-	answer.Lines = make([]byte, 0, 256)
+	answer := &httpmsg.Response{Status: code, Length: -1, NoBody: !routes.HasBody(m.Method, code)}
+	answer.HeaderLines = make([]byte, 0, 256)
 	for _, f := range c.head.Fields {
-		if c.head.Hop(f) && !(c.head.Chunked && f.Is("Trailer")) {
+		if c.head.IsHopByHop(f) && !(c.head.Chunked && f.Is("Trailer")) {
 			continue
 		}
-		answer.Dated = answer.Dated || f.Is("Date")
-		answer.Asks = answer.Asks || f.Is("Retry-After")
-		answer.Lines = f.Append(answer.Lines)
+		answer.HasDate = answer.HasDate || f.Is("Date")
+		answer.HasRetryAfter = answer.HasRetryAfter || f.Is("Retry-After")
+		answer.HeaderLines = f.Append(answer.HeaderLines)
 	}
 	if !c.head.Chunked {
-		answer.Length = c.head.Length
+		answer.Length = c.head.ContentLength
 	}
 	c.head.Discard(c.r)
-	last := c.head.Close || minor == 0 && !c.head.Keep || !answer.Bare && answer.Length < 0 && !c.head.Chunked
-	c.exchangeDeadline, c.stallTimeout = time.Now().Add(noTimeout), m.Terms.Stall
-	length, chunked := c.head.Length, c.head.Chunked
-	if answer.Bare {
+	last := c.head.Close || minor == 0 && !c.head.KeepAlive || !answer.NoBody && answer.Length < 0 && !c.head.Chunked
+	c.exchangeDeadline, c.stallTimeout = time.Now().Add(noTimeout), m.Exchange.StallTimeout
+	length, chunked := c.head.ContentLength, c.head.Chunked
+	if answer.NoBody {
 		length, chunked = 0, false
 	}
-	c.body.ResetTo(c.r, length, chunked, noTimeout.Nanoseconds())
+	c.body.ResetWithLimit(c.r, length, chunked, noTimeout.Nanoseconds())
 	var trailer []byte // copied when the body ends: c may then belong to another request
 	if chunked {
 		answer.Trailer = func() []byte { return trailer }
@@ -116,12 +116,12 @@
 	}
 	result := engine.AttemptResult{Status: policy.OK}
 	if j.Verdict != routes.Final {
-		result.AvoidFor = j.Avoid
+		result.AvoidFor = j.AvoidFor
 		if result.Status = policy.AppError; j.Verdict == routes.NotRun {
 			result.Status = policy.Overloaded
 		}
 		if x.bufferBody(answer) {
-			m.Terms.Keep(answer, j.Verdict == routes.NotRun)
+			m.Exchange.RecordResponse(answer, j.Verdict == routes.NotRun)
 			t.releaseConn(a, c, reusable())
 			return result
 		}
@@ -131,7 +131,7 @@
 			return result
 		}
 	} else if x.bodyBuffered() {
-		answer.Body, err = c.body.UpTo(int64(c.r.Size()))
+		answer.Body, err = c.body.ReadUpTo(int64(c.r.Size()))
 		if err != nil {
 			c.Close()
 			return t.routedFailure(a, x, err)
@@ -175,14 +175,14 @@
 		}
 		if code == http.StatusContinue {
 			x.proceed()
-		} else if x.m.Terms.Interim != nil {
+		} else if x.m.Exchange.OnInterim != nil {
 			var lines []byte
 			for _, f := range x.head.Fields {
-				if !x.head.Hop(f) {
+				if !x.head.IsHopByHop(f) {
 					lines = f.Append(lines)
 				}
 			}
-			x.m.Terms.Interim(code, lines)
+			x.m.Exchange.OnInterim(code, lines)
 		}
 		x.head.Discard(x.r)
 		x.mu.Lock()
@@ -200,36 +200,36 @@
 		return true
 	case x.head.Chunked:
 		b, _ := x.r.Peek(x.r.Buffered())
-		return httpmsg.ChunksEnd(b)
+		return httpmsg.ChunkedBodyComplete(b)
 	}
-	return x.head.Length >= 0 && x.head.Length <= int64(x.r.Buffered())
+	return x.head.ContentLength >= 0 && x.head.ContentLength <= int64(x.r.Buffered())
 }
 
 // bufferBody reads the body of a response that is not passed on yet, and reports whether it is
 // complete.
-func (x *routedExchange) bufferBody(answer *httpmsg.Answer) (whole bool) {
-	if x.head.Length > httpmsg.MaxWhole && !answer.Bare {
+func (x *routedExchange) bufferBody(answer *httpmsg.Response) (whole bool) {
+	if x.head.ContentLength > httpmsg.MaxFullBody && !answer.NoBody {
 		return false
 	}
 	x.stallTimeout = min(x.stallTimeout, bufferTimeout)
 	x.exchangeDeadline = time.Now().Add(bufferTimeout)
 	x.responseBegun = true
 	x.SetReadDeadline(x.exchangeDeadline)
-	body, err := x.body.UpTo(httpmsg.MaxWhole)
+	body, err := x.body.ReadUpTo(httpmsg.MaxFullBody)
 	answer.Body = body
-	x.exchangeDeadline, x.stallTimeout = time.Now().Add(noTimeout), x.m.Terms.Stall
+	x.exchangeDeadline, x.stallTimeout = time.Now().Add(noTimeout), x.m.Exchange.StallTimeout
 	return err == nil && x.body.Ended()
 }
 
 // canContinue reports whether the rest of the body can still arrive, so that it can be streamed.
-func (x *routedExchange) canContinue() bool { return x.body.Broken() == nil }
+func (x *routedExchange) canContinue() bool { return x.body.ReadErr() == nil }
 
 // uploadAsync sends the request while its response may already be arriving.
 func (x *routedExchange) uploadAsync(a *engine.Attempt) {
-	expects := x.m.Terms.Expect > 0
+	expects := x.m.Exchange.ExpectTimeout > 0
 	err := x.writeHead()
 	if err == nil && expects {
-		timer := time.NewTimer(x.m.Terms.Expect)
+		timer := time.NewTimer(x.m.Exchange.ExpectTimeout)
 		select {
 		case <-x.proceedCh:
 		case <-timer.C:
@@ -275,13 +275,13 @@
 func (x *routedExchange) writeHead() error {
 	c, m := x.conn, x.m
 	c.w.WriteString(m.Method + " " + m.Target + " HTTP/1.1\r\nHost: " + m.Host + "\r\n")
-	c.w.Write(m.Lines)
-	if m.Terms.Expect > 0 {
+	c.w.Write(m.HeaderLines)
+	if m.Exchange.ExpectTimeout > 0 {
 		c.w.WriteString("Expect: 100-continue\r\n")
 	}
 	c.writeFraming(m)
-	c.SetWriteDeadline(time.Now().Add(x.m.Terms.Stall))
-	if m.Terms.Expect > 0 {
+	c.SetWriteDeadline(time.Now().Add(x.m.Exchange.StallTimeout))
+	if m.Exchange.ExpectTimeout > 0 {
 		return c.w.Flush()
 	}
 	return nil
@@ -294,9 +294,9 @@
 		x.mu.Unlock()
 		return net.ErrClosed
 	}
-	x.m.Rest.Start()
+	x.m.Upload.MarkStarted()
 	x.mu.Unlock()
-	return x.sendBody(x.m, x.m.Terms.Stall, func() bool { return false })
+	return x.sendBody(x.m, x.m.Exchange.StallTimeout, func() bool { return false })
 }
 
 // proceed lets the upload send the body.
@@ -312,8 +312,8 @@
 	x.ended = true
 	x.mu.Unlock()
 	x.proceed()
-	if x.m.Rest != nil && x.m.Rest.Started() {
-		x.m.Rest.Stop()
+	if x.m.Upload != nil && x.m.Upload.Started() {
+		x.m.Upload.Stop()
 	}
 }
 
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -40,7 +40,7 @@
 )
 
 // Transport implements engine.Transport over HTTP/1.1. The payload of a request is a
-// *httpmsg.Message, the reply a *httpmsg.Answer.
+// *httpmsg.Message, the reply a *httpmsg.Response.
 type Transport struct {
 	pool       pool
 	loadFormat atomic.Pointer[loadFormat]
@@ -136,7 +136,7 @@
 		return engine.AttemptResult{Status: policy.Canceled}
 	}
 	m, _ := a.Payload().(*httpmsg.Message)
-	if m != nil && m.Terms != nil {
+	if m != nil && m.Exchange != nil {
 		return t.doRouted(a, c, m)
 	}
 	code, minor, early, err := c.exchange(m, max(time.Until(a.Deadline), 1), func() {
@@ -148,9 +148,9 @@
 		return t.failure(a, err)
 	}
 	result := engine.AttemptResult{Status: policy.OK}
-	var answer *httpmsg.Answer
+	var answer *httpmsg.Response
 	if code == http.StatusOK {
-		answer = &httpmsg.Answer{}
+		answer = &httpmsg.Response{}
 	} else if result.Status = policy.AppError; code/100 == 4 {
 		result.Status = policy.Rejected
 	}
@@ -163,20 +163,20 @@
 			f.Is("X-Not-Processed") && string(f.Value) == "1":
 			result.Status = policy.Overloaded
 		}
-		if answer != nil && !c.head.Hop(f) {
-			if answer.Lines == nil {
-				answer.Lines = make([]byte, 0, 256)
+		if answer != nil && !c.head.IsHopByHop(f) {
+			if answer.HeaderLines == nil {
+				answer.HeaderLines = make([]byte, 0, 256)
 			}
-			answer.Lines = f.Append(answer.Lines)
+			answer.HeaderLines = f.Append(answer.HeaderLines)
 		}
 	}
 	c.head.Discard(c.r)
 	last := c.beginBody(code, minor) || early
-	limit := int64(httpmsg.MaxWhole)
-	if c.head.Length > limit {
+	limit := int64(httpmsg.MaxFullBody)
+	if c.head.ContentLength > limit {
 		limit = maxBufferedBody
 	}
-	body, err := c.body.UpTo(limit)
+	body, err := c.body.ReadUpTo(limit)
 	if answer != nil && err == nil && !c.body.Ended() {
 		answer.Body = body
 		c.exchangeDeadline, c.stallTimeout = time.Now().Add(maxStreamTime), streamStallTimeout
@@ -202,7 +202,7 @@
 // streamBody passes a long response on as it arrives, and waits for its end. It returns result if
 // the body is complete or its reader closed it. last reports whether the connection can carry no
 // further exchange after a complete body.
-func (t *Transport) streamBody(a *engine.Attempt, c *conn, answer *httpmsg.Answer, result engine.AttemptResult, last func() bool) engine.AttemptResult {
+func (t *Transport) streamBody(a *engine.Attempt, c *conn, answer *httpmsg.Response, result engine.AttemptResult, last func() bool) engine.AttemptResult {
 	rest := &streamedBody{c: c, done: make(chan struct{}), finish: func(err error) {
 		if a.OnCancel(nil) && err == io.EOF && !last() {
 			t.pool.putIdle(c)
@@ -210,7 +210,7 @@
 			c.Close()
 		}
 	}}
-	answer.Rest, answer.Length = rest, c.head.Length
+	answer.BodyRest, answer.Length = rest, c.head.ContentLength
 	if c.head.Chunked {
 		answer.Length = -1
 	}
@@ -233,7 +233,7 @@
 // bodyConsumed reports whether the payload of a cannot be sent again.
 func bodyConsumed(a *engine.Attempt) bool {
 	m, ok := a.Payload().(*httpmsg.Message)
-	return ok && m.Rest != nil && m.Rest.Started()
+	return ok && m.Upload != nil && m.Upload.Started()
 }
 
 // dial opens a connection for a.
@@ -289,7 +289,7 @@
 	if err == nil {
 		c.head.Discard(c.r)
 		last = c.beginBody(code, minor)
-		body, err = c.body.UpTo(maxReportBytes)
+		body, err = c.body.ReadUpTo(maxReportBytes)
 	}
 	var notWritten errNotWritten
 	switch {
--- a/pools.go
+++ b/pools.go
@@ -132,9 +132,9 @@
 	status := cmp.Or(a.Status, http.StatusOK)
 	resp := &http.Response{
 		Status: fmt.Sprintf("%d %s", status, http.StatusText(status)), StatusCode: status, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: httpmsg.ParseHeader(a.Lines), Request: q, ContentLength: lengthOf(a), Body: http.NoBody,
+		Header: httpmsg.ParseHeader(a.HeaderLines), Request: q, ContentLength: lengthOf(a), Body: http.NoBody,
 	}
-	if a.Bare {
+	if a.NoBody {
 		finish()
 		resp.ContentLength = a.Length
 		return resp, nil
@@ -149,7 +149,7 @@
 	}
 	resp.Header.Del("Trailer")
 	resp.Body = &trailing{ReadCloser: bodyOf(ctx, a), a: a, resp: resp, finish: sync.OnceFunc(finish)}
-	if a.Rest == nil {
+	if a.BodyRest == nil {
 		finish()
 	}
 	return resp, nil
@@ -158,7 +158,7 @@
 // trailing is a body behind which trailers may come.
 type trailing struct {
 	io.ReadCloser
-	a      *httpmsg.Answer
+	a      *httpmsg.Response
 	resp   *http.Response
 	finish func() // ends the sending of the request's body
 }
@@ -189,7 +189,7 @@
 
 // send carries out one request. Its body may still be coming when its answer is: finish ends that, and is called once where there is an
 // answer. extra are further lines of its head; wake makes a Read of its body that is under way return, or is nil.
-func (p *Pools) send(q *http.Request, target, host string, extra []byte, interim func(int, []byte), wake func()) (a *httpmsg.Answer, finish func(), err error) {
+func (p *Pools) send(q *http.Request, target, host string, extra []byte, interim func(int, []byte), wake func()) (a *httpmsg.Response, finish func(), err error) {
 	ctx, body, length := q.Context(), q.Body, q.ContentLength
 	var up *upload
 	finish = func() {
@@ -210,7 +210,7 @@
 }
 
 // carryOut is send without the end of the body.
-func (p *Pools) carryOut(ctx context.Context, q *http.Request, target, host string, body io.Reader, length int64, extra []byte, interim func(int, []byte), up **upload) (*httpmsg.Answer, error) {
+func (p *Pools) carryOut(ctx context.Context, q *http.Request, target, host string, body io.Reader, length int64, extra []byte, interim func(int, []byte), up **upload) (*httpmsg.Response, error) {
 	switch {
 	case q.Body == nil || q.Body == http.NoBody:
 		length = 0
@@ -228,23 +228,23 @@
 		return nil, &RequestError{http.StatusBadRequest, "no host, or not one that can be read"}
 	}
 	method := cmp.Or(q.Method, http.MethodGet)
-	asked := &router.Asked{Method: method, Host: host, Target: target, Header: q.Header.Values}
+	asked := &router.Request{Method: method, Host: host, Target: target, Header: q.Header.Values}
 	call, err := p.web.Router().Route(asked)
 	if err != nil {
 		return nil, requestError(err)
 	}
-	defer func() { call.Taken() }()
+	defer func() { call.Release() }()
 	r := call.Request
-	m := &httpmsg.Message{Method: method, Target: target, Host: host, Lines: slices.Clone(extra)}
-	m.Lines = httpmsg.AppendHeader(m.Lines, q.Header, func(name string) bool { return strings.EqualFold(name, "Host") })
+	m := &httpmsg.Message{Method: method, Target: target, Host: host, HeaderLines: slices.Clone(extra)}
+	m.HeaderLines = httpmsg.AppendHeader(m.HeaderLines, q.Header, func(name string) bool { return strings.EqualFold(name, "Host") })
 	if check.ID == "" {
-		m.Lines = httpmsg.Field{Name: []byte("X-Request-ID"), Value: []byte(newID())}.Append(m.Lines)
+		m.HeaderLines = httpmsg.Field{Name: []byte("X-Request-ID"), Value: []byte(newID())}.Append(m.HeaderLines)
 	}
-	m.Terms = &httpmsg.Terms{Judge: call.Judge, Stall: poolsStall, Interim: interim}
+	m.Exchange = &httpmsg.Exchange{Evaluate: call.Evaluate, StallTimeout: poolsStall, OnInterim: interim}
 	r.Payload, r.Retry = m, check.Retried
 	switch {
-	case length > 0 && length <= poolsHold && q.Trailer == nil && call.Room.TryAcquire(length):
-		release := sync.OnceFunc(func() { call.Room.Release(length) })
+	case length > 0 && length <= poolsHold && q.Trailer == nil && call.BodyBudget.TryAcquire(length):
+		release := sync.OnceFunc(func() { call.BodyBudget.Release(length) })
 		m.Body = make([]byte, length)
 		done := false
 		defer func() { // also where a body's Read panics
@@ -257,8 +257,8 @@
 		} else if err != nil {
 			return nil, err
 		}
-		call = p.web.Router().Again(call, length, func() *router.Asked { return asked })
-		r, m.Terms.Judge = call.Request, call.Judge
+		call = p.web.Router().Reroute(call, length, func() *router.Request { return asked })
+		r, m.Exchange.Evaluate = call.Request, call.Evaluate
 		r.Release, done = release, true
 		if err := context.Cause(ctx); err != nil { // it ended while the body was read
 			done = false
@@ -275,7 +275,7 @@
 			m.Length, m.Trailer = -1, func() []byte { return httpmsg.AppendHeader(nil, q.Trailer, nil) }
 		}
 		if strings.EqualFold(q.Header.Get("Expect"), "100-continue") {
-			m.Terms.Expect = poolsExpect
+			m.Exchange.ExpectTimeout = poolsExpect
 		}
 		fallthrough
 	default:
@@ -284,21 +284,21 @@
 		}
 	}
 	var sent <-chan struct{}
-	if m.Rest != nil {
-		sent = m.Rest.Done()
+	if m.Upload != nil {
+		sent = m.Upload.Done()
 	}
 	for {
 		select {
 		case result := <-r.Result():
-			if m.Rest != nil && result.Kind != engine.Served {
-				if err := m.Rest.Broken(); err != nil {
+			if m.Upload != nil && result.Kind != engine.Served {
+				if err := m.Upload.SourceErr(); err != nil {
 					return nil, err
 				}
 			}
 			return poolsResult(result, m)
 		case <-sent:
 			sent = nil
-			if err := m.Rest.Broken(); err != nil && call.Engine.Withdraw(r) {
+			if err := m.Upload.SourceErr(); err != nil && call.Engine.Withdraw(r) {
 				return nil, err
 			}
 		case <-ctx.Done():
@@ -318,14 +318,14 @@
 }
 
 // poolsResult is what the caller gets of an engine's result: the answer, be it one by which the last server failed.
-func poolsResult(r engine.Result, m *httpmsg.Message) (*httpmsg.Answer, error) {
-	if a, ok := r.Reply.(*httpmsg.Answer); ok && r.Kind == engine.Served {
+func poolsResult(r engine.Result, m *httpmsg.Message) (*httpmsg.Response, error) {
+	if a, ok := r.Reply.(*httpmsg.Response); ok && r.Kind == engine.Served {
 		return a, nil
 	}
 	if r.Kind == engine.Dropped {
 		return nil, fmt.Errorf("%w, and the request may have run", ErrClosed)
 	}
-	if a := m.Terms.Last(r.Kind == engine.Refused || r.NotRun); a != nil {
+	if a := m.Exchange.LastResponse(r.Kind == engine.Refused || r.NotRun); a != nil {
 		return a, nil
 	}
 	if r.Kind == engine.Refused || r.NotRun {
@@ -390,26 +390,26 @@
 		return
 	}
 	defer finish()
-	for name, values := range httpmsg.ParseHeader(a.Lines) {
+	for name, values := range httpmsg.ParseHeader(a.HeaderLines) {
 		header[name] = values
 	}
 	header.Add("Via", strings.TrimSpace(strings.TrimPrefix(string(router.AppendVia(nil, 1, poolsVia)), "Via:")))
 	n := lengthOf(a)
-	if a.Bare {
+	if a.NoBody {
 		n = a.Length
-	} else if a.Rest == nil && a.Trailer != nil && len(a.Trailer()) > 0 { // which go behind chunks alone
+	} else if a.BodyRest == nil && a.Trailer != nil && len(a.Trailer()) > 0 { // which go behind chunks alone
 		n = -1
 	}
 	if n >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(n, 10))
 	}
 	w.WriteHeader(cmp.Or(a.Status, http.StatusOK))
-	if a.Bare {
+	if a.NoBody {
 		return
 	}
 	answer := bodyOf(q.Context(), a)
 	defer answer.Close()
-	if err := copyAsItComes(w, answer, a.Rest != nil); err != nil {
+	if err := copyAsItComes(w, answer, a.BodyRest != nil); err != nil {
 		panic(http.ErrAbortHandler) // the client must be able to tell that it has not come whole
 	}
 	if a.Trailer != nil {
@@ -425,7 +425,7 @@
 		_, err := io.Copy(w, from)
 		return err
 	}
-	buf, release := httpmsg.Buffer()
+	buf, release := httpmsg.CopyBuffer()
 	defer release()
 	flush := http.NewResponseController(w)
 	flush.Flush() // the head may be all that comes for long
@@ -494,5 +494,5 @@
 
 // Matches reports whether some route takes q.
 func (p *Pools) Matches(q *http.Request) bool {
-	return p.web.Router().Matches(&router.Asked{Method: q.Method, Host: q.Host, Target: targetOf(q), Header: q.Header.Values})
+	return p.web.Router().Matches(&router.Request{Method: q.Method, Host: q.Host, Target: targetOf(q), Header: q.Header.Values})
 }
--- a/routes/explain.go
+++ b/routes/explain.go
@@ -9,12 +9,12 @@
 	"quillfront/policy"
 )
 
-// Line is one thing that is said of a request.
-type Line struct{ Name, Text string }
+// ExplainLine is one thing that is said of a request.
+type ExplainLine struct{ Name, Text string }
 
 // Explain says what follows for the request, and why its route won. keyed tells whether it has an Idempotency-Key.
-func (f *Found) Explain(keyed bool) []Line {
-	lines := []Line{{"route", f.Name}, {"because", f.why()}, {"class", f.Class}}
+func (f *MatchedRoute) Explain(keyed bool) []ExplainLine {
+	lines := []ExplainLine{{"route", f.Name}, {"because", f.why()}, {"class", f.Class}}
 	var pools []string
 	sum := 0.0
 	for _, p := range f.Pools {
@@ -27,39 +27,39 @@
 		}
 		pools = append(pools, fmt.Sprintf("%s (%.3g of 100)", p.Pool, 100*p.Weight/sum))
 	}
-	lines = append(lines, Line{"pool", strings.Join(pools, ", ")})
+	lines = append(lines, ExplainLine{"pool", strings.Join(pools, ", ")})
 	if f.Override != "" {
-		lines = append(lines, Line{"override", "by the header " + f.Override})
+		lines = append(lines, ExplainLine{"override", "by the header " + f.Override})
 	}
 	if f.Fallback != "" {
-		lines = append(lines, Line{"fallback", f.Fallback})
+		lines = append(lines, ExplainLine{"fallback", f.Fallback})
 	}
 	if len(f.Route.Key) > 0 {
-		lines = append(lines, Line{"key", fmt.Sprintf("%q", f.RequestKey())})
+		lines = append(lines, ExplainLine{"key", fmt.Sprintf("%q", f.RequestKey())})
 	}
 	if len(f.Route.Tenant) > 0 {
-		lines = append(lines, Line{"tenant", fmt.Sprintf("%q", f.RequestTenant())})
+		lines = append(lines, ExplainLine{"tenant", fmt.Sprintf("%q", f.RequestTenant())})
 	}
 	effects := map[policy.Effect]string{
 		policy.Safe:   "safe: may be sent again",
 		policy.Keyed:  "keyed: may be sent again where and while servers drop repeats",
 		policy.Unsafe: "unsafe: is sent once, unless it is proven not to have run",
 	}
-	lines = append(lines, Line{"effect", effects[f.RequestEffect(keyed)]})
+	lines = append(lines, ExplainLine{"effect", effects[f.RequestEffect(keyed)]})
 	proof := "alone"
-	if f.Answers.Mark != "" {
-		proof = "with " + f.Answers.Mark
+	if f.ResponseRules.NotRunHeader != "" {
+		proof = "with " + f.ResponseRules.NotRunHeader
 	}
-	lines = append(lines, Line{"answers", fmt.Sprintf("%v are failures of the server, %v prove %s that nothing ran, all others are final",
-		f.Answers.Failure, f.Answers.NotRun, proof)})
+	lines = append(lines, ExplainLine{"answers", fmt.Sprintf("%v are failures of the server, %v prove %s that nothing ran, all others are final",
+		f.ResponseRules.Failure, f.ResponseRules.NotRun, proof)})
 	if f.Timeout > 0 {
-		lines = append(lines, Line{"timeout", f.Timeout.String()})
+		lines = append(lines, ExplainLine{"timeout", f.Timeout.String()})
 	}
 	return lines
 }
 
 // why names what of the request the route asks for.
-func (f *Found) why() string {
+func (f *MatchedRoute) why() string {
 	var parts []string
 	if len(f.Match.Hosts) > 0 {
 		parts = append(parts, "the host is "+strings.Join(f.Match.Hosts, " or "))
--- a/routes/answers.go
+++ b/routes/response.go
@@ -19,7 +19,7 @@
 	Interim                // RFC 9110, section 15.2: it goes on, and another one follows
 	Failure                // the server has failed: another may be asked where the rules allow it; the last such answer goes to the client
 	NotRun                 // the server proves that nothing ran: another may be asked whatever the request does
-	Spoilt                 // it is no answer that a client could be given
+	Invalid                // it is no answer that a client could be given
 )
 
 // String returns the verdict's name.
@@ -87,37 +87,37 @@
 	return strings.Join(all, ", ")
 }
 
-// Answers says how a route's answers are judged. What no set names is final.
-type Answers struct {
+// ResponseRules says how a route's answers are judged. What no set names is final.
+type ResponseRules struct {
 	// Failure are the codes that count as a failure of the server; 5xx.
 	Failure Statuses
 	// NotRun are the codes that prove that nothing ran if Mark comes with them; 429 and 503. With Mark empty they prove it alone,
 	// which is for servers that turn work away before they look at it, and wrong for all others: the effect of an unsafe
 	// request could take place twice.
-	NotRun Statuses
-	Mark   string // a header's name; X-Not-Processed
-	Bare   bool   // Mark is not asked for
-	// Back says what a Retry-After beside a failure or a refusal means for the server.
-	Back Back
+	NotRun         Statuses
+	NotRunHeader   string // a header's name; X-Not-Processed
+	NotRunByStatus bool   // Mark is not asked for
+	// RetryAfter says what a Retry-After beside a failure or a refusal means for the server.
+	RetryAfter RetryAfterPolicy
 }
 
-// Back is what a server's Retry-After means.
-type Back int
+// RetryAfterPolicy is what a server's Retry-After means.
+type RetryAfterPolicy int
 
 // What a Retry-After may mean.
 const (
-	Tell  Back = iota // it goes to the client with the last answer, and nothing else follows
-	Avoid             // the server is left alone for as long, up to MostBack
+	ForwardRetryAfter RetryAfterPolicy = iota // it goes to the client with the last answer, and nothing else follows
+	AvoidServer                               // the server is left alone for as long, up to MostBack
 )
 
-// MostBack bounds for how long a server may have itself left alone: nothing that a peer says is believed for longer.
-const MostBack = time.Minute
+// MaxAvoid bounds for how long a server may have itself left alone: nothing that a peer says is believed for longer.
+const MaxAvoid = time.Minute
 
-// DefaultMark is the header by which servers prove that nothing ran.
-const DefaultMark = "X-Not-Processed"
+// DefaultNotRunHeader is the header by which servers prove that nothing ran.
+const DefaultNotRunHeader = "X-Not-Processed"
 
 // WithDefaults fills in what is not set, and returns what is wrong.
-func (a Answers) WithDefaults() (Answers, error) {
+func (a ResponseRules) WithDefaults() (ResponseRules, error) {
 	if a.Failure == nil {
 		a.Failure = Statuses{{500, 599}}
 	}
@@ -125,42 +125,42 @@
 		a.NotRun = Statuses{{429, 429}, {503, 503}}
 	}
 	switch {
-	case a.Bare && a.Mark != "":
+	case a.NotRunByStatus && a.NotRunHeader != "":
 		return a, errors.New("a mark is named, and is not to be asked for")
-	case !a.Bare && a.Mark == "":
-		a.Mark = DefaultMark
+	case !a.NotRunByStatus && a.NotRunHeader == "":
+		a.NotRunHeader = DefaultNotRunHeader
 	}
 	return a, nil
 }
 
-// Judgment is a verdict with what follows from it.
-type Judgment struct {
-	Verdict Verdict
-	Avoid   time.Duration // the server is left alone for as long
-	Tell    time.Duration // the client may be told to come back after it
+// Evaluation is a verdict with what follows from it.
+type Evaluation struct {
+	Verdict    Verdict
+	AvoidFor   time.Duration // the server is left alone for as long
+	RetryAfter time.Duration // the client may be told to come back after it
 }
 
-// Judge judges an answer's head. header returns all values of a header. now is the wall clock, for a Retry-After that names a
+// Evaluate judges an answer's head. header returns all values of a header. now is the wall clock, for a Retry-After that names a
 // date.
-func (a Answers) Judge(code int, header func(name string) []string, now time.Time) Judgment {
-	var j Judgment
+func (a ResponseRules) Evaluate(code int, header func(name string) []string, now time.Time) Evaluation {
+	var j Evaluation
 	switch {
 	case code == http.StatusSwitchingProtocols: // none was asked for
-		j.Verdict = Spoilt
+		j.Verdict = Invalid
 	case code >= 100 && code < 200:
 		j.Verdict = Interim
 	case code < 100 || code > 599:
-		j.Verdict = Spoilt
-	case a.NotRun.Has(code) && (a.Bare || marked(header(a.Mark))):
+		j.Verdict = Invalid
+	case a.NotRun.Has(code) && (a.NotRunByStatus || marked(header(a.NotRunHeader))):
 		j.Verdict = NotRun
 	case a.Failure.Has(code):
 		j.Verdict = Failure
 	}
 	if j.Verdict == Failure || j.Verdict == NotRun {
 		if after, ok := RetryAfter(header("Retry-After"), now); ok {
-			j.Tell = after
-			if a.Back == Avoid {
-				j.Avoid = min(after, MostBack)
+			j.RetryAfter = after
+			if a.RetryAfter == AvoidServer {
+				j.AvoidFor = min(after, MaxAvoid)
 			}
 		}
 	}
--- a/routes/answers_test.go
+++ b/routes/response_test.go
@@ -11,16 +11,16 @@
 // TestJudge: what an answer comes to, by default and as a route has it.
 func TestJudge(t *testing.T) {
 	now := time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)
-	usual, err := Answers{}.WithDefaults()
+	usual, err := ResponseRules{}.WithDefaults()
 	if err != nil {
 		t.Fatal(err)
 	}
-	own, err := Answers{Failure: Statuses{{404, 404}, {500, 501}}, NotRun: Statuses{{429, 429}}, Bare: true, Back: Avoid}.WithDefaults()
+	own, err := ResponseRules{Failure: Statuses{{404, 404}, {500, 501}}, NotRun: Statuses{{429, 429}}, NotRunByStatus: true, RetryAfter: AvoidServer}.WithDefaults()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, tt := range []struct {
-		a     Answers
+		a     ResponseRules
 		code  int
 		lines string // of the head
 		want  Verdict
@@ -29,9 +29,9 @@
 	}{
 		{usual, 100, "", Interim, 0, 0},
 		{usual, 103, "", Interim, 0, 0},
-		{usual, 101, "", Spoilt, 0, 0},
-		{usual, 99, "", Spoilt, 0, 0},
-		{usual, 600, "", Spoilt, 0, 0},
+		{usual, 101, "", Invalid, 0, 0},
+		{usual, 99, "", Invalid, 0, 0},
+		{usual, 600, "", Invalid, 0, 0},
 		{usual, 200, "", Final, 0, 0},
 		{usual, 204, "", Final, 0, 0},
 		{usual, 206, "", Final, 0, 0},
@@ -44,7 +44,7 @@
 		{usual, 503, "X-Not-Processed: 0\nRetry-After: 7", Failure, 7 * time.Second, 0},
 		{usual, 503, "X-Not-Processed: true\nRetry-After: Wed, 04 Mar 2026 05:06:10 GMT", NotRun, 3 * time.Second, 0},
 		{own, 404, "Retry-After: 4", Failure, 4 * time.Second, 4 * time.Second},
-		{own, 500, "Retry-After: 86000", Failure, 86000 * time.Second, MostBack},
+		{own, 500, "Retry-After: 86000", Failure, 86000 * time.Second, MaxAvoid},
 		{own, 503, "", Final, 0, 0},
 		{own, 429, "", NotRun, 0, 0},
 	} {
@@ -54,11 +54,11 @@
 				h.Add(name, value)
 			}
 		}
-		if got := tt.a.Judge(tt.code, h.Values, now); got != (Judgment{tt.want, tt.avoid, tt.tell}) {
+		if got := tt.a.Evaluate(tt.code, h.Values, now); got != (Evaluation{tt.want, tt.avoid, tt.tell}) {
 			t.Errorf("%d with %q: %v, want %v, %v and %v", tt.code, tt.lines, got, tt.want, tt.tell, tt.avoid)
 		}
 	}
-	if _, err := (Answers{Bare: true, Mark: "X"}).WithDefaults(); err == nil {
+	if _, err := (ResponseRules{NotRunByStatus: true, NotRunHeader: "X"}).WithDefaults(); err == nil {
 		t.Error("a mark that is not asked for is taken")
 	}
 }
--- a/routes/route.go
+++ b/routes/route.go
@@ -29,8 +29,8 @@
 
 // Bounds of a table. What is beyond them is an error.
 const (
-	MostRoutes     = 100_000
-	MostSegments   = 64  // of a path; a request with more matches none
+	MaxRoutes      = 100_000
+	MaxSegments    = 64  // of a path; a request with more matches none
 	mostConditions = 16  // of a route
 	mostPattern    = 512 // bytes of a pattern
 )
@@ -62,8 +62,8 @@
 	Query   []Condition
 }
 
-// Part says where a value of a request is taken from. One of its fields is set.
-type Part struct {
+// ValueSource says where a value of a request is taken from. One of its fields is set.
+type ValueSource struct {
 	Path, Header, Query string
 }
 
@@ -86,20 +86,20 @@
 	Match Match
 	Order int // between routes that are alike in everything else
 
-	Class    string
-	Pools    []Weighted // where its requests go; one, or several by weight
-	Override string     // a header that names one of Pools for a request; empty: none
-	Fallback string     // a pool for requests whose own has no server; empty: none
-	Key      []Part     // what a request is about; several are taken together
-	Tenant   []Part
-	Timeout  time.Duration // 0: that of the class
-	Effect   Effect
-	TrustKey bool // with ByMethod: an Idempotency-Key makes POST and PATCH keyed
-	Answers  Answers
+	Class               string
+	Pools               []WeightedPool // where its requests go; one, or several by weight
+	Override            string         // a header that names one of Pools for a request; empty: none
+	Fallback            string         // a pool for requests whose own has no server; empty: none
+	Key                 []ValueSource  // what a request is about; several are taken together
+	Tenant              []ValueSource
+	Timeout             time.Duration // 0: that of the class
+	Effect              Effect
+	TrustIdempotencyKey bool // with ByMethod: an Idempotency-Key makes POST and PATCH keyed
+	ResponseRules       ResponseRules
 }
 
-// Weighted is a pool and its share, beside those of the others.
-type Weighted struct {
+// WeightedPool is a pool and its share, beside those of the others.
+type WeightedPool struct {
 	Pool   string
 	Weight float64
 }
@@ -195,7 +195,7 @@
 	if c.query, err = conditions(r.Match.Query, false); err != nil {
 		return wrong("query %v", err)
 	}
-	if r.Answers, err = r.Answers.WithDefaults(); err != nil {
+	if r.ResponseRules, err = r.ResponseRules.WithDefaults(); err != nil {
 		return wrong("answers: %v", err)
 	}
 	if r.Class == "" {
@@ -209,7 +209,7 @@
 		if p.Pool == "" || !(p.Weight >= 0 && p.Weight <= 1e6) {
 			return wrong("pool %q has the weight %v, want 0 to 1,000,000", p.Pool, p.Weight)
 		}
-		if slices.ContainsFunc(r.Pools[:i], func(o Weighted) bool { return o.Pool == p.Pool }) {
+		if slices.ContainsFunc(r.Pools[:i], func(o WeightedPool) bool { return o.Pool == p.Pool }) {
 			return wrong("pool %s is there twice", p.Pool)
 		}
 		sum += p.Weight
@@ -278,8 +278,8 @@
 		return nil, errors.New("it does not begin with a slash")
 	}
 	parts := strings.Split(p[1:], "/")
-	if len(parts) > MostSegments {
-		return nil, fmt.Errorf("more than %d segments", MostSegments)
+	if len(parts) > MaxSegments {
+		return nil, fmt.Errorf("more than %d segments", MaxSegments)
 	}
 	var segments []segment
 	names := map[string]bool{}
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -16,7 +16,7 @@
 )
 
 func route(name string, m Match, change ...func(*Route)) Route {
-	r := Route{Name: name, Match: m, Class: "c", Pools: []Weighted{{"p", 1}}}
+	r := Route{Name: name, Match: m, Class: "c", Pools: []WeightedPool{{"p", 1}}}
 	for _, f := range change {
 		f(&r)
 	}
@@ -109,7 +109,7 @@
 	if err := find("GET", "/b/c", nil); !errors.Is(err, ErrNoRoute) {
 		t.Errorf("%v", err)
 	}
-	for _, target := range []string{"", "a", "*", "/%", "/%zz", strings.Repeat("/a", MostSegments+1)} {
+	for _, target := range []string{"", "a", "*", "/%", "/%zz", strings.Repeat("/a", MaxSegments+1)} {
 		if err := find("GET", target, nil); !errors.Is(err, ErrTarget) {
 			t.Errorf("%.20s: %v", target, err)
 		}
@@ -144,10 +144,10 @@
 		{"a pattern that is none", []Route{route("one", Match{Headers: []Condition{{Name: "a", Pattern: "("}}})}, "missing closing"},
 		{"a value and a pattern", []Route{route("one", Match{Query: []Condition{{Name: "a", Exact: "x", Pattern: "x"}}})}, "both"},
 		{"no pool", []Route{route("one", Match{}, func(r *Route) { r.Pools = nil })}, "no pool"},
-		{"no weight", []Route{route("one", Match{}, func(r *Route) { r.Pools = []Weighted{{"a", 0}} })}, "no weight"},
-		{"a weight that is none", []Route{route("one", Match{}, func(r *Route) { r.Pools = []Weighted{{"a", math.NaN()}} })}, "weight"},
-		{"a key of no part", []Route{route("one", Match{Path: "/{a}"}, func(r *Route) { r.Key = []Part{{Path: "b"}} })}, "no part {b}"},
-		{"a key of two sources", []Route{route("one", Match{}, func(r *Route) { r.Key = []Part{{Header: "a", Query: "b"}} })}, "2 sources"},
+		{"no weight", []Route{route("one", Match{}, func(r *Route) { r.Pools = []WeightedPool{{"a", 0}} })}, "no weight"},
+		{"a weight that is none", []Route{route("one", Match{}, func(r *Route) { r.Pools = []WeightedPool{{"a", math.NaN()}} })}, "weight"},
+		{"a key of no part", []Route{route("one", Match{Path: "/{a}"}, func(r *Route) { r.Key = []ValueSource{{Path: "b"}} })}, "no part {b}"},
+		{"a key of two sources", []Route{route("one", Match{}, func(r *Route) { r.Key = []ValueSource{{Header: "a", Query: "b"}} })}, "2 sources"},
 	} {
 		_, err := New(tt.list)
 		var wrong *RouteError
@@ -166,7 +166,7 @@
 // TestValues: key, tenant and effect follow from the request by the route.
 func TestValues(t *testing.T) {
 	table, err := New([]Route{route("one", Match{Path: "/farms/{farm}/{rest...}"}, func(r *Route) {
-		r.Key, r.Tenant, r.TrustKey = []Part{{Path: "farm"}, {Query: "outlet"}, {Header: "X-Group"}}, []Part{{Header: "X-Group"}}, true
+		r.Key, r.Tenant, r.TrustIdempotencyKey = []ValueSource{{Path: "farm"}, {Query: "outlet"}, {Header: "X-Group"}}, []ValueSource{{Header: "X-Group"}}, true
 	})})
 	if err != nil {
 		t.Fatal(err)
@@ -296,7 +296,9 @@
 // within its window.
 func TestSplit(t *testing.T) {
 	const keys, window = 20_000, time.Minute
-	pools := func(canary float64) []Weighted { return []Weighted{{"stable", 100 - canary}, {"canary", canary}} }
+	pools := func(canary float64) []WeightedPool {
+		return []WeightedPool{{"stable", 100 - canary}, {"canary", canary}}
+	}
 	loose, err := NewSplitter(pools(0), 0, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -336,11 +338,11 @@
 		}
 		t.Logf("canary at %v of 100: %d of %d keys moved", share, moved, keys)
 	}
-	if firm.Count() != keys || firm.Early() != 0 {
-		t.Errorf("%d are held, %d let go early", firm.Count(), firm.Early())
+	if firm.PinnedKeys() != keys || firm.EarlyEvictions() != 0 {
+		t.Errorf("%d are held, %d let go early", firm.PinnedKeys(), firm.EarlyEvictions())
 	}
-	if got := firm.Pick(now+window+1, "farm-1", true, nil); got != "canary" || firm.Count() != 1 {
-		t.Errorf("past the window: %s, %d are held", got, firm.Count())
+	if got := firm.Pick(now+window+1, "farm-1", true, nil); got != "canary" || firm.PinnedKeys() != 1 {
+		t.Errorf("past the window: %s, %d are held", got, firm.PinnedKeys())
 	}
 	down := func(pool string) bool { return pool != "canary" }
 	if got := firm.Pick(now+window+2, "farm-1", true, down); got != "canary" {
@@ -356,8 +358,8 @@
 	for k := range 25 {
 		small.Pick(0, fmt.Sprint(k), true, nil)
 	}
-	if small.Count() != 10 || small.Early() != 15 {
-		t.Errorf("%d are held, %d let go early", small.Count(), small.Early())
+	if small.PinnedKeys() != 10 || small.EarlyEvictions() != 15 {
+		t.Errorf("%d are held, %d let go early", small.PinnedKeys(), small.EarlyEvictions())
 	}
 }
 
--- a/routes/split.go
+++ b/routes/splitter.go
@@ -21,7 +21,7 @@
 // against servers of two pools that each execute an order under one key, as neither knows what the other has dropped. At most so many
 // keys are held; when there are more the oldest goes early, and Early counts it.
 type Splitter struct {
-	pools  []Weighted
+	pools  []WeightedPool
 	window time.Duration
 	most   int
 
@@ -37,7 +37,7 @@
 }
 
 // NewSplitter returns a splitter that holds at most that many keys, each for window after its latest request.
-func NewSplitter(pools []Weighted, window time.Duration, most int) (*Splitter, error) {
+func NewSplitter(pools []WeightedPool, window time.Duration, most int) (*Splitter, error) {
 	if most < 1 || window < 0 {
 		return nil, errors.New("routes: a splitter must hold keys, and for some time")
 	}
@@ -47,7 +47,7 @@
 }
 
 // SetWeights moves the weights. Keys that are held stay.
-func (s *Splitter) SetWeights(pools []Weighted) { s.pools = slices.Clone(pools) }
+func (s *Splitter) SetWeights(pools []WeightedPool) { s.pools = slices.Clone(pools) }
 
 // SetWindow changes for how long keys are held. Those that are held stay for the new one.
 func (s *Splitter) SetWindow(window time.Duration) { s.window = window }
@@ -82,8 +82,8 @@
 	return pool
 }
 
-// Held returns the pool that a key is kept with at a time, if it is.
-func (s *Splitter) Held(now time.Duration, key string) (pool string, ok bool) {
+// PinnedPool returns the pool that a key is kept with at a time, if it is.
+func (s *Splitter) PinnedPool(now time.Duration, key string) (pool string, ok bool) {
 	s.expire(now)
 	if e := s.held[key]; e != nil {
 		return e.Value.(*heldKey).pool, true
@@ -91,8 +91,8 @@
 	return "", false
 }
 
-// Hold keeps a key with a pool that was picked by other means.
-func (s *Splitter) Hold(now time.Duration, key, pool string) {
+// Pin keeps a key with a pool that was picked by other means.
+func (s *Splitter) Pin(now time.Duration, key, pool string) {
 	s.expire(now)
 	if e := s.held[key]; e != nil {
 		s.drop(e)
@@ -123,11 +123,11 @@
 	s.order.Remove(e)
 }
 
-// Count is how many keys are held.
-func (s *Splitter) Count() int { return len(s.held) }
+// PinnedKeys is how many keys are held.
+func (s *Splitter) PinnedKeys() int { return len(s.held) }
 
-// Early counts the keys that were let go before their window had passed, for want of room.
-func (s *Splitter) Early() int64 { return s.early }
+// EarlyEvictions counts the keys that were let go before their window had passed, for want of room.
+func (s *Splitter) EarlyEvictions() int64 { return s.early }
 
 // unit hashes a key and a pool to a number within 0 and 1, both excluded.
 func unit(key, pool string) float64 {
--- a/routes/table.go
+++ b/routes/table.go
@@ -40,8 +40,8 @@
 
 // New makes a table, or tells all that is wrong with the routes, each as a *RouteError.
 func New(list []Route) (*Table, error) {
-	if len(list) > MostRoutes {
-		return nil, fmt.Errorf("%d routes, at most %d", len(list), MostRoutes)
+	if len(list) > MaxRoutes {
+		return nil, fmt.Errorf("%d routes, at most %d", len(list), MaxRoutes)
 	}
 	t := &Table{exact: map[string]*node{}, label: map[string]*node{}, suffix: map[string]*node{}, any: &node{}}
 	var errs []error
@@ -251,8 +251,8 @@
 	Header func(name string) []string // the values of a header, by its name in any case; nil: there is none
 }
 
-// Found is the route of a request, and what was found of the request on the way.
-type Found struct {
+// MatchedRoute is the route of a request, and what was found of the request on the way.
+type MatchedRoute struct {
 	*Route
 	parts map[string]string
 	query url.Values
@@ -274,11 +274,11 @@
 }
 
 // Find returns the route of q, or ErrNoRoute, a *MethodError or ErrTarget.
-func (t *Table) Find(q *Request) (Found, error) {
+func (t *Table) Find(q *Request) (MatchedRoute, error) {
 	path, query, _ := strings.Cut(q.Target, "?")
 	segments, ok := split(path)
 	if !ok {
-		return Found{}, ErrTarget
+		return MatchedRoute{}, ErrTarget
 	}
 	s := search{q: q, segments: segments, rawQuery: query}
 	for n := range t.candidates(hostOf(q.Host)) {
@@ -288,9 +288,9 @@
 	}
 	if len(s.allow) > 0 {
 		slices.Sort(s.allow)
-		return Found{}, &MethodError{slices.Compact(s.allow)}
+		return MatchedRoute{}, &MethodError{slices.Compact(s.allow)}
 	}
-	return Found{}, ErrNoRoute
+	return MatchedRoute{}, ErrNoRoute
 }
 
 // hostOf is a host as the table has it: without port and final dot, in lower case.
@@ -326,7 +326,7 @@
 
 // split splits a path into segments and undoes their escapes, so that an escaped slash stays within one.
 func split(path string) ([]string, bool) {
-	if path == "" || path[0] != '/' || strings.Count(path, "/") > MostSegments {
+	if path == "" || path[0] != '/' || strings.Count(path, "/") > MaxSegments {
 		return nil, false
 	}
 	segments := strings.Split(path[1:], "/")
@@ -408,8 +408,8 @@
 	return true
 }
 
-func (s *search) found() Found {
-	f := Found{Route: s.route.Route, q: s.q, query: s.query}
+func (s *search) found() MatchedRoute {
+	f := MatchedRoute{Route: s.route.Route, q: s.q, query: s.query}
 	for i, seg := range s.route.segments {
 		if seg.name == "" {
 			continue
--- a/routes/value.go
+++ b/routes/value.go
@@ -10,7 +10,7 @@
 )
 
 // value takes a part of the request.
-func (f *Found) value(p Part) string {
+func (f *MatchedRoute) value(p ValueSource) string {
 	switch {
 	case p.Path != "":
 		return f.parts[p.Path]
@@ -28,7 +28,7 @@
 }
 
 // join takes several parts together, so that no two lists of values give one and the same.
-func (f *Found) join(parts []Part) string {
+func (f *MatchedRoute) join(parts []ValueSource) string {
 	if len(parts) == 1 {
 		return f.value(parts[0])
 	}
@@ -43,13 +43,13 @@
 }
 
 // RequestKey is what the request is about, by the route's Key; empty without one.
-func (f *Found) RequestKey() string { return f.join(f.Route.Key) }
+func (f *MatchedRoute) RequestKey() string { return f.join(f.Route.Key) }
 
 // RequestTenant is whose the request is, by the route's Tenant.
-func (f *Found) RequestTenant() string { return f.join(f.Route.Tenant) }
+func (f *MatchedRoute) RequestTenant() string { return f.join(f.Route.Tenant) }
 
 // RequestEffect says what repeating the request may do. keyed tells whether it has an Idempotency-Key.
-func (f *Found) RequestEffect(keyed bool) policy.Effect {
+func (f *MatchedRoute) RequestEffect(keyed bool) policy.Effect {
 	switch f.Route.Effect {
 	case Safe:
 		return policy.Safe
@@ -65,7 +65,7 @@
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace, http.MethodPut, http.MethodDelete:
 		return policy.Safe
 	case http.MethodPost, http.MethodPatch:
-		if keyed && f.Route.TrustKey {
+		if keyed && f.Route.TrustIdempotencyKey {
 			return policy.Keyed
 		}
 	}
