--- a/balancer.go
+++ b/balancer.go
@@ -122,7 +122,7 @@
 // Balancer sends requests to a fleet of servers. Its methods may be called from many goroutines at once.
 type Balancer struct {
 	engine    *engine.Engine
-	desk      *orders.Desk // nil: nothing is noted of orders
+	desk      *orders.Coordinator // nil: nothing is noted of orders
 	transport *upstream.Transport
 	sockets   *sockets.Budget
 	room      *semaphore.Weighted // for bodies, in bytes
@@ -177,7 +177,7 @@
 	b.transport = upstream.New(p.settings, b.sockets, o.log)
 	b.sockets.OnShortage(b.transport.EvictIdle, nil)
 	var transport engine.Transport = b.transport
-	var book orders.Book
+	var book orders.EntryStore
 	var retention func(string) time.Duration
 	if o.orders != nil {
 		var err error
@@ -199,7 +199,7 @@
 	}
 	b.engine = engine.New(engineOptions)
 	if book != nil {
-		b.desk = orders.New(orders.Options{Engine: b.engine, Book: book, Codec: httpmsg.Codec{}, Retention: retention, Log: o.log})
+		b.desk = orders.New(orders.Options{Engine: b.engine, Store: book, Codec: httpmsg.Codec{}, Retention: retention, Log: o.log})
 	}
 	if p.move {
 		b.engine.SetSource(p.source)
--- a/cmd/quillfront/store.go
+++ b/cmd/quillfront/store.go
@@ -44,7 +44,7 @@
 	if !info.IsDir() {
 		return nil, fmt.Errorf("%s is no directory", dir)
 	}
-	s, err := store.Open(store.Dir(dir), store.Options{MostBytes: math.MaxInt64 / 2, MostKeys: math.MaxInt, Retention: math.MaxInt64})
+	s, err := store.Open(store.Dir(dir), store.Options{MaxBytes: math.MaxInt64 / 2, MaxKeys: math.MaxInt, Retention: math.MaxInt64})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", dir, err)
 	}
@@ -74,7 +74,7 @@
 			failed = fmt.Errorf("the order %s of class %s: %w", name, class, err)
 			return false
 		}
-		failed = f(dumped{class, name, at, e.Served, len(e.Answer), e.Attempts})
+		failed = f(dumped{class, name, at, e.Served, len(e.Reply), e.Attempts})
 		return failed == nil
 	})
 	if err != nil {
--- a/http.go
+++ b/http.go
@@ -115,7 +115,7 @@
 		return b.engine.Submit(r, b.engine.Now())
 	}
 	read := b.engine.Now()
-	return b.desk.Take(r, orders.Ask{Key: call.IdempotencyKey, Print: call.Fingerprint(m.Body)}, read)
+	return b.desk.Submit(r, orders.Identity{Key: call.IdempotencyKey, Fingerprint: call.Fingerprint(m.Body)}, read)
 }
 
 // result is what the caller gets of an engine's result.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -43,7 +43,7 @@
 	engine    *engine.Engine
 	transport *upstream.Transport
 	server    *httpfront.Server
-	desk      *orders.Desk // nil: nothing is noted of orders
+	desk      *orders.Coordinator // nil: nothing is noted of orders
 	services  *services.Services
 	peers     *peers // nil: there are no others
 	sockets   *sockets.Budget
@@ -95,7 +95,7 @@
 }
 
 func newSidecar(cfg config.Config, op config.Operator, b engine.Module, log *slog.Logger) (*Sidecar, error) {
-	var book orders.Book
+	var book orders.EntryStore
 	var retention func(string) time.Duration
 	var err error
 	if op.Sites != nil {
@@ -122,7 +122,7 @@
 	}
 	s.engine = engine.New(options)
 	if book != nil {
-		s.desk = orders.New(orders.Options{Engine: s.engine, Book: book, Codec: httpmsg.Codec{}, Retention: retention, Log: log})
+		s.desk = orders.New(orders.Options{Engine: s.engine, Store: book, Codec: httpmsg.Codec{}, Retention: retention, Log: log})
 	}
 	s.server = httpfront.New(s.engine, s.desk, s.room, s.sockets, log)
 	if s.services, err = services.New(op.Services, op.Routes, int64(cfg.MemoryMB)<<20/8, s.sockets, log); err != nil {
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -101,7 +101,7 @@
 	limits     connLimits
 	sockets    *sockets.Budget
 	log        *slog.Logger
-	desk       *orders.Desk // nil: requests go to the engine directly
+	desk       *orders.Coordinator // nil: requests go to the engine directly
 
 	mu    sync.Mutex
 	conns map[*clientConn]struct{} // limited by sockets
@@ -122,7 +122,7 @@
 
 // New returns a server for the sidecar protocol. It takes descriptors from b and reserves memory
 // for bodies in budget. Requests with an idempotency key pass through desk unless it is nil.
-func New(e *engine.Engine, desk *orders.Desk, budget *semaphore.Weighted, b *sockets.Budget, log *slog.Logger) *Server {
+func New(e *engine.Engine, desk *orders.Coordinator, budget *semaphore.Weighted, b *sockets.Budget, log *slog.Logger) *Server {
 	s := newServer(b, log)
 	s.engine, s.desk, s.bodyBudget = e, desk, budget
 	s.limits = connLimits{maxHead: maxRequestHead, headTimeout: headTimeout, idleTimeout: idleTimeout, keepAliveLine: keepAliveLine, bodyStallTimeout: bodyStallTimeout, minBodyRate: minBodyRate, streamTimeout: streamTimeout}
@@ -518,7 +518,7 @@
 		return s.engine.Submit(r, s.engine.Now())
 	}
 	read := s.engine.Now()
-	return s.desk.Take(r, orders.Ask{Key: call.IdempotencyKey, Print: call.Fingerprint(m.Body)}, read)
+	return s.desk.Submit(r, orders.Identity{Key: call.IdempotencyKey, Fingerprint: call.Fingerprint(m.Body)}, read)
 }
 
 // methodName returns the method as a string, without an allocation for the methods of the
--- a/internal/orders/config.go
+++ b/internal/orders/config.go
@@ -87,7 +87,7 @@
 }
 
 // Open opens the book of c, and returns how long it keeps the orders of a class.
-func (c Config) Open() (Book, func(class string) time.Duration, error) {
+func (c Config) Open() (EntryStore, func(class string) time.Duration, error) {
 	c, err := c.withDefaults()
 	if err != nil {
 		return nil, nil, err
@@ -99,13 +99,13 @@
 		return c.Retention
 	}
 	if c.Dir == "" {
-		return NewMemory(int(c.MostBytes)), retention, nil
+		return NewMemoryStore(int(c.MostBytes)), retention, nil
 	}
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("%w: path: %w", ErrConfig, err)
 	}
 	o := store.Options{
-		SegmentBytes: min(4<<20, c.MostBytes/4), MostBytes: c.MostBytes, MostKeys: c.MostOrders, Retention: c.Retention,
+		SegmentBytes: min(4<<20, c.MostBytes/4), MaxBytes: c.MostBytes, MaxKeys: c.MostOrders, Retention: c.Retention,
 		CompactRate: compactRate, Grace: grace, Hints: true,
 	}
 	if c.Durability == Batched {
@@ -119,5 +119,5 @@
 	if c.Durability == Sync {
 		firm = store.Synced
 	}
-	return Stored{s, firm}, retention, nil
+	return DiskStore{s, firm}, retention, nil
 }
--- a/internal/orders/desk.go
+++ b/internal/orders/coordinator.go
@@ -43,15 +43,15 @@
 // Options is what a Desk is made of.
 type Options struct {
 	Engine    *engine.Engine
-	Book      Book
+	Store     EntryStore
 	Codec     Codec
 	Clock     func() ledger.Instant // Now if nil
 	Retention func(class string) time.Duration
 	Log       *slog.Logger
 }
 
-// Desk takes requests for an engine. Its methods may be called from many goroutines at once.
-type Desk struct {
+// Coordinator takes requests for an engine. Its methods may be called from many goroutines at once.
+type Coordinator struct {
 	o    Options
 	ctx  context.Context // ends with Close
 	stop context.CancelFunc
@@ -68,14 +68,14 @@
 
 // Stats counts what a desk has judged.
 type Stats struct {
-	Replayed, Joined, Again, Mismatched, Unknown, Unwritable int64
-	Open                                                     int   // orders that are held
-	Failing                                                  error // why the book cannot write
+	Replayed, Joined, Resent, Mismatched, Unknown, Unwritable int64
+	Open                                                      int   // orders that are held
+	StoreError                                                error // why the book cannot write
 }
 
 // order is one that a request or an attempt holds.
 type order struct {
-	d     *Desk
+	d     *Coordinator
 	key   string
 	class policy.Class
 	refs  int // under d.mu
@@ -108,23 +108,23 @@
 }
 
 // New returns a desk that runs until Close.
-func New(o Options) *Desk {
+func New(o Options) *Coordinator {
 	if o.Clock == nil {
 		o.Clock = Now
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	return &Desk{o: o, ctx: ctx, stop: stop, began: time.Now(), orders: map[string]*order{}}
+	return &Coordinator{o: o, ctx: ctx, stop: stop, began: time.Now(), orders: map[string]*order{}}
 }
 
-// Ask is what a request asks for under a key.
-type Ask struct {
-	Key   string   // its Idempotency-Key
-	Print [32]byte // tells it from any other
+// Identity is what a request asks for under a key.
+type Identity struct {
+	Key         string   // its Idempotency-Key
+	Fingerprint [32]byte // tells it from any other
 }
 
-// Take hands r to the engine, or answers it, as what is known of its order says. Its time has run since read. With an error
+// Submit hands r to the engine, or answers it, as what is known of its order says. Its time has run since read. With an error
 // nothing was taken.
-func (d *Desk) Take(r *engine.Request, a Ask, read policy.Time) error {
+func (d *Coordinator) Submit(r *engine.Request, a Identity, read policy.Time) error {
 	c, known := d.o.Engine.Class(r.Class)
 	if !known || c.Effect == policy.Safe || a.Key == "" {
 		return d.o.Engine.Submit(r, read)
@@ -146,7 +146,7 @@
 }
 
 // hold returns the order of a key, with one more reference.
-func (d *Desk) hold(key string, c policy.Class) *order {
+func (d *Coordinator) hold(key string, c policy.Class) *order {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	o := d.orders[key]
@@ -159,7 +159,7 @@
 }
 
 // let gives a reference back.
-func (d *Desk) let(o *order) {
+func (d *Coordinator) let(o *order) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if o.refs--; o.refs == 0 {
@@ -167,14 +167,14 @@
 	}
 }
 
-func (d *Desk) count(n *int64) {
+func (d *Coordinator) count(n *int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	*n++
 }
 
 // take judges r and does what follows. Each request that it takes holds a reference until it has ended.
-func (o *order) take(r *engine.Request, a Ask, read policy.Time) error {
+func (o *order) take(r *engine.Request, a Identity, read policy.Time) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err := o.look(); err != nil {
@@ -183,7 +183,7 @@
 	e := o.d.o.Engine
 	o.answerWaiting() // if the leader is over, and nobody has yet
 	if o.leader != nil && o.leader.over.Load() == nil {
-		if o.entry.Print != a.Print {
+		if o.entry.Fingerprint != a.Fingerprint {
 			o.d.count(&o.d.stats.Mismatched)
 			return ErrMismatch
 		}
@@ -203,7 +203,7 @@
 		o.answerWaiting() // the leader may have ended before it could know of this one
 		return nil
 	}
-	return o.judge(r, a.Print, read, false)
+	return o.judge(r, a.Fingerprint, read, false)
 }
 
 // ownEnd is how much before its time is up a request that waits for another is answered.
@@ -213,7 +213,7 @@
 func (o *order) judge(r *engine.Request, print [32]byte, read policy.Time, adopted bool) error {
 	d, e := o.d, o.d.o.Engine
 	now := d.o.Clock()
-	v := ledger.Judge(o.class, o.entry, print, now, margin, d.retention(o.class.Name))
+	v := ledger.Decide(o.class, o.entry, print, now, margin, d.retention(o.class.Name))
 	settle := func(result engine.Result) error {
 		if !adopted {
 			if err := e.SubmitDeferred(r); err != nil {
@@ -223,12 +223,12 @@
 		e.ResolveDeferred(r, result)
 		return nil
 	}
-	switch v.Kind {
+	switch v.Action {
 	case ledger.Mismatch:
 		d.count(&d.stats.Mismatched)
 		return ErrMismatch
 	case ledger.Replay:
-		reply, err := d.o.Codec.Decode(o.entry.Answer)
+		reply, err := d.o.Codec.Decode(o.entry.Reply)
 		if err != nil {
 			d.o.Log.Error("an answer that was kept cannot be read", "err", err)
 			return settle(engine.Result{Kind: engine.Failed, MayHaveRun: true})
@@ -238,20 +238,20 @@
 	case ledger.Unknown, ledger.Done:
 		d.count(&d.stats.Unknown)
 		return settle(engine.Result{Kind: engine.Failed, MayHaveRun: true})
-	case ledger.Again:
-		d.count(&d.stats.Again)
+	case ledger.Resend:
+		d.count(&d.stats.Resent)
 	}
 	if err := d.unable(); err != nil {
 		d.count(&d.stats.Unwritable)
-		return settle(engine.Result{Kind: refusal(v), RetryAfter: comeBack, MayHaveRun: v.Kind == ledger.Again})
+		return settle(engine.Result{Kind: refusal(v), RetryAfter: comeBack, MayHaveRun: v.Action == ledger.Resend})
 	}
-	if v.Kind == ledger.Fresh && (o.entry == nil || o.entry.Print != print || len(o.entry.Attempts) > 0 || o.entry.Served) {
-		o.entry = &ledger.Entry{Print: print, First: now}
+	if v.Action == ledger.Fresh && (o.entry == nil || o.entry.Fingerprint != print || len(o.entry.Attempts) > 0 || o.entry.Served) {
+		o.entry = &ledger.Entry{Fingerprint: print, FirstSeen: now}
 	}
 	lead := func() {
 		l := &leader{}
 		o.leader = l
-		r.KeyHistory, r.Order = v.Past, o
+		r.KeyHistory, r.Order = v.PriorAttempts, o
 		r.OnEnd = func(result engine.Result, withdrawn bool) { o.over(l, result, withdrawn) }
 	}
 	if adopted {
@@ -267,8 +267,8 @@
 }
 
 // refusal is how a request ends that cannot be noted: refused, unless one before it may have run.
-func refusal(v ledger.Verdict) engine.ResultKind {
-	if v.Kind == ledger.Again {
+func refusal(v ledger.Decision) engine.ResultKind {
+	if v.Action == ledger.Resend {
 		return engine.Failed
 	}
 	return engine.Refused
@@ -291,7 +291,7 @@
 	if o.read {
 		return nil
 	}
-	b, ok, err := o.d.o.Book.Get(o.key)
+	b, ok, err := o.d.o.Store.Get(o.key)
 	if err != nil {
 		return fmt.Errorf("reading an order: %w", err)
 	}
@@ -339,7 +339,7 @@
 			e.ResolveDeferred(w.r, result)
 			continue
 		}
-		if err := o.judge(w.r, o.entry.Print, w.from, true); err != nil {
+		if err := o.judge(w.r, o.entry.Fingerprint, w.from, true); err != nil {
 			e.ResolveDeferred(w.r, engine.Result{Kind: engine.Failed, MayHaveRun: true})
 		}
 	}
@@ -350,9 +350,9 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	e = o.entry
-	number = e.Begin(ledger.Attempt{Server: string(to.ID), Zone: to.Zone, Cell: to.Cell, At: o.d.o.Clock()})
+	number = e.RecordAttempt(ledger.Attempt{Server: string(to.ID), Zone: to.Zone, Cell: to.Cell, At: o.d.o.Clock()})
 	if err := o.write(true); err != nil {
-		e.NotRun(number)
+		e.RecordNotRun(number)
 		return nil, 0, err
 	}
 	return e, number, nil
@@ -367,9 +367,9 @@
 	case o.entry != e:
 		return
 	case end.Status == policy.OK:
-		e.Answered(o.d.o.Codec.Encode(end.Reply))
+		e.RecordReply(o.d.o.Codec.Encode(end.Reply))
 	case end.Status.NotRun():
-		e.NotRun(number)
+		e.RecordNotRun(number)
 	default:
 		return // as it stands
 	}
@@ -382,7 +382,7 @@
 func (o *order) write(firm bool) error {
 	b, err := o.entry.Marshal()
 	if err == nil {
-		err = o.d.o.Book.Put(o.key, b, firm)
+		err = o.d.o.Store.Put(o.key, b, firm)
 	}
 	if err != nil {
 		o.d.fail(err)
@@ -392,7 +392,7 @@
 }
 
 // fail notes that the book cannot write, and tries it until it can.
-func (d *Desk) fail(err error) {
+func (d *Coordinator) fail(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	first := d.failing == nil
@@ -410,7 +410,7 @@
 				return
 			case <-tick.C:
 			}
-			if err := d.o.Book.Try(); err == nil {
+			if err := d.o.Store.CheckWritable(); err == nil {
 				d.mu.Lock()
 				d.failing = nil
 				d.mu.Unlock()
@@ -422,7 +422,7 @@
 }
 
 // retention is how long an order of a class is known. At first it is no bound: see grace.
-func (d *Desk) retention(class string) time.Duration {
+func (d *Coordinator) retention(class string) time.Duration {
 	if time.Since(d.began) < grace {
 		return 0
 	}
@@ -430,23 +430,23 @@
 }
 
 // unable returns why the book cannot write, or nil.
-func (d *Desk) unable() error {
+func (d *Coordinator) unable() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.failing
 }
 
 // Stats returns the present counts.
-func (d *Desk) Stats() Stats {
+func (d *Coordinator) Stats() Stats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.stats
-	s.Open, s.Failing = len(d.orders), d.failing
+	s.Open, s.StoreError = len(d.orders), d.failing
 	return s
 }
 
 // Close ends the desk and its book, once the engine has ended.
-func (d *Desk) Close() error {
+func (d *Coordinator) Close() error {
 	d.mu.Lock()
 	closed := d.closed
 	d.closed = true
@@ -456,7 +456,7 @@
 	}
 	d.stop()
 	d.work.Wait()
-	return d.o.Book.Close()
+	return d.o.Store.Close()
 }
 
 // Transport returns inner with an intent before each attempt on an order, and its end behind it. Where the intent cannot be
--- a/internal/orders/desk_test.go
+++ b/internal/orders/coordinator_test.go
@@ -40,7 +40,7 @@
 
 // world is a desk before an engine with the real module.
 type world struct {
-	*Desk
+	*Coordinator
 	t       testing.TB
 	servers *standin.Attempts
 	mu      sync.Mutex
@@ -62,11 +62,11 @@
 }
 
 // keep hides the end of a book, which another process opens.
-type keep struct{ Book }
+type keep struct{ EntryStore }
 
 func (keep) Close() error { return nil }
 
-func build(t testing.TB, book Book) *world {
+func build(t testing.TB, book EntryStore) *world {
 	cfg := policy.Config{GroupSize: 1, Classes: classes, MaxAttempts: 1, MayCancel: true, ListPushed: true, ClientsHonorRetryAfter: true, MaxRetryAfter: time.Second, DialTimeout: 50 * time.Millisecond, ColdCapacity: 1, RefreshInterval: time.Hour}
 	m, err := policy.New(cfg, 1)
 	if err != nil {
@@ -80,7 +80,7 @@
 	}
 	known.Full = true
 	e := engine.New(engine.Options{Config: cfg, Module: m, Transport: Transport(w.servers), CachedList: &known, Log: log})
-	w.Desk = New(Options{Engine: e, Book: book, Codec: texts{}, Clock: w.now, Retention: func(string) time.Duration { return time.Hour }, Log: log})
+	w.Coordinator = New(Options{Engine: e, Store: book, Codec: texts{}, Clock: w.now, Retention: func(string) time.Duration { return time.Hour }, Log: log})
 	t.Cleanup(w.end)
 	return w
 }
@@ -93,7 +93,7 @@
 
 func (w *world) take(class, key string, print byte) (*engine.Request, error) {
 	r := &engine.Request{Class: class, Timeout: 8 * time.Second}
-	return r, w.Take(r, Ask{Key: key, Print: [32]byte{print}}, w.o.Engine.Now())
+	return r, w.Submit(r, Identity{Key: key, Fingerprint: [32]byte{print}}, w.o.Engine.Now())
 }
 
 func (w *world) ask(class, key string, print byte) engine.Result {
@@ -134,7 +134,7 @@
 
 // TestReplay: who asks again for what was served gets the same answer, and no server is asked, also after a restart.
 func TestReplay(t *testing.T) {
-	book := NewMemory(1 << 20)
+	book := NewMemoryStore(1 << 20)
 	w := build(t, keep{book})
 	for _, class := range []string{"order", "pay"} {
 		first := w.ask(class, "k", 1)
@@ -167,7 +167,7 @@
 // restart too, and whatever the wall clock says.
 func TestMayHaveRun(t *testing.T) {
 	for _, restart := range []bool{false, true} {
-		book := NewMemory(1 << 20)
+		book := NewMemoryStore(1 << 20)
 		w := build(t, keep{book})
 		w.servers.SetEnd(lost)
 		for _, class := range []string{"order", "cell", "pay"} {
@@ -211,7 +211,7 @@
 // TestAtOnce: of two requests with one key at once one runs, and the other gets its answer; if the first one's client leaves,
 // the other takes its place only as the ledger allows.
 func TestAtOnce(t *testing.T) {
-	w := build(t, NewMemory(1<<20))
+	w := build(t, NewMemoryStore(1<<20))
 	begun, answer := make(chan struct{}, 10), make(chan struct{})
 	w.servers.SetEnd(func(n int, a *engine.Attempt, _ engine.Endpoint) engine.AttemptResult {
 		begun <- struct{}{}
@@ -264,7 +264,7 @@
 
 // broken is a book that cannot be written while it is told so.
 type broken struct {
-	Book
+	EntryStore
 	mu  sync.Mutex
 	err error
 }
@@ -277,15 +277,15 @@
 	if err := b.fault(); err != nil {
 		return err
 	}
-	return b.Book.Put(key, value, firm)
+	return b.EntryStore.Put(key, value, firm)
 }
 
-func (b *broken) Try() error { return b.fault() }
+func (b *broken) CheckWritable() error { return b.fault() }
 
 // TestBookThatCannotWrite: orders are refused and nothing is sent for them, safe requests go on, what is known stays known, and it
 // mends by itself.
 func TestBookThatCannotWrite(t *testing.T) {
-	book := &broken{Book: NewMemory(1 << 20)}
+	book := &broken{EntryStore: NewMemoryStore(1 << 20)}
 	w := build(t, book)
 	w.ask("order", "before", 1)
 	book.set(errors.New("no room on the disk"))
@@ -294,7 +294,7 @@
 			t.Errorf("an order: %+v", got)
 		}
 	}
-	if w.Stats().Failing == nil {
+	if w.Stats().StoreError == nil {
 		t.Error("nothing shows it")
 	}
 	w.sent(1)
@@ -305,7 +305,7 @@
 		t.Errorf("a safe one: %+v", got)
 	}
 	book.set(nil)
-	w.eventually("it writes again", func() bool { return w.Stats().Failing == nil })
+	w.eventually("it writes again", func() bool { return w.Stats().StoreError == nil })
 	if got := w.ask("order", "during", 1); got.Kind != engine.Served {
 		t.Errorf("afterwards: %+v", got)
 	}
@@ -314,16 +314,16 @@
 // TestEndOfAnotherEntry: an attempt that is out while its order is forgotten for its age neither answers nor clears the order that has
 // the key by then.
 func TestEndOfAnotherEntry(t *testing.T) {
-	w := build(t, NewMemory(1<<20))
+	w := build(t, NewMemoryStore(1<<20))
 	o := w.hold("order\x00k", classes[1])
 	defer w.let(o)
 	for _, status := range []policy.Status{policy.OK, policy.ConnectFailed} {
-		o.entry = &ledger.Entry{Print: [32]byte{1}}
+		o.entry = &ledger.Entry{Fingerprint: [32]byte{1}}
 		old, number, err := o.begin(engine.Endpoint{ID: "a"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		o.entry = &ledger.Entry{Print: [32]byte{2}}
+		o.entry = &ledger.Entry{Fingerprint: [32]byte{2}}
 		if _, _, err := o.begin(engine.Endpoint{ID: "b"}); err != nil {
 			t.Fatal(err)
 		}
@@ -336,7 +336,7 @@
 
 // TestMemoryIsBounded: the oldest entries make room.
 func TestMemoryIsBounded(t *testing.T) {
-	m := NewMemory(10_000)
+	m := NewMemoryStore(10_000)
 	for i := range 1000 {
 		m.Put(string(rune('a'+i%26))+string(rune(i)), make([]byte, 100), true)
 	}
--- a/internal/orders/book.go
+++ b/internal/orders/entry_store.go
@@ -7,19 +7,19 @@
 	"quillfront/store"
 )
 
-// Book keeps entries by their keys. Its methods may be called from many goroutines at once.
-type Book interface {
+// EntryStore keeps entries by their keys. Its methods may be called from many goroutines at once.
+type EntryStore interface {
 	// Get returns what is kept under a key.
 	Get(key string) (value []byte, ok bool, err error)
 	// Put keeps a value. A firm one is as durable as the book can make it when Put returns; others may be lost by a cut.
 	Put(key string, value []byte, firm bool) error
-	// Try writes something of no meaning, to find out whether writing works again.
-	Try() error
+	// CheckWritable writes something of no meaning, to find out whether writing works again.
+	CheckWritable() error
 	Close() error
 }
 
-// Memory is a book that lasts as long as the process and has a bound: what was written first goes first.
-type Memory struct {
+// MemoryStore is a book that lasts as long as the process and has a bound: what was written first goes first.
+type MemoryStore struct {
 	most int
 
 	mu      sync.Mutex
@@ -36,13 +36,13 @@
 // perPage is what a page costs beside its key and value, about.
 const perPage = 200
 
-// NewMemory returns a book of at most that many bytes.
-func NewMemory(most int) *Memory {
-	return &Memory{most: most, entries: map[string]*list.Element{}, order: list.New()}
+// NewMemoryStore returns a book of at most that many bytes.
+func NewMemoryStore(most int) *MemoryStore {
+	return &MemoryStore{most: most, entries: map[string]*list.Element{}, order: list.New()}
 }
 
 // Get is a method of Book.
-func (m *Memory) Get(key string) ([]byte, bool, error) {
+func (m *MemoryStore) Get(key string) ([]byte, bool, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if e := m.entries[key]; e != nil {
@@ -52,7 +52,7 @@
 }
 
 // Put is a method of Book. It never fails: the oldest entries make room.
-func (m *Memory) Put(key string, value []byte, _ bool) error {
+func (m *MemoryStore) Put(key string, value []byte, _ bool) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if e := m.entries[key]; e != nil {
@@ -75,44 +75,44 @@
 }
 
 // Len returns how many entries there are.
-func (m *Memory) Len() int {
+func (m *MemoryStore) Len() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.order.Len()
 }
 
-// Try is a method of Book.
-func (m *Memory) Try() error { return nil }
+// CheckWritable is a method of Book.
+func (m *MemoryStore) CheckWritable() error { return nil }
 
 // Close is a method of Book.
-func (m *Memory) Close() error { return nil }
+func (m *MemoryStore) Close() error { return nil }
 
-// Stored is a book in a store.
-type Stored struct {
-	Store *store.Store
-	Firm  store.Durability // of firm entries
+// DiskStore is a book in a store.
+type DiskStore struct {
+	Store      *store.Store
+	Durability store.Durability // of firm entries
 }
 
 // tryKey is no order's: those begin with the name of a class.
 const tryKey = "\x00try"
 
 // Get is a method of Book.
-func (s Stored) Get(key string) ([]byte, bool, error) {
+func (s DiskStore) Get(key string) ([]byte, bool, error) {
 	value, _, ok, err := s.Store.Get([]byte(key))
 	return value, ok, err
 }
 
 // Put is a method of Book.
-func (s Stored) Put(key string, value []byte, firm bool) error {
+func (s DiskStore) Put(key string, value []byte, firm bool) error {
 	d := store.Buffered
 	if firm {
-		d = s.Firm
+		d = s.Durability
 	}
 	return s.Store.Put([]byte(key), value, d)
 }
 
-// Try is a method of Book.
-func (s Stored) Try() error { return s.Store.Put([]byte(tryKey), nil, store.Synced) }
+// CheckWritable is a method of Book.
+func (s DiskStore) CheckWritable() error { return s.Store.Put([]byte(tryKey), nil, store.Synced) }
 
 // Close is a method of Book.
-func (s Stored) Close() error { return s.Store.Close() }
+func (s DiskStore) Close() error { return s.Store.Close() }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -197,12 +197,12 @@
 			result string
 			n      int64
 		}{
-			{"replayed", o.Replayed}, {"joined", o.Joined}, {"again", o.Again}, {"mismatched", o.Mismatched}, {"unknown", o.Unknown},
+			{"replayed", o.Replayed}, {"joined", o.Joined}, {"again", o.Resent}, {"mismatched", o.Mismatched}, {"unknown", o.Unknown},
 			{"unwritable", o.Unwritable},
 		} {
 			total(ordersTotal, uint64(r.n), r.result)
 		}
-		gauge(ordersFailing, truth(o.Failing != nil))
+		gauge(ordersFailing, truth(o.StoreError != nil))
 	}
 	for _, f := range s.Services {
 		tellService(f, total, gauge)
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -14,8 +14,8 @@
 	"quillfront/policy"
 )
 
-// MostAttempts bounds the attempts that an entry holds. One that has more that may have run is not sent again.
-const MostAttempts = 16
+// MaxAttempts bounds the attempts that an entry holds. One that has more that may have run is not sent again.
+const MaxAttempts = 16
 
 // Instant is a moment by two clocks. The wall clock may be set back and forth; the other cannot, and ends with the machine's run.
 type Instant struct {
@@ -43,59 +43,59 @@
 
 // Entry is what is known of one order. Its zero value is one of which nothing is.
 type Entry struct {
-	Print    [32]byte  `cbor:"1,keyasint"` // tells what was asked for from anything else
-	First    Instant   `cbor:"2,keyasint"` // when it was first taken
-	Attempts []Attempt `cbor:"3,keyasint,omitempty"`
-	Sent     int       `cbor:"4,keyasint,omitempty"` // attempts ever begun
-	Served   bool      `cbor:"5,keyasint,omitempty"`
-	Answer   []byte    `cbor:"6,keyasint,omitempty"` // as a front wrote it; nil: none is kept
+	Fingerprint  [32]byte  `cbor:"1,keyasint"` // tells what was asked for from anything else
+	FirstSeen    Instant   `cbor:"2,keyasint"` // when it was first taken
+	Attempts     []Attempt `cbor:"3,keyasint,omitempty"`
+	AttemptCount int       `cbor:"4,keyasint,omitempty"` // attempts ever begun
+	Served       bool      `cbor:"5,keyasint,omitempty"`
+	Reply        []byte    `cbor:"6,keyasint,omitempty"` // as a front wrote it; nil: none is kept
 }
 
-// Begin notes that an attempt begins and returns its number. It must be kept before the attempt's first byte is sent.
-func (e *Entry) Begin(a Attempt) int {
-	e.Sent++
-	a.Number = e.Sent
+// RecordAttempt notes that an attempt begins and returns its number. It must be kept before the attempt's first byte is sent.
+func (e *Entry) RecordAttempt(a Attempt) int {
+	e.AttemptCount++
+	a.Number = e.AttemptCount
 	e.Attempts = append(e.Attempts, a)
 	return a.Number
 }
 
-// NotRun notes that an attempt is proven never to have run.
-func (e *Entry) NotRun(number int) {
+// RecordNotRun notes that an attempt is proven never to have run.
+func (e *Entry) RecordNotRun(number int) {
 	e.Attempts = slices.DeleteFunc(e.Attempts, func(a Attempt) bool { return a.Number == number })
 }
 
-// Answered notes that an attempt was served, and the answer, unless there is one: whoever asks again gets one and the same.
-func (e *Entry) Answered(answer []byte) {
+// RecordReply notes that an attempt was served, and the answer, unless there is one: whoever asks again gets one and the same.
+func (e *Entry) RecordReply(answer []byte) {
 	if !e.Served {
-		e.Served, e.Answer = true, answer
+		e.Served, e.Reply = true, answer
 	}
 }
 
-// Kind is what to do with a request that names an order.
-type Kind int
+// Action is what to do with a request that names an order.
+type Action int
 
 // The kinds.
 const (
-	Fresh    Kind = iota // send it: nothing was, or nothing that ran
-	Again                // send it where and while repeats of Past are dropped
-	Replay               // give the answer that is kept
-	Mismatch             // the key was used for something else: send nothing
-	Unknown              // it may have run, and must not be sent: neither promise nor refuse
-	Done                 // it was served, and the answer is no longer kept
+	Fresh    Action = iota // send it: nothing was, or nothing that ran
+	Resend                 // send it where and while repeats of Past are dropped
+	Replay                 // give the answer that is kept
+	Mismatch               // the key was used for something else: send nothing
+	Unknown                // it may have run, and must not be sent: neither promise nor refuse
+	Done                   // it was served, and the answer is no longer kept
 )
 
 // String names the kind.
-func (k Kind) String() string {
+func (k Action) String() string {
 	return [...]string{"fresh", "again", "replay", "mismatch", "unknown", "done"}[k]
 }
 
-// Verdict is a judgement.
-type Verdict struct {
-	Kind Kind
-	Past []policy.PriorAttempt // Again: for the decision module
+// Decision is a judgement.
+type Decision struct {
+	Action        Action
+	PriorAttempts []policy.PriorAttempt // Again: for the decision module
 }
 
-// Judge says what follows for a request of class c, with the print of what it asks for, that names the order of which e is
+// Decide says what follows for a request of class c, with the print of what it asks for, that names the order of which e is
 // known; nil is nothing. Margin is taken off the time for which servers drop repeats: what may pass between a send and its
 // arrival. Entries older than retention count for nothing; 0 is no bound.
 //
@@ -104,28 +104,28 @@
 // group that got it; policy keeps to both by Past. An age that cannot be known, after the machine's restart or by clocks that
 // disagree, is as good as one past the window. It does harm where a server had in truth never begun: the client is told that
 // nobody knows.
-func Judge(c policy.Class, e *Entry, print [32]byte, now Instant, margin, retention time.Duration) Verdict {
+func Decide(c policy.Class, e *Entry, print [32]byte, now Instant, margin, retention time.Duration) Decision {
 	switch {
-	case e == nil || e.First == (Instant{}) || retention > 0 && old(now, e.First) > retention:
-		return Verdict{Kind: Fresh}
-	case e.Print != print:
-		return Verdict{Kind: Mismatch}
-	case e.Served && e.Answer != nil:
-		return Verdict{Kind: Replay}
+	case e == nil || e.FirstSeen == (Instant{}) || retention > 0 && old(now, e.FirstSeen) > retention:
+		return Decision{Action: Fresh}
+	case e.Fingerprint != print:
+		return Decision{Action: Mismatch}
+	case e.Served && e.Reply != nil:
+		return Decision{Action: Replay}
 	case e.Served:
-		return Verdict{Kind: Done}
+		return Decision{Action: Done}
 	case len(e.Attempts) == 0:
-		return Verdict{Kind: Fresh}
-	case c.Effect != policy.Keyed || len(e.Attempts) >= MostAttempts:
-		return Verdict{Kind: Unknown}
+		return Decision{Action: Fresh}
+	case c.Effect != policy.Keyed || len(e.Attempts) >= MaxAttempts:
+		return Decision{Action: Unknown}
 	}
-	v := Verdict{Kind: Again}
+	v := Decision{Action: Resend}
 	for _, a := range e.Attempts {
 		age, known := now.Since(a.At)
 		if !known || age >= c.KeyTTL-margin {
-			return Verdict{Kind: Unknown}
+			return Decision{Action: Unknown}
 		}
-		v.Past = append(v.Past, policy.PriorAttempt{Zone: a.Zone, Cell: a.Cell, Age: age})
+		v.PriorAttempts = append(v.PriorAttempts, policy.PriorAttempt{Zone: a.Zone, Cell: a.Cell, Age: age})
 	}
 	return v
 }
@@ -141,8 +141,8 @@
 // version begins each entry as it is kept.
 const version = 1
 
-// ErrEntry tells that bytes are no entry of a version that this program knows.
-var ErrEntry = errors.New("ledger: no entry of a known version")
+// ErrInvalidEntry tells that bytes are no entry of a version that this program knows.
+var ErrInvalidEntry = errors.New("ledger: no entry of a known version")
 
 // Marshal returns e as bytes: a version, and CBOR (RFC 8949) with numbers for names.
 func (e *Entry) Marshal() ([]byte, error) {
@@ -156,11 +156,11 @@
 // Unmarshal reads an entry from bytes.
 func Unmarshal(b []byte) (*Entry, error) {
 	if len(b) == 0 || b[0] != version {
-		return nil, ErrEntry
+		return nil, ErrInvalidEntry
 	}
 	e := &Entry{}
 	if err := cbor.Unmarshal(b[1:], e); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrEntry, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidEntry, err)
 	}
 	return e, nil
 }
--- a/snapshot.go
+++ b/snapshot.go
@@ -61,11 +61,11 @@
 	if b.desk != nil {
 		d := b.desk.Stats()
 		s.Orders = &OrdersSnapshot{
-			Open: d.Open, Replayed: d.Replayed, Joined: d.Joined, Again: d.Again, Mismatched: d.Mismatched, Unknown: d.Unknown,
+			Open: d.Open, Replayed: d.Replayed, Joined: d.Joined, Again: d.Resent, Mismatched: d.Mismatched, Unknown: d.Unknown,
 			Unwritable: d.Unwritable,
 		}
-		if d.Failing != nil {
-			s.Orders.Failing = d.Failing.Error()
+		if d.StoreError != nil {
+			s.Orders.Failing = d.StoreError.Error()
 		}
 	}
 	if math.IsInf(s.Threshold, 1) {
--- a/store/bench_test.go
+++ b/store/bench_test.go
@@ -53,7 +53,7 @@
 			b.Run(fmt.Sprintf("%s/durable=%v", name, durable), func(b *testing.B) {
 				var put func(k, v []byte) error
 				if name == "store" {
-					s, err := Open(Dir(b.TempDir()), Options{MostBytes: 4 << 30, MostKeys: 2_000_000})
+					s, err := Open(Dir(b.TempDir()), Options{MaxBytes: 4 << 30, MaxKeys: 2_000_000})
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -106,7 +106,7 @@
 	for _, hints := range []bool{true, false} {
 		b.Run(fmt.Sprintf("hints=%v", hints), func(b *testing.B) {
 			dir := Dir(b.TempDir())
-			o := Options{MostBytes: 4 << 30, MostKeys: 2_000_000, Hints: hints}
+			o := Options{MaxBytes: 4 << 30, MaxKeys: 2_000_000, Hints: hints}
 			s, err := Open(dir, o)
 			if err != nil {
 				b.Fatal(err)
--- a/store/compact.go
+++ b/store/compact.go
@@ -13,7 +13,7 @@
 
 // reserve is the room that only compaction may use, under mu: what it copies of a segment before the segment goes.
 func (s *Store) reserve() int64 {
-	return min(s.o.SegmentBytes, s.o.MostBytes/4)
+	return min(s.o.SegmentBytes, s.o.MaxBytes/4)
 }
 
 // wasteful reports whether compaction is worth its writes, under mu: half of what the store may hold is taken, and a third of that is
@@ -24,7 +24,7 @@
 		live += g.live
 	}
 	bytes := s.bytes()
-	return len(s.segments) > 1 && 2*bytes > s.o.MostBytes && 3*live < 2*bytes
+	return len(s.segments) > 1 && 2*bytes > s.o.MaxBytes && 3*live < 2*bytes
 }
 
 // compactor compacts beside writes until the store closes.
--- a/store/record.go
+++ b/store/record.go
@@ -28,8 +28,8 @@
 
 // Bounds of a record, in bytes.
 const (
-	MostKey   = 1 << 10
-	MostValue = 1 << 20
+	MaxKeySize   = 1 << 10
+	MaxValueSize = 1 << 20
 )
 
 // kind says what a record does.
@@ -104,7 +104,7 @@
 		return record{}, errShort
 	}
 	keyLen, valueLen := binary.LittleEndian.Uint32(b[4:]), binary.LittleEndian.Uint32(b[8:])
-	if keyLen > MostKey || valueLen > MostValue+copiedHead {
+	if keyLen > MaxKeySize || valueLen > MaxValueSize+copiedHead {
 		return record{}, errRecord
 	}
 	size := recordHead + int(keyLen) + int(valueLen)
@@ -122,7 +122,7 @@
 	switch {
 	case keyLen == 0:
 		return record{}, errRecord
-	case r.kind == put && valueLen <= MostValue, r.kind == remove && valueLen == 0:
+	case r.kind == put && valueLen <= MaxValueSize, r.kind == remove && valueLen == 0:
 	case r.kind == copied && valueLen >= copiedHead:
 		r.first, r.value = int64(binary.LittleEndian.Uint64(r.value)), r.value[copiedHead:]
 	default:
--- a/store/store.go
+++ b/store/store.go
@@ -25,8 +25,8 @@
 // Options bounds a store. Zero values take the defaults.
 type Options struct {
 	SegmentBytes int64            // a segment is closed once it is that long; 4 MiB, at most 1 GiB
-	MostBytes    int64            // of all segments; 256 MiB. What does not fit gives ErrFull
-	MostKeys     int              // 1,000,000. One more gives ErrFull
+	MaxBytes     int64            // of all segments; 256 MiB. What does not fit gives ErrFull
+	MaxKeys      int              // 1,000,000. One more gives ErrFull
 	Retention    time.Duration    // how long a record is kept; 24 h
 	Grace        time.Duration    // how long after Open nothing expires, in case the clock was wrong when the machine started
 	CompactRate  int64            // bytes a second that compaction may copy beside writes; 0: only Compact compacts
@@ -157,11 +157,11 @@
 	if o.SegmentBytes == 0 {
 		o.SegmentBytes = 4 << 20
 	}
-	if o.MostBytes == 0 {
-		o.MostBytes = 256 << 20
+	if o.MaxBytes == 0 {
+		o.MaxBytes = 256 << 20
 	}
-	if o.MostKeys == 0 {
-		o.MostKeys = 1_000_000
+	if o.MaxKeys == 0 {
+		o.MaxKeys = 1_000_000
 	}
 	if o.Retention == 0 {
 		o.Retention = 24 * time.Hour
@@ -169,7 +169,7 @@
 	if o.Now == nil {
 		o.Now = time.Now
 	}
-	if o.SegmentBytes < 1<<10 || o.SegmentBytes > 1<<30 || o.MostBytes < o.SegmentBytes || o.MostKeys < 1 || o.Retention < 0 {
+	if o.SegmentBytes < 1<<10 || o.SegmentBytes > 1<<30 || o.MaxBytes < o.SegmentBytes || o.MaxKeys < 1 || o.Retention < 0 {
 		return nil, fmt.Errorf("store: options out of range: %+v", o)
 	}
 	lock, err := fs.Lock("lock")
@@ -387,7 +387,7 @@
 func (s *Store) Delete(key []byte, d Durability) error { return s.write(remove, key, nil, d) }
 
 func (s *Store) write(k kind, key, value []byte, d Durability) error {
-	if len(key) == 0 || len(key) > MostKey || len(value) > MostValue {
+	if len(key) == 0 || len(key) > MaxKeySize || len(value) > MaxValueSize {
 		return ErrSize
 	}
 	s.mu.Lock()
@@ -405,10 +405,10 @@
 		return 0, ErrClosed
 	}
 	s.expire()
-	most := s.o.MostBytes
+	most := s.o.MaxBytes
 	if r.kind != copied { // which frees more than it takes
 		most -= s.reserve()
-		if _, there := s.index[s.id(r.key)]; !there && r.kind == put && len(s.index) >= s.o.MostKeys {
+		if _, there := s.index[s.id(r.key)]; !there && r.kind == put && len(s.index) >= s.o.MaxKeys {
 			return 0, fmt.Errorf("%w: %d keys", ErrFull, len(s.index))
 		}
 	}
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -420,7 +420,7 @@
 
 // TestBounds: of keys, bytes and sizes.
 func TestBounds(t *testing.T) {
-	s := open(t, newMemFS(), func(o *Options) { o.MostBytes, o.MostKeys = 4<<10, 3 })
+	s := open(t, newMemFS(), func(o *Options) { o.MaxBytes, o.MaxKeys = 4<<10, 3 })
 	for i := range 3 {
 		if err := s.Put(fmt.Appendf(nil, "k%d", i), nil, Buffered); err != nil {
 			t.Fatal(err)
@@ -438,7 +438,7 @@
 	if !errors.Is(err, ErrFull) {
 		t.Errorf("bytes without end: %v", err)
 	}
-	for _, kv := range [][2]int{{0, 1}, {MostKey + 1, 1}, {1, MostValue + 1}} {
+	for _, kv := range [][2]int{{0, 1}, {MaxKeySize + 1, 1}, {1, MaxValueSize + 1}} {
 		if err := s.Put(make([]byte, kv[0]), make([]byte, kv[1]), Buffered); !errors.Is(err, ErrSize) {
 			t.Errorf("key of %d bytes and value of %d: %v", kv[0], kv[1], err)
 		}
