--- a/internal/config/services.go
+++ b/internal/config/services.go
@@ -176,7 +176,7 @@
 func (t *poolTable) pool(dir string) (pool.Config, error) {
 	c := pool.Config{
 		Name: t.Name, Discovery: t.Discovery, Zone: t.Zone, Attempts: t.Attempts, Dial: time.Duration(t.Dial), Idle: time.Duration(t.Idle),
-		RetryAfter: time.Duration(t.RetryAfter), Ramp: time.Duration(t.Ramp), NoCopies: t.NoCopies, LoadPort: t.LoadPort, LoadFields: t.LoadFields,
+		RetryAfter: time.Duration(t.RetryAfter), Ramp: time.Duration(t.Ramp), NoHedging: t.NoCopies, LoadPort: t.LoadPort, LoadFields: t.LoadFields,
 		Descriptors: t.Descriptors, Memory: t.Memory,
 	}
 	for _, s := range t.Servers {
@@ -193,7 +193,7 @@
 	}
 	for _, k := range t.Classes {
 		class := pool.Class{Name: k.Name, Aim: time.Duration(k.Aim), Deadline: time.Duration(k.Deadline), Worth: k.Worth,
-			Window: time.Duration(k.Window)}
+			KeyWindow: time.Duration(k.Window)}
 		switch k.Effect {
 		case "safe":
 			class.Safe = true
--- a/internal/mysql/proxy/client.go
+++ b/internal/mysql/proxy/client.go
@@ -417,7 +417,7 @@
 	name := s.f.cfg.classOf(s.user.Name, s.state.Schema(), st.Verb, st.Hint.Class, known)
 	class, _ := s.f.pool.Class(name)
 	if st.Read {
-		if read, ok := s.f.pool.Class(pool.ReadOf(name)); ok {
+		if read, ok := s.f.pool.Class(pool.SafeClass(name)); ok {
 			class = read
 		}
 	}
--- a/internal/mysql/proxy/hard_test.go
+++ b/internal/mysql/proxy/hard_test.go
@@ -241,7 +241,7 @@
 	raw.Close()
 	until(t, "nothing is under way", func() bool {
 		_, clients := w.budget.InUse()
-		return w.Stats().Sessions == clients && w.Stats().Bound == 0 && w.transport.out.Servers() == 0
+		return w.Stats().Sessions == clients && w.Stats().Bound == 0 && w.transport.out.ServerCount() == 0
 	})
 }
 
@@ -360,7 +360,7 @@
 		t.Errorf("a session that has inserted nothing: %q, %v", v, err)
 	}
 	exec(t, fresh, "INSERT INTO orders (id, item, qty) VALUES ('held', 'x', 1)")
-	until(t, "the connection is given back", func() bool { return w.transport.out.Servers() == 0 })
+	until(t, "the connection is given back", func() bool { return w.transport.out.ServerCount() == 0 })
 	if _, err := value(t, fresh, "SELECT LAST_INSERT_ID()"); code(err) != 9007 {
 		t.Errorf("once it was given back: %v", err)
 	}
@@ -509,7 +509,7 @@
 	raw.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	raw.ask(wire.Query, "SELECT ROW FROM rows_3000000")
 	until(t, "it is cut off", func() bool { return w.Stats().Sessions == 0 })
-	until(t, "its server is free", func() bool { return w.transport.out.Servers() == 0 })
+	until(t, "its server is free", func() bool { return w.transport.out.ServerCount() == 0 })
 	half := dial(t, w, "app", "secret") // and one that stops in the middle of a statement
 	half.Conn.Write([]byte{100, 0, 0, 0, byte(wire.Query), 's'})
 	until(t, "it is cut off too", func() bool { return w.Stats().Sessions == 0 })
--- a/internal/mysql/proxy/transport.go
+++ b/internal/mysql/proxy/transport.go
@@ -92,7 +92,7 @@
 	stop     context.CancelFunc
 	work     sync.WaitGroup
 	kills    chan struct{}
-	out      pool.Out // connections in use
+	out      pool.InFlight // connections in use
 
 	mu     sync.Mutex
 	idle   map[engine.Endpoint][]*server // the last one used comes last
@@ -691,7 +691,7 @@
 	var answer *wire.Error
 	switch {
 	case err == nil:
-		return policy.OK, pool.Queue(n)
+		return policy.OK, pool.QueueReport(n)
 	case errors.Is(err, sockets.ErrNoDescriptor):
 		return policy.NotSent, nil
 	case errors.As(err, &answer) && (answer.Code == 1040 || answer.Code == 1203):
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -38,7 +38,7 @@
 	Idle       time.Duration // after which servers close an idle connection; 15 s
 	RetryAfter time.Duration // the longest time to come back that a refusal names; 1 s
 	Ramp       time.Duration // until a server that has just started is warm; 9 s
-	NoCopies   bool          // never a second attempt while one is out
+	NoHedging  bool          // never a second attempt while one is out
 
 	// LoadPort is a port at each server's host that answers GET /load as the platform's servers do; 0: none.
 	LoadPort   int
@@ -69,24 +69,24 @@
 type Class struct {
 	Name      string
 	Safe      bool // may be repeated freely
-	ByRequest bool // whether it may hangs on the request: those that may are of the class ReadOf(Name)
-	// Window is for how long every server drops a repeat of a request by its key; with it, and with ByRequest, those that have a key are
-	// of the class KeyedOf(Name). 0: none does.
-	Window    time.Duration
+	ByRequest bool // whether it may hangs on the request: those that may are of the class SafeClass(Name)
+	// KeyWindow is for how long every server drops a repeat of a request by its key; with it, and with ByRequest, those that have a key are
+	// of the class KeyedClass(Name). 0: none does.
+	KeyWindow time.Duration
 	Aim       time.Duration
 	Deadline  time.Duration // at least Aim
 	Worth     float64       // beside those of other classes; 1
 	LateShare float64       // of it that is left after Aim, 0 to 1
 }
 
-// ReadOf is the class of those requests of a class by request that may be repeated.
-func ReadOf(class string) string { return class + "+read" }
+// SafeClass is the class of those requests of a class by request that may be repeated.
+func SafeClass(class string) string { return class + "+read" }
 
-// KeyedOf is the class of those whose repeats servers drop by their key.
-func KeyedOf(class string) string { return class + "+keyed" }
+// KeyedClass is the class of those whose repeats servers drop by their key.
+func KeyedClass(class string) string { return class + "+keyed" }
 
-// MostClasses bounds the classes of a pool.
-const MostClasses = 100
+// MaxClasses bounds the classes of a pool.
+const MaxClasses = 100
 
 const (
 	mostAttempts = 16
@@ -115,7 +115,7 @@
 func (c *Config) policy() (policy.Config, error) {
 	d := c.WithDefaults()
 	p := policy.Config{
-		GroupSize: 1, Zone: c.Zone, MayProbe: true, MayCancel: true, MayDuplicate: !c.NoCopies, ClientsHonorRetryAfter: true,
+		GroupSize: 1, Zone: c.Zone, MayProbe: true, MayCancel: true, MayDuplicate: !c.NoHedging, ClientsHonorRetryAfter: true,
 		MaxAttempts: d.Attempts, MaxRetryAfter: d.RetryAfter, DialTimeout: d.Dial, ConnIdleTimeout: d.Idle,
 		Tick: time.Millisecond, RefreshInterval: askEvery, ColdCapacity: coldFrom, Ramp: d.Ramp, ProbeTariff: probeTariff,
 	}
@@ -138,8 +138,8 @@
 		return p, fmt.Errorf("memory: %d is negative", c.Memory)
 	case c.LoadPort < 0 || c.LoadPort > 65535:
 		return p, fmt.Errorf("load_port: %d is outside 0 to 65535", c.LoadPort)
-	case len(c.Classes) == 0 || len(c.Classes) > MostClasses:
-		return p, fmt.Errorf("classes: %d of them, want 1 to %d", len(c.Classes), MostClasses)
+	case len(c.Classes) == 0 || len(c.Classes) > MaxClasses:
+		return p, fmt.Errorf("classes: %d of them, want 1 to %d", len(c.Classes), MaxClasses)
 	}
 	for i, k := range c.Classes {
 		effect := policy.Unsafe
@@ -158,8 +158,8 @@
 			return p, fmt.Errorf("%s: aim: %v is not above 0", key, k.Aim)
 		case k.Deadline < k.Aim || k.Deadline > time.Hour:
 			return p, fmt.Errorf("%s: deadline: %v is outside aim, which is %v, to an hour", key, k.Deadline, k.Aim)
-		case k.Window < 0 || k.Window > time.Hour:
-			return p, fmt.Errorf("%s: window: %v is outside 0 to an hour", key, k.Window)
+		case k.KeyWindow < 0 || k.KeyWindow > time.Hour:
+			return p, fmt.Errorf("%s: window: %v is outside 0 to an hour", key, k.KeyWindow)
 		case !(k.Worth >= 0):
 			return p, fmt.Errorf("%s: worth: %v is below 0", key, k.Worth)
 		case !(k.LateShare >= 0 && k.LateShare <= 1):
@@ -170,10 +170,10 @@
 		}
 		p.Classes = append(p.Classes, class)
 		if k.ByRequest {
-			class.Name, class.Effect = ReadOf(k.Name), policy.Safe
+			class.Name, class.Effect = SafeClass(k.Name), policy.Safe
 			p.Classes = append(p.Classes, class)
-			if k.Window > 0 {
-				class.Name, class.Effect, class.Group, class.KeyTTL = KeyedOf(k.Name), policy.Keyed, policy.GroupAll, k.Window
+			if k.KeyWindow > 0 {
+				class.Name, class.Effect, class.Group, class.KeyTTL = KeyedClass(k.Name), policy.Keyed, policy.GroupAll, k.KeyWindow
 				p.Classes = append(p.Classes, class)
 			}
 		}
@@ -238,8 +238,8 @@
 	return nil
 }
 
-// Listed reports whether the list is c's own, and is not told by a source.
-func (c *Config) Listed() bool { return c.source(nil) == nil }
+// HasStaticList reports whether the list is c's own, and is not told by a source.
+func (c *Config) HasStaticList() bool { return c.source(nil) == nil }
 
 // Class returns the class of that name.
 func (c *Config) Class(name string) (Class, bool) {
@@ -259,8 +259,8 @@
 	return net.JoinHostPort(host, strconv.Itoa(c.LoadPort))
 }
 
-// Fields returns the names of the figures in load reports.
-func (c *Config) Fields() []string {
+// ReportFields returns the names of the figures in load reports.
+func (c *Config) ReportFields() []string {
 	if c.LoadFields == nil {
 		return []string{"queue", "eps"}
 	}
@@ -273,14 +273,14 @@
 // IdleTimeout is after how long servers close an idle connection.
 func (c *Config) IdleTimeout() time.Duration { return cmp.Or(c.Idle, 15*time.Second) }
 
-// Out counts what this process has at each server, which is its load where it is not asked. It may be used from many goroutines at once.
-type Out struct {
+// InFlight counts what this process has at each server, which is its load where it is not asked. It may be used from many goroutines at once.
+type InFlight struct {
 	mu sync.Mutex
 	n  map[policy.ServerID]int // only of those that have any
 }
 
 // Add adds to what a server has.
-func (o *Out) Add(id policy.ServerID, n int) {
+func (o *InFlight) Add(id policy.ServerID, n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.n == nil {
@@ -292,28 +292,28 @@
 }
 
 // Count returns what a server has.
-func (o *Out) Count(id policy.ServerID) int {
+func (o *InFlight) Count(id policy.ServerID) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.n[id]
 }
 
 // Load returns what a server has as a report of its queue.
-func (o *Out) Load(id policy.ServerID) *policy.Load {
+func (o *InFlight) Load(id policy.ServerID) *policy.Load {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return Queue(float64(o.n[id]))
+	return QueueReport(float64(o.n[id]))
 }
 
-// Servers returns how many servers have something.
-func (o *Out) Servers() int {
+// ServerCount returns how many servers have something.
+func (o *InFlight) ServerCount() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.n)
 }
 
-// Queue is a report that tells a queue and nothing else.
-func Queue(n float64) *policy.Load {
+// QueueReport is a report that tells a queue and nothing else.
+func QueueReport(n float64) *policy.Load {
 	return &policy.Load{Queue: n, Inflight: -1, Latency: -1, ErrorRate: -1}
 }
 
@@ -325,7 +325,7 @@
 // Pool is a pool at work.
 type Pool struct {
 	*engine.Engine
-	source *told // nil: another one tells
+	source *pushedSource // nil: another one tells
 	log    *slog.Logger
 
 	mu  sync.Mutex
@@ -349,7 +349,7 @@
 	o := engine.Options{Config: p, Module: m, Transport: t, Log: log.With("pool", c.Name)}
 	pool := &Pool{cfg: c, log: o.Log}
 	if o.Source = c.source(o.Log); o.Source == nil {
-		pool.source = &told{changed: make(chan struct{}, 1)}
+		pool.source = &pushedSource{changed: make(chan struct{}, 1)}
 		pool.source.set(l)
 		o.Source, o.CachedList = pool.source, &l
 	}
@@ -371,7 +371,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.Listed() != (p.source != nil) {
+	if c.HasStaticList() != (p.source != nil) {
 		return errors.New("discovery, file, dns: whether there is one takes a restart")
 	}
 	if err := p.Engine.Reconfigure(cfg); err != nil {
@@ -387,14 +387,14 @@
 	return nil
 }
 
-// told is a source of the lists that it is given.
-type told struct {
+// pushedSource is a source of the lists that it is given.
+type pushedSource struct {
 	mu      sync.Mutex
 	list    engine.List
 	changed chan struct{}
 }
 
-func (s *told) set(l engine.List) {
+func (s *pushedSource) set(l engine.List) {
 	s.mu.Lock()
 	s.list = l
 	s.mu.Unlock()
@@ -405,7 +405,7 @@
 }
 
 // Watch is the method of engine.Source.
-func (s *told) Watch(ctx context.Context, _ int64, tell func(engine.List)) error {
+func (s *pushedSource) Watch(ctx context.Context, _ int64, tell func(engine.List)) error {
 	for {
 		s.mu.Lock()
 		l := s.list
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -45,7 +45,7 @@
 	if c, ok := p.Class("sql"); !ok || c.Effect != policy.Unsafe {
 		t.Errorf("class %+v", c)
 	}
-	if c, ok := p.Class(ReadOf("sql")); !ok || c.Effect != policy.Safe {
+	if c, ok := p.Class(SafeClass("sql")); !ok || c.Effect != policy.Safe {
 		t.Errorf("class %+v of what may be repeated", c)
 	}
 	next := config()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -179,7 +179,7 @@
 			switch {
 			case !ok || !k.ByRequest:
 				return fmt.Errorf("[[routes]] %s: class: pool %q has no class %q with effect \"by-request\"", r.Name, name, r.Class)
-			case (r.Effect == routes.Keyed || r.TrustKey) && k.Window == 0:
+			case (r.Effect == routes.Keyed || r.TrustKey) && k.KeyWindow == 0:
 				return fmt.Errorf("[[routes]] %s: class %q of pool %q has no window: for how long do servers drop repeats of a key?", r.Name, r.Class, name)
 			}
 		}
@@ -205,7 +205,7 @@
 				return fmt.Errorf("route %q: there is no pool %q", route.Name, w.Pool)
 			}
 			k, _ := p.Config.Class(route.Class)
-			window = max(window, k.Window)
+			window = max(window, k.KeyWindow)
 		}
 		s := r.splits[route.Name]
 		if s == nil {
@@ -328,9 +328,9 @@
 	class := k.Name
 	switch effect {
 	case policy.Safe:
-		class = pool.ReadOf(k.Name)
+		class = pool.SafeClass(k.Name)
 	case policy.Keyed:
-		class = pool.KeyedOf(k.Name)
+		class = pool.KeyedClass(k.Name)
 	}
 	answers := found.Answers
 	return &Call{
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -16,7 +16,7 @@
 func pools(names ...string) map[string]*Pool {
 	all := map[string]*Pool{}
 	for _, name := range names {
-		all[name] = &Pool{Config: pool.Config{Name: name, Classes: []pool.Class{{Name: "c", ByRequest: true, Aim: time.Second, Deadline: 2 * time.Second, Window: time.Minute}}}}
+		all[name] = &Pool{Config: pool.Config{Name: name, Classes: []pool.Class{{Name: "c", ByRequest: true, Aim: time.Second, Deadline: 2 * time.Second, KeyWindow: time.Minute}}}}
 	}
 	return all
 }
--- a/internal/services/http.go
+++ b/internal/services/http.go
@@ -82,7 +82,7 @@
 type webTransport struct {
 	*upstream.Transport
 	cfg atomic.Pointer[pool.Config]
-	out pool.Out
+	out pool.InFlight
 }
 
 // Do is a method of engine.Transport.
@@ -159,7 +159,7 @@
 	wanted := leads(cfg, list)
 	for _, c := range wanted {
 		p := w.pools[c.Name]
-		if p == nil || p.cfg.Listed() != c.Listed() {
+		if p == nil || p.cfg.HasStaticList() != c.HasStaticList() {
 			opened, err := w.open(c)
 			if err != nil {
 				return fresh, fmt.Errorf("[[pools]] %s: %w", c.Name, err)
@@ -232,7 +232,7 @@
 // addClasses adds those of more whose names are not there, up to as many as a pool may have.
 func addClasses(to, more []pool.Class) []pool.Class {
 	for _, k := range more {
-		if len(to) < pool.MostClasses && !slices.ContainsFunc(to, func(o pool.Class) bool { return o.Name == k.Name }) {
+		if len(to) < pool.MaxClasses && !slices.ContainsFunc(to, func(o pool.Class) bool { return o.Name == k.Name }) {
 			to = append(to, k)
 		}
 	}
@@ -287,7 +287,7 @@
 }
 
 func settingsOf(c pool.Config) settings.Settings {
-	return settings.Settings{Config: policy.Config{DialTimeout: c.DialTimeout(), ConnIdleTimeout: c.IdleTimeout()}, LoadFields: c.Fields()}
+	return settings.Settings{Config: policy.Config{DialTimeout: c.DialTimeout(), ConnIdleTimeout: c.IdleTimeout()}, LoadFields: c.ReportFields()}
 }
 
 func (w *web) open(c pool.Config) (*webPool, error) {
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -96,7 +96,7 @@
 		return nil
 	}
 	return upstream.New(settings.Settings{
-		Config: policy.Config{DialTimeout: p.DialTimeout(), ConnIdleTimeout: p.IdleTimeout()}, LoadFields: p.Fields(),
+		Config: policy.Config{DialTimeout: p.DialTimeout(), ConnIdleTimeout: p.IdleTimeout()}, LoadFields: p.ReportFields(),
 	}, s.budget, s.log)
 }
 
@@ -264,7 +264,7 @@
 			continue
 		}
 		before, p := s.cfg.Pool(v.poolName), cfg.Pool(v.poolName)
-		if p.Name == "" || p.Listed() != before.Listed() {
+		if p.Name == "" || p.HasStaticList() != before.HasStaticList() {
 			restart = true
 			continue
 		}
--- a/internal/stream/transport.go
+++ b/internal/stream/transport.go
@@ -23,7 +23,7 @@
 	load   func(engine.Endpoint) string // where a server tells its load; empty: nowhere
 	prober pool.Prober                  // nil: none does
 	log    *slog.Logger
-	open   pool.Out // streams
+	open   pool.InFlight // streams
 }
 
 // NewTransport returns a Transport that takes its descriptors from b. With a prober, load tells where it asks.
