--- a/cmd/quillfront/main.go
+++ b/cmd/quillfront/main.go
@@ -144,7 +144,7 @@
 	if n := op.Process.Cores; n > 0 {
 		runtime.GOMAXPROCS(n)
 	}
-	s, err := daemon.NewOwn(cfg, op, daemon.NewLog(os.Stderr, op.Log))
+	s, err := daemon.NewStandalone(cfg, op, daemon.NewLog(os.Stderr, op.Log))
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/daemon/own.go
+++ b/internal/daemon/standalone.go
@@ -19,8 +19,8 @@
 	"quillfront/roster"
 )
 
-// Own is a process that runs by the operator's file alone: the services there, and no front of the platform's.
-type Own struct {
+// Standalone is a process that runs by the operator's file alone: the services there, and no front of the platform's.
+type Standalone struct {
 	cfg      config.Config
 	log      *slog.Logger
 	sockets  *sockets.Budget
@@ -34,9 +34,9 @@
 	applied, rejected int             // files
 }
 
-// NewOwn makes a process of op's services. It opens no socket.
-func NewOwn(cfg config.Config, op config.Operator, log *slog.Logger) (*Own, error) {
-	o := &Own{cfg: cfg, log: log, sockets: sockets.New(cfg.Sockets)}
+// NewStandalone makes a process of op's services. It opens no socket.
+func NewStandalone(cfg config.Config, op config.Operator, log *slog.Logger) (*Standalone, error) {
+	o := &Standalone{cfg: cfg, log: log, sockets: sockets.New(cfg.Sockets)}
 	setMemory(cfg.MemoryMB, 1)
 	var err error
 	if o.services, err = services.New(op.Services, op.Routes, int64(cfg.MemoryMB)<<20/8, o.sockets, log); err != nil {
@@ -51,7 +51,7 @@
 }
 
 // Run serves until ctx ends, and then has each service end as it is to.
-func (o *Own) Run(ctx context.Context) error {
+func (o *Standalone) Run(ctx context.Context) error {
 	defer o.services.Close()
 	beside, stop := context.WithCancel(context.Background()) // operators may ask while it ends
 	var helpers sync.WaitGroup
@@ -95,10 +95,10 @@
 }
 
 // Addr returns where a service listens; see services.Services.
-func (o *Own) Addr(name string) string { return o.services.Addr(name) }
+func (o *Standalone) Addr(name string) string { return o.services.Addr(name) }
 
 // Reload takes over what of op can change while the process runs; the log tells what takes a restart. With an error all stays as it was.
-func (o *Own) Reload(op config.Operator) error {
+func (o *Standalone) Reload(op config.Operator) error {
 	if err := o.services.Check(op.Services, op.Routes); err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 }
 
 // ReloadFailed tells that a new file cannot be used, and that the old one stays.
-func (o *Own) ReloadFailed(err error) {
+func (o *Standalone) ReloadFailed(err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.rejected++
@@ -123,7 +123,7 @@
 }
 
 // spread makes what operators have taken out count in all pools. Called with the lock held.
-func (o *Own) spread() {
+func (o *Standalone) spread() {
 	for _, e := range o.services.Engines() {
 		e.SetAbsences(o.absences.Clone())
 	}
@@ -131,7 +131,7 @@
 }
 
 // ownOperated is what operators may do to an Own.
-type ownOperated struct{ *Own }
+type ownOperated struct{ *Standalone }
 
 // Ready is a method of management.Operated.
 func (o ownOperated) Ready() error {
