--- a/internal/sitewatch/watcher.go
+++ b/internal/sitewatch/watcher.go
@@ -20,8 +20,8 @@
 	SetSiteShares(map[string]float64)
 }
 
-// Watcher runs a monitor of sites for a module. A new Watcher does nothing until it is configured. It
-// is not safe for concurrent use.
+// Watcher runs a monitor of sites for a module. A new Watcher does nothing until it is configured.
+// It is not safe for concurrent use.
 type Watcher struct {
 	module   Module
 	log      *slog.Logger
@@ -152,8 +152,8 @@
 	return w.monitor.Learned(now)
 }
 
-// Restore makes the monitor continue from the state of another one. It has no effect if sites are not
-// watched.
+// Restore makes the monitor continue from the state of another one. It has no effect if sites are
+// not watched.
 func (w *Watcher) Restore(now policy.Time, m sites.Learned) {
 	if w.monitor != nil {
 		w.monitor.Restore(now, m)
--- a/internal/sitewatch/watcher_test.go
+++ b/internal/sitewatch/watcher_test.go
@@ -11,12 +11,12 @@
 )
 
 // counter is a slog.Handler that counts the transitions of sites.
-type counter struct{ s *sim }
+type counter struct{ s *simulation }
 
 func (counter) Enabled(context.Context, slog.Level) bool { return true }
 func (c counter) Handle(_ context.Context, r slog.Record) error {
 	if r.Message == "site" {
-		c.s.moves++
+		c.s.transitions++
 	}
 	return nil
 }
@@ -24,281 +24,293 @@
 func (c counter) WithGroup(string) slog.Handler      { return c }
 
 const (
-	load  = 300.0 // requests a second, where each site can do 400
+	load  = 300.0 // requests per second; the capacity of each site is 400
 	spill = 0.5
 )
 
-func watched() *sites.Config {
+// siteConfig returns the configuration of sites that most tests use.
+func siteConfig() *sites.Config {
 	return &sites.Config{MaxSpill: spill, HoldTime: 2 * time.Second, RecoveryTime: 10 * time.Second, MaxRecoveryTime: time.Minute}
 }
 
-// TestLossOfASite: every way in which all servers of a site can fail at once, and its return, cold. While it is dark, what is
-// served stays above a floor, orders before all, and no more is added to the other site than may be; on its return no server is
-// sent more than it can take.
-func TestLossOfASite(t *testing.T) {
+// TestSiteFailure: all servers of a site fail at once, in each possible way, and later restart
+// cold. While the site is down, enough requests are served, most of all orders, and the other site
+// takes over no more than MaxSpill. On its return no cold server is overloaded.
+func TestSiteFailure(t *testing.T) {
 	for name, tt := range map[string]struct {
 		mode   int
-		lag    time.Duration // until the list tells that they have gone
-		listed bool          // the list goes on to show them
-		fresh  bool          // they come back under new ids
-		floor  float64       // of orders
+		lag    time.Duration // delay of the list that removes the servers
+		listed bool          // the servers stay listed
+		newIDs bool          // the servers return with new IDs
+		floor  float64       // minimum fraction of orders served
 	}{
-		"silent, list 9 s behind":   {mode: silent, lag: 9 * sec, floor: 0.96},
-		"silent, list frozen":       {mode: silent, listed: true, floor: 0.96},
-		"refused":                   {mode: refusing, lag: 2 * sec, floor: 0.96},
-		"errors, list frozen":       {mode: erring, listed: true, floor: 0.96},
-		"so slow that all is late":  {mode: crawling, listed: true, floor: 0.88},
-		"back under new ids":        {mode: refusing, lag: 3 * sec, fresh: true, floor: 0.96},
-		"back before the list says": {mode: silent, lag: 9 * sec, fresh: true, floor: 0.96},
+		"silent, list lags by 9 s":        {mode: silent, lag: 9 * sec, floor: 0.96},
+		"silent, list frozen":             {mode: silent, listed: true, floor: 0.96},
+		"refused":                         {mode: refusing, lag: 2 * sec, floor: 0.96},
+		"errors, list frozen":             {mode: erring, listed: true, floor: 0.96},
+		"slow, all answers late":          {mode: slow, listed: true, floor: 0.88},
+		"returns with new IDs":            {mode: refusing, lag: 3 * sec, newIDs: true, floor: 0.96},
+		"returns before the list changes": {mode: silent, lag: 9 * sec, newIDs: true, floor: 0.96},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newSim(3, 20, load, watched())
+			s := newSimulation(3, 20, load, siteConfig())
 			s.lag = tt.lag
 			s.run(15 * sec)
-			if got := s.part("check", 3, 14); got < 0.97 || s.moves > 0 {
-				t.Fatalf("in calm time %.3f served, %d transitions", got, s.moves)
+			if got := s.servedFraction("check", 3, 14); got < 0.97 || s.transitions > 0 {
+				t.Fatalf("without failures: %.3f served, %d transitions", got, s.transitions)
 			}
-			s.site("a", func(_ int, v *simServer) { v.mode = tt.mode })
+			s.forSite("a", func(_ int, v *simServer) { v.mode = tt.mode })
 			if !tt.listed {
-				var left []policy.Server
+				var remaining []policy.Server
 				for _, e := range s.list() {
 					if e.Zone == "b" {
-						left = append(left, e)
+						remaining = append(remaining, e)
 					}
 				}
-				s.tell(left)
+				s.publish(remaining)
 			}
 			s.run(35 * sec)
-			s.site("a", func(_ int, v *simServer) {
+			s.forSite("a", func(_ int, v *simServer) {
 				id := v.id
-				if tt.fresh {
+				if tt.newIDs {
 					id = "new-" + id
 				}
 				v.restart(id)
 			})
 			s.lag = sec
-			s.tell(s.list())
+			s.publish(s.list())
 			s.run(90 * sec)
-			// From 3 s on each instance knows. Half was meant for a, and half of b's own may be added to b.
-			order, check := s.part("order", 18, 34), s.part("check", 18, 34)
-			peak := most(s.arrived["b"], 18, 34)
-			whole := (0.3*order + 0.7*check)
-			t.Logf("in the dark: orders %.3f, checks %.3f, all %.3f of 0.75 that may be; b has up to %d a second, normal is %.0f", order, check, whole, peak, load/2)
+			// After 3 s every instance has detected the failure. Half of the load has home a, and b
+			// may take over half of its own normal load: 0.75 of all requests can be served.
+			order, check := s.servedFraction("order", 18, 34), s.servedFraction("check", 18, 34)
+			peak := peakOf(s.arrived["b"], 18, 34)
+			all := (0.3*order + 0.7*check)
+			t.Logf("while a is down: orders %.3f, checks %.3f, all %.3f of at most 0.75; b receives up to %d per second, normal %.0f", order, check, all, peak, load/2)
 			if order < tt.floor {
-				t.Errorf("%.3f of orders served in the dark, though b has room for them all", order)
+				t.Errorf("%.3f of orders served while a is down, although b has capacity for all of them", order)
 			}
-			if whole < 0.96*0.75 {
-				t.Errorf("%.3f served in the dark, 0.75 may be", whole)
+			if all < 0.96*0.75 {
+				t.Errorf("%.3f served while a is down, of at most 0.75", all)
 			}
-			// In the mean of the dark b may have a tenth over the bound, which is what orders overdraw; where the site is only slow,
-			// what it is tried with comes on top. A second's arrivals vary by their root, and of 16 in each of 7 scenes one may
-			// well lie three roots off: four are allowed.
-			bound := load / 2 * (1 + spill)
-			if tt.mode == crawling {
-				bound *= 1.1
+			// On average b may exceed the limit by a tenth, by which orders overdraw the bucket. If
+			// site a is only slow, its trials come on top. The arrivals of a second have a standard
+			// deviation of the square root of their number. One of 16 seconds in each of 7 cases
+			// may well be three standard deviations off, so four are allowed.
+			limit := load / 2 * (1 + spill)
+			if tt.mode == slow {
+				limit *= 1.1
 			}
-			if mean := float64(sum(s.arrived["b"], 18, 34)) / 16; mean > 1.1*bound {
-				t.Errorf("b has %.0f a second in the mean, %.0f may be", mean, bound)
+			if mean := float64(total(s.arrived["b"], 18, 34)) / 16; mean > 1.1*limit {
+				t.Errorf("b receives %.0f per second on average, limit %.0f", mean, limit)
 			}
-			if float64(peak) > bound+4*15 {
-				t.Errorf("b has %d in a second, %.0f may be", peak, bound)
+			if float64(peak) > limit+4*15 {
+				t.Errorf("b receives %d in a second, limit %.0f", peak, limit)
 			}
-			worst := 0.0
-			s.site("a", func(_ int, v *simServer) {
-				worst = max(worst, v.worst)
-				if v.fell {
-					t.Errorf("%s was pushed over on its return", v.id)
+			peakLoad := 0.0
+			s.forSite("a", func(_ int, v *simServer) {
+				peakLoad = max(peakLoad, v.peakLoad)
+				if v.overloaded {
+					t.Errorf("%s was overloaded on its return", v.id)
 				}
 			})
-			if first := most(s.arrived["a"], 36, 38); float64(first) > load/2*0.6 && tt.mode != crawling { // that was never dark
-				t.Errorf("a has %d a second at once on its return", first)
+			if first := peakOf(s.arrived["a"], 36, 38); float64(first) > load/2*0.6 && tt.mode != slow { // a slow site was never down
+				t.Errorf("a receives %d per second immediately on its return", first)
 			}
-			if back := s.part("check", 75, 88); back < 0.97 || float64(sum(s.arrived["a"], 78, 88)) < 0.85*load/2*10 {
-				t.Errorf("at the end %.3f served, a has %d in 10 s", back, sum(s.arrived["a"], 78, 88))
+			if back := s.servedFraction("check", 75, 88); back < 0.97 || float64(total(s.arrived["a"], 78, 88)) < 0.85*load/2*10 {
+				t.Errorf("at the end: %.3f served, a receives %d in 10 s", back, total(s.arrived["a"], 78, 88))
 			}
-			t.Logf("on its return no server had more than %.2f of what it could do in a second", worst)
+			t.Logf("on its return no server received more than %.2f of its capacity in a second", peakLoad)
 		})
 	}
 }
 
-// TestWithoutSites: what happens without the module, so that the tests beside it can fail.
-func TestWithoutSites(t *testing.T) {
-	s := newSim(3, 20, load, nil)
+// TestWithoutWatcher: without a configuration of sites, the other site does exceed the limit, so
+// the tests of the limit can fail.
+func TestWithoutWatcher(t *testing.T) {
+	s := newSimulation(3, 20, load, nil)
 	s.run(15 * sec)
-	s.site("a", func(_ int, v *simServer) { v.mode = silent })
+	s.forSite("a", func(_ int, v *simServer) { v.mode = silent })
 	s.run(35 * sec)
-	peak, order := most(s.arrived["b"], 18, 34), s.part("order", 18, 34)
-	t.Logf("without sites: b has up to %d a second, orders %.3f, checks %.3f", peak, order, s.part("check", 18, 34))
-	if bound := load / 2 * (1 + spill); float64(peak) <= bound+3*15 {
-		t.Errorf("b has no more than %d a second: the bound guards against nothing", peak)
+	peak, order := peakOf(s.arrived["b"], 18, 34), s.servedFraction("order", 18, 34)
+	t.Logf("sites not watched: b receives up to %d per second, orders %.3f, checks %.3f", peak, order, s.servedFraction("check", 18, 34))
+	if limit := load / 2 * (1 + spill); float64(peak) <= limit+3*15 {
+		t.Errorf("b receives at most %d per second: the limit is never exceeded", peak)
 	}
 }
 
-// TestHalfOfASite: half of a site's servers fail. The others of it go on, and nothing is turned away for long.
-func TestHalfOfASite(t *testing.T) {
-	s := newSim(4, 20, load, watched())
+// TestHalfOfSiteFails: half of a site's servers fail. The other half continues, and requests are
+// not refused for long.
+func TestHalfOfSiteFails(t *testing.T) {
+	s := newSimulation(4, 20, load, siteConfig())
 	s.run(15 * sec)
-	s.site("a", func(i int, v *simServer) {
+	s.forSite("a", func(i int, v *simServer) {
 		if i < 4 {
 			v.mode = refusing
 		}
 	})
 	s.run(45 * sec)
-	if order, check := s.part("order", 20, 44), s.part("check", 20, 44); order < 0.97 || check < 0.9 {
+	if order, check := s.servedFraction("order", 20, 44), s.servedFraction("check", 20, 44); order < 0.97 || check < 0.9 {
 		t.Errorf("orders %.3f, checks %.3f", order, check)
 	}
 }
 
-// TestFlapping: a site that goes and comes every few seconds ends in damped traffic. The table is docs/design/sites.md's.
+// TestFlapping: the traffic of a site that fails and returns every few seconds is damped. It logs
+// the table of docs/design/sites.md.
 func TestFlapping(t *testing.T) {
 	for _, period := range []time.Duration{2 * sec, 5 * sec, 15 * sec} {
-		for _, cfg := range []*sites.Config{watched(), nil} {
-			s := newSim(5, 20, load, cfg)
+		for _, cfg := range []*sites.Config{siteConfig(), nil} {
+			s := newSimulation(5, 20, load, cfg)
 			s.run(10 * sec)
 			for at := 10 * sec; at < 70*sec; at += period {
-				s.site("a", func(_ int, v *simServer) {
+				s.forSite("a", func(_ int, v *simServer) {
 					if v.mode == up {
 						v.mode = silent
 					} else {
 						v.restart(v.id)
 					}
 				})
-				s.tell(s.list())
+				s.publish(s.list())
 				s.run(at + period)
 			}
-			worst, fell := 0.0, 0
-			s.site("a", func(_ int, v *simServer) {
-				if worst = max(worst, v.worst); v.fell {
-					fell++
+			peakLoad, overloaded := 0.0, 0
+			s.forSite("a", func(_ int, v *simServer) {
+				if peakLoad = max(peakLoad, v.peakLoad); v.overloaded {
+					overloaded++
 				}
 			})
-			order, check := s.part("order", 12, 70), s.part("check", 12, 70)
-			perMinute := float64(s.moves) / 20
-			t.Logf("every %v, watched %v: %.1f transitions a minute and instance, orders %.3f, checks %.3f, cold servers had up to %.2f of what they could do, %d fell",
-				period, cfg != nil, perMinute, order, check, worst, fell)
-			// A change for the worse stands between two for the better, of which there are at most six a minute, or one with a relapse.
-			if cfg != nil && (perMinute > 2*6+2 || order < 0.9 || fell > 0) {
-				t.Errorf("every %v: %.1f transitions a minute, orders %.3f, %d fell", period, perMinute, order, fell)
+			order, check := s.servedFraction("order", 12, 70), s.servedFraction("check", 12, 70)
+			perMinute := float64(s.transitions) / 20
+			t.Logf("period %v, watched %v: %.1f transitions per minute and instance, orders %.3f, checks %.3f, load of cold servers up to %.2f of their capacity, %d overloaded",
+				period, cfg != nil, perMinute, order, check, peakLoad, overloaded)
+			// There are at most six improvements per minute, with a change for the worse between
+			// each two of them, or one with a relapse.
+			if cfg != nil && (perMinute > 2*6+2 || order < 0.9 || overloaded > 0) {
+				t.Errorf("period %v: %.1f transitions per minute, orders %.3f, %d servers overloaded", period, perMinute, order, overloaded)
 			}
 		}
 	}
 }
 
-// TestRestartInTheDark: all instances start anew, knowing nothing, just as a site returns cold. That is no rush.
-func TestRestartInTheDark(t *testing.T) {
-	s := newSim(6, 20, load, watched())
+// TestRestartOfInstances: all instances restart without any state while a site is down, and again
+// as it returns cold. That must not cause a surge.
+func TestRestartOfInstances(t *testing.T) {
+	s := newSimulation(6, 20, load, siteConfig())
 	s.run(15 * sec)
-	s.site("a", func(_ int, v *simServer) { v.mode = refusing })
+	s.forSite("a", func(_ int, v *simServer) { v.mode = refusing })
 	s.run(25 * sec)
-	for _, n := range s.nodes {
-		n.boot()
+	for _, n := range s.instances {
+		n.start()
 	}
 	s.run(30 * sec)
-	s.site("a", func(_ int, v *simServer) { v.restart(v.id) })
-	s.tell(s.list())
-	for _, n := range s.nodes {
-		s.after(time.Duration(s.rng.Float64()*float64(2*sec)), n.boot)
+	s.forSite("a", func(_ int, v *simServer) { v.restart(v.id) })
+	s.publish(s.list())
+	for _, n := range s.instances {
+		s.after(time.Duration(s.rng.Float64()*float64(2*sec)), n.start)
 	}
 	s.run(70 * sec)
-	s.site("a", func(_ int, v *simServer) {
-		if v.fell {
-			t.Errorf("%s was pushed over: %.2f of what it could do", v.id, v.worst)
+	s.forSite("a", func(_ int, v *simServer) {
+		if v.overloaded {
+			t.Errorf("%s was overloaded: %.2f of its capacity", v.id, v.peakLoad)
 		}
 	})
-	if order := s.part("order", 18, 69); order < 0.95 {
+	if order := s.servedFraction("order", 18, 69); order < 0.95 {
 		t.Errorf("%.3f of orders served", order)
 	}
 }
 
-// TestCutOff: an instance that reaches nobody blames no site: once its link is back it sends to both at once.
-func TestCutOff(t *testing.T) {
+// TestInstanceCutOff: an instance that reaches no server marks no site as down, so that it sends to
+// both sites as soon as its link works again.
+func TestInstanceCutOff(t *testing.T) {
 	for seed := range uint64(10) {
-		s := newSim(20+seed, 2, load/4, watched())
+		s := newSimulation(20+seed, 2, load/4, siteConfig())
 		s.run(10 * sec)
-		s.nodes[0].cut = true
+		s.instances[0].cutOff = true
 		s.run(20 * sec)
-		for _, v := range s.nodes[0].host.Snapshot(s.now) {
+		for _, v := range s.instances[0].watcher.Snapshot(s.now) {
 			if v.Share < 1 {
 				t.Errorf("seed %d: %v", seed, v)
 			}
 		}
-		s.nodes[0].cut = false
+		s.instances[0].cutOff = false
 		s.run(30 * sec)
-		if order := s.part("order", 22, 28); order < 0.9 {
-			t.Errorf("seed %d: %.3f of orders served 2 s after the link is back", seed, order)
+		if order := s.servedFraction("order", 22, 28); order < 0.9 {
+			t.Errorf("seed %d: %.3f of orders served from 2 s after the link works again", seed, order)
 		}
 	}
 }
 
-// TestBothInTrouble: one site dark and the other full of errors: what can be served is, and the worse one is not preferred.
-func TestBothInTrouble(t *testing.T) {
-	s := newSim(8, 20, load, watched())
+// TestBothSitesFail: one site is down and one server of the other returns errors. As many requests
+// as possible are served, and the worse site is not preferred.
+func TestBothSitesFail(t *testing.T) {
+	s := newSimulation(8, 20, load, siteConfig())
 	s.run(15 * sec)
-	s.site("a", func(_ int, v *simServer) { v.mode = silent })
-	s.site("b", func(i int, v *simServer) {
+	s.forSite("a", func(_ int, v *simServer) { v.mode = silent })
+	s.forSite("b", func(i int, v *simServer) {
 		if i == 1 {
 			v.mode = erring
 		}
 	})
 	s.run(45 * sec)
-	order := s.part("order", 20, 44)
-	t.Logf("orders %.3f, checks %.3f", order, s.part("check", 20, 44))
+	order := s.servedFraction("order", 20, 44)
+	t.Logf("orders %.3f, checks %.3f", order, s.servedFraction("check", 20, 44))
 	if order < 0.85 {
-		t.Errorf("%.3f of orders served by three servers that could", order)
+		t.Errorf("%.3f of orders served, although three servers work", order)
 	}
 }
 
-// TestSumsOfMany: with 100 and 1,500 instances of very unequal traffic, which tell each other nothing, what all of them add to a
-// site, and what all of them send to a server on its return, stay within what each is told.
-func TestSumsOfMany(t *testing.T) {
+// TestManyInstances: with 100 and 1,500 instances of very unequal traffic that don't communicate,
+// the sums of what they spill to a site, and of what they send to a returning server, stay within
+// the limits.
+func TestManyInstances(t *testing.T) {
 	for _, instances := range []int{100, 1500} {
-		s := newSim(9, instances, load, watched())
+		s := newSimulation(9, instances, load, siteConfig())
 		s.run(15 * sec)
-		s.site("a", func(_ int, v *simServer) { v.mode = refusing })
+		s.forSite("a", func(_ int, v *simServer) { v.mode = refusing })
 		s.run(35 * sec)
-		s.site("a", func(_ int, v *simServer) { v.restart(v.id) })
-		s.tell(s.list())
+		s.forSite("a", func(_ int, v *simServer) { v.restart(v.id) })
+		s.publish(s.list())
 		s.run(50 * sec)
-		peak, worst := most(s.arrived["b"], 22, 34), 0.0
-		s.site("a", func(_ int, v *simServer) {
-			worst = max(worst, v.worst)
-			if v.fell {
-				t.Errorf("%d instances: %s was pushed over", instances, v.id)
+		peak, peakLoad := peakOf(s.arrived["b"], 22, 34), 0.0
+		s.forSite("a", func(_ int, v *simServer) {
+			peakLoad = max(peakLoad, v.peakLoad)
+			if v.overloaded {
+				t.Errorf("%d instances: %s was overloaded", instances, v.id)
 			}
 		})
-		dark := sum(s.arrived["a"], 25, 34)
-		t.Logf("%d instances: b has up to %d a second (normal %.0f), a in the dark %.1f, orders %.3f, checks %.3f; on its return a server had up to %.2f of what it could do",
-			instances, peak, load/2, float64(dark)/9, s.part("order", 20, 34), s.part("check", 20, 34), worst)
-		// Each may always add a request in ten seconds, and many of them send less.
-		if bound := load/2*(1+spill) + 0.1*float64(instances); float64(peak) > bound+3*15 {
-			t.Errorf("%d instances: b has %d in a second, %.0f may be", instances, peak, bound)
+		trials := total(s.arrived["a"], 25, 34)
+		t.Logf("%d instances: b receives up to %d per second (normal %.0f), a while down %.1f, orders %.3f, checks %.3f; load of a returning server up to %.2f of its capacity",
+			instances, peak, load/2, float64(trials)/9, s.servedFraction("order", 20, 34), s.servedFraction("check", 20, 34), peakLoad)
+		// Each instance may always spill a request per ten seconds, and many of them send less.
+		if limit := load/2*(1+spill) + 0.1*float64(instances); float64(peak) > limit+3*15 {
+			t.Errorf("%d instances: b receives %d in a second, limit %.0f", instances, peak, limit)
 		}
 	}
 }
 
-// TestReturnInASpike: a site comes back cold, under new ids, just as twice as many requests come as the other site can take. No
-// server is pushed over, and orders come first.
-func TestReturnInASpike(t *testing.T) {
-	s := newSim(11, 20, load, watched())
+// TestReturnDuringSpike: a site returns cold and with new IDs, one second after the request rate
+// has doubled to more than the other site can take. No server is overloaded, and orders are
+// preferred.
+func TestReturnDuringSpike(t *testing.T) {
+	s := newSimulation(11, 20, load, siteConfig())
 	s.run(15 * sec)
-	s.site("a", func(_ int, v *simServer) { v.mode = refusing })
+	s.forSite("a", func(_ int, v *simServer) { v.mode = refusing })
 	s.run(34 * sec)
-	for _, n := range s.nodes {
+	for _, n := range s.instances {
 		n.rate *= 2
 	}
 	s.run(35 * sec)
-	s.site("a", func(_ int, v *simServer) { v.restart("new-" + v.id) })
-	s.tell(s.list())
+	s.forSite("a", func(_ int, v *simServer) { v.restart("new-" + v.id) })
+	s.publish(s.list())
 	s.run(60 * sec)
-	worst := 0.0
-	s.site("a", func(_ int, v *simServer) {
-		if worst = max(worst, v.worst); v.fell {
-			t.Errorf("%s was pushed over: %.2f of what it could do", v.id, v.worst)
+	peakLoad := 0.0
+	s.forSite("a", func(_ int, v *simServer) {
+		if peakLoad = max(peakLoad, v.peakLoad); v.overloaded {
+			t.Errorf("%s was overloaded: %.2f of its capacity", v.id, v.peakLoad)
 		}
 	})
-	order, check := s.part("order", 36, 59), s.part("check", 36, 59)
-	t.Logf("in the spike: orders %.3f, checks %.3f; on its return a server had up to %.2f of what it could do", order, check, worst)
+	order, check := s.servedFraction("order", 36, 59), s.servedFraction("check", 36, 59)
+	t.Logf("during the spike: orders %.3f, checks %.3f; load of a returning server up to %.2f of its capacity", order, check, peakLoad)
 	if order < 0.7 || order < check {
 		t.Errorf("orders %.3f, checks %.3f", order, check)
 	}
