--- a/sites/sites_test.go
+++ b/sites/sites_test.go
@@ -38,7 +38,7 @@
 func newSimulation(t testing.TB, cfg Config) *simulation {
 	t.Helper()
 	w := &simulation{now: time.Hour, rng: rand.New(rand.NewPCG(1, 2)), successRate: map[string]func(Time) float64{}, sent: map[string]int{}}
-	m, err := New(cfg, func(t Transition) { w.transitions = append(w.transitions, t) })
+	m, err := New(cfg, func(tr Transition) { w.transitions = append(w.transitions, tr) })
 	if err != nil {
 		t.Fatal(err)
 	}
