--- a/sites/config.go
+++ b/sites/config.go
@@ -106,7 +106,7 @@
 		return Config{}, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, args...))
 	}
 	if i, s := findInvalid(c.Prefer); i >= 0 {
-		return fieldError(fmt.Sprintf("prefer[%d]", i), "%q is empty or a duplicate", s)
+		return fieldError(fmt.Sprintf("prefer[%d]", i), "%q is empty or there twice", s)
 	}
 	switch {
 	case !(c.HealthyThreshold > 0 && c.HealthyThreshold < c.DegradedThreshold):
@@ -163,7 +163,7 @@
 		list  []string
 	}{{"classes", r.Classes}, {"tenants", r.Tenants}} {
 		if i, s := findInvalid(names.list); i >= 0 {
-			return fmt.Sprintf("%s[%d]", names.field, i), fmt.Errorf("%q is empty or a duplicate", s)
+			return fmt.Sprintf("%s[%d]", names.field, i), fmt.Errorf("%q is empty or there twice", s)
 		}
 		if len(names.list) > maxNames {
 			return names.field, fmt.Errorf("%d names, at most %d are allowed", len(names.list), maxNames)
@@ -190,7 +190,7 @@
 		}
 		all = append(all, t.Sites...)
 		if j, s := findInvalid(all); j >= 0 {
-			return path + ".sites", fmt.Errorf("%q is empty or a duplicate", s)
+			return path + ".sites", fmt.Errorf("%q is empty or there twice", s)
 		}
 	}
 	return "", nil
