--- a/internal/httpmsg/body.go
+++ b/internal/httpmsg/body.go
@@ -17,20 +17,20 @@
 	// MaxFullBody is the longest body that is always held whole before it goes on, in bytes. Above it the first bytes of an answer
 	// are what counts.
 	MaxFullBody = 64 << 10
-	// mostTrailer bounds the trailer section after a chunked body, in bytes; what in it speaks of framing, routes or rights is dropped.
-	mostTrailer = 4 << 10
+	// maxTrailer bounds the trailer section after a chunked body, in bytes; what in it speaks of framing, routes or rights is dropped.
+	maxTrailer = 4 << 10
 )
 
 // Body reads the body of the message whose head was taken from r. It gives io.EOF only where the body ends as its framing
 // says, and leaves what stands behind it in r. Before Reset it must not be read.
 type Body struct {
-	r      *bufio.Reader
-	chunks io.Reader // nil: the body is not in chunks
-	left   int64     // without chunks: bytes to come; negative: all until the end of the connection
-	size   int64     // bytes that were read
-	limit  int64     // of size
-	lines  []byte    // of the trailer section that may go on
-	err    error     // what ended it
+	r           *bufio.Reader
+	chunkReader io.Reader // nil: the body is not in chunks
+	remaining   int64     // without chunks: bytes to come; negative: all until the end of the connection
+	size        int64     // bytes that were read
+	limit       int64     // of size
+	trailer     []byte    // of the trailer section that may go on
+	err         error     // what ended it
 }
 
 // Reset makes b the body of a message of that length, which is -1 where only the end of the connection ends it.
@@ -40,11 +40,11 @@
 
 // ResetWithLimit is Reset for a body that may have up to limit bytes.
 func (b *Body) ResetWithLimit(r *bufio.Reader, length int64, chunked bool, limit int64) {
-	*b = Body{r: r, left: length, limit: limit}
+	*b = Body{r: r, remaining: length, limit: limit}
 	if chunked {
-		b.chunks = httputil.NewChunkedReader(r)
+		b.chunkReader = httputil.NewChunkedReader(r)
 	}
-	if b.left > limit && !chunked {
+	if b.remaining > limit && !chunked {
 		b.err = ErrBodyTooLong
 	}
 }
@@ -58,10 +58,12 @@
 }
 
 // Trailer returns the lines of the trailer section that may go on (RFC 9110, section 6.5.1), once all of the body has been read.
-func (b *Body) Trailer() []byte { return b.lines }
+func (b *Body) Trailer() []byte { return b.trailer }
 
 // Ended reports whether all of the body has been read.
-func (b *Body) Ended() bool { return b.err == io.EOF || b.chunks == nil && b.left == 0 && b.err == nil }
+func (b *Body) Ended() bool {
+	return b.err == io.EOF || b.chunkReader == nil && b.remaining == 0 && b.err == nil
+}
 
 // Read is the method of io.Reader. It gives ErrBodyTooLong for what is over MaxBody, and io.ErrUnexpectedEOF where the
 // connection ends before the body does.
@@ -73,18 +75,18 @@
 		return 0, nil
 	}
 	switch {
-	case b.chunks != nil:
-		if n, err = b.chunks.Read(p); err == io.EOF {
+	case b.chunkReader != nil:
+		if n, err = b.chunkReader.Read(p); err == io.EOF {
 			if err = b.readTrailer(); err == nil {
 				err = io.EOF
 			}
 		}
-	case b.left == 0:
+	case b.remaining == 0:
 		err = io.EOF
-	case b.left > 0:
-		n, err = b.r.Read(p[:min(int64(len(p)), b.left)])
-		b.left -= int64(n)
-		err = unexpected(err)
+	case b.remaining > 0:
+		n, err = b.r.Read(p[:min(int64(len(p)), b.remaining)])
+		b.remaining -= int64(n)
+		err = unexpectedEOF(err)
 	default:
 		n, err = b.r.Read(p)
 	}
@@ -96,10 +98,10 @@
 }
 
 func (b *Body) readTrailer() error {
-	for left := mostTrailer; ; {
+	for left := maxTrailer; ; {
 		line, err := b.r.ReadSlice('\n')
 		if err != nil {
-			return unexpected(err)
+			return unexpectedEOF(err)
 		}
 		if left -= len(line); left < 0 {
 			return ErrHeadTooLong
@@ -108,11 +110,11 @@
 			return nil
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok || !token(name) || hasControl(line) {
+		if !ok || !isToken(name) || hasControl(line) {
 			return ErrMalformedHead
 		}
-		if !IsHopByHopName(name) && !meantForAll(name) {
-			b.lines = Field{name, bytes.Trim(value, " \t")}.Append(b.lines)
+		if !IsHopByHopName(name) && !isEndToEnd(name) {
+			b.trailer = Field{name, bytes.Trim(value, " \t")}.Append(b.trailer)
 		}
 	}
 }
@@ -124,8 +126,8 @@
 		return nil, b.err
 	}
 	var buf []byte
-	if b.chunks == nil && b.left >= 0 {
-		if n = min(n, b.left); n == 0 {
+	if b.chunkReader == nil && b.remaining >= 0 {
+		if n = min(n, b.remaining); n == 0 {
 			return nil, nil
 		}
 		buf = make([]byte, 0, n)
@@ -150,7 +152,7 @@
 
 // ReadAll reads the rest of the body, of at most limit bytes; beyond that it gives ErrBodyTooLong.
 func (b *Body) ReadAll(limit int64) ([]byte, error) {
-	if b.chunks == nil && b.left > limit {
+	if b.chunkReader == nil && b.remaining > limit {
 		return nil, ErrBodyTooLong
 	}
 	body, err := b.ReadUpTo(limit)
@@ -187,19 +189,19 @@
 	return append(strconv.AppendInt(b, int64(n), 16), "\r\n"...)
 }
 
-// copyBuffer is the size of the buffers through which long bodies go.
-const copyBuffer = 32 << 10
+// copyBufferSize is the size of the buffers through which long bodies go.
+const copyBufferSize = 32 << 10
 
-var buffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
+var bufferPool = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
 // CopyBuffer returns a buffer through which a long body can go, and the function that gives it back.
 func CopyBuffer() (b []byte, release func()) {
-	p := buffers.Get().(*[copyBuffer]byte)
-	return p[:], func() { buffers.Put(p) }
+	p := bufferPool.Get().(*[copyBufferSize]byte)
+	return p[:], func() { bufferPool.Put(p) }
 }
 
-// unexpected makes the end of the input an error within a message.
-func unexpected(err error) error {
+// unexpectedEOF makes the end of the input an error within a message.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -212,13 +214,13 @@
 // Upload is what is still to come of a request's body. It is read once, by whoever carries out the attempt that begins to
 // read it; the front that it comes from learns of its end by Done, and may take it back.
 type Upload struct {
-	src     io.Reader
-	started atomic.Bool
-	taken   atomic.Bool
-	reading sync.Mutex // held by a Read that is under way
-	ended   sync.Once
-	done    chan struct{}
-	err     error // before done is closed: io.EOF, or what broke it
+	src       io.Reader
+	started   atomic.Bool
+	reclaimed atomic.Bool
+	readMu    sync.Mutex // held by a Read that is under way
+	endOnce   sync.Once
+	done      chan struct{}
+	err       error // before done is closed: io.EOF, or what broke it
 }
 
 // NewUpload returns an Upload of what src gives.
@@ -226,9 +228,9 @@
 
 // Read is the method of io.Reader.
 func (u *Upload) Read(p []byte) (int, error) {
-	u.reading.Lock()
-	defer u.reading.Unlock()
-	if u.taken.Load() {
+	u.readMu.Lock()
+	defer u.readMu.Unlock()
+	if u.reclaimed.Load() {
 		return 0, ErrReclaimed
 	}
 	u.started.Store(true)
@@ -240,14 +242,14 @@
 }
 
 func (u *Upload) end(err error) {
-	u.ended.Do(func() {
+	u.endOnce.Do(func() {
 		u.err = err
 		close(u.done)
 	})
 }
 
 // Stop ends the reading for good without waiting for a Read that is under way, which gives what it has got to nobody.
-func (u *Upload) Stop() { u.taken.Store(true) }
+func (u *Upload) Stop() { u.reclaimed.Store(true) }
 
 // MarkStarted notes that the body is about to be read, and so can be sent once only.
 func (u *Upload) MarkStarted() { u.started.Store(true) }
@@ -279,12 +281,12 @@
 // Reclaim ends the reading: wake makes a Read that is under way return. It returns the source, of which nothing is read
 // any more by others, and nil if it has been read to its end.
 func (u *Upload) Reclaim(wake func()) io.Reader {
-	u.taken.Store(true)
-	if !u.reading.TryLock() {
+	u.reclaimed.Store(true)
+	if !u.readMu.TryLock() {
 		wake()
-		u.reading.Lock()
+		u.readMu.Lock()
 	}
-	defer u.reading.Unlock()
+	defer u.readMu.Unlock()
 	u.end(ErrReclaimed)
 	if u.err == io.EOF {
 		return nil
--- a/internal/httpmsg/head.go
+++ b/internal/httpmsg/head.go
@@ -60,8 +60,8 @@
 	Close         bool  // the sender ends the connection after this message
 	KeepAlive     bool  // the sender asks to keep it, which only HTTP/1.0 must
 
-	listed [][]byte // further names that Connection lists
-	size   int
+	connectionOptions [][]byte // further names that Connection lists
+	size              int
 }
 
 // Read waits until the whole head of a message lies in r's buffer, and checks it. It reads no byte beyond what it must
@@ -102,11 +102,11 @@
 // Discard takes the head out of r's buffer. Nothing of h may be used afterwards but Length, Chunked, Close and Keep.
 func (h *Head) Discard(r *bufio.Reader) {
 	r.Discard(h.size)
-	h.StartLine, h.Fields, h.listed = nil, h.Fields[:0], h.listed[:0]
+	h.StartLine, h.Fields, h.connectionOptions = nil, h.Fields[:0], h.connectionOptions[:0]
 }
 
 func (h *Head) parse(head []byte) error {
-	*h = Head{Fields: h.Fields[:0], listed: h.listed[:0], ContentLength: -1, size: len(head)}
+	*h = Head{Fields: h.Fields[:0], connectionOptions: h.connectionOptions[:0], ContentLength: -1, size: len(head)}
 	lengths := 0
 	for len(head) > 0 {
 		var line []byte
@@ -125,14 +125,14 @@
 			break // the end
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok || !token(name) {
+		if !ok || !isToken(name) {
 			return ErrMalformedHead
 		}
 		f := Field{name, bytes.Trim(value, " \t")}
 		switch {
 		case f.Is("Content-Length"):
 			lengths++
-			n, ok := decimal(f.Value)
+			n, ok := parseDecimal(f.Value)
 			if !ok {
 				return ErrMalformedHead
 			}
@@ -152,10 +152,10 @@
 					h.Close = true
 				case equalFold(option, "keep-alive"):
 					h.KeepAlive = true
-				case meantForAll(option):
+				case isEndToEnd(option):
 					return ErrConnectionOption
 				case len(option) > 0:
-					h.listed = append(h.listed, option)
+					h.connectionOptions = append(h.connectionOptions, option)
 				}
 			}
 		}
@@ -182,8 +182,8 @@
 	return false
 }
 
-// token reports whether b is a token (RFC 9110, section 5.6.2).
-func token(b []byte) bool {
+// isToken reports whether b is a isToken (RFC 9110, section 5.6.2).
+func isToken(b []byte) bool {
 	for _, c := range b {
 		if !httpguts.IsTokenRune(rune(c)) {
 			return false
@@ -192,8 +192,8 @@
 	return len(b) > 0
 }
 
-// decimal reads a length. More digits than any length has are as wrong as a sign is.
-func decimal(b []byte) (int64, bool) {
+// parseDecimal reads a length. More digits than any length has are as wrong as a sign is.
+func parseDecimal(b []byte) (int64, bool) {
 	if len(b) == 0 || len(b) > 18 {
 		return 0, false
 	}
@@ -221,10 +221,10 @@
 func (h *Head) ParseRequestLine() (method, target []byte, minor int, err error) {
 	method, rest, ok := bytes.Cut(h.StartLine, []byte(" "))
 	target, version, ok2 := bytes.Cut(rest, []byte(" "))
-	if !ok || !ok2 || !token(method) || len(target) == 0 || bytes.IndexByte(target, '\t') >= 0 {
+	if !ok || !ok2 || !isToken(method) || len(target) == 0 || bytes.IndexByte(target, '\t') >= 0 {
 		return nil, nil, 0, ErrMalformedHead
 	}
-	if minor, ok = version1(version); !ok {
+	if minor, ok = parseVersion(version); !ok {
 		return nil, nil, 0, ErrMalformedHead
 	}
 	return method, target, minor, nil
@@ -233,16 +233,16 @@
 // ParseStatusLine reads the status line: the code, and the minor version of HTTP/1.
 func (h *Head) ParseStatusLine() (code, minor int, err error) {
 	version, rest, ok := bytes.Cut(h.StartLine, []byte(" "))
-	minor, ok1 := version1(version)
+	minor, ok1 := parseVersion(version)
 	text, _, _ := bytes.Cut(rest, []byte(" "))
-	n, ok2 := decimal(text)
+	n, ok2 := parseDecimal(text)
 	if !ok || !ok1 || !ok2 || len(text) != 3 || n < 100 {
 		return 0, 0, ErrMalformedHead
 	}
 	return int(n), minor, nil
 }
 
-func version1(b []byte) (minor int, ok bool) {
+func parseVersion(b []byte) (minor int, ok bool) {
 	if len(b) != len("HTTP/1.x") || string(b[:7]) != "HTTP/1." || b[7] != '0' && b[7] != '1' {
 		return 0, false
 	}
@@ -251,7 +251,7 @@
 
 // IsHopByHop reports whether f concerns one connection only (RFC 9110, section 7.6.1), or frames the body.
 func (h *Head) IsHopByHop(f Field) bool {
-	for _, listed := range h.listed {
+	for _, listed := range h.connectionOptions {
 		if bytes.EqualFold(listed, f.Name) {
 			return true
 		}
@@ -259,15 +259,15 @@
 	return IsHopByHopName(f.Name)
 }
 
-// hopNames concern one connection only.
-var hopNames = []string{
+// hopByHopNames concern one connection only.
+var hopByHopNames = []string{
 	"Connection", "Content-Length", "Expect", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
 // IsHopByHopName reports whether fields of that name concern one connection only, or frame the body.
 func IsHopByHopName(name []byte) bool {
-	for _, hop := range hopNames {
+	for _, hop := range hopByHopNames {
 		if equalFold(name, hop) {
 			return true
 		}
@@ -275,9 +275,9 @@
 	return false
 }
 
-// throughNames are meant for every recipient on the way: what the protocol between an application, its sidecar and servers
+// endToEndNames are meant for every recipient on the way: what the protocol between an application, its sidecar and servers
 // is read from, and what says where a message goes, what it holds and who sent it.
-var throughNames = []string{
+var endToEndNames = []string{
 	"Idempotency-Key", "X-Request-ID", "X-Timeout-Ms", "X-Tenant-Id", "X-Cost", "X-Retried", "X-Attrs",
 	"X-Not-Processed", "X-Server-Load", "Retry-After",
 	"Host", "Authorization", "Cookie", "Set-Cookie", "Www-Authenticate", "Origin", "Via", "Forwarded", "Max-Forwards",
@@ -287,18 +287,18 @@
 	"If-Modified-Since", "If-Unmodified-Since", "If-Range", "Cache-Control", "Expires", "Age", "Vary", "Etag", "Last-Modified",
 }
 
-// meantForAll reports whether no connection option may be of that name (RFC 9110, section 7.6.1). It guards against a
+// isEndToEnd reports whether no connection option may be of that name (RFC 9110, section 7.6.1). It guards against a
 // sender that has a field taken out on the way which the next recipient goes by: without its key a server cannot drop a
 // repeat, and without its type a body is read as another.
-func meantForAll(option []byte) bool {
-	return slices.ContainsFunc(throughNames, func(name string) bool { return equalFold(option, name) })
+func isEndToEnd(option []byte) bool {
+	return slices.ContainsFunc(endToEndNames, func(name string) bool { return equalFold(option, name) })
 }
 
 // CheckConnection returns ErrNominated if h has a connection option that no message may have.
 func CheckConnection(h http.Header) error {
 	for _, v := range h["Connection"] {
 		for option := range strings.SplitSeq(v, ",") {
-			if meantForAll([]byte(strings.Trim(option, " \t"))) {
+			if isEndToEnd([]byte(strings.Trim(option, " \t"))) {
 				return ErrConnectionOption
 			}
 		}
--- a/internal/httpmsg/message.go
+++ b/internal/httpmsg/message.go
@@ -44,8 +44,8 @@
 	// ExpectTimeout is how long a server may take to say whether it wants the body (100-continue) until it is sent unasked; 0: nobody asked.
 	ExpectTimeout time.Duration
 
-	mu           sync.Mutex
-	failed, last *Response
+	mu                sync.Mutex
+	lastFailure, last *Response
 }
 
 // RecordResponse notes an answer that was not passed on because another attempt may be made: one by which the server has failed, or one that proves
@@ -54,7 +54,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.last = a; !notRun {
-		t.failed = a
+		t.lastFailure = a
 	}
 }
 
@@ -66,7 +66,7 @@
 	if harmless {
 		return t.last
 	}
-	return t.failed
+	return t.lastFailure
 }
 
 // Response is a server's answer: the reply of an attempt. Nobody changes it.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -23,8 +23,8 @@
 	"quillfront/routes"
 )
 
-// mostHeld bounds the keys that one route remembers the pool of.
-const mostHeld = 100_000
+// maxPinnedKeys bounds the keys that one route remembers the pool of.
+const maxPinnedKeys = 100_000
 
 // Pool is a pool that routes lead to.
 type Pool struct {
@@ -32,35 +32,35 @@
 	Config     pool.Config
 	BodyBudget BodyBudget // for bodies
 
-	mu      sync.Mutex
-	taking  int           // requests that are on their way to the engine
-	retired chan struct{} // closed once none is nor will be; nil: it takes requests
+	mu       sync.Mutex
+	inFlight int           // requests that are on their way to the engine
+	drained  chan struct{} // closed once none is nor will be; nil: it takes requests
 }
 
-// enter notes a request that is on its way to the engine, and reports whether it may go there.
-func (p *Pool) enter() bool {
+// acquire notes a request that is on its way to the engine, and reports whether it may go there.
+func (p *Pool) acquire() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.retired != nil {
+	if p.drained != nil {
 		return false
 	}
-	p.taking++
+	p.inFlight++
 	return true
 }
 
-func (p *Pool) leave() {
+func (p *Pool) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.taking--; p.taking == 0 && p.retired != nil {
-		close(p.retired)
+	if p.inFlight--; p.inFlight == 0 && p.drained != nil {
+		close(p.drained)
 	}
 }
 
-// late reports whether p has been retired.
-func (p *Pool) late() bool {
+// isRetired reports whether p has been retired.
+func (p *Pool) isRetired() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.retired != nil
+	return p.drained != nil
 }
 
 // Retire lets no request into p from now on, and returns what is closed once those on their way have come to the engine. It is called
@@ -68,11 +68,11 @@
 func (p *Pool) Retire() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.retired = make(chan struct{})
-	if p.taking == 0 {
-		close(p.retired)
+	p.drained = make(chan struct{})
+	if p.inFlight == 0 {
+		close(p.drained)
 	}
-	return p.retired
+	return p.drained
 }
 
 // BodyBudget is the memory, in bytes, that bodies of requests may hold.
@@ -107,18 +107,18 @@
 	state atomic.Pointer[state]
 
 	mu     sync.Mutex
-	splits map[string]*split // by route
+	splits map[string]*routeSplit // by route
 }
 
 // state is what is replaced whole.
 type state struct {
 	table  *routes.Table
 	pools  map[string]*Pool
-	splits map[string]*split
+	splits map[string]*routeSplit
 }
 
-// split is where the keys of one route go.
-type split struct {
+// routeSplit is where the keys of one route go.
+type routeSplit struct {
 	mu     sync.Mutex
 	origin time.Time
 	pools  []routes.WeightedPool
@@ -126,9 +126,9 @@
 	requests atomic.Uint64
 }
 
-// classOf is the class of a route's requests in a pool that has k: one of its own where the route has a time of its own. The module takes a
+// className is the class of a route's requests in a pool that has k: one of its own where the route has a time of its own. The module takes a
 // request whose time is not its class's for the last try of an older one.
-func classOf(r *routes.Route, k pool.Class) string {
+func className(r *routes.Route, k pool.Class) string {
 	if r.Timeout == 0 || r.Timeout == k.Deadline {
 		return k.Name
 	}
@@ -141,7 +141,7 @@
 	for _, r := range list {
 		leads := r.Fallback == p.Name || slices.ContainsFunc(r.Pools, func(w routes.WeightedPool) bool { return w.Pool == p.Name })
 		k, ok := p.Class(r.Class)
-		name := classOf(&r, k)
+		name := className(&r, k)
 		if !leads || !ok || slices.ContainsFunc(all, func(o pool.Class) bool { return o.Name == name }) {
 			continue
 		}
@@ -153,7 +153,7 @@
 
 // New returns a Router of routes that lead to pools. See Check for what is wrong with them.
 func New(list []routes.Route, pools map[string]*Pool) (*Router, error) {
-	r := &Router{splits: map[string]*split{}}
+	r := &Router{splits: map[string]*routeSplit{}}
 	return r, r.Set(list, pools)
 }
 
@@ -196,7 +196,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	splits, windows := map[string]*split{}, map[string]time.Duration{}
+	splits, windows := map[string]*routeSplit{}, map[string]time.Duration{}
 	for _, route := range list {
 		window := time.Duration(0)
 		for _, w := range route.Pools {
@@ -209,11 +209,11 @@
 		}
 		s := r.splits[route.Name]
 		if s == nil {
-			spl, err := routes.NewSplitter(route.Pools, window, mostHeld)
+			spl, err := routes.NewSplitter(route.Pools, window, maxPinnedKeys)
 			if err != nil {
 				return err
 			}
-			s = &split{origin: time.Now(), pools: route.Pools, Splitter: spl}
+			s = &routeSplit{origin: time.Now(), pools: route.Pools, Splitter: spl}
 		}
 		splits[route.Name], windows[route.Name] = s, window
 	}
@@ -315,16 +315,16 @@
 	if len(key) > httpcall.MaxIdentifierLength || len(tenant) > httpcall.MaxIdentifierLength {
 		return nil, reject(http.StatusBadRequest, "what the request is about, or whose it is, is told by too many bytes")
 	}
-	name, err := st.pick(&found, q, effect, key, idem)
+	name, err := st.pickPool(&found, q, effect, key, idem)
 	if err != nil {
 		return nil, err
 	}
 	p := st.pools[name]
-	if !p.enter() {
+	if !p.acquire() {
 		return nil, errRetired
 	}
 	k, _ := p.Config.Class(found.Class)
-	k, _ = p.Config.Class(classOf(found.Route, k))
+	k, _ = p.Config.Class(className(found.Route, k))
 	class := k.Name
 	switch effect {
 	case policy.Safe:
@@ -334,7 +334,7 @@
 	}
 	answers := found.ResponseRules
 	return &Decision{
-		Route: found.Name, Pool: name, Engine: p.Engine, BodyBudget: p.BodyBudget, Release: p.leave, PoolRetired: p.late,
+		Route: found.Name, Pool: name, Engine: p.Engine, BodyBudget: p.BodyBudget, Release: p.release, PoolRetired: p.isRetired,
 		Request: &engine.Request{Class: class, Tenant: tenant, Key: key, Timeout: k.Deadline},
 		Evaluate: func(code int, header func(string) []string) routes.Evaluation {
 			return answers.Evaluate(code, header, time.Now())
@@ -342,9 +342,9 @@
 	}, nil
 }
 
-// pick says which pool takes a request. A key whose order may have run stays with its pool for as long as servers there remember it,
+// pickPool says which pool takes a request. A key whose order may have run stays with its pool for as long as servers there remember it,
 // and a new one goes by the override, the weights, and the fallback where its pool has no server.
-func (st *state) pick(found *routes.MatchedRoute, q *Request, effect policy.Effect, key string, idem []string) (string, error) {
+func (st *state) pickPool(found *routes.MatchedRoute, q *Request, effect policy.Effect, key string, idem []string) (string, error) {
 	s := st.splits[found.Name]
 	s.requests.Add(1)
 	firm := effect == policy.Keyed
--- a/routes/explain.go
+++ b/routes/explain.go
@@ -14,7 +14,7 @@
 
 // Explain says what follows for the request, and why its route won. keyed tells whether it has an Idempotency-Key.
 func (f *MatchedRoute) Explain(keyed bool) []ExplainLine {
-	lines := []ExplainLine{{"route", f.Name}, {"because", f.why()}, {"class", f.Class}}
+	lines := []ExplainLine{{"route", f.Name}, {"because", f.reason()}, {"class", f.Class}}
 	var pools []string
 	sum := 0.0
 	for _, p := range f.Pools {
@@ -58,8 +58,8 @@
 	return lines
 }
 
-// why names what of the request the route asks for.
-func (f *MatchedRoute) why() string {
+// reason names what of the request the route asks for.
+func (f *MatchedRoute) reason() string {
 	var parts []string
 	if len(f.Match.Hosts) > 0 {
 		parts = append(parts, "the host is "+strings.Join(f.Match.Hosts, " or "))
@@ -69,19 +69,19 @@
 	}
 	if f.Match.Path != "" {
 		text := "the path is like " + f.Match.Path
-		names := make([]string, 0, len(f.parts))
-		for name := range f.parts {
+		names := make([]string, 0, len(f.captures))
+		for name := range f.captures {
 			names = append(names, name)
 		}
 		slices.SortFunc(names, cmp.Compare)
 		for _, name := range names {
-			text += fmt.Sprintf(", %s is %q", name, f.parts[name])
+			text += fmt.Sprintf(", %s is %q", name, f.captures[name])
 		}
 		parts = append(parts, text)
 	}
 	say := func(what string, list []Condition) {
 		for _, c := range list {
-			switch c.kind() {
+			switch c.specificity() {
 			case 2:
 				parts = append(parts, fmt.Sprintf("the %s %s is %q", what, c.Name, c.Exact))
 			case 1:
--- a/routes/response.go
+++ b/routes/response.go
@@ -37,7 +37,7 @@
 func ParseStatuses(list []string) (Statuses, error) {
 	var all Statuses
 	for _, text := range list {
-		r, err := parseRange(text)
+		r, err := parseStatusRange(text)
 		if err != nil {
 			return nil, err
 		}
@@ -49,7 +49,7 @@
 	return all, nil
 }
 
-func parseRange(text string) (StatusRange, error) {
+func parseStatusRange(text string) (StatusRange, error) {
 	if digit, whole := strings.CutSuffix(text, "xx"); whole && len(digit) == 1 && digit >= "2" && digit <= "5" {
 		first := int(digit[0]-'0') * 100
 		return StatusRange{first, first + 99}, nil
@@ -151,7 +151,7 @@
 		j.Verdict = Interim
 	case code < 100 || code > 599:
 		j.Verdict = Invalid
-	case a.NotRun.Has(code) && (a.NotRunByStatus || marked(header(a.NotRunHeader))):
+	case a.NotRun.Has(code) && (a.NotRunByStatus || isSet(header(a.NotRunHeader))):
 		j.Verdict = NotRun
 	case a.Failure.Has(code):
 		j.Verdict = Failure
@@ -167,8 +167,8 @@
 	return j
 }
 
-// marked reports whether a mark is set: one value, which is 1 or true.
-func marked(values []string) bool {
+// isSet reports whether a mark is set: one value, which is 1 or true.
+func isSet(values []string) bool {
 	return len(values) == 1 && (values[0] == "1" || strings.EqualFold(values[0], "true"))
 }
 
@@ -199,8 +199,8 @@
 	return method != http.MethodHead && code >= 200 && code != http.StatusNoContent && code != http.StatusNotModified
 }
 
-// mostVia bounds the hops that a request may have behind it. A loop that passes through others who do not say so ends by it.
-const mostVia = 32
+// maxViaHops bounds the hops that a request may have behind it. A loop that passes through others who do not say so ends by it.
+const maxViaHops = 32
 
 // ErrLoop tells that a request has come through this instance before, or through too many.
 var ErrLoop = errors.New("the request goes round in a loop")
@@ -216,7 +216,7 @@
 			if len(f) == 0 {
 				continue
 			}
-			if hops++; hops > mostVia || len(f) > 1 && f[1] == self {
+			if hops++; hops > maxViaHops || len(f) > 1 && f[1] == self {
 				return ErrLoop
 			}
 		}
--- a/routes/route.go
+++ b/routes/route.go
@@ -29,10 +29,10 @@
 
 // Bounds of a table. What is beyond them is an error.
 const (
-	MaxRoutes      = 100_000
-	MaxSegments    = 64  // of a path; a request with more matches none
-	mostConditions = 16  // of a route
-	mostPattern    = 512 // bytes of a pattern
+	MaxRoutes        = 100_000
+	MaxSegments      = 64  // of a path; a request with more matches none
+	maxConditions    = 16  // of a route
+	maxPatternLength = 512 // bytes of a pattern
 )
 
 // Condition is what a route asks of a header or of a parameter of the query.
@@ -42,8 +42,8 @@
 	Pattern string // RE2 for the whole value; empty, as Exact is: it must be there
 }
 
-// kind orders conditions by how much they tell.
-func (c Condition) kind() int {
+// specificity orders conditions by how much they tell.
+func (c Condition) specificity() int {
 	switch {
 	case c.Exact != "":
 		return 2
@@ -125,21 +125,21 @@
 	rest    bool
 }
 
-// compiled is a route as the table looks it up.
-type compiled struct {
+// compiledRoute is a route as the table looks it up.
+type compiledRoute struct {
 	*Route
-	number   int // in the order of their being given
+	index    int // in the order of their being given
 	segments []segment
-	headers  []condition
-	query    []condition
+	headers  []compiledCondition
+	query    []compiledCondition
 }
 
-type condition struct {
+type compiledCondition struct {
 	Condition
 	re *regexp.Regexp
 }
 
-func (c condition) holds(values []string) bool {
+func (c compiledCondition) matches(values []string) bool {
 	for _, v := range values {
 		switch {
 		case c.Exact != "":
@@ -158,16 +158,16 @@
 }
 
 // compile checks a route by itself.
-func compile(r *Route, number int) (*compiled, error) {
-	wrong := func(format string, args ...any) (*compiled, error) {
+func compile(r *Route, number int) (*compiledRoute, error) {
+	wrong := func(format string, args ...any) (*compiledRoute, error) {
 		return nil, &RouteError{Route: r.Name, Reason: fmt.Sprintf(format, args...)}
 	}
-	c := &compiled{Route: r, number: number}
+	c := &compiledRoute{Route: r, index: number}
 	if r.Name == "" {
 		return wrong("it has no name")
 	}
 	for i, h := range r.Match.Hosts {
-		if _, _, err := hostPattern(h); err != nil {
+		if _, _, err := parseHostPattern(h); err != nil {
 			return wrong("host %q: %v", h, err)
 		}
 		if slices.Contains(r.Match.Hosts[:i], h) {
@@ -186,13 +186,13 @@
 	if c.segments, err = parsePath(r.Match.Path); err != nil {
 		return wrong("path %q: %v", r.Match.Path, err)
 	}
-	if len(r.Match.Headers)+len(r.Match.Query) > mostConditions {
-		return wrong("more than %d conditions", mostConditions)
+	if len(r.Match.Headers)+len(r.Match.Query) > maxConditions {
+		return wrong("more than %d conditions", maxConditions)
 	}
-	if c.headers, err = conditions(r.Match.Headers, true); err != nil {
+	if c.headers, err = compileConditions(r.Match.Headers, true); err != nil {
 		return wrong("header %v", err)
 	}
-	if c.query, err = conditions(r.Match.Query, false); err != nil {
+	if c.query, err = compileConditions(r.Match.Query, false); err != nil {
 		return wrong("query %v", err)
 	}
 	if r.ResponseRules, err = r.ResponseRules.WithDefaults(); err != nil {
@@ -247,8 +247,8 @@
 	exactHost
 )
 
-// hostPattern reads a pattern of a host: its kind, and the name without its wildcard in lower case.
-func hostPattern(h string) (kind hostKind, name string, err error) {
+// parseHostPattern reads a pattern of a host: its kind, and the name without its wildcard in lower case.
+func parseHostPattern(h string) (kind hostKind, name string, err error) {
 	kind, name = exactHost, strings.ToLower(strings.TrimSuffix(h, "."))
 	if rest, ok := strings.CutPrefix(name, "**."); ok {
 		kind, name = suffixHost, rest
@@ -308,22 +308,22 @@
 	return segments, nil
 }
 
-// conditions compiles conditions, in the order of their names.
-func conditions(list []Condition, header bool) ([]condition, error) {
-	var out []condition
+// compileConditions compiles compileConditions, in the order of their names.
+func compileConditions(list []Condition, header bool) ([]compiledCondition, error) {
+	var out []compiledCondition
 	for _, c := range list {
 		switch {
 		case c.Name == "" || header && !httpguts.ValidHeaderFieldName(c.Name):
 			return nil, fmt.Errorf("%q cannot be a name", c.Name)
 		case c.Exact != "" && c.Pattern != "":
 			return nil, fmt.Errorf("%s has both a value and a pattern", c.Name)
-		case len(c.Pattern) > mostPattern:
-			return nil, fmt.Errorf("%s has a pattern of %d bytes, at most %d", c.Name, len(c.Pattern), mostPattern)
+		case len(c.Pattern) > maxPatternLength:
+			return nil, fmt.Errorf("%s has a pattern of %d bytes, at most %d", c.Name, len(c.Pattern), maxPatternLength)
 		}
 		if header {
 			c.Name = strings.ToLower(c.Name)
 		}
-		n := condition{Condition: c}
+		n := compiledCondition{Condition: c}
 		if c.Pattern != "" {
 			re, err := regexp.Compile(`^(?:` + c.Pattern + `)$`)
 			if err != nil {
@@ -331,11 +331,11 @@
 			}
 			n.re = re
 		}
-		if slices.ContainsFunc(out, func(o condition) bool { return o.Name == n.Name }) {
+		if slices.ContainsFunc(out, func(o compiledCondition) bool { return o.Name == n.Name }) {
 			return nil, fmt.Errorf("%s has two conditions: one pattern can say both", c.Name)
 		}
 		out = append(out, n)
 	}
-	slices.SortFunc(out, func(a, b condition) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b compiledCondition) int { return cmp.Compare(a.Name, b.Name) })
 	return out, nil
 }
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -173,8 +173,8 @@
 	}
 	q := Request{Method: "POST", Target: "/farms/a%2Fb/x/y?outlet=7", Header: header("x-group", "g")}
 	f, err := table.Find(&q)
-	if err != nil || f.RequestKey() != "3:a/b1:71:g" || f.RequestTenant() != "g" || f.parts["rest"] != "x/y" {
-		t.Errorf("%q, %q, %q, %v", f.RequestKey(), f.RequestTenant(), f.parts, err)
+	if err != nil || f.RequestKey() != "3:a/b1:71:g" || f.RequestTenant() != "g" || f.captures["rest"] != "x/y" {
+		t.Errorf("%q, %q, %q, %v", f.RequestKey(), f.RequestTenant(), f.captures, err)
 	}
 	for method, want := range map[string][2]policy.Effect{
 		"GET": {policy.Safe, policy.Safe}, "PUT": {policy.Safe, policy.Safe}, "DELETE": {policy.Safe, policy.Safe},
--- a/routes/splitter.go
+++ b/routes/splitter.go
@@ -21,19 +21,19 @@
 // against servers of two pools that each execute an order under one key, as neither knows what the other has dropped. At most so many
 // keys are held; when there are more the oldest goes early, and Early counts it.
 type Splitter struct {
-	pools  []WeightedPool
-	window time.Duration
-	most   int
+	pools   []WeightedPool
+	window  time.Duration
+	maxPins int
 
-	held  map[string]*list.Element
-	order *list.List // of *heldKey, the latest at the back
-	early int64
+	pins           map[string]*list.Element
+	byAge          *list.List // of *heldKey, the latest at the back
+	earlyEvictions int64
 }
 
-type heldKey struct {
-	key  string
-	pool string
-	at   time.Duration
+type pinnedKey struct {
+	key      string
+	pool     string
+	lastUsed time.Duration
 }
 
 // NewSplitter returns a splitter that holds at most that many keys, each for window after its latest request.
@@ -41,7 +41,7 @@
 	if most < 1 || window < 0 {
 		return nil, errors.New("routes: a splitter must hold keys, and for some time")
 	}
-	s := &Splitter{window: window, most: most, held: map[string]*list.Element{}, order: list.New()}
+	s := &Splitter{window: window, maxPins: most, pins: map[string]*list.Element{}, byAge: list.New()}
 	s.SetWeights(pools)
 	return s, nil
 }
@@ -57,12 +57,12 @@
 // empty pool says that no pool of any weight is ready.
 func (s *Splitter) Pick(now time.Duration, key string, firm bool, ready func(pool string) bool) (pool string) {
 	s.expire(now)
-	if e := s.held[key]; e != nil {
-		h := e.Value.(*heldKey)
+	if e := s.pins[key]; e != nil {
+		h := e.Value.(*pinnedKey)
 		if firm || ready == nil || ready(h.pool) {
 			if firm {
-				h.at = now
-				s.order.MoveToBack(e)
+				h.lastUsed = now
+				s.byAge.MoveToBack(e)
 			}
 			return h.pool
 		}
@@ -72,12 +72,12 @@
 		if p.Weight <= 0 || ready != nil && !ready(p.Pool) {
 			continue
 		}
-		if score := -p.Weight / math.Log(unit(key, p.Pool)); score > best {
+		if score := -p.Weight / math.Log(hashToUnit(key, p.Pool)); score > best {
 			pool, best = p.Pool, score
 		}
 	}
 	if firm && pool != "" {
-		s.hold(now, key, pool)
+		s.pin(now, key, pool)
 	}
 	return pool
 }
@@ -85,8 +85,8 @@
 // PinnedPool returns the pool that a key is kept with at a time, if it is.
 func (s *Splitter) PinnedPool(now time.Duration, key string) (pool string, ok bool) {
 	s.expire(now)
-	if e := s.held[key]; e != nil {
-		return e.Value.(*heldKey).pool, true
+	if e := s.pins[key]; e != nil {
+		return e.Value.(*pinnedKey).pool, true
 	}
 	return "", false
 }
@@ -94,43 +94,43 @@
 // Pin keeps a key with a pool that was picked by other means.
 func (s *Splitter) Pin(now time.Duration, key, pool string) {
 	s.expire(now)
-	if e := s.held[key]; e != nil {
-		s.drop(e)
+	if e := s.pins[key]; e != nil {
+		s.unpin(e)
 	}
-	s.hold(now, key, pool)
+	s.pin(now, key, pool)
 }
 
-// hold notes that a key was sent to a pool.
-func (s *Splitter) hold(now time.Duration, key, pool string) {
+// pin notes that a key was sent to a pool.
+func (s *Splitter) pin(now time.Duration, key, pool string) {
 	if s.window == 0 {
 		return
 	}
-	if len(s.held) >= s.most {
-		s.drop(s.order.Front())
-		s.early++
+	if len(s.pins) >= s.maxPins {
+		s.unpin(s.byAge.Front())
+		s.earlyEvictions++
 	}
-	s.held[key] = s.order.PushBack(&heldKey{key, pool, now})
+	s.pins[key] = s.byAge.PushBack(&pinnedKey{key, pool, now})
 }
 
 func (s *Splitter) expire(now time.Duration) {
-	for e := s.order.Front(); e != nil && now-e.Value.(*heldKey).at > s.window; e = s.order.Front() {
-		s.drop(e)
+	for e := s.byAge.Front(); e != nil && now-e.Value.(*pinnedKey).lastUsed > s.window; e = s.byAge.Front() {
+		s.unpin(e)
 	}
 }
 
-func (s *Splitter) drop(e *list.Element) {
-	delete(s.held, e.Value.(*heldKey).key)
-	s.order.Remove(e)
+func (s *Splitter) unpin(e *list.Element) {
+	delete(s.pins, e.Value.(*pinnedKey).key)
+	s.byAge.Remove(e)
 }
 
 // PinnedKeys is how many keys are held.
-func (s *Splitter) PinnedKeys() int { return len(s.held) }
+func (s *Splitter) PinnedKeys() int { return len(s.pins) }
 
 // EarlyEvictions counts the keys that were let go before their window had passed, for want of room.
-func (s *Splitter) EarlyEvictions() int64 { return s.early }
+func (s *Splitter) EarlyEvictions() int64 { return s.earlyEvictions }
 
-// unit hashes a key and a pool to a number within 0 and 1, both excluded.
-func unit(key, pool string) float64 {
+// hashToUnit hashes a key and a pool to a number within 0 and 1, both excluded.
+func hashToUnit(key, pool string) float64 {
 	h := fnv.New64a()
 	h.Write([]byte(pool))
 	h.Write([]byte{0})
--- a/routes/table.go
+++ b/routes/table.go
@@ -11,31 +11,31 @@
 	"strings"
 )
 
-// mostAlike bounds the routes of one host and path, which are compared with each other and tried in turn.
-const mostAlike = 1000
+// maxRoutesPerPath bounds the routes of one host and path, which are compared with each other and tried in turn.
+const maxRoutesPerPath = 1000
 
 // Table looks up routes. It may be used from many goroutines at once.
 type Table struct {
-	routes []*compiled
-	exact  map[string]*node // by host
-	label  map[string]*node // by host without its first label
-	suffix map[string]*node // by the end of the host
-	any    *node
+	routes   []*compiledRoute
+	exact    map[string]*node // by host
+	oneLabel map[string]*node // by host without its first label
+	suffix   map[string]*node // by the end of the host
+	any      *node
 }
 
 // node is a place in the tree of paths below one pattern of hosts.
 type node struct {
 	literals map[string]*node
-	part     *node
+	capture  *node
 	rest     *leaf // routes whose path goes on with anything
 	end      *leaf // routes whose path ends here
 }
 
 // leaf holds the routes of one host and path.
 type leaf struct {
-	all      []*compiled            // in the order of precedence
-	byMethod map[string][]*compiled // the same, of those that match a method
-	other    []*compiled            // of those that match methods that are named nowhere
+	routes   []*compiledRoute            // in the order of precedence
+	byMethod map[string][]*compiledRoute // the same, of those that match a method
+	other    []*compiledRoute            // of those that match methods that are named nowhere
 }
 
 // New makes a table, or tells all that is wrong with the routes, each as a *RouteError.
@@ -43,7 +43,7 @@
 	if len(list) > MaxRoutes {
 		return nil, fmt.Errorf("%d routes, at most %d", len(list), MaxRoutes)
 	}
-	t := &Table{exact: map[string]*node{}, label: map[string]*node{}, suffix: map[string]*node{}, any: &node{}}
+	t := &Table{exact: map[string]*node{}, oneLabel: map[string]*node{}, suffix: map[string]*node{}, any: &node{}}
 	var errs []error
 	names := map[string]bool{}
 	leaves := map[*leaf]bool{}
@@ -60,16 +60,16 @@
 		}
 		names[r.Name] = true
 		t.routes = append(t.routes, c)
-		for _, n := range t.hosts(r.Match.Hosts) {
-			l := n.leaf(c.segments)
-			l.all = append(l.all, c)
+		for _, n := range t.hostTrees(r.Match.Hosts) {
+			l := n.leafFor(c.segments)
+			l.routes = append(l.routes, c)
 			leaves[l] = true
 		}
 	}
-	reached := map[*compiled]bool{}
-	hidden := map[*compiled]*compiled{}
+	reached := map[*compiledRoute]bool{}
+	hidden := map[*compiledRoute]*compiledRoute{}
 	for l := range leaves {
-		errs = append(errs, l.build(reached, hidden)...)
+		errs = append(errs, l.finalize(reached, hidden)...)
 	}
 	for _, c := range t.routes {
 		if by := hidden[c]; by != nil && !reached[c] {
@@ -83,15 +83,15 @@
 	return t, nil
 }
 
-// hosts returns the trees of some patterns, which have been checked.
-func (t *Table) hosts(patterns []string) []*node {
+// hostTrees returns the trees of some patterns, which have been checked.
+func (t *Table) hostTrees(patterns []string) []*node {
 	if len(patterns) == 0 {
 		return []*node{t.any}
 	}
 	var out []*node
 	for _, p := range patterns {
-		kind, name, _ := hostPattern(p)
-		m := map[hostKind]map[string]*node{exactHost: t.exact, labelHost: t.label, suffixHost: t.suffix}[kind]
+		kind, name, _ := parseHostPattern(p)
+		m := map[hostKind]map[string]*node{exactHost: t.exact, labelHost: t.oneLabel, suffixHost: t.suffix}[kind]
 		if m[name] == nil {
 			m[name] = &node{}
 		}
@@ -102,8 +102,8 @@
 	return out
 }
 
-// leaf returns the leaf of a path, made if it lacks.
-func (n *node) leaf(path []segment) *leaf {
+// leafFor returns the leafFor of a path, made if it lacks.
+func (n *node) leafFor(path []segment) *leaf {
 	for _, s := range path {
 		switch {
 		case s.rest:
@@ -112,10 +112,10 @@
 			}
 			return n.rest
 		case s.name != "":
-			if n.part == nil {
-				n.part = &node{}
+			if n.capture == nil {
+				n.capture = &node{}
 			}
-			n = n.part
+			n = n.capture
 		default:
 			if n.literals == nil {
 				n.literals = map[string]*node{}
@@ -132,18 +132,18 @@
 	return n.end
 }
 
-// rank compares routes of one leaf by precedence; 0 says that it does not tell them apart.
-func rank(a, b *compiled) int {
-	methods := func(c *compiled) int {
+// comparePrecedence compares routes of one leaf by precedence; 0 says that it does not tell them apart.
+func comparePrecedence(a, b *compiledRoute) int {
+	methods := func(c *compiledRoute) int {
 		if n := len(c.Match.Methods); n > 0 {
 			return n
 		}
 		return 1 << 20
 	}
-	count := func(c *compiled, least int) (n int) {
-		for _, list := range [][]condition{c.headers, c.query} {
+	count := func(c *compiledRoute, least int) (n int) {
+		for _, list := range [][]compiledCondition{c.headers, c.query} {
 			for _, x := range list {
-				if x.kind() >= least {
+				if x.specificity() >= least {
 					n++
 				}
 			}
@@ -154,14 +154,14 @@
 		cmp.Compare(count(b, 1), count(a, 1)), cmp.Compare(a.Order, b.Order))
 }
 
-// build sorts a leaf's routes and finds those that cannot be told apart. It notes which can be reached, and what hides others.
-func (l *leaf) build(reached map[*compiled]bool, hidden map[*compiled]*compiled) (errs []error) {
-	if len(l.all) > mostAlike {
-		return []error{&RouteError{Route: l.all[0].Name, Reason: fmt.Sprintf("%d routes have its host and path, at most %d", len(l.all), mostAlike)}}
-	}
-	slices.SortFunc(l.all, func(a, b *compiled) int { return cmp.Or(rank(a, b), cmp.Compare(a.number, b.number)) })
-	l.byMethod = map[string][]*compiled{}
-	for _, c := range l.all {
+// finalize sorts a leaf's routes and finds those that cannot be told apart. It notes which can be reached, and what hides others.
+func (l *leaf) finalize(reached map[*compiledRoute]bool, hidden map[*compiledRoute]*compiledRoute) (errs []error) {
+	if len(l.routes) > maxRoutesPerPath {
+		return []error{&RouteError{Route: l.routes[0].Name, Reason: fmt.Sprintf("%d routes have its host and path, at most %d", len(l.routes), maxRoutesPerPath)}}
+	}
+	slices.SortFunc(l.routes, func(a, b *compiledRoute) int { return cmp.Or(comparePrecedence(a, b), cmp.Compare(a.index, b.index)) })
+	l.byMethod = map[string][]*compiledRoute{}
+	for _, c := range l.routes {
 		for _, m := range c.Match.Methods {
 			l.byMethod[m] = nil
 			if m == http.MethodGet {
@@ -169,11 +169,11 @@
 			}
 		}
 	}
-	takes := func(c *compiled, m string) bool {
+	takes := func(c *compiledRoute, m string) bool {
 		return len(c.Match.Methods) == 0 || slices.Contains(c.Match.Methods, m) ||
 			m == http.MethodHead && slices.Contains(c.Match.Methods, http.MethodGet) // as with http.ServeMux
 	}
-	for _, c := range l.all {
+	for _, c := range l.routes {
 		for m := range l.byMethod {
 			if takes(c, m) {
 				l.byMethod[m] = append(l.byMethod[m], c)
@@ -183,22 +183,22 @@
 			l.other = append(l.other, c)
 		}
 	}
-	lists := [][]*compiled{l.other}
+	lists := [][]*compiledRoute{l.other}
 	for _, list := range l.byMethod {
 		lists = append(lists, list)
 	}
 	for _, list := range lists {
 		for i, c := range list {
-			by := slices.IndexFunc(list[:i], func(o *compiled) bool { return o.covers(c) })
+			by := slices.IndexFunc(list[:i], func(o *compiledRoute) bool { return o.covers(c) })
 			if by < 0 {
 				reached[c] = true
 			}
 			for _, o := range list[:i] {
-				if rank(o, c) == 0 && !o.excludes(c) {
+				if comparePrecedence(o, c) == 0 && !o.disjoint(c) {
 					errs = append(errs, &RouteError{o.Name, c.Name, "a request could match both, and nothing tells which is meant; give one an order"})
 				}
 			}
-			if by >= 0 && rank(list[by], c) != 0 {
+			if by >= 0 && comparePrecedence(list[by], c) != 0 {
 				hidden[c] = list[by]
 			}
 		}
@@ -207,14 +207,14 @@
 }
 
 // covers reports whether every request of c's host, path and method that meets c's conditions meets o's.
-func (o *compiled) covers(c *compiled) bool {
-	return implied(o.headers, c.headers) && implied(o.query, c.query)
+func (o *compiledRoute) covers(c *compiledRoute) bool {
+	return impliedBy(o.headers, c.headers) && impliedBy(o.query, c.query)
 }
 
-func implied(weak, strong []condition) bool {
+func impliedBy(weak, strong []compiledCondition) bool {
 	for _, w := range weak {
-		ok := slices.ContainsFunc(strong, func(s condition) bool {
-			return s.Name == w.Name && (w.kind() == 0 || s.Condition == w.Condition || w.re != nil && s.Exact != "" && w.re.MatchString(s.Exact))
+		ok := slices.ContainsFunc(strong, func(s compiledCondition) bool {
+			return s.Name == w.Name && (w.specificity() == 0 || s.Condition == w.Condition || w.re != nil && s.Exact != "" && w.re.MatchString(s.Exact))
 		})
 		if !ok {
 			return false
@@ -223,10 +223,10 @@
 	return true
 }
 
-// excludes reports whether no request meets the conditions of both. A header or parameter that comes twice may meet two values;
+// disjoint reports whether no request meets the conditions of both. A header or parameter that comes twice may meet two values;
 // routes count as exclusive all the same, and the first in the order of their being given wins.
-func (o *compiled) excludes(c *compiled) bool {
-	differ := func(a, b []condition) bool {
+func (o *compiledRoute) disjoint(c *compiledRoute) bool {
+	differ := func(a, b []compiledCondition) bool {
 		for _, x := range a {
 			for _, y := range b {
 				if x.Name != y.Name {
@@ -254,9 +254,9 @@
 // MatchedRoute is the route of a request, and what was found of the request on the way.
 type MatchedRoute struct {
 	*Route
-	parts map[string]string
-	query url.Values
-	q     *Request
+	captures map[string]string
+	query    url.Values
+	request  *Request
 }
 
 // The reasons for which a request has no route.
@@ -276,14 +276,14 @@
 // Find returns the route of q, or ErrNoRoute, a *MethodError or ErrTarget.
 func (t *Table) Find(q *Request) (MatchedRoute, error) {
 	path, query, _ := strings.Cut(q.Target, "?")
-	segments, ok := split(path)
+	segments, ok := splitPath(path)
 	if !ok {
 		return MatchedRoute{}, ErrTarget
 	}
 	s := search{q: q, segments: segments, rawQuery: query}
-	for n := range t.candidates(hostOf(q.Host)) {
+	for n := range t.candidates(normalizeHost(q.Host)) {
 		if s.walk(n, 0) {
-			return s.found(), nil
+			return s.result(), nil
 		}
 	}
 	if len(s.allow) > 0 {
@@ -293,8 +293,8 @@
 	return MatchedRoute{}, ErrNoRoute
 }
 
-// hostOf is a host as the table has it: without port and final dot, in lower case.
-func hostOf(h string) string {
+// normalizeHost is a host as the table has it: without port and final dot, in lower case.
+func normalizeHost(h string) string {
 	if name, _, err := net.SplitHostPort(h); err == nil {
 		if strings.Contains(name, ":") {
 			name = "[" + name + "]"
@@ -311,7 +311,7 @@
 			return
 		}
 		_, rest, ok := strings.Cut(host, ".")
-		if n := t.label[rest]; ok && n != nil && !yield(n) {
+		if n := t.oneLabel[rest]; ok && n != nil && !yield(n) {
 			return
 		}
 		for labels := 0; ok && len(t.suffix) > 0 && labels < 127; labels++ { // a name has at most 127 (RFC 1035, 2.3.4)
@@ -324,8 +324,8 @@
 	}
 }
 
-// split splits a path into segments and undoes their escapes, so that an escaped slash stays within one.
-func split(path string) ([]string, bool) {
+// splitPath splits a path into segments and undoes their escapes, so that an escaped slash stays within one.
+func splitPath(path string) ([]string, bool) {
 	if path == "" || path[0] != '/' || strings.Count(path, "/") > MaxSegments {
 		return nil, false
 	}
@@ -348,26 +348,26 @@
 	segments []string
 	rawQuery string
 	query    url.Values // parsed when it is first asked for
-	route    *compiled
+	route    *compiledRoute
 	allow    []string
 }
 
 // walk looks below n for a route of the segments from i on. Each node is met once at most, as it has one way to it.
 func (s *search) walk(n *node, i int) bool {
 	if i == len(s.segments) {
-		return s.try(n.end) || s.try(n.rest)
+		return s.tryLeaf(n.end) || s.tryLeaf(n.rest)
 	}
 	if next := n.literals[s.segments[i]]; next != nil && s.walk(next, i+1) {
 		return true
 	}
-	if n.part != nil && s.segments[i] != "" && s.walk(n.part, i+1) {
+	if n.capture != nil && s.segments[i] != "" && s.walk(n.capture, i+1) {
 		return true
 	}
-	return s.try(n.rest)
+	return s.tryLeaf(n.rest)
 }
 
-// try looks for a route of a leaf that takes the method and whose conditions hold.
-func (s *search) try(l *leaf) bool {
+// tryLeaf looks for a route of a leaf that takes the method and whose conditions hold.
+func (s *search) tryLeaf(l *leaf) bool {
 	if l == nil {
 		return false
 	}
@@ -376,14 +376,14 @@
 		list = l.other
 	}
 	for _, c := range list {
-		if s.holds(c) {
+		if s.conditionsMet(c) {
 			s.route = c
 			return true
 		}
 	}
 	if len(list) == 0 {
-		for _, c := range l.all {
-			if s.holds(c) {
+		for _, c := range l.routes {
+			if s.conditionsMet(c) {
 				s.allow = append(s.allow, c.Match.Methods...)
 			}
 		}
@@ -391,9 +391,9 @@
 	return false
 }
 
-func (s *search) holds(c *compiled) bool {
+func (s *search) conditionsMet(c *compiledRoute) bool {
 	for _, x := range c.headers {
-		if s.q.Header == nil || !x.holds(s.q.Header(x.Name)) {
+		if s.q.Header == nil || !x.matches(s.q.Header(x.Name)) {
 			return false
 		}
 	}
@@ -401,26 +401,26 @@
 		s.query, _ = url.ParseQuery(s.rawQuery) // what of it can be read
 	}
 	for _, x := range c.query {
-		if !x.holds(s.query[x.Name]) {
+		if !x.matches(s.query[x.Name]) {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *search) found() MatchedRoute {
-	f := MatchedRoute{Route: s.route.Route, q: s.q, query: s.query}
+func (s *search) result() MatchedRoute {
+	f := MatchedRoute{Route: s.route.Route, request: s.q, query: s.query}
 	for i, seg := range s.route.segments {
 		if seg.name == "" {
 			continue
 		}
-		if f.parts == nil {
-			f.parts = map[string]string{}
+		if f.captures == nil {
+			f.captures = map[string]string{}
 		}
 		if seg.rest {
-			f.parts[seg.name] = strings.Join(s.segments[min(i, len(s.segments)):], "/")
+			f.captures[seg.name] = strings.Join(s.segments[min(i, len(s.segments)):], "/")
 		} else {
-			f.parts[seg.name] = s.segments[i]
+			f.captures[seg.name] = s.segments[i]
 		}
 	}
 	return f
--- a/routes/value.go
+++ b/routes/value.go
@@ -9,32 +9,32 @@
 	"quillfront/policy"
 )
 
-// value takes a part of the request.
-func (f *MatchedRoute) value(p ValueSource) string {
+// sourceValue takes a part of the request.
+func (f *MatchedRoute) sourceValue(p ValueSource) string {
 	switch {
 	case p.Path != "":
-		return f.parts[p.Path]
+		return f.captures[p.Path]
 	case p.Header != "":
-		if f.q.Header == nil {
+		if f.request.Header == nil {
 			return ""
 		}
-		return strings.Join(f.q.Header(p.Header), ",")
+		return strings.Join(f.request.Header(p.Header), ",")
 	}
 	if f.query == nil {
-		_, raw, _ := strings.Cut(f.q.Target, "?")
+		_, raw, _ := strings.Cut(f.request.Target, "?")
 		f.query, _ = url.ParseQuery(raw)
 	}
 	return strings.Join(f.query[p.Query], ",")
 }
 
-// join takes several parts together, so that no two lists of values give one and the same.
-func (f *MatchedRoute) join(parts []ValueSource) string {
+// combine takes several parts together, so that no two lists of values give one and the same.
+func (f *MatchedRoute) combine(parts []ValueSource) string {
 	if len(parts) == 1 {
-		return f.value(parts[0])
+		return f.sourceValue(parts[0])
 	}
 	var b strings.Builder
 	for _, p := range parts {
-		v := f.value(p)
+		v := f.sourceValue(p)
 		b.WriteString(strconv.Itoa(len(v)))
 		b.WriteByte(':')
 		b.WriteString(v)
@@ -43,10 +43,10 @@
 }
 
 // RequestKey is what the request is about, by the route's Key; empty without one.
-func (f *MatchedRoute) RequestKey() string { return f.join(f.Route.Key) }
+func (f *MatchedRoute) RequestKey() string { return f.combine(f.Route.Key) }
 
 // RequestTenant is whose the request is, by the route's Tenant.
-func (f *MatchedRoute) RequestTenant() string { return f.join(f.Route.Tenant) }
+func (f *MatchedRoute) RequestTenant() string { return f.combine(f.Route.Tenant) }
 
 // RequestEffect says what repeating the request may do. keyed tells whether it has an Idempotency-Key.
 func (f *MatchedRoute) RequestEffect(keyed bool) policy.Effect {
@@ -61,7 +61,7 @@
 	case Unsafe:
 		return policy.Unsafe
 	}
-	switch f.q.Method {
+	switch f.request.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace, http.MethodPut, http.MethodDelete:
 		return policy.Safe
 	case http.MethodPost, http.MethodPatch:
