--- a/internal/httpmsg/body.go
+++ b/internal/httpmsg/body.go
@@ -12,33 +12,36 @@
 )
 
 const (
-	// MaxBody is the longest body that a message may have, in bytes, by the protocol.
+	// MaxBody is the maximum length of a body in the sidecar protocol, in bytes.
 	MaxBody = 32 << 20
-	// MaxFullBody is the longest body that is always held whole before it goes on, in bytes. Above it the first bytes of an answer
-	// are what counts.
+	// MaxFullBody is the maximum length of a body that is always read in full before it is
+	// forwarded, in bytes. A longer response counts as received with its first bytes.
 	MaxFullBody = 64 << 10
-	// maxTrailer bounds the trailer section after a chunked body, in bytes; what in it speaks of framing, routes or rights is dropped.
+	// maxTrailer is the maximum size of the trailer section after a chunked body, in bytes. Fields
+	// in it that concern framing, routing or authorization are dropped.
 	maxTrailer = 4 << 10
 )
 
-// Body reads the body of the message whose head was taken from r. It gives io.EOF only where the body ends as its framing
-// says, and leaves what stands behind it in r. Before Reset it must not be read.
+// Body reads the body of a message whose head has been read from r. It returns io.EOF only where
+// the body ends according to its framing, and leaves the bytes after the body in r. It must not be
+// read before Reset.
 type Body struct {
 	r           *bufio.Reader
-	chunkReader io.Reader // nil: the body is not in chunks
-	remaining   int64     // without chunks: bytes to come; negative: all until the end of the connection
-	size        int64     // bytes that were read
-	limit       int64     // of size
-	trailer     []byte    // of the trailer section that may go on
-	err         error     // what ended it
+	chunkReader io.Reader // nil: the body is not chunked
+	remaining   int64     // if not chunked: bytes to come; negative: the body ends with the connection
+	size        int64     // bytes read so far
+	limit       int64     // the maximum of size
+	trailer     []byte    // the lines of the trailer section that may be forwarded
+	err         error     // io.EOF or the error that ended the body
 }
 
-// Reset makes b the body of a message of that length, which is -1 where only the end of the connection ends it.
+// Reset makes b read the body of a message with that length, or up to the end of the connection if
+// length is -1. The limit is MaxBody.
 func (b *Body) Reset(r *bufio.Reader, length int64, chunked bool) {
 	b.ResetWithLimit(r, length, chunked, MaxBody)
 }
 
-// ResetWithLimit is Reset for a body that may have up to limit bytes.
+// ResetWithLimit is Reset with a limit of limit bytes.
 func (b *Body) ResetWithLimit(r *bufio.Reader, length int64, chunked bool, limit int64) {
 	*b = Body{r: r, remaining: length, limit: limit}
 	if chunked {
@@ -49,7 +52,8 @@
 	}
 }
 
-// ReadErr returns what broke the body; nil: it has ended in order, or not yet.
+// ReadErr returns the error that ended the body early, or nil if the body is complete or not yet
+// read to its end.
 func (b *Body) ReadErr() error {
 	if b.err == io.EOF {
 		return nil
@@ -57,16 +61,17 @@
 	return b.err
 }
 
-// Trailer returns the lines of the trailer section that may go on (RFC 9110, section 6.5.1), once all of the body has been read.
+// Trailer returns the lines of the trailer section that may be forwarded (RFC 9110, section 6.5.1),
+// once the body has been read to its end.
 func (b *Body) Trailer() []byte { return b.trailer }
 
-// Ended reports whether all of the body has been read.
+// Ended reports whether the body has been read to its end.
 func (b *Body) Ended() bool {
 	return b.err == io.EOF || b.chunkReader == nil && b.remaining == 0 && b.err == nil
 }
 
-// Read is the method of io.Reader. It gives ErrBodyTooLong for what is over MaxBody, and io.ErrUnexpectedEOF where the
-// connection ends before the body does.
+// Read implements io.Reader. It returns ErrBodyTooLong if the body exceeds its limit, and
+// io.ErrUnexpectedEOF if the connection ends before the body.
 func (b *Body) Read(p []byte) (n int, err error) {
 	if b.err != nil {
 		return 0, b.err
@@ -97,6 +102,7 @@
 	return n, err
 }
 
+// readTrailer reads the trailer section and keeps the fields that may be forwarded.
 func (b *Body) readTrailer() error {
 	for left := maxTrailer; ; {
 		line, err := b.r.ReadSlice('\n')
@@ -119,8 +125,8 @@
 	}
 }
 
-// ReadUpTo reads until n bytes have come or the body has ended, which Ended tells. Where its length is not told, it reads one
-// more to learn whether it has.
+// ReadUpTo reads until it has n bytes or the body ends, which Ended reports. If the length of the
+// body is unknown, it reads one more byte to find out whether the body has ended.
 func (b *Body) ReadUpTo(n int64) ([]byte, error) {
 	if b.err != nil && b.err != io.EOF {
 		return nil, b.err
@@ -150,7 +156,7 @@
 	return buf, nil
 }
 
-// ReadAll reads the rest of the body, of at most limit bytes; beyond that it gives ErrBodyTooLong.
+// ReadAll reads the rest of the body. It returns ErrBodyTooLong if that is longer than limit bytes.
 func (b *Body) ReadAll(limit int64) ([]byte, error) {
 	if b.chunkReader == nil && b.remaining > limit {
 		return nil, ErrBodyTooLong
@@ -162,7 +168,8 @@
 	return body, err
 }
 
-// ChunkedBodyComplete reports whether b, which begins with the head of a chunk, holds all of a chunked body up to the end of its trailer section.
+// ChunkedBodyComplete reports whether b, which starts with a chunk header, contains the rest of a
+// chunked body including its trailer section.
 func ChunkedBodyComplete(b []byte) bool {
 	for {
 		line, rest, ok := bytes.Cut(b, []byte("\n"))
@@ -172,7 +179,7 @@
 		size, _, _ := bytes.Cut(trimLine(line), []byte(";"))
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 31)
 		if err != nil {
-			return true // whoever reads it learns what is wrong without waiting
+			return true // the reader finds the error without more data
 		}
 		if n == 0 {
 			return bytes.HasPrefix(rest, []byte("\r\n")) || bytes.Contains(rest, []byte("\r\n\r\n"))
@@ -184,23 +191,24 @@
 	}
 }
 
-// AppendChunkHead appends the head of a chunk of n bytes; its end is a line break.
+// AppendChunkHead appends the header line of a chunk of n bytes. The chunk data must be followed by
+// CRLF.
 func AppendChunkHead(b []byte, n int) []byte {
 	return append(strconv.AppendInt(b, int64(n), 16), "\r\n"...)
 }
 
-// copyBufferSize is the size of the buffers through which long bodies go.
+// copyBufferSize is the size of the buffers for copying long bodies.
 const copyBufferSize = 32 << 10
 
 var bufferPool = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// CopyBuffer returns a buffer through which a long body can go, and the function that gives it back.
+// CopyBuffer returns a buffer for copying a long body, and a function that returns it to the pool.
 func CopyBuffer() (b []byte, release func()) {
 	p := bufferPool.Get().(*[copyBufferSize]byte)
 	return p[:], func() { bufferPool.Put(p) }
 }
 
-// unexpectedEOF makes the end of the input an error within a message.
+// unexpectedEOF replaces io.EOF, which within a message is an error, with io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -208,25 +216,26 @@
 	return err
 }
 
-// ErrReclaimed tells a reader of an Upload that whoever owns it has taken it back.
+// ErrReclaimed reports to a reader of an Upload that its owner has reclaimed or stopped it.
 var ErrReclaimed = errors.New("the rest of the body was taken back")
 
-// Upload is what is still to come of a request's body. It is read once, by whoever carries out the attempt that begins to
-// read it; the front that it comes from learns of its end by Done, and may take it back.
+// Upload is the part of a request body that has not been received yet. It can be read only once, by
+// the attempt that starts to read it. The front that created it learns from Done when reading has
+// ended, and may reclaim it.
 type Upload struct {
 	src       io.Reader
 	started   atomic.Bool
 	reclaimed atomic.Bool
-	readMu    sync.Mutex // held by a Read that is under way
+	readMu    sync.Mutex // held during a Read
 	endOnce   sync.Once
 	done      chan struct{}
-	err       error // before done is closed: io.EOF, or what broke it
+	err       error // set before done is closed: io.EOF or the error that ended it
 }
 
-// NewUpload returns an Upload of what src gives.
+// NewUpload returns an Upload that reads from src.
 func NewUpload(src io.Reader) *Upload { return &Upload{src: src, done: make(chan struct{})} }
 
-// Read is the method of io.Reader.
+// Read implements io.Reader.
 func (u *Upload) Read(p []byte) (int, error) {
 	u.readMu.Lock()
 	defer u.readMu.Unlock()
@@ -241,6 +250,7 @@
 	return n, err
 }
 
+// end records the first error and closes done.
 func (u *Upload) end(err error) {
 	u.endOnce.Do(func() {
 		u.err = err
@@ -248,19 +258,21 @@
 	})
 }
 
-// Stop ends the reading for good without waiting for a Read that is under way, which gives what it has got to nobody.
+// Stop makes all further Reads fail. It does not wait for a Read in progress, whose data is
+// discarded.
 func (u *Upload) Stop() { u.reclaimed.Store(true) }
 
-// MarkStarted notes that the body is about to be read, and so can be sent once only.
+// MarkStarted records that the body is about to be read, so that it cannot be sent again.
 func (u *Upload) MarkStarted() { u.started.Store(true) }
 
-// Started reports whether something has been read, so that the body cannot be sent again.
+// Started reports whether reading has started, so that the body cannot be sent again.
 func (u *Upload) Started() bool { return u.started.Load() }
 
-// Done is closed once nothing more will be read.
+// Done returns a channel that is closed once nothing more will be read.
 func (u *Upload) Done() <-chan struct{} { return u.done }
 
-// Err returns what ended it, once Done is closed: io.EOF if all was read. Before, it returns nil.
+// Err returns the error that ended the reading once Done is closed: io.EOF if everything was read.
+// Before that it returns nil.
 func (u *Upload) Err() error {
 	select {
 	case <-u.done:
@@ -270,7 +282,7 @@
 	}
 }
 
-// SourceErr returns what broke the body on its way here, if something has.
+// SourceErr returns the error of the source that ended the body early, if any.
 func (u *Upload) SourceErr() error {
 	if err := u.Err(); err != io.EOF && err != ErrReclaimed {
 		return err
@@ -278,8 +290,9 @@
 	return nil
 }
 
-// Reclaim ends the reading: wake makes a Read that is under way return. It returns the source, of which nothing is read
-// any more by others, and nil if it has been read to its end.
+// Reclaim ends the reading. If a Read is in progress, it calls wake, which must make that Read
+// return, and waits for it. It returns the source, which nobody else reads any more, or nil if the
+// source has been read to its end.
 func (u *Upload) Reclaim(wake func()) io.Reader {
 	u.reclaimed.Store(true)
 	if !u.readMu.TryLock() {
--- a/internal/httpmsg/head.go
+++ b/internal/httpmsg/head.go
@@ -1,6 +1,7 @@
-// Package httpmsg reads the heads and bodies of HTTP/1.1 messages (RFC 9112) as strictly as two parties must who do not
-// trust each other to see the same end of a message, and tells what of a head concerns one connection only. It serves
-// both the side of the clients and that of the servers; it opens no connection and keeps nothing.
+// Package httpmsg parses the heads and bodies of HTTP/1.1 messages (RFC 9112), for connections to
+// clients and to servers. It is strict, because two parties that do not trust each other must agree
+// on where a message ends. It also recognizes hop-by-hop fields. It opens no connections and keeps
+// no state between messages.
 package httpmsg
 
 import (
@@ -15,7 +16,7 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// What can be wrong with a message.
+// Errors of invalid messages.
 var (
 	ErrHeadTooLong      = errors.New("the head is too long")
 	ErrMalformedHead    = errors.New("the head cannot be read")
@@ -24,13 +25,14 @@
 	ErrConnectionOption = errors.New("Connection names a field that is meant for every recipient")
 )
 
-// Field is one line of a head. Both parts lie in the reader's buffer.
+// Field is a header field. Name and Value point into the buffer of the reader.
 type Field struct{ Name, Value []byte }
 
-// Is reports whether the field has that name, in whatever case.
+// Is reports whether f has that name, regardless of case.
 func (f Field) Is(name string) bool { return equalFold(f.Name, name) }
 
-// equalFold compares without regard to the case of ASCII letters, and without allocating.
+// equalFold reports whether b and s are equal regardless of the case of ASCII letters. It does not
+// allocate.
 func equalFold(b []byte, s string) bool {
 	if len(b) != len(s) {
 		return false
@@ -50,28 +52,28 @@
 	return true
 }
 
-// Head is the head of one message. It lies in the buffer of the reader that it was read from: it holds until Discard, and
-// a Head may be used again for the next message.
+// Head is the head of one message. It points into the buffer of the reader that it was read from,
+// so it is valid until Discard. A Head can be reused for the next message.
 type Head struct {
 	StartLine     []byte // the request line or status line
 	Fields        []Field
-	ContentLength int64 // of the body by Content-Length; -1 without one
-	Chunked       bool  // the body is in chunks
-	Close         bool  // the sender ends the connection after this message
-	KeepAlive     bool  // the sender asks to keep it, which only HTTP/1.0 must
+	ContentLength int64 // the value of Content-Length; -1 without one
+	Chunked       bool  // the body is chunked
+	Close         bool  // the sender closes the connection after this message
+	KeepAlive     bool  // the sender asks to keep the connection open, which only HTTP/1.0 requires
 
-	connectionOptions [][]byte // further names that Connection lists
-	size              int
+	connectionOptions [][]byte // the other options of Connection, which name hop-by-hop fields
+	size              int      // bytes in the buffer
 }
 
-// Read waits until the whole head of a message lies in r's buffer, and checks it. It reads no byte beyond what it must
-// wait for, and leaves the head in the buffer: see Discard.
+// Read waits until the complete head of a message is in the buffer of r, and parses it. It does not
+// wait for any byte after the head, and leaves the head in the buffer: see Discard.
 //
-// It guards against messages whose end two readers see in different places, so that one of them takes a part of the body
-// for a message of its own: it rejects two lengths of whatever kind, folded lines, control characters, white space in
-// names, and lengths and codings that are not spelt out plainly. By the size of the buffer it guards against heads
-// without end. What it rejects is never valid between parties of this protocol; a sender that folds its lines would be
-// turned away though it means no harm.
+// It prevents request smuggling, where two readers see the end of a message in different places and
+// one of them takes a part of the body for a message. It rejects more than one length of any kind,
+// folded lines, control characters, white space in names, and lengths and codings that are not in
+// their plain form. The size of the buffer limits the length of a head. Nothing that it rejects is
+// valid in this protocol; a harmless sender that folds its lines is rejected too.
 func (h *Head) Read(r *bufio.Reader) error {
 	for seen := 0; ; {
 		if _, err := r.Peek(max(seen+1, r.Buffered())); err != nil {
@@ -81,7 +83,7 @@
 			return err
 		}
 		b, _ := r.Peek(r.Buffered())
-		for i := max(0, seen-3); i < len(b); i++ { // the end may straddle what had come before
+		for i := max(0, seen-3); i < len(b); i++ { // the end may span two reads
 			n := bytes.IndexByte(b[i:], '\n')
 			if n < 0 {
 				break
@@ -99,12 +101,14 @@
 	}
 }
 
-// Discard takes the head out of r's buffer. Nothing of h may be used afterwards but Length, Chunked, Close and Keep.
+// Discard removes the head from the buffer of r. Afterwards only ContentLength, Chunked, Close and
+// KeepAlive may be used.
 func (h *Head) Discard(r *bufio.Reader) {
 	r.Discard(h.size)
 	h.StartLine, h.Fields, h.connectionOptions = nil, h.Fields[:0], h.connectionOptions[:0]
 }
 
+// parse parses the lines of head into h.
 func (h *Head) parse(head []byte) error {
 	*h = Head{Fields: h.Fields[:0], connectionOptions: h.connectionOptions[:0], ContentLength: -1, size: len(head)}
 	lengths := 0
@@ -122,7 +126,7 @@
 			continue
 		}
 		if len(line) == 0 {
-			break // the end
+			break // the end of the head
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok || !isToken(name) {
@@ -167,12 +171,13 @@
 	return nil
 }
 
-// trimLine takes the end off a line: a line feed, and a carriage return before it.
+// trimLine removes the line terminator: a line feed and a carriage return before it.
 func trimLine(line []byte) []byte {
 	return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 }
 
-// hasControl reports whether a line has a character that none may have (RFC 9110, section 5.5).
+// hasControl reports whether a line contains a control character that is not allowed (RFC 9110,
+// section 5.5).
 func hasControl(line []byte) bool {
 	for _, c := range line {
 		if c < ' ' && c != '\t' || c == 0x7f {
@@ -182,7 +187,7 @@
 	return false
 }
 
-// isToken reports whether b is a isToken (RFC 9110, section 5.6.2).
+// isToken reports whether b is a token (RFC 9110, section 5.6.2).
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if !httpguts.IsTokenRune(rune(c)) {
@@ -192,7 +197,7 @@
 	return len(b) > 0
 }
 
-// parseDecimal reads a length. More digits than any length has are as wrong as a sign is.
+// parseDecimal parses an unsigned number of at most 18 digits. A sign is an error.
 func parseDecimal(b []byte) (int64, bool) {
 	if len(b) == 0 || len(b) > 18 {
 		return 0, false
@@ -207,7 +212,7 @@
 	return n, true
 }
 
-// Values returns the values of the fields of that name, in whatever case.
+// Values returns the values of all fields with that name, regardless of case.
 func (h *Head) Values(name string) (all []string) {
 	for _, f := range h.Fields {
 		if f.Is(name) {
@@ -217,7 +222,8 @@
 	return all
 }
 
-// ParseRequestLine reads the request line: the method, the target as it stands, and the minor version of HTTP/1.
+// ParseRequestLine parses the request line. It returns the method, the unmodified target and the
+// minor version of HTTP/1.
 func (h *Head) ParseRequestLine() (method, target []byte, minor int, err error) {
 	method, rest, ok := bytes.Cut(h.StartLine, []byte(" "))
 	target, version, ok2 := bytes.Cut(rest, []byte(" "))
@@ -230,7 +236,8 @@
 	return method, target, minor, nil
 }
 
-// ParseStatusLine reads the status line: the code, and the minor version of HTTP/1.
+// ParseStatusLine parses the status line. It returns the status code and the minor version of
+// HTTP/1.
 func (h *Head) ParseStatusLine() (code, minor int, err error) {
 	version, rest, ok := bytes.Cut(h.StartLine, []byte(" "))
 	minor, ok1 := parseVersion(version)
@@ -242,6 +249,7 @@
 	return int(n), minor, nil
 }
 
+// parseVersion parses HTTP/1.0 and HTTP/1.1.
 func parseVersion(b []byte) (minor int, ok bool) {
 	if len(b) != len("HTTP/1.x") || string(b[:7]) != "HTTP/1." || b[7] != '0' && b[7] != '1' {
 		return 0, false
@@ -249,23 +257,23 @@
 	return int(b[7] - '0'), true
 }
 
-// IsHopByHop reports whether f concerns one connection only (RFC 9110, section 7.6.1), or frames the body.
+// IsHopByHop reports whether f is a hop-by-hop field (RFC 9110, section 7.6.1) or frames the body.
 func (h *Head) IsHopByHop(f Field) bool {
-	for _, listed := range h.connectionOptions {
-		if bytes.EqualFold(listed, f.Name) {
+	for _, option := range h.connectionOptions {
+		if bytes.EqualFold(option, f.Name) {
 			return true
 		}
 	}
 	return IsHopByHopName(f.Name)
 }
 
-// hopByHopNames concern one connection only.
+// hopByHopNames are the fields that are always hop-by-hop or frame the body.
 var hopByHopNames = []string{
 	"Connection", "Content-Length", "Expect", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// IsHopByHopName reports whether fields of that name concern one connection only, or frame the body.
+// IsHopByHopName reports whether fields with that name are always hop-by-hop or frame the body.
 func IsHopByHopName(name []byte) bool {
 	for _, hop := range hopByHopNames {
 		if equalFold(name, hop) {
@@ -275,8 +283,9 @@
 	return false
 }
 
-// endToEndNames are meant for every recipient on the way: what the protocol between an application, its sidecar and servers
-// is read from, and what says where a message goes, what it holds and who sent it.
+// endToEndNames are fields that are meant for every recipient: those of the protocol between an
+// application, its sidecar and servers, and those that describe the destination, content and origin
+// of a message.
 var endToEndNames = []string{
 	"Idempotency-Key", "X-Request-ID", "X-Timeout-Ms", "X-Tenant-Id", "X-Cost", "X-Retried", "X-Attrs",
 	"X-Not-Processed", "X-Server-Load", "Retry-After",
@@ -287,14 +296,15 @@
 	"If-Modified-Since", "If-Unmodified-Since", "If-Range", "Cache-Control", "Expires", "Age", "Vary", "Etag", "Last-Modified",
 }
 
-// isEndToEnd reports whether no connection option may be of that name (RFC 9110, section 7.6.1). It guards against a
-// sender that has a field taken out on the way which the next recipient goes by: without its key a server cannot drop a
-// repeat, and without its type a body is read as another.
+// isEndToEnd reports whether option is the name of an end-to-end field, which must not be a
+// connection option (RFC 9110, section 7.6.1). Otherwise a sender could make an intermediary remove
+// fields that the next recipient relies on: without the key a server cannot drop a repeat, and
+// without the content type it misinterprets the body.
 func isEndToEnd(option []byte) bool {
 	return slices.ContainsFunc(endToEndNames, func(name string) bool { return equalFold(option, name) })
 }
 
-// CheckConnection returns ErrNominated if h has a connection option that no message may have.
+// CheckConnection returns ErrConnectionOption if Connection names an end-to-end field.
 func CheckConnection(h http.Header) error {
 	for _, v := range h["Connection"] {
 		for option := range strings.SplitSeq(v, ",") {
@@ -306,7 +316,7 @@
 	return nil
 }
 
-// Append appends the field as a line.
+// Append appends f as a header line.
 func (f Field) Append(b []byte) []byte {
 	b = append(b, f.Name...)
 	b = append(b, ": "...)
@@ -314,7 +324,7 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendIntField appends a line with a number.
+// AppendIntField appends a header line with a number as its value.
 func AppendIntField(b []byte, name string, n int64) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
--- a/internal/httpmsg/header.go
+++ b/internal/httpmsg/header.go
@@ -7,22 +7,23 @@
 	"slices"
 )
 
-// AppendHeader appends the lines of h to b, but those that concern one connection only and those for which skip is true. All
-// names and values must be such as a line may hold.
+// AppendHeader appends the lines of h to b, sorted by name, except for hop-by-hop fields and those
+// for which skip returns true. skip may be nil. All names and values must be valid in a header
+// line.
 func AppendHeader(b []byte, h http.Header, skip func(name string) bool) []byte {
 	names := make([]string, 0, len(h))
 	for name := range h {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	var listed []string
+	var connectionOptions []string
 	for _, v := range h["Connection"] {
 		for name := range bytes.SplitSeq([]byte(v), []byte(",")) {
-			listed = append(listed, textproto.CanonicalMIMEHeaderKey(string(bytes.TrimSpace(name))))
+			connectionOptions = append(connectionOptions, textproto.CanonicalMIMEHeaderKey(string(bytes.TrimSpace(name))))
 		}
 	}
 	for _, name := range names {
-		if IsHopByHopName([]byte(name)) || skip != nil && skip(name) || slices.Contains(listed, textproto.CanonicalMIMEHeaderKey(name)) {
+		if IsHopByHopName([]byte(name)) || skip != nil && skip(name) || slices.Contains(connectionOptions, textproto.CanonicalMIMEHeaderKey(name)) {
 			continue
 		}
 		for _, v := range h[name] {
@@ -32,7 +33,7 @@
 	return b
 }
 
-// ParseHeader reads lines that were checked before, each ended by CRLF.
+// ParseHeader parses header lines that have been validated before and that each end with CRLF.
 func ParseHeader(lines []byte) http.Header {
 	h := http.Header{}
 	for line := range bytes.SplitSeq(lines, []byte("\r\n")) {
--- a/internal/httpmsg/message.go
+++ b/internal/httpmsg/message.go
@@ -11,86 +11,93 @@
 	"quillfront/routes"
 )
 
-// Message is a request as servers are sent it: the payload of an engine.Request between an HTTP front and an HTTP
-// transport, which know each other by it alone. Its body is released with the request.
+// Message is a request in the form in which it is sent to servers. It is the payload of an
+// engine.Request and the only interface between an HTTP front and an HTTP transport. The memory for
+// its body is released with the request.
 type Message struct {
 	Method      string
-	Target      string // as the client wrote it
+	Target      string // as the client sent it
 	Host        string
-	HeaderLines []byte // the further lines of its head, each ended by CRLF: none that the transport writes itself
+	HeaderLines []byte // each ends with CRLF; without the lines that the transport writes
 	Body        []byte
-	Upload      *Upload // what follows Body; nil: nothing
-	Length      int64   // with Rest: of the whole body; negative: not told
-	// Trailer returns the lines behind Rest, once it has been read to its end; nil: there are none.
+	Upload      *Upload // the part of the body after Body; nil: none
+	Length      int64   // with Upload: the length of the whole body; negative: unknown
+	// Trailer returns the trailer lines once Upload has been read to its end; nil: there are none.
 	Trailer  func() []byte
-	Exchange *Exchange // nil: it is a message of the platform's protocol
+	Exchange *Exchange // nil: the message follows the sidecar protocol
 }
 
-// String is the method and the target without its query, which may hold what is nobody else's business.
+// String returns the method and the target without its query, which may contain private data.
 func (m *Message) String() string {
 	path, _, _ := strings.Cut(m.Target, "?")
 	return m.Method + " " + path
 }
 
-// Exchange are what a message of plain HTTP asks of whoever carries it out: its answers are of every status, and go on as they come.
+// Exchange tells the transport how to handle the exchange of a plain HTTP request, whose response
+// may have any status and is forwarded while it arrives. It also keeps the responses of failed
+// attempts.
 type Exchange struct {
-	// Evaluate says what an answer comes to, from its status and the values of its head.
+	// Evaluate evaluates a response by its status code and headers.
 	Evaluate func(code int, header func(name string) []string) routes.Evaluation
-	// OnInterim takes an informational answer, whose lines it does not keep. It may be called by several attempts, and once the
-	// request has ended.
+	// OnInterim is called for each informational response. It must not retain lines. Several
+	// attempts may call it, also after the request has ended.
 	OnInterim func(code int, lines []byte)
-	// StallTimeout is how long an answer may stand still once its head has come.
+	// StallTimeout limits the time without progress after the head of a response has arrived.
 	StallTimeout time.Duration
-	// ExpectTimeout is how long a server may take to say whether it wants the body (100-continue) until it is sent unasked; 0: nobody asked.
+	// ExpectTimeout limits the wait for 100 (Continue) before the body is sent anyway; 0: the client
+	// did not send Expect: 100-continue.
 	ExpectTimeout time.Duration
 
 	mu                sync.Mutex
 	lastFailure, last *Response
 }
 
-// RecordResponse notes an answer that was not passed on because another attempt may be made: one by which the server has failed, or one that proves
-// that nothing ran.
-func (t *Exchange) RecordResponse(a *Response, notRun bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.last = a; !notRun {
-		t.lastFailure = a
+// RecordResponse records a response that was not forwarded because another attempt may follow: a
+// failure of the server or, with notRun, a proof that the attempt was not executed.
+func (x *Exchange) RecordResponse(r *Response, notRun bool) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	if x.last = r; !notRun {
+		x.lastFailure = r
 	}
 }
 
-// LastResponse returns the answer that was kept last; nil: none was. Unless a retry of the request is harmless, one that proves that its own
-// attempt did not run is none to be given: whoever got it would ask again.
-func (t *Exchange) LastResponse(harmless bool) *Response {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// LastResponse returns the last recorded response, or nil. Unless a retry of the request is
+// harmless, it ignores responses that prove that their own attempt was not executed: a client that
+// got one would retry the request.
+func (x *Exchange) LastResponse(harmless bool) *Response {
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	if harmless {
-		return t.last
+		return x.last
 	}
-	return t.lastFailure
+	return x.lastFailure
 }
 
-// Response is a server's answer: the reply of an attempt. Nobody changes it.
+// Response is the response of a server, the reply of an attempt. It is immutable.
 type Response struct {
-	Status      int    // 0: 200
-	HeaderLines []byte // of its head, each ended by CRLF, but those that concern one connection only
-	Body        []byte // at most MaxWhole
-	// NoBody says that it has no body, though Length may tell one: it answers HEAD, or its status has none.
+	Status      int    // 0 means 200
+	HeaderLines []byte // each ends with CRLF; without hop-by-hop fields
+	Body        []byte // at most MaxFullBody bytes
+	// NoBody says that there is no body even if Length is set: the response is to HEAD, or its
+	// status does not allow a body.
 	NoBody        bool
-	HasDate       bool // Lines has a Date
-	HasRetryAfter bool // Lines has a Retry-After
-	// BodyRest is what follows Body, as it comes; nil: nothing. Whoever has the answer reads it to its end or closes it, and
-	// passes on a body that breaks off as one that does: see Body.
+	HasDate       bool // HeaderLines has a Date
+	HasRetryAfter bool // HeaderLines has a Retry-After
+	// BodyRest streams the part of the body after Body; nil: none. The owner of the response must
+	// read it to its end or close it. If it breaks off, the forwarded body must break off too: see
+	// the type Body.
 	BodyRest io.ReadCloser
-	Length   int64 // with Rest or Bare: of the whole body; negative: not told
-	// Trailer returns the lines behind the body, once it has been read to its end; nil: there are none.
+	Length   int64 // with BodyRest or NoBody: the length of the whole body; negative: unknown
+	// Trailer returns the trailer lines once the body has been read to its end; nil: there are none.
 	Trailer func() []byte
 }
 
-// Codec turns answers into bytes and back, for whoever keeps them.
+// Codec encodes and decodes responses for storage.
 type Codec struct{}
 
-// Encode returns the bytes of an *Answer that is whole, and nil for anything else: the length of its lines, the lines and
-// the body.
+// Encode encodes a *Response with status 200 and a complete body as the length of its header lines,
+// the lines and the body. It returns nil for anything else.
 func (Codec) Encode(reply any) []byte {
 	a, ok := reply.(*Response)
 	if !ok || a.BodyRest != nil || a.Status != 0 {
@@ -101,20 +108,22 @@
 	return append(append(b, a.HeaderLines...), a.Body...)
 }
 
-// Decode reads an *Answer.
+// Decode decodes a *Response.
 func (Codec) Decode(b []byte) (any, error) {
 	n, head := binary.Uvarint(b)
 	if head <= 0 || n > uint64(len(b)-head) {
-		return nil, errors.New("httpmsg: no answer")
+		return nil, errors.New("httpmsg: malformed encoded response")
 	}
 	b = b[head:]
 	return &Response{HeaderLines: b[:n:n], Body: b[n:]}, nil
 }
 
-// What answers say of an order beside what its server said.
+// Header lines that are added to responses to orders.
 const (
-	// ReplayedLine tells that the answer was made for an earlier request under the same Idempotency-Key.
+	// ReplayedLine says that the response is that to an earlier request with the same
+	// Idempotency-Key.
 	ReplayedLine = "Idempotency-Replayed: true\r\n"
-	// UnknownLine tells that an earlier request under the same Idempotency-Key may have run: nobody knows.
+	// UnknownLine says that it is unknown whether an earlier request with the same Idempotency-Key
+	// was executed.
 	UnknownLine = "Idempotency-State: unknown\r\n"
 )
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,6 @@
-// Package router says what becomes of a request of plain HTTP: by its route, which pool takes it, as what class, with what key, for how
-// long, and how its answers are judged. Every front that serves by routes asks it. It opens no connection.
+// Package router decides how a plain HTTP request is handled. From the route of the request it
+// determines the pool, the class, the key, the timeout and the evaluation of responses. All HTTP
+// fronts that use routes share it. It opens no connections.
 package router
 
 import (
@@ -23,21 +24,21 @@
 	"quillfront/routes"
 )
 
-// maxPinnedKeys bounds the keys that one route remembers the pool of.
+// maxPinnedKeys limits the keys whose pool one route remembers.
 const maxPinnedKeys = 100_000
 
-// Pool is a pool that routes lead to.
+// Pool is a pool that routes refer to.
 type Pool struct {
 	Engine     *engine.Engine
 	Config     pool.Config
-	BodyBudget BodyBudget // for bodies
+	BodyBudget BodyBudget // for the bodies of its requests
 
 	mu       sync.Mutex
-	inFlight int           // requests that are on their way to the engine
-	drained  chan struct{} // closed once none is nor will be; nil: it takes requests
+	inFlight int           // requests that are routed here but not yet submitted to the engine
+	drained  chan struct{} // closed once p is retired and inFlight is 0; nil before Retire
 }
 
-// acquire notes a request that is on its way to the engine, and reports whether it may go there.
+// acquire counts a request as in flight. It reports false if p is retired.
 func (p *Pool) acquire() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,6 +49,7 @@
 	return true
 }
 
+// release ends a successful acquire.
 func (p *Pool) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,15 +58,16 @@
 	}
 }
 
-// isRetired reports whether p has been retired.
+// isRetired reports whether Retire has been called.
 func (p *Pool) isRetired() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.drained != nil
 }
 
-// Retire lets no request into p from now on, and returns what is closed once those on their way have come to the engine. It is called
-// once, when no table leads to p any more.
+// Retire stops p from accepting requests. The returned channel is closed once all requests that are
+// in flight have reached the engine. It must be called only once, when no table refers to p any
+// more.
 func (p *Pool) Retire() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,20 +78,20 @@
 	return p.drained
 }
 
-// BodyBudget is the memory, in bytes, that bodies of requests may hold.
+// BodyBudget limits the memory, in bytes, for request bodies.
 type BodyBudget interface {
 	TryAcquire(n int64) bool
 	Release(n int64)
 }
 
-// Request is what of a request decides over it.
+// Request holds the parts of a request that the routing depends on.
 type Request struct {
 	Method, Host string
-	Target       string                     // in origin form, as it stands on the wire
-	Header       func(name string) []string // the values of a field, by its name in any case
+	Target       string                     // in origin form, as sent on the wire
+	Header       func(name string) []string // the values of a header, by case-insensitive name
 }
 
-// Decision is what becomes of a request.
+// Decision says how a request is handled.
 type Decision struct {
 	Route      string
 	Pool       string
@@ -96,13 +99,16 @@
 	Request    *engine.Request // without payload
 	Evaluate   func(code int, header func(name string) []string) routes.Evaluation
 	BodyBudget BodyBudget
-	Release    func() // called once, when the engine has the request or nobody will give it to it
-	// PoolRetired reports whether the table that led here has been replaced by one that does not: who has not given the request to the engine yet
-	// asks again.
+	// Release must be called exactly once, when the engine has the request or the request will not
+	// be submitted.
+	Release func()
+	// PoolRetired reports whether the pool has been retired, because the current table no longer
+	// refers to it. A request that has not been submitted to the engine is then routed again.
 	PoolRetired func() bool
 }
 
-// Router goes by a table of routes, which can be replaced while it is asked. Its methods may be called from many goroutines at once.
+// Router routes requests by a table that can be replaced at any time. It is safe for concurrent
+// use.
 type Router struct {
 	state atomic.Pointer[state]
 
@@ -110,24 +116,25 @@
 	splits map[string]*routeSplit // by route
 }
 
-// state is what is replaced whole.
+// state is replaced as a whole by Set.
 type state struct {
 	table  *routes.Table
 	pools  map[string]*Pool
 	splits map[string]*routeSplit
 }
 
-// routeSplit is where the keys of one route go.
+// routeSplit distributes the keys of one route among its pools.
 type routeSplit struct {
 	mu     sync.Mutex
-	origin time.Time
+	origin time.Time // the zero of the Splitter's clock
 	pools  []routes.WeightedPool
 	*routes.Splitter
 	requests atomic.Uint64
 }
 
-// className is the class of a route's requests in a pool that has k: one of its own where the route has a time of its own. The module takes a
-// request whose time is not its class's for the last try of an older one.
+// className returns the class of r's requests in a pool with class k. A route whose timeout differs
+// from that of k gets a class of its own: the decision module would take a request whose timeout is
+// not that of its class for the last try of an older request.
 func className(r *routes.Route, k pool.Class) string {
 	if r.Timeout == 0 || r.Timeout == k.Deadline {
 		return k.Name
@@ -135,14 +142,15 @@
 	return k.Name + "@" + r.Timeout.String()
 }
 
-// Classes returns the classes that p has for routes: its own, and one for each time that a route to it has of its own.
+// Classes returns the classes that p needs for the routes in list: its own, and one for each
+// different timeout of a route that refers to p.
 func Classes(p pool.Config, list []routes.Route) []pool.Class {
 	all := slices.Clone(p.Classes)
 	for _, r := range list {
-		leads := r.Fallback == p.Name || slices.ContainsFunc(r.Pools, func(w routes.WeightedPool) bool { return w.Pool == p.Name })
+		usesPool := r.Fallback == p.Name || slices.ContainsFunc(r.Pools, func(w routes.WeightedPool) bool { return w.Pool == p.Name })
 		k, ok := p.Class(r.Class)
 		name := className(&r, k)
-		if !leads || !ok || slices.ContainsFunc(all, func(o pool.Class) bool { return o.Name == name }) {
+		if !usesPool || !ok || slices.ContainsFunc(all, func(o pool.Class) bool { return o.Name == name }) {
 			continue
 		}
 		k.Name, k.Aim, k.Deadline = name, min(k.Aim, r.Timeout), r.Timeout
@@ -151,13 +159,14 @@
 	return all
 }
 
-// New returns a Router of routes that lead to pools. See Check for what is wrong with them.
+// New returns a Router for routes and the pools that they refer to. Check validates them.
 func New(list []routes.Route, pools map[string]*Pool) (*Router, error) {
 	r := &Router{splits: map[string]*routeSplit{}}
 	return r, r.Set(list, pools)
 }
 
-// Check tells what of routes their pools could not do. An error names route and key.
+// Check reports an error if the routes are invalid or their pools cannot handle their requests. An
+// error about a pool names the route and the key of the configuration.
 func Check(list []routes.Route, pools []pool.Config) error {
 	if _, err := routes.New(list); err != nil {
 		return err
@@ -180,15 +189,16 @@
 			case !ok || !k.ByRequest:
 				return fmt.Errorf("[[routes]] %s: class: pool %q has no class %q with effect \"by-request\"", r.Name, name, r.Class)
 			case (r.Effect == routes.Keyed || r.TrustIdempotencyKey) && k.Window == 0:
-				return fmt.Errorf("[[routes]] %s: class %q of pool %q has no window: for how long do servers drop repeats of a key?", r.Name, r.Class, name)
+				return fmt.Errorf("[[routes]] %s: class %q of pool %q has no window, the time for which servers drop repeats of a key", r.Name, r.Class, name)
 			}
 		}
 	}
 	return nil
 }
 
-// Set replaces routes and pools. What a route remembers of its keys is kept by its name, so that a key whose order may have run is not sent
-// to another pool because the file has changed. With an error all stays as it was.
+// Set replaces the routes and pools. A route keeps its pinned keys under its name, so that a key
+// whose order may have been executed is not sent to another pool because the configuration changed.
+// On an error nothing changes.
 func (r *Router) Set(list []routes.Route, pools map[string]*Pool) error {
 	table, err := routes.New(list)
 	if err != nil {
@@ -209,11 +219,11 @@
 		}
 		s := r.splits[route.Name]
 		if s == nil {
-			spl, err := routes.NewSplitter(route.Pools, window, maxPinnedKeys)
+			splitter, err := routes.NewSplitter(route.Pools, window, maxPinnedKeys)
 			if err != nil {
 				return err
 			}
-			s = &routeSplit{origin: time.Now(), pools: route.Pools, Splitter: spl}
+			s = &routeSplit{origin: time.Now(), pools: route.Pools, Splitter: splitter}
 		}
 		splits[route.Name], windows[route.Name] = s, window
 	}
@@ -232,27 +242,27 @@
 	return nil
 }
 
-// Rejection is why a request is not served, beside what httpcall has.
+// Rejection is an httpcall.Rejection with details of the routing.
 type Rejection struct {
 	httpcall.Rejection
-	Allow          []string // with 405
-	OutcomeUnknown bool     // an earlier request under the same key may have run
+	Allow          []string // the methods that would match, with status 405
+	OutcomeUnknown bool     // an earlier request with the same key may have been executed
 }
 
-// Unwrap makes it an httpcall.Rejection.
+// Unwrap returns the httpcall.Rejection.
 func (e *Rejection) Unwrap() error { return e.Rejection }
 
 func reject(status int, text string) error {
 	return &Rejection{Rejection: httpcall.Rejection{Status: status, Text: text}}
 }
 
-// Matches reports whether some route takes a request.
+// Matches reports whether a route matches q.
 func (r *Router) Matches(q *Request) bool {
 	_, err := r.state.Load().table.Find(&routes.Request{Host: q.Host, Method: q.Method, Target: q.Target, Header: q.Header})
 	return err == nil
 }
 
-// Route says what becomes of a request. An error is a *Rejection or an httpcall.Rejection.
+// Route decides how q is handled. The error is a *Rejection or an httpcall.Rejection.
 func (r *Router) Route(q *Request) (*Decision, error) {
 	if _, err := httpcall.DecodePath(q.Target); err != nil {
 		return nil, err
@@ -265,32 +275,35 @@
 	}
 }
 
-// Reroute routes a request anew that has not come to its engine yet and whose call is late, as its body was long in coming. It returns the call
-// to go on with, which is c where c is not late or nothing else takes the request: its pool then refuses it as long as that is true. held
-// bytes of its body move to the other pool's room, and what the request has been told of itself with them.
-func (r *Router) Reroute(c *Decision, held int64, asked func() *Request) *Decision {
-	for c.PoolRetired() {
-		next, err := r.Route(asked())
+// Reroute routes a request again if its pool was retired before the request was submitted to the
+// engine, for example while its body was still arriving. It returns the decision to follow. That is
+// d if its pool is not retired, or if no other pool can accept the request; the retired pool then
+// rejects it. The reservation of reserved bytes for the body moves to the budget of the new pool,
+// and the payload and the retry and upload flags of the request move to the new request.
+func (r *Router) Reroute(d *Decision, reserved int64, request func() *Request) *Decision {
+	for d.PoolRetired() {
+		next, err := r.Route(request())
 		if err != nil {
-			return c
+			return d
 		}
-		if held > 0 && !next.BodyBudget.TryAcquire(held) {
+		if reserved > 0 && !next.BodyBudget.TryAcquire(reserved) {
 			next.Release()
-			return c
+			return d
 		}
-		if held > 0 {
-			c.BodyBudget.Release(held)
+		if reserved > 0 {
+			d.BodyBudget.Release(reserved)
 		}
-		next.Request.Payload, next.Request.Retry, next.Request.Upload = c.Request.Payload, c.Request.Retry, c.Request.Upload
-		c.Release()
-		c = next
+		next.Request.Payload, next.Request.Retry, next.Request.Upload = d.Request.Payload, d.Request.Retry, d.Request.Upload
+		d.Release()
+		d = next
 	}
-	return c
+	return d
 }
 
-// errRetired tells that the table has just been replaced.
+// errRetired reports that the pool was retired after the table was loaded. It does not leave Route.
 var errRetired = errors.New("the pool takes no more requests")
 
+// route is Route for one state. The error is errRetired if the pool has been retired since.
 func (st *state) route(q *Request) (*Decision, error) {
 	found, err := st.table.Find(&routes.Request{Host: q.Host, Method: q.Method, Target: q.Target, Header: q.Header})
 	var method *routes.MethodError
@@ -302,11 +315,12 @@
 	case err != nil:
 		return nil, reject(http.StatusBadRequest, err.Error())
 	}
-	idem := q.Header("Idempotency-Key")
-	if len(idem) > 1 || len(idem) == 1 && len(idem[0]) > httpcall.MaxIdentifierLength { // of two keys each reader might take another one
+	idempotencyKeys := q.Header("Idempotency-Key")
+	// With several keys, readers could choose different ones.
+	if len(idempotencyKeys) > 1 || len(idempotencyKeys) == 1 && len(idempotencyKeys[0]) > httpcall.MaxIdentifierLength {
 		return nil, reject(http.StatusBadRequest, "Idempotency-Key is given more than once or too long")
 	}
-	keyed := len(idem) == 1 && idem[0] != ""
+	keyed := len(idempotencyKeys) == 1 && idempotencyKeys[0] != ""
 	effect := found.RequestEffect(keyed)
 	if effect == policy.Keyed && !keyed {
 		effect = policy.Unsafe
@@ -315,7 +329,7 @@
 	if len(key) > httpcall.MaxIdentifierLength || len(tenant) > httpcall.MaxIdentifierLength {
 		return nil, reject(http.StatusBadRequest, "what the request is about, or whose it is, is told by too many bytes")
 	}
-	name, err := st.pickPool(&found, q, effect, key, idem)
+	name, err := st.pickPool(&found, q, effect, key, idempotencyKeys)
 	if err != nil {
 		return nil, err
 	}
@@ -332,24 +346,26 @@
 	case policy.Keyed:
 		class = pool.KeyedOf(k.Name)
 	}
-	answers := found.ResponseRules
+	rules := found.ResponseRules
 	return &Decision{
 		Route: found.Name, Pool: name, Engine: p.Engine, BodyBudget: p.BodyBudget, Release: p.release, PoolRetired: p.isRetired,
 		Request: &engine.Request{Class: class, Tenant: tenant, Key: key, Timeout: k.Deadline},
 		Evaluate: func(code int, header func(string) []string) routes.Evaluation {
-			return answers.Evaluate(code, header, time.Now())
+			return rules.Evaluate(code, header, time.Now())
 		},
 	}, nil
 }
 
-// pickPool says which pool takes a request. A key whose order may have run stays with its pool for as long as servers there remember it,
-// and a new one goes by the override, the weights, and the fallback where its pool has no server.
-func (st *state) pickPool(found *routes.MatchedRoute, q *Request, effect policy.Effect, key string, idem []string) (string, error) {
+// pickPool returns the name of the pool for a request. An idempotency key whose order may have been
+// executed stays with its pool for as long as the servers there remember it. The pool for any other
+// request depends on the override header, the weights, and the fallback if no weighted pool has a
+// usable server.
+func (st *state) pickPool(found *routes.MatchedRoute, q *Request, effect policy.Effect, key string, idempotencyKeys []string) (string, error) {
 	s := st.splits[found.Name]
 	s.requests.Add(1)
-	firm := effect == policy.Keyed
-	if firm {
-		key = idem[0] // what servers know a repeat by, whatever the route takes for its key
+	sticky := effect == policy.Keyed
+	if sticky {
+		key = idempotencyKeys[0] // servers recognize a repeat by it, whatever the key of the route is
 	} else if len(found.Pools) == 1 && found.Fallback == "" {
 		return found.Pools[0].Pool, nil
 	}
@@ -359,9 +375,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Since(s.origin)
-	if firm {
-		if held, ok := s.PinnedPool(now, key); ok {
-			if st.pools[held] == nil {
+	if sticky {
+		if pinned, ok := s.PinnedPool(now, key); ok {
+			if st.pools[pinned] == nil {
 				return "", &Rejection{Rejection: httpcall.Rejection{Status: http.StatusBadGateway, Text: "the pool of an earlier request under this key has gone"}, OutcomeUnknown: true}
 			}
 			return s.Pick(now, key, true, nil), nil
@@ -372,36 +388,36 @@
 			if !slices.ContainsFunc(found.Pools, func(w routes.WeightedPool) bool { return w.Pool == named[0] }) {
 				return "", reject(http.StatusBadRequest, fmt.Sprintf("%s names no pool of the route", found.Override))
 			}
-			if firm {
+			if sticky {
 				s.Pin(now, key, named[0])
 			}
 			return named[0], nil
 		}
 	}
 	if found.Fallback == "" {
-		return s.Pick(now, key, firm, nil), nil
+		return s.Pick(now, key, sticky, nil), nil
 	}
 	usable := func(name string) bool { return st.pools[name].Engine.HasUsableServer() }
-	if name := s.Pick(now, key, firm, usable); name != "" {
+	if name := s.Pick(now, key, sticky, usable); name != "" {
 		return name, nil
 	}
 	if st.pools[found.Fallback] == nil {
 		return "", reject(http.StatusServiceUnavailable, "no pool has a server")
 	}
-	if firm {
+	if sticky {
 		s.Pin(now, key, found.Fallback)
 	}
 	return found.Fallback, nil
 }
 
-// Stats counts what the routes have done.
+// Stats holds the counters of one route.
 type Stats struct {
-	Requests       uint64
-	PinnedKeys     int   // keys that are kept with their pools
-	EarlyEvictions int64 // keys that were let go before their window had passed, for want of room
+	Requests       uint64 // since the route was added
+	PinnedKeys     int    // keys that stay with their pools
+	EarlyEvictions int64  // keys that were unpinned before their window had passed
 }
 
-// Stats returns the counts by route.
+// Stats returns the counters by route.
 func (r *Router) Stats() map[string]Stats {
 	all := map[string]Stats{}
 	for name, s := range r.state.Load().splits {
@@ -412,7 +428,8 @@
 	return all
 }
 
-// CheckLoop tells whether a request has come through the instance of that name before, by the lines of Via.
+// CheckLoop returns a rejection if the lines of Via show that a request has passed through the
+// instance with that name before, or through too many hops.
 func CheckLoop(via []string, name string) error {
 	if err := routes.CheckVia(via, name); err != nil {
 		return httpcall.Rejection{Status: http.StatusLoopDetected, Text: err.Error()}
@@ -420,7 +437,8 @@
 	return nil
 }
 
-// AppendVia appends a line of Via (RFC 9110, section 7.6.3) for a message of HTTP/1.minor that passes through the instance of that name.
+// AppendVia appends a Via header line (RFC 9110, section 7.6.3) for an HTTP/1.minor message that
+// passes through the instance with that name.
 func AppendVia(b []byte, minor int, name string) []byte {
 	b = append(b, "Via: 1."...)
 	b = strconv.AppendInt(b, int64(minor), 10)
@@ -429,7 +447,8 @@
 	return append(b, "\r\n"...)
 }
 
-// ValidName reports whether an instance can be called so: a pseudonym, which is a token (RFC 9110, section 7.6.3).
+// ValidName reports whether name can be the name of an instance: a pseudonym of up to 64
+// characters, which must be a token (RFC 9110, section 7.6.3).
 func ValidName(name string) bool {
 	return name != "" && len(name) <= 64 && strings.Trim(name, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") == ""
 }
--- a/routes/explain.go
+++ b/routes/explain.go
@@ -9,10 +9,11 @@
 	"quillfront/policy"
 )
 
-// ExplainLine is one thing that is said of a request.
+// ExplainLine is one named line of the output of Explain.
 type ExplainLine struct{ Name, Text string }
 
-// Explain says what follows for the request, and why its route won. keyed tells whether it has an Idempotency-Key.
+// Explain describes how the request is handled and why its route was chosen. keyed says whether it
+// has an Idempotency-Key header.
 func (f *MatchedRoute) Explain(keyed bool) []ExplainLine {
 	lines := []ExplainLine{{"route", f.Name}, {"because", f.reason()}, {"class", f.Class}}
 	var pools []string
@@ -58,7 +59,7 @@
 	return lines
 }
 
-// reason names what of the request the route asks for.
+// reason describes the conditions of the route that the request meets.
 func (f *MatchedRoute) reason() string {
 	var parts []string
 	if len(f.Match.Hosts) > 0 {
@@ -68,7 +69,7 @@
 		parts = append(parts, "the method is "+strings.Join(f.Match.Methods, " or "))
 	}
 	if f.Match.Path != "" {
-		text := "the path is like " + f.Match.Path
+		text := "the path matches " + f.Match.Path
 		names := make([]string, 0, len(f.captures))
 		for name := range f.captures {
 			names = append(names, name)
@@ -85,7 +86,7 @@
 			case 2:
 				parts = append(parts, fmt.Sprintf("the %s %s is %q", what, c.Name, c.Exact))
 			case 1:
-				parts = append(parts, fmt.Sprintf("the %s %s is like %s", what, c.Name, c.Pattern))
+				parts = append(parts, fmt.Sprintf("the %s %s matches %s", what, c.Name, c.Pattern))
 			default:
 				parts = append(parts, fmt.Sprintf("the %s %s is there", what, c.Name))
 			}
--- a/routes/response.go
+++ b/routes/response.go
@@ -10,30 +10,38 @@
 	"time"
 )
 
-// Verdict is what an answer of a server comes to.
+// Verdict is the outcome of evaluating a server's response.
 type Verdict int
 
-// The verdicts.
+// The possible verdicts.
 const (
-	Final   Verdict = iota // it goes to the client as it is
-	Interim                // RFC 9110, section 15.2: it goes on, and another one follows
-	Failure                // the server has failed: another may be asked where the rules allow it; the last such answer goes to the client
-	NotRun                 // the server proves that nothing ran: another may be asked whatever the request does
-	Invalid                // it is no answer that a client could be given
+	// Final: the response is forwarded to the client unchanged.
+	Final Verdict = iota
+	// Interim: an informational response (RFC 9110, section 15.2). It is forwarded, and another
+	// response follows.
+	Interim
+	// Failure: the server has failed. The request may be retried on another server where the rules
+	// allow it; the last such response goes to the client.
+	Failure
+	// NotRun: the server proves that the request was not executed, so that it may be retried on
+	// another server whatever its effect is.
+	NotRun
+	// Invalid: the response cannot be given to a client.
+	Invalid
 )
 
-// String returns the verdict's name.
+// String returns the name of the verdict.
 func (v Verdict) String() string {
 	return [...]string{"final", "interim", "failure", "not run", "spoilt"}[v]
 }
 
-// Statuses is a set of codes, such as "404", "500-503" and "5xx".
+// Statuses is a set of status codes, written for example as "404", "500-503" and "5xx".
 type Statuses []StatusRange
 
-// StatusRange is the codes from First to Last.
+// StatusRange is the range of status codes from First to Last, both included.
 type StatusRange struct{ First, Last int }
 
-// ParseStatuses reads a set of codes. The error names the one at fault.
+// ParseStatuses parses a set of status codes. The error names the invalid element.
 func ParseStatuses(list []string) (Statuses, error) {
 	var all Statuses
 	for _, text := range list {
@@ -61,17 +69,17 @@
 	first, err1 := strconv.Atoi(from)
 	last, err2 := strconv.Atoi(to)
 	if err1 != nil || err2 != nil || first < 200 || last > 599 || first > last {
-		return StatusRange{}, fmt.Errorf("%q is no status from 200 to 599, range such as \"500-503\" or class such as \"5xx\"", text)
+		return StatusRange{}, fmt.Errorf("%q is not a status from 200 to 599, a range such as \"500-503\" or a class such as \"5xx\"", text)
 	}
 	return StatusRange{first, last}, nil
 }
 
-// Has reports whether code is in the set.
+// Has reports whether the set contains code.
 func (s Statuses) Has(code int) bool {
 	return slices.ContainsFunc(s, func(r StatusRange) bool { return r.First <= code && code <= r.Last })
 }
 
-// String lists the set.
+// String returns the elements of the set in the notation of ParseStatuses, separated by commas.
 func (s Statuses) String() string {
 	var all []string
 	for _, r := range s {
@@ -87,36 +95,42 @@
 	return strings.Join(all, ", ")
 }
 
-// ResponseRules says how a route's answers are judged. What no set names is final.
+// ResponseRules says how the responses to a route's requests are evaluated. A status that is in
+// neither set is final.
 type ResponseRules struct {
-	// Failure are the codes that count as a failure of the server; 5xx.
+	// Failure holds the status codes that count as a failure of the server. The default is 5xx.
 	Failure Statuses
-	// NotRun are the codes that prove that nothing ran if Mark comes with them; 429 and 503. With Mark empty they prove it alone,
-	// which is for servers that turn work away before they look at it, and wrong for all others: the effect of an unsafe
-	// request could take place twice.
+	// NotRun holds the status codes that, together with NotRunHeader, prove that the request was
+	// not executed. The default is 429 and 503. With NotRunByStatus the status alone is the proof,
+	// which suits servers that reject requests before they look at them. It is wrong for all other
+	// servers: the effect of an unsafe request could take place twice.
 	NotRun         Statuses
-	NotRunHeader   string // a header's name; X-Not-Processed
-	NotRunByStatus bool   // Mark is not asked for
-	// RetryAfter says what a Retry-After beside a failure or a refusal means for the server.
+	NotRunHeader   string // the name of a header; the default is X-Not-Processed
+	NotRunByStatus bool   // NotRunHeader is not required
+	// RetryAfter says what a Retry-After header of a failure or a rejection means for the server.
 	RetryAfter RetryAfterPolicy
 }
 
-// RetryAfterPolicy is what a server's Retry-After means.
+// RetryAfterPolicy says how a server's Retry-After header is used.
 type RetryAfterPolicy int
 
-// What a Retry-After may mean.
+// The possible uses of a Retry-After header.
 const (
-	ForwardRetryAfter RetryAfterPolicy = iota // it goes to the client with the last answer, and nothing else follows
-	AvoidServer                               // the server is left alone for as long, up to MostBack
+	// ForwardRetryAfter forwards it to the client with the last response and does nothing else.
+	ForwardRetryAfter RetryAfterPolicy = iota
+	// AvoidServer also sends the server no requests for that time, up to MaxAvoid.
+	AvoidServer
 )
 
-// MaxAvoid bounds for how long a server may have itself left alone: nothing that a peer says is believed for longer.
+// MaxAvoid limits how long a Retry-After header can keep requests away from a server. No claim of a
+// peer is trusted for longer.
 const MaxAvoid = time.Minute
 
-// DefaultNotRunHeader is the header by which servers prove that nothing ran.
+// DefaultNotRunHeader is the header by which servers prove that a request was not executed.
 const DefaultNotRunHeader = "X-Not-Processed"
 
-// WithDefaults fills in what is not set, and returns what is wrong.
+// WithDefaults returns a with its unset fields filled in, and an error if its fields contradict
+// each other.
 func (a ResponseRules) WithDefaults() (ResponseRules, error) {
 	if a.Failure == nil {
 		a.Failure = Statuses{{500, 599}}
@@ -126,26 +140,26 @@
 	}
 	switch {
 	case a.NotRunByStatus && a.NotRunHeader != "":
-		return a, errors.New("a mark is named, and is not to be asked for")
+		return a, errors.New("a mark and bare are both set")
 	case !a.NotRunByStatus && a.NotRunHeader == "":
 		a.NotRunHeader = DefaultNotRunHeader
 	}
 	return a, nil
 }
 
-// Evaluation is a verdict with what follows from it.
+// Evaluation is the verdict on a response and its consequences.
 type Evaluation struct {
 	Verdict    Verdict
-	AvoidFor   time.Duration // the server is left alone for as long
-	RetryAfter time.Duration // the client may be told to come back after it
+	AvoidFor   time.Duration // how long to send the server no requests
+	RetryAfter time.Duration // the wait that the client may be told
 }
 
-// Evaluate judges an answer's head. header returns all values of a header. now is the wall clock, for a Retry-After that names a
-// date.
+// Evaluate evaluates the head of a response. header returns all values of a header. now is the wall
+// clock time, which a Retry-After header with a date is compared with.
 func (a ResponseRules) Evaluate(code int, header func(name string) []string, now time.Time) Evaluation {
 	var j Evaluation
 	switch {
-	case code == http.StatusSwitchingProtocols: // none was asked for
+	case code == http.StatusSwitchingProtocols: // never requested
 		j.Verdict = Invalid
 	case code >= 100 && code < 200:
 		j.Verdict = Interim
@@ -167,13 +181,14 @@
 	return j
 }
 
-// isSet reports whether a mark is set: one value, which is 1 or true.
+// isSet reports whether the values of a header are exactly one, which is "1" or "true".
 func isSet(values []string) bool {
 	return len(values) == 1 && (values[0] == "1" || strings.EqualFold(values[0], "true"))
 }
 
-// RetryAfter reads the field of that name (RFC 9110, section 10.2.3): whole seconds or a date. Several values, of which each reader
-// might take another one, and what cannot be read, say nothing. It is never negative.
+// RetryAfter parses a Retry-After header (RFC 9110, section 10.2.3): whole seconds or a date.
+// Several values are ignored, because readers could choose different ones, and so are invalid
+// values. The result is between 0 and 24 hours.
 func RetryAfter(values []string, now time.Time) (after time.Duration, ok bool) {
 	if len(values) != 1 {
 		return 0, false
@@ -181,7 +196,7 @@
 	text := strings.TrimSpace(values[0])
 	if text != "" && strings.Trim(text, "0123456789") == "" {
 		seconds, err := strconv.ParseInt(text, 10, 32)
-		if err != nil { // more digits than make sense: as long as may be told
+		if err != nil { // out of range: use the maximum
 			seconds = int64(24 * time.Hour / time.Second)
 		}
 		return min(time.Duration(seconds)*time.Second, 24*time.Hour), true
@@ -193,20 +208,22 @@
 	return min(max(at.Sub(now), 0), 24*time.Hour), true
 }
 
-// HasBody reports whether an answer to a request of that method may have a body (RFC 9110, section 6.4.1): its length and coding say
-// nothing of what follows where it may not.
+// HasBody reports whether a response with status code to a request with that method may have a body
+// (RFC 9110, section 6.4.1). Where it may not, Content-Length and Transfer-Encoding do not describe
+// the bytes that follow.
 func HasBody(method string, code int) bool {
 	return method != http.MethodHead && code >= 200 && code != http.StatusNoContent && code != http.StatusNotModified
 }
 
-// maxViaHops bounds the hops that a request may have behind it. A loop that passes through others who do not say so ends by it.
+// maxViaHops limits the hops that a request may have passed. It also ends a loop through
+// intermediaries that do not identify themselves in Via.
 const maxViaHops = 32
 
-// ErrLoop tells that a request has come through this instance before, or through too many.
+// ErrLoop reports that a request has passed through this instance before, or through too many hops.
 var ErrLoop = errors.New("the request goes round in a loop")
 
-// CheckVia returns ErrLoop if the lines of Via (RFC 9110, section 7.6.3) name self, the pseudonym of this instance, or more than
-// mostVia hops.
+// CheckVia returns ErrLoop if the lines of Via (RFC 9110, section 7.6.3) contain self, the
+// pseudonym of this instance, or more than maxViaHops hops.
 func CheckVia(lines []string, self string) error {
 	hops := 0
 	for _, line := range lines {
--- a/routes/route.go
+++ b/routes/route.go
@@ -1,18 +1,22 @@
-// Package routes decides which route a request takes, and what follows from it: class, pool, key, tenant, effect and time. It has no
-// clock and does no I/O. A Table is made once from all routes, which it checks against each other, and never changes.
+// Package routes finds the route of a request, which determines its class, pool, key, tenant,
+// effect and timeout. It has no clock and does no I/O. A Table is built once from all routes, which
+// are checked against each other, and is immutable.
 //
 // # Precedence
 //
-// Of the routes that match a request the most specific one wins, by a total order:
+// Of the routes that match a request, the most specific one wins, by a total order:
 //
-//  1. the host: a name, then a pattern of one label (*.example.org), then a suffix (**.example.org, the longer one first), then any;
-//  2. the path, segment by segment from the left: a literal, then a named part ({id}), then the rest ({rest...});
-//  3. the methods: fewer before more, all of them last;
-//  4. the conditions on headers and query: more before fewer, and of as many those with more exact values, then more patterns;
-//  5. Order, the lower one first.
+//  1. the host: a name, then a pattern for one label (*.example.org), then a suffix
+//     (**.example.org, the longer one first), then any host;
+//  2. the path, segment by segment from the left: a literal, then a capture ({id}), then a capture
+//     of all remaining segments ({rest...});
+//  3. the methods: fewer before more, and all methods last;
+//  4. the conditions on headers and query: more before fewer; with the same number, more exact
+//     values, then more patterns;
+//  5. Order, the lower value first.
 //
-// Two routes that some request could match and that this order does not tell apart are an error, and so is one that no request can
-// reach.
+// It is an error if this order does not decide between two routes that could match the same
+// request, or if no request can reach a route.
 package routes
 
 import (
@@ -27,22 +31,23 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// Bounds of a table. What is beyond them is an error.
+// Limits of a table. Exceeding them is an error.
 const (
 	MaxRoutes        = 100_000
-	MaxSegments      = 64  // of a path; a request with more matches none
+	MaxSegments      = 64  // of a path; a request with more matches no route
 	maxConditions    = 16  // of a route
 	maxPatternLength = 512 // bytes of a pattern
 )
 
-// Condition is what a route asks of a header or of a parameter of the query.
+// Condition is a condition on a header or a query parameter. With neither Exact nor Pattern, the
+// header or parameter only has to be present.
 type Condition struct {
 	Name    string
-	Exact   string // the whole value; empty: see Pattern
-	Pattern string // RE2 for the whole value; empty, as Exact is: it must be there
+	Exact   string // the whole value
+	Pattern string // an RE2 expression for the whole value
 }
 
-// specificity orders conditions by how much they tell.
+// specificity ranks conditions: 2 for an exact value, 1 for a pattern and 0 for mere presence.
 func (c Condition) specificity() int {
 	switch {
 	case c.Exact != "":
@@ -53,64 +58,67 @@
 	return 0
 }
 
-// Match is what a route asks of a request. What is empty is not asked for.
+// Match holds the conditions of a route on a request. Empty fields match everything.
 type Match struct {
 	Hosts   []string // names, *.NAME for one more label, **.NAME for one or more
-	Methods []string // GET takes HEAD too
-	Path    string   // segments that are literals, {name}, or {name...} at the end for the rest; escapes are undone first
+	Methods []string // GET includes HEAD
+	// Path consists of segments that are literals or {name}, and optionally {name...} at the end for
+	// all remaining segments. Segments of a request are unescaped before they are compared.
+	Path    string
 	Headers []Condition
 	Query   []Condition
 }
 
-// ValueSource says where a value of a request is taken from. One of its fields is set.
+// ValueSource says where a value is taken from in a request. Exactly one field is set.
 type ValueSource struct {
-	Path, Header, Query string
+	Path, Header, Query string // the names of a capture, a header and a query parameter
 }
 
-// Effect says what repeating a request may do.
+// Effect says what repeating a request may do, and so whether it may be retried.
 type Effect int
 
 // The effects of a route's requests.
 const (
-	// ByMethod goes by RFC 9110, section 9.2: GET, HEAD, OPTIONS and TRACE are safe; PUT and DELETE, whose repeats have no further
-	// effect, are so too as far as sending goes; others are unsafe, or keyed where TrustKey holds and there is an Idempotency-Key.
+	// ByMethod follows RFC 9110, section 9.2: GET, HEAD, OPTIONS and TRACE are safe. PUT and DELETE
+	// are treated as safe too, because they are idempotent. Other methods are unsafe; POST and PATCH
+	// are keyed if TrustIdempotencyKey is set and the request has an Idempotency-Key.
 	ByMethod Effect = iota
-	Safe
-	Keyed
-	Unsafe
+	Safe            // may be retried
+	Keyed           // may be retried if it has an Idempotency-Key, and is unsafe otherwise
+	Unsafe          // may be retried only if it is proven not to have been executed
 )
 
-// Route is one route.
+// Route says which requests it matches and how they are handled.
 type Route struct {
 	Name  string // unique
 	Match Match
-	Order int // between routes that are alike in everything else
+	Order int // decides between routes of otherwise equal precedence; the lowest value wins
 
 	Class               string
-	Pools               []WeightedPool // where its requests go; one, or several by weight
-	Override            string         // a header that names one of Pools for a request; empty: none
-	Fallback            string         // a pool for requests whose own has no server; empty: none
-	Key                 []ValueSource  // what a request is about; several are taken together
-	Tenant              []ValueSource
-	Timeout             time.Duration // 0: that of the class
+	Pools               []WeightedPool // the destination of its requests; several share them by weight
+	Override            string         // a header by which a request chooses one of Pools; empty: none
+	Fallback            string         // the pool to use if none of Pools has a server; empty: none
+	Key                 []ValueSource  // the sources of the key, whose values are combined
+	Tenant              []ValueSource  // the sources of the tenant
+	Timeout             time.Duration  // 0: that of the class
 	Effect              Effect
 	TrustIdempotencyKey bool // with ByMethod: an Idempotency-Key makes POST and PATCH keyed
 	ResponseRules       ResponseRules
 }
 
-// WeightedPool is a pool and its share, beside those of the others.
+// WeightedPool is a pool and its weight, which is relative to the weights of the other pools.
 type WeightedPool struct {
 	Pool   string
 	Weight float64
 }
 
-// RouteError tells what is wrong with a route, and with which other one.
+// RouteError describes why a route is invalid, by itself or together with another route.
 type RouteError struct {
-	Route, Other string // names; Other may be empty
+	Route, Other string // the names of the routes; Other may be empty
 	Reason       string
 }
 
-// Error names the route, the other one and the reason.
+// Error returns the names of the routes and the reason.
 func (e *RouteError) Error() string {
 	if e.Other != "" {
 		return fmt.Sprintf("routes %q and %q: %s", e.Route, e.Other, e.Reason)
@@ -118,27 +126,29 @@
 	return fmt.Sprintf("route %q: %s", e.Route, e.Reason)
 }
 
-// segment is one part of a route's path.
+// segment is one segment of a route's path: a literal or a capture.
 type segment struct {
 	literal string
-	name    string // of a part or the rest
-	rest    bool
+	name    string // of the capture
+	rest    bool   // the capture takes all remaining segments
 }
 
-// compiledRoute is a route as the table looks it up.
+// compiledRoute is a checked route with its parsed path and compiled conditions.
 type compiledRoute struct {
 	*Route
-	index    int // in the order of their being given
+	index    int // in the list that New got
 	segments []segment
 	headers  []compiledCondition
 	query    []compiledCondition
 }
 
+// compiledCondition is a condition with its compiled pattern.
 type compiledCondition struct {
 	Condition
-	re *regexp.Regexp
+	re *regexp.Regexp // nil without a pattern
 }
 
+// matches reports whether one of the values meets the condition.
 func (c compiledCondition) matches(values []string) bool {
 	for _, v := range values {
 		switch {
@@ -157,65 +167,65 @@
 	return false
 }
 
-// compile checks a route by itself.
+// compile checks a route without regard to other routes and compiles it. It sets defaults in r.
 func compile(r *Route, number int) (*compiledRoute, error) {
-	wrong := func(format string, args ...any) (*compiledRoute, error) {
+	fail := func(format string, args ...any) (*compiledRoute, error) {
 		return nil, &RouteError{Route: r.Name, Reason: fmt.Sprintf(format, args...)}
 	}
 	c := &compiledRoute{Route: r, index: number}
 	if r.Name == "" {
-		return wrong("it has no name")
+		return fail("it has no name")
 	}
 	for i, h := range r.Match.Hosts {
 		if _, _, err := parseHostPattern(h); err != nil {
-			return wrong("host %q: %v", h, err)
+			return fail("host %q: %v", h, err)
 		}
 		if slices.Contains(r.Match.Hosts[:i], h) {
-			return wrong("host %q is there twice", h)
+			return fail("host %q is there twice", h)
 		}
 	}
 	for i, m := range r.Match.Methods {
-		if !httpguts.ValidHeaderFieldName(m) { // a method is a token, as a name is
-			return wrong("method %q is none", m)
+		if !httpguts.ValidHeaderFieldName(m) { // a method is a token, as a header name is
+			return fail("method %q is none", m)
 		}
 		if slices.Contains(r.Match.Methods[:i], m) {
-			return wrong("method %s is there twice", m)
+			return fail("method %s is there twice", m)
 		}
 	}
 	var err error
 	if c.segments, err = parsePath(r.Match.Path); err != nil {
-		return wrong("path %q: %v", r.Match.Path, err)
+		return fail("path %q: %v", r.Match.Path, err)
 	}
 	if len(r.Match.Headers)+len(r.Match.Query) > maxConditions {
-		return wrong("more than %d conditions", maxConditions)
+		return fail("more than %d conditions", maxConditions)
 	}
 	if c.headers, err = compileConditions(r.Match.Headers, true); err != nil {
-		return wrong("header %v", err)
+		return fail("header %v", err)
 	}
 	if c.query, err = compileConditions(r.Match.Query, false); err != nil {
-		return wrong("query %v", err)
+		return fail("query %v", err)
 	}
 	if r.ResponseRules, err = r.ResponseRules.WithDefaults(); err != nil {
-		return wrong("answers: %v", err)
+		return fail("answers: %v", err)
 	}
 	if r.Class == "" {
-		return wrong("it has no class")
+		return fail("it has no class")
 	}
 	if len(r.Pools) == 0 {
-		return wrong("it has no pool")
+		return fail("it has no pool")
 	}
 	sum := 0.0
 	for i, p := range r.Pools {
 		if p.Pool == "" || !(p.Weight >= 0 && p.Weight <= 1e6) {
-			return wrong("pool %q has the weight %v, want 0 to 1,000,000", p.Pool, p.Weight)
+			return fail("pool %q has the weight %v, want 0 to 1,000,000", p.Pool, p.Weight)
 		}
 		if slices.ContainsFunc(r.Pools[:i], func(o WeightedPool) bool { return o.Pool == p.Pool }) {
-			return wrong("pool %s is there twice", p.Pool)
+			return fail("pool %s is there twice", p.Pool)
 		}
 		sum += p.Weight
 	}
 	if sum == 0 {
-		return wrong("its pools have no weight")
+		return fail("its pools have no weight: the sum of the weights is 0")
 	}
 	for _, p := range slices.Concat(r.Key, r.Tenant) {
 		set := 0
@@ -225,19 +235,19 @@
 			}
 		}
 		if set != 1 {
-			return wrong("a part of its key or tenant has %d sources, want one of path, header and query", set)
+			return fail("a part of its key or tenant has %d sources, want one of path, header and query", set)
 		}
 		if p.Path != "" && !slices.ContainsFunc(c.segments, func(s segment) bool { return s.name == p.Path }) {
-			return wrong("its path has no part {%s}", p.Path)
+			return fail("its path has no part {%s}", p.Path)
 		}
 	}
 	if r.Timeout < 0 || r.Effect < ByMethod || r.Effect > Unsafe {
-		return wrong("its time or its effect is out of range")
+		return fail("its timeout or effect is out of range")
 	}
 	return c, nil
 }
 
-// hostKind orders patterns of hosts; the higher comes first.
+// hostKind is the kind of a host pattern. Higher values take precedence.
 type hostKind int
 
 const (
@@ -247,7 +257,8 @@
 	exactHost
 )
 
-// parseHostPattern reads a pattern of a host: its kind, and the name without its wildcard in lower case.
+// parseHostPattern parses a host pattern. It returns its kind and the name in lower case, without
+// the wildcard.
 func parseHostPattern(h string) (kind hostKind, name string, err error) {
 	kind, name = exactHost, strings.ToLower(strings.TrimSuffix(h, "."))
 	if rest, ok := strings.CutPrefix(name, "**."); ok {
@@ -269,7 +280,7 @@
 	return kind, name, nil
 }
 
-// parsePath reads a path's pattern. An empty one matches every path.
+// parsePath parses a path pattern. An empty pattern matches every path.
 func parsePath(p string) ([]segment, error) {
 	if p == "" {
 		return []segment{{rest: true}}, nil
@@ -308,13 +319,13 @@
 	return segments, nil
 }
 
-// compileConditions compiles compileConditions, in the order of their names.
+// compileConditions checks and compiles conditions and sorts them by name.
 func compileConditions(list []Condition, header bool) ([]compiledCondition, error) {
 	var out []compiledCondition
 	for _, c := range list {
 		switch {
 		case c.Name == "" || header && !httpguts.ValidHeaderFieldName(c.Name):
-			return nil, fmt.Errorf("%q cannot be a name", c.Name)
+			return nil, fmt.Errorf("%q is not a valid name", c.Name)
 		case c.Exact != "" && c.Pattern != "":
 			return nil, fmt.Errorf("%s has both a value and a pattern", c.Name)
 		case len(c.Pattern) > maxPatternLength:
@@ -332,7 +343,7 @@
 			n.re = re
 		}
 		if slices.ContainsFunc(out, func(o compiledCondition) bool { return o.Name == n.Name }) {
-			return nil, fmt.Errorf("%s has two conditions: one pattern can say both", c.Name)
+			return nil, fmt.Errorf("%s has two conditions; combine them in one pattern", c.Name)
 		}
 		out = append(out, n)
 	}
--- a/routes/table.go
+++ b/routes/table.go
@@ -11,34 +11,35 @@
 	"strings"
 )
 
-// maxRoutesPerPath bounds the routes of one host and path, which are compared with each other and tried in turn.
+// maxRoutesPerPath limits the routes with the same host and path. They are compared in pairs when
+// the table is built, and tried one by one on lookup.
 const maxRoutesPerPath = 1000
 
-// Table looks up routes. It may be used from many goroutines at once.
+// Table finds the route of a request. It is safe for concurrent use.
 type Table struct {
 	routes   []*compiledRoute
-	exact    map[string]*node // by host
-	oneLabel map[string]*node // by host without its first label
-	suffix   map[string]*node // by the end of the host
-	any      *node
+	exact    map[string]*node // path trees by host
+	oneLabel map[string]*node // path trees by host without its first label
+	suffix   map[string]*node // path trees by the end of the host
+	any      *node            // path tree of the routes without a host
 }
 
-// node is a place in the tree of paths below one pattern of hosts.
+// node is a node in the path tree of one host pattern.
 type node struct {
-	literals map[string]*node
-	capture  *node
-	rest     *leaf // routes whose path goes on with anything
-	end      *leaf // routes whose path ends here
+	literals map[string]*node // by segment
+	capture  *node            // for a segment that is not empty
+	rest     *leaf            // routes that capture all remaining segments
+	end      *leaf            // routes whose path ends here
 }
 
-// leaf holds the routes of one host and path.
+// leaf holds the routes with the same host and path.
 type leaf struct {
-	routes   []*compiledRoute            // in the order of precedence
-	byMethod map[string][]*compiledRoute // the same, of those that match a method
-	other    []*compiledRoute            // of those that match methods that are named nowhere
+	routes   []*compiledRoute            // in order of precedence
+	byMethod map[string][]*compiledRoute // those that match a method, for methods that routes name
+	other    []*compiledRoute            // those that match all other methods
 }
 
-// New makes a table, or tells all that is wrong with the routes, each as a *RouteError.
+// New builds a table. For invalid routes the error joins a *RouteError for each problem.
 func New(list []Route) (*Table, error) {
 	if len(list) > MaxRoutes {
 		return nil, fmt.Errorf("%d routes, at most %d", len(list), MaxRoutes)
@@ -48,7 +49,7 @@
 	names := map[string]bool{}
 	leaves := map[*leaf]bool{}
 	for i := range list {
-		r := list[i] // a copy: the caller's may change
+		r := list[i] // a copy, because the caller may change the list
 		c, err := compile(&r, i)
 		if err != nil {
 			errs = append(errs, err)
@@ -73,7 +74,7 @@
 	}
 	for _, c := range t.routes {
 		if by := hidden[c]; by != nil && !reached[c] {
-			errs = append(errs, &RouteError{c.Name, by.Name, "no request reaches the first, as the second takes all that it matches"})
+			errs = append(errs, &RouteError{c.Name, by.Name, "no request reaches the first, because the second matches every request that it matches"})
 		}
 	}
 	if len(errs) > 0 {
@@ -83,7 +84,7 @@
 	return t, nil
 }
 
-// hostTrees returns the trees of some patterns, which have been checked.
+// hostTrees returns the path trees of host patterns, which must be valid, and creates missing ones.
 func (t *Table) hostTrees(patterns []string) []*node {
 	if len(patterns) == 0 {
 		return []*node{t.any}
@@ -95,14 +96,14 @@
 		if m[name] == nil {
 			m[name] = &node{}
 		}
-		if !slices.Contains(out, m[name]) { // two spellings of one host
+		if !slices.Contains(out, m[name]) { // not another spelling of the same host
 			out = append(out, m[name])
 		}
 	}
 	return out
 }
 
-// leafFor returns the leafFor of a path, made if it lacks.
+// leafFor returns the leaf of a path and creates missing nodes.
 func (n *node) leafFor(path []segment) *leaf {
 	for _, s := range path {
 		switch {
@@ -132,7 +133,8 @@
 	return n.end
 }
 
-// comparePrecedence compares routes of one leaf by precedence; 0 says that it does not tell them apart.
+// comparePrecedence orders two routes of a leaf by precedence. It returns 0 if precedence does not
+// decide between them.
 func comparePrecedence(a, b *compiledRoute) int {
 	methods := func(c *compiledRoute) int {
 		if n := len(c.Match.Methods); n > 0 {
@@ -154,10 +156,13 @@
 		cmp.Compare(count(b, 1), count(a, 1)), cmp.Compare(a.Order, b.Order))
 }
 
-// finalize sorts a leaf's routes and finds those that cannot be told apart. It notes which can be reached, and what hides others.
+// finalize sorts the routes of a leaf and indexes them by method. It returns an error for each pair
+// of routes that precedence does not decide between. It records in reached the routes that a
+// request can reach, and in hidden, by route, another route that takes all its requests with some
+// method.
 func (l *leaf) finalize(reached map[*compiledRoute]bool, hidden map[*compiledRoute]*compiledRoute) (errs []error) {
 	if len(l.routes) > maxRoutesPerPath {
-		return []error{&RouteError{Route: l.routes[0].Name, Reason: fmt.Sprintf("%d routes have its host and path, at most %d", len(l.routes), maxRoutesPerPath)}}
+		return []error{&RouteError{Route: l.routes[0].Name, Reason: fmt.Sprintf("%d routes share its host and path, at most %d are allowed", len(l.routes), maxRoutesPerPath)}}
 	}
 	slices.SortFunc(l.routes, func(a, b *compiledRoute) int { return cmp.Or(comparePrecedence(a, b), cmp.Compare(a.index, b.index)) })
 	l.byMethod = map[string][]*compiledRoute{}
@@ -169,13 +174,13 @@
 			}
 		}
 	}
-	takes := func(c *compiledRoute, m string) bool {
+	matchesMethod := func(c *compiledRoute, m string) bool {
 		return len(c.Match.Methods) == 0 || slices.Contains(c.Match.Methods, m) ||
 			m == http.MethodHead && slices.Contains(c.Match.Methods, http.MethodGet) // as with http.ServeMux
 	}
 	for _, c := range l.routes {
 		for m := range l.byMethod {
-			if takes(c, m) {
+			if matchesMethod(c, m) {
 				l.byMethod[m] = append(l.byMethod[m], c)
 			}
 		}
@@ -195,7 +200,7 @@
 			}
 			for _, o := range list[:i] {
 				if comparePrecedence(o, c) == 0 && !o.disjoint(c) {
-					errs = append(errs, &RouteError{o.Name, c.Name, "a request could match both, and nothing tells which is meant; give one an order"})
+					errs = append(errs, &RouteError{o.Name, c.Name, "a request could match both, and nothing decides between them; give one an order"})
 				}
 			}
 			if by >= 0 && comparePrecedence(list[by], c) != 0 {
@@ -206,11 +211,13 @@
 	return errs
 }
 
-// covers reports whether every request of c's host, path and method that meets c's conditions meets o's.
+// covers reports whether every request that meets the conditions of c on headers and query also
+// meets those of o.
 func (o *compiledRoute) covers(c *compiledRoute) bool {
 	return impliedBy(o.headers, c.headers) && impliedBy(o.query, c.query)
 }
 
+// impliedBy reports whether every request that meets the conditions strong also meets weak.
 func impliedBy(weak, strong []compiledCondition) bool {
 	for _, w := range weak {
 		ok := slices.ContainsFunc(strong, func(s compiledCondition) bool {
@@ -223,8 +230,8 @@
 	return true
 }
 
-// disjoint reports whether no request meets the conditions of both. A header or parameter that comes twice may meet two values;
-// routes count as exclusive all the same, and the first in the order of their being given wins.
+// disjoint reports whether no request meets the conditions of both routes. A header or query
+// parameter that occurs twice can meet both nevertheless; then the route that is listed first wins.
 func (o *compiledRoute) disjoint(c *compiledRoute) bool {
 	differ := func(a, b []compiledCondition) bool {
 		for _, x := range a {
@@ -243,15 +250,15 @@
 	return differ(o.headers, c.headers) || differ(o.query, c.query)
 }
 
-// Request is what of a request the table goes by.
+// Request holds the parts of a request that routing depends on.
 type Request struct {
-	Host   string // as in the Host header, with a port or without
+	Host   string // as in the Host header, with or without a port
 	Method string
-	Target string                     // path and query, as they stand on the wire
-	Header func(name string) []string // the values of a header, by its name in any case; nil: there is none
+	Target string                     // path and query as sent on the wire
+	Header func(name string) []string // the values of a header, by case-insensitive name; may be nil
 }
 
-// MatchedRoute is the route of a request, and what was found of the request on the way.
+// MatchedRoute is the route of a request with the values that were extracted from the request.
 type MatchedRoute struct {
 	*Route
 	captures map[string]string
@@ -259,21 +266,21 @@
 	request  *Request
 }
 
-// The reasons for which a request has no route.
+// The errors of Find, besides *MethodError.
 var (
 	ErrNoRoute = errors.New("no route matches")
 	ErrTarget  = errors.New("the target cannot be read")
 )
 
-// MethodError tells that routes match the request but for its method.
+// MethodError reports that routes match the request except for its method.
 type MethodError struct{ Allow []string }
 
-// Error names the methods that would match.
+// Error returns a message with the methods that would match.
 func (e *MethodError) Error() string {
 	return "the method is none of " + strings.Join(e.Allow, ", ")
 }
 
-// Find returns the route of q, or ErrNoRoute, a *MethodError or ErrTarget.
+// Find returns the route of q. The error is ErrNoRoute, ErrTarget or a *MethodError.
 func (t *Table) Find(q *Request) (MatchedRoute, error) {
 	path, query, _ := strings.Cut(q.Target, "?")
 	segments, ok := splitPath(path)
@@ -293,7 +300,8 @@
 	return MatchedRoute{}, ErrNoRoute
 }
 
-// normalizeHost is a host as the table has it: without port and final dot, in lower case.
+// normalizeHost returns a host in the form that the table uses: in lower case, without port and
+// trailing dot.
 func normalizeHost(h string) string {
 	if name, _, err := net.SplitHostPort(h); err == nil {
 		if strings.Contains(name, ":") {
@@ -304,7 +312,7 @@
 	return strings.ToLower(strings.TrimSuffix(h, "."))
 }
 
-// candidates yields the trees that a host may be in, in the order of precedence.
+// candidates yields the path trees whose pattern matches host, in order of precedence.
 func (t *Table) candidates(host string) func(func(*node) bool) {
 	return func(yield func(*node) bool) {
 		if n := t.exact[host]; n != nil && !yield(n) {
@@ -314,7 +322,8 @@
 		if n := t.oneLabel[rest]; ok && n != nil && !yield(n) {
 			return
 		}
-		for labels := 0; ok && len(t.suffix) > 0 && labels < 127; labels++ { // a name has at most 127 (RFC 1035, 2.3.4)
+		// A name has at most 127 labels (RFC 1035, section 2.3.4).
+		for labels := 0; ok && len(t.suffix) > 0 && labels < 127; labels++ {
 			if n := t.suffix[rest]; n != nil && !yield(n) {
 				return
 			}
@@ -324,7 +333,8 @@
 	}
 }
 
-// splitPath splits a path into segments and undoes their escapes, so that an escaped slash stays within one.
+// splitPath splits a path into segments and then unescapes them, so that an escaped slash does not
+// separate segments.
 func splitPath(path string) ([]string, bool) {
 	if path == "" || path[0] != '/' || strings.Count(path, "/") > MaxSegments {
 		return nil, false
@@ -332,27 +342,28 @@
 	segments := strings.Split(path[1:], "/")
 	for i, s := range segments {
 		if strings.IndexByte(s, '%') >= 0 {
-			plain, err := url.PathUnescape(s)
+			unescaped, err := url.PathUnescape(s)
 			if err != nil {
 				return nil, false
 			}
-			segments[i] = plain
+			segments[i] = unescaped
 		}
 	}
 	return segments, true
 }
 
-// search is one look-up.
+// search is the state of one lookup.
 type search struct {
 	q        *Request
 	segments []string
 	rawQuery string
-	query    url.Values // parsed when it is first asked for
+	query    url.Values // parsed on first use
 	route    *compiledRoute
 	allow    []string
 }
 
-// walk looks below n for a route of the segments from i on. Each node is met once at most, as it has one way to it.
+// walk searches the subtree of n for a route that matches the segments from index i on. It visits
+// each node at most once, because the nodes form a tree.
 func (s *search) walk(n *node, i int) bool {
 	if i == len(s.segments) {
 		return s.tryLeaf(n.end) || s.tryLeaf(n.rest)
@@ -366,7 +377,8 @@
 	return s.tryLeaf(n.rest)
 }
 
-// tryLeaf looks for a route of a leaf that takes the method and whose conditions hold.
+// tryLeaf searches a leaf for a route that matches the method and whose conditions are met. If no
+// route of the leaf matches the method, it records the methods that would match.
 func (s *search) tryLeaf(l *leaf) bool {
 	if l == nil {
 		return false
@@ -391,6 +403,7 @@
 	return false
 }
 
+// conditionsMet reports whether the request meets the conditions of c on headers and query.
 func (s *search) conditionsMet(c *compiledRoute) bool {
 	for _, x := range c.headers {
 		if s.q.Header == nil || !x.matches(s.q.Header(x.Name)) {
@@ -398,7 +411,7 @@
 		}
 	}
 	if len(c.query) > 0 && s.query == nil {
-		s.query, _ = url.ParseQuery(s.rawQuery) // what of it can be read
+		s.query, _ = url.ParseQuery(s.rawQuery) // the parameters that can be parsed
 	}
 	for _, x := range c.query {
 		if !x.matches(s.query[x.Name]) {
@@ -408,6 +421,7 @@
 	return true
 }
 
+// result returns the route that was found, with its captures.
 func (s *search) result() MatchedRoute {
 	f := MatchedRoute{Route: s.route.Route, request: s.q, query: s.query}
 	for i, seg := range s.route.segments {
--- a/routes/value.go
+++ b/routes/value.go
@@ -9,7 +9,7 @@
 	"quillfront/policy"
 )
 
-// sourceValue takes a part of the request.
+// sourceValue returns the value that p selects from the request.
 func (f *MatchedRoute) sourceValue(p ValueSource) string {
 	switch {
 	case p.Path != "":
@@ -27,7 +27,8 @@
 	return strings.Join(f.query[p.Query], ",")
 }
 
-// combine takes several parts together, so that no two lists of values give one and the same.
+// combine joins the values of several sources. It prefixes each with its length, so that different
+// lists of values never give the same result. A single value stays as it is.
 func (f *MatchedRoute) combine(parts []ValueSource) string {
 	if len(parts) == 1 {
 		return f.sourceValue(parts[0])
@@ -42,13 +43,15 @@
 	return b.String()
 }
 
-// RequestKey is what the request is about, by the route's Key; empty without one.
+// RequestKey returns the key of the request by the route's Key, or "" if the route has none.
 func (f *MatchedRoute) RequestKey() string { return f.combine(f.Route.Key) }
 
-// RequestTenant is whose the request is, by the route's Tenant.
+// RequestTenant returns the tenant of the request by the route's Tenant, or "" if the route has
+// none.
 func (f *MatchedRoute) RequestTenant() string { return f.combine(f.Route.Tenant) }
 
-// RequestEffect says what repeating the request may do. keyed tells whether it has an Idempotency-Key.
+// RequestEffect returns the effect of the request, which decides whether it may be retried. keyed
+// says whether it has an Idempotency-Key header.
 func (f *MatchedRoute) RequestEffect(keyed bool) policy.Effect {
 	switch f.Route.Effect {
 	case Safe:
