--- a/internal/httpmsg/fuzz_test.go
+++ b/internal/httpmsg/fuzz_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// canonical are the fields of h as net/http would hold them, less those that it takes out.
+// canonical returns the fields of h in the form of net/http, without those that net/http removes.
 func canonical(h *Head) http.Header {
 	got := http.Header{}
 	for _, f := range h.Fields {
@@ -24,8 +24,8 @@
 	return got
 }
 
-// FuzzRequest: what this reader and net/http's both take for a request they read alike: method, target, host, fields, body,
-// and where the next one begins.
+// FuzzRequest checks that a request which both this parser and net/http accept is read alike by
+// both: the method, the target, the host, the fields, the body, and where the next message begins.
 func FuzzRequest(f *testing.F) {
 	for _, text := range []string{
 		"GET /read/k?a=b HTTP/1.1\r\nHost: s\r\nX-Request-ID: 1\r\n\r\n", "POST /a HTTP/1.0\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello",
@@ -44,27 +44,27 @@
 			return
 		}
 		method, target, minor, err := h.ParseRequestLine()
-		if err != nil || minor == 0 && h.Chunked { // the front rejects the latter
+		if err != nil || minor == 0 && h.Chunked { // the HTTP front rejects a chunked body of HTTP/1.0
 			return
 		}
 		tr := bufio.NewReaderSize(theirs, 4096)
 		q, err := http.ReadRequest(tr)
 		if err != nil {
-			return // it may be stricter about targets and hosts
+			return // net/http may be stricter about targets and hosts
 		}
 		if string(method) != q.Method || string(target) != q.RequestURI || minor != q.ProtoMinor {
 			t.Errorf("%s %s %d, and by net/http %s %s %d", method, target, minor, q.Method, q.RequestURI, q.ProtoMinor)
 		}
 		for _, f := range h.Fields {
 			if f.Is("Host") && q.URL.Host == "" && string(f.Value) != q.Host {
-				if !repeated(&h, "Host") { // which httpcall rejects
+				if !repeated(&h, "Host") { // httpcall rejects a repeated Host
 					t.Errorf("host %q, and %q by net/http", f.Value, q.Host)
 				}
 			}
 		}
 		want := maps.Clone(q.Header)
 		got := canonical(&h)
-		if _, ok := got["Pragma"]; ok { // net/http adds a Cache-Control of its own
+		if _, ok := got["Pragma"]; ok { // net/http adds a Cache-Control for it
 			delete(got, "Cache-Control")
 			delete(want, "Cache-Control")
 		}
@@ -73,7 +73,7 @@
 			t.Errorf("fields %q, and by net/http %q", got, want)
 		}
 		if h.Close && !q.Close {
-			t.Error("it ends the connection here, and not by net/http")
+			t.Error("the request closes the connection here, and not by net/http")
 		}
 		h.Discard(r)
 		body, err := bodyOf(&h, r)
@@ -86,11 +86,12 @@
 		}
 		rest, otherRest := ours.Len()+r.Buffered(), theirs.Len()+tr.Buffered()
 		if !bytes.Equal(body, other) || rest != otherRest {
-			t.Errorf("body %q and %d bytes behind it, and by net/http %q and %d", body, rest, other, otherRest)
+			t.Errorf("body %q and %d bytes after it, and by net/http %q and %d", body, rest, other, otherRest)
 		}
 	})
 }
 
+// repeated reports whether h has more than one field with that name.
 func repeated(h *Head, name string) bool {
 	n := 0
 	for _, f := range h.Fields {
@@ -101,6 +102,7 @@
 	return n > 1
 }
 
+// bodyOf reads the body of the request with head h.
 func bodyOf(h *Head, r *bufio.Reader) ([]byte, error) {
 	var b Body
 	b.Reset(r, max(h.ContentLength, 0), h.Chunked)
--- a/internal/httpmsg/httpmsg_test.go
+++ b/internal/httpmsg/httpmsg_test.go
@@ -11,13 +11,14 @@
 	"testing"
 )
 
+// read parses the head of text, whose lines end with LF, with a buffer of 1,024 bytes.
 func read(text string) (*Head, *bufio.Reader, error) {
 	r := bufio.NewReaderSize(strings.NewReader(strings.ReplaceAll(text, "\n", "\r\n")), 1024)
 	h := &Head{}
 	return h, r, h.Read(r)
 }
 
-// TestHead is a table of heads and what is made of them.
+// TestHead checks valid heads and the errors for invalid ones.
 func TestHead(t *testing.T) {
 	for _, tt := range []struct {
 		name, text string
@@ -29,9 +30,9 @@
 		{"plain", "GET / HTTP/1.1\nHost: s\n\n", nil, -1, false, false},
 		{"a length", "GET / HTTP/1.1\nContent-Length: 17\n\n", nil, 17, false, false},
 		{"chunks", "GET / HTTP/1.1\ntransfer-encoding: Chunked\n\n", nil, -1, true, false},
-		{"an end", "GET / HTTP/1.1\nConnection: X-A, close\n\n", nil, -1, false, true},
+		{"Connection: close", "GET / HTTP/1.1\nConnection: X-A, close\n\n", nil, -1, false, true},
 		{"two lengths", "GET / HTTP/1.1\nContent-Length: 1\nContent-Length: 1\n\n", ErrFraming, 0, false, false},
-		{"both ways", "GET / HTTP/1.1\nContent-Length: 1\nTransfer-Encoding: chunked\n\n", ErrFraming, 0, false, false},
+		{"both a length and a coding", "GET / HTTP/1.1\nContent-Length: 1\nTransfer-Encoding: chunked\n\n", ErrFraming, 0, false, false},
 		{"two codings", "GET / HTTP/1.1\nTransfer-Encoding: chunked\nTransfer-Encoding: chunked\n\n", ErrFraming, 0, false, false},
 		{"another coding", "GET / HTTP/1.1\nTransfer-Encoding: gzip, chunked\n\n", ErrMalformedHead, 0, false, false},
 		{"a sign", "GET / HTTP/1.1\nContent-Length: +1\n\n", ErrMalformedHead, 0, false, false},
@@ -44,10 +45,10 @@
 		{"a control character", "GET / HTTP/1.1\nA: \x00\n\n", ErrMalformedHead, 0, false, false},
 		{"a bare CR", "GET / HTTP/1.1\nA: b\rContent-Length: 3\n\n", ErrMalformedHead, 0, false, false},
 		{"an empty first line", "\nGET / HTTP/1.1\n\n", ErrMalformedHead, 0, false, false},
-		{"a field for all named by Connection", "GET / HTTP/1.1\nConnection: close, idempotency-KEY\n\n", ErrConnectionOption, 0, false, false},
+		{"an end-to-end field named by Connection", "GET / HTTP/1.1\nConnection: close, idempotency-KEY\n\n", ErrConnectionOption, 0, false, false},
 		{"the same in a second line", "GET / HTTP/1.1\nConnection: close\nA: b\nConnection: x-a,\tHost ,\n\n", ErrConnectionOption, 0, false, false},
 		{"cut off", "GET / HTTP/1.1\nHost", io.EOF, 0, false, false},
-		{"without end", "GET / HTTP/1.1\nA: " + strings.Repeat("x", 2000), ErrHeadTooLong, 0, false, false},
+		{"longer than the buffer", "GET / HTTP/1.1\nA: " + strings.Repeat("x", 2000), ErrHeadTooLong, 0, false, false},
 	} {
 		h, _, err := read(tt.text)
 		if !errors.Is(err, tt.err) || tt.err == nil && err != nil {
@@ -58,15 +59,15 @@
 	}
 }
 
-// TestFirstLines is a table of request and status lines.
-func TestFirstLines(t *testing.T) {
+// TestStartLines checks valid and invalid request lines and status lines.
+func TestStartLines(t *testing.T) {
 	for line, want := range map[string]bool{
 		"GET /a?b HTTP/1.1": true, "POST /a HTTP/1.0": true, "GET /a": false, "GET  /a HTTP/1.1": false, "GET /a b HTTP/1.1": false,
 		"G(T /a HTTP/1.1": false, "GET /a HTTP/2.0": false, "GET /a HTTP/1.1x": false, "GET /a http/1.1": false, "GET /a HTTP/1.": false,
 	} {
 		h := Head{StartLine: []byte(line)}
 		if _, _, _, err := h.ParseRequestLine(); (err == nil) != want {
-			t.Errorf("%q: %v", line, err)
+			t.Errorf("%q: error %v, want valid %v", line, err, want)
 		}
 	}
 	for line, want := range map[string]int{
@@ -75,13 +76,14 @@
 	} {
 		h := Head{StartLine: []byte(line)}
 		if code, _, err := h.ParseStatusLine(); (err == nil) != (want > 0) || err == nil && code != want {
-			t.Errorf("%q: %d, %v", line, code, err)
+			t.Errorf("%q: %d, %v; want %d, where 0 means an error", line, code, err, want)
 		}
 	}
 }
 
-// TestHop: what Connection lists concerns one connection only, as the names do that always do.
-func TestHop(t *testing.T) {
+// TestHopByHop checks that fields listed in Connection are hop-by-hop, as well as those that always
+// are, and that AppendHeader omits them.
+func TestHopByHop(t *testing.T) {
 	h, _, err := read("GET / HTTP/1.1\nConnection: x-mine, Close\nX-Mine: 1\nKEEP-ALIVE: 5\nX-Other: 2\n\n")
 	if err != nil {
 		t.Fatal(err)
@@ -93,20 +95,21 @@
 		}
 	}
 	if len(kept) != 1 || kept[0] != "X-Other" {
-		t.Errorf("kept %v", kept)
+		t.Errorf("end-to-end fields %v, want X-Other", kept)
 	}
 	lines := AppendHeader(nil, http.Header{
 		"Connection": {"x-mine"}, "X-Mine": {"1"}, "X-Other": {"a", "b"}, "Host": {"h"},
 	}, func(name string) bool { return name == "Host" })
 	if string(lines) != "X-Other: a\r\nX-Other: b\r\n" {
-		t.Errorf("%q", lines)
+		t.Errorf("appended lines %q", lines)
 	}
 	if got := ParseHeader(lines); len(got) != 1 || strings.Join(got["X-Other"], ",") != "a,b" {
-		t.Errorf("%v", got)
+		t.Errorf("parsed header %v", got)
 	}
 }
 
-// TestBodies: bodies in chunks and of a length, whole, cut off, and over the bound; what follows is left in the reader.
+// TestBodies checks chunked bodies and bodies with a length that are complete, truncated or too
+// long, and that the bytes after a body are left in the reader.
 func TestBodies(t *testing.T) {
 	chunked := func(text string) (string, string, error) {
 		r := bufio.NewReader(strings.NewReader(strings.ReplaceAll(text, "\n", "\r\n")))
@@ -123,7 +126,7 @@
 	}
 	for _, text := range []string{"5\nhel", "5\nhello\n", "5\nhello\n0\n", "zz\n", "-1\n", "", "5\nhello\n0\n" + strings.Repeat("X: y\n", 2000) + "\n"} {
 		if body, _, err := chunked(text); err == nil {
-			t.Errorf("%.20q: taken as %q", text, body)
+			t.Errorf("%.20q: accepted as %q", text, body)
 		}
 	}
 	endless := func() *bufio.Reader {
@@ -138,8 +141,8 @@
 		want    error
 	}{
 		{"chunks over the limit", endless(), -1, true, MaxFullBody, ErrBodyTooLong},
-		{"chunks over the bound", endless(), -1, true, MaxBody, ErrBodyTooLong},
-		{"a length over the bound", endless(), MaxBody + 1, false, MaxBody, ErrBodyTooLong},
+		{"chunks over MaxBody", endless(), -1, true, MaxBody, ErrBodyTooLong},
+		{"a length over MaxBody", endless(), MaxBody + 1, false, MaxBody, ErrBodyTooLong},
 		{"a length over the limit", endless(), MaxFullBody + 1, false, MaxFullBody, ErrBodyTooLong},
 		{"no end", bufio.NewReader(zeros{}), -1, false, MaxFullBody, ErrBodyTooLong},
 		{"cut off", bufio.NewReader(strings.NewReader("ab")), 3, false, MaxFullBody, io.ErrUnexpectedEOF},
@@ -157,8 +160,9 @@
 	}
 }
 
-// TestUpTo: a part is read, Ended tells whether it was all, and the rest can be read on.
-func TestUpTo(t *testing.T) {
+// TestReadUpTo checks that a part of a body can be read, that Ended reports whether it was all, and
+// that the rest can be read afterwards.
+func TestReadUpTo(t *testing.T) {
 	for _, tt := range []struct {
 		text    string
 		length  int64
@@ -179,18 +183,19 @@
 	}
 }
 
-// TestUpload: who reads it, and who takes it back, each learn how it has ended.
+// TestUpload checks that the reader of an Upload and the owner that reclaims it both learn how the
+// reading ended.
 func TestUpload(t *testing.T) {
 	u := NewUpload(strings.NewReader("abc"))
 	if u.Started() {
-		t.Error("it has begun")
+		t.Error("Started before the first Read")
 	}
 	if b, err := io.ReadAll(u); string(b) != "abc" || err != nil || !u.Started() {
 		t.Errorf("%q, %v", b, err)
 	}
 	<-u.Done()
 	if u.Err() != io.EOF || u.Reclaim(func() {}) != nil {
-		t.Errorf("it ended with %v", u.Err())
+		t.Errorf("the reading ended with %v", u.Err())
 	}
 	near, far := io.Pipe()
 	u = NewUpload(near)
@@ -206,15 +211,17 @@
 	}
 	src := u.Reclaim(func() { far.Write([]byte("x")) })
 	if first, second := <-read, <-read; first != nil || second != ErrReclaimed || src != near || u.Err() != ErrReclaimed {
-		t.Errorf("%v, then %v, taken back %v", first, second, u.Err())
+		t.Errorf("Reads returned %v, then %v; Err after Reclaim: %v", first, second, u.Err())
 	}
 }
 
+// zeros is an endless source of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) { clear(p); return len(p), nil }
 
-// FuzzHead: whatever comes, what is taken is taken alike by net/http, in length and coding, and is read the same in pieces.
+// FuzzHead checks that a head is parsed alike in one piece and byte by byte, and that net/http sees
+// the same body length in each head that both accept.
 func FuzzHead(f *testing.F) {
 	for _, text := range []string{
 		"GET / HTTP/1.1\r\nHost: s\r\n\r\n", "POST /a HTTP/1.0\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello",
@@ -238,7 +245,7 @@
 		}
 		q, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(text)))
 		if err != nil {
-			return // it may be stricter about targets, hosts and trailers
+			return // net/http may be stricter about targets, hosts and trailers
 		}
 		if length := max(whole.ContentLength, 0); q.ContentLength != length {
 			t.Errorf("length %d, and %d by net/http", length, q.ContentLength)
@@ -246,6 +253,7 @@
 	})
 }
 
+// oneByOne returns one byte per Read.
 type oneByOne struct{ io.Reader }
 
 func (o oneByOne) Read(p []byte) (int, error) { return o.Reader.Read(p[:min(len(p), 1)]) }
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -15,16 +15,19 @@
 	"quillfront/policy"
 )
 
-func route(name string, m Match, change ...func(*Route)) Route {
+// route returns a valid route with the options applied.
+func route(name string, m Match, options ...func(*Route)) Route {
 	r := Route{Name: name, Match: m, Class: "c", Pools: []WeightedPool{{"p", 1}}}
-	for _, f := range change {
-		f(&r)
+	for _, apply := range options {
+		apply(&r)
 	}
 	return r
 }
 
+// order is an option of route that sets Order.
 func order(n int) func(*Route) { return func(r *Route) { r.Order = n } }
 
+// header returns a lookup function for headers that are given as names and values in turn.
 func header(pairs ...string) func(string) []string {
 	h := http.Header{}
 	for i := 0; i+1 < len(pairs); i += 2 {
@@ -33,7 +36,7 @@
 	return func(name string) []string { return h.Values(name) }
 }
 
-// TestPrecedence: the most specific route wins, whatever the order in which they were given.
+// TestPrecedence checks that the most specific route wins, whatever the order of the list is.
 func TestPrecedence(t *testing.T) {
 	list := []Route{
 		route("anything", Match{}),
@@ -89,7 +92,8 @@
 	}
 }
 
-// TestNoRoute: a request without a route is told from one of another method, and from a target that cannot be read.
+// TestNoRoute checks that Find distinguishes a request without a route, a request with a method
+// that no route matches, and an invalid target.
 func TestNoRoute(t *testing.T) {
 	table, err := New([]Route{route("a", Match{Path: "/a", Methods: []string{"GET", "PUT"}}), route("b", Match{Path: "/{x}", Methods: []string{"POST"}, Headers: []Condition{{Name: "X-B"}}})})
 	if err != nil {
@@ -99,59 +103,59 @@
 		_, err := table.Find(&Request{Host: "s", Method: method, Target: target, Header: h})
 		return err
 	}
-	var wrong *MethodError
-	if err := find("DELETE", "/a", header("X-B", "1")); !errors.As(err, &wrong) || strings.Join(wrong.Allow, " ") != "GET POST PUT" {
-		t.Errorf("%v", err)
+	var methodErr *MethodError
+	if err := find("DELETE", "/a", header("X-B", "1")); !errors.As(err, &methodErr) || strings.Join(methodErr.Allow, " ") != "GET POST PUT" {
+		t.Errorf("error %v, want a MethodError for GET, POST and PUT", err)
 	}
-	if err := find("DELETE", "/a", nil); !errors.As(err, &wrong) || strings.Join(wrong.Allow, " ") != "GET PUT" {
-		t.Errorf("%v", err)
+	if err := find("DELETE", "/a", nil); !errors.As(err, &methodErr) || strings.Join(methodErr.Allow, " ") != "GET PUT" {
+		t.Errorf("error %v, want a MethodError for GET and PUT", err)
 	}
 	if err := find("GET", "/b/c", nil); !errors.Is(err, ErrNoRoute) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want ErrNoRoute", err)
 	}
 	for _, target := range []string{"", "a", "*", "/%", "/%zz", strings.Repeat("/a", MaxSegments+1)} {
 		if err := find("GET", target, nil); !errors.Is(err, ErrTarget) {
-			t.Errorf("%.20s: %v", target, err)
+			t.Errorf("%.20s: error %v, want ErrTarget", target, err)
 		}
 	}
 }
 
-// TestErrors: what is wrong with routes is told, with the names of both.
-func TestErrors(t *testing.T) {
+// TestInvalidRoutes checks the errors for invalid routes, which name both routes of a conflict.
+func TestInvalidRoutes(t *testing.T) {
 	get := []string{"GET"}
 	for _, tt := range []struct {
 		name string
 		list []Route
 		want string
 	}{
-		{"alike", []Route{route("one", Match{Path: "/a"}), route("two", Match{Path: "/a"})}, `routes "one" and "two": a request could match both`},
-		{"alike but for names of parts", []Route{route("one", Match{Path: "/{a}"}), route("two", Match{Path: "/{b}"})}, `"one" and "two"`},
-		{"alike in one of their hosts", []Route{route("one", Match{Hosts: []string{"a", "b"}}), route("two", Match{Hosts: []string{"B.", "c"}})}, `"one" and "two"`},
-		{"conditions that hold at once", []Route{route("one", Match{Headers: []Condition{{Name: "a"}}}), route("two", Match{Headers: []Condition{{Name: "b"}}})}, `"one" and "two"`},
+		{"the same match", []Route{route("one", Match{Path: "/a"}), route("two", Match{Path: "/a"})}, `routes "one" and "two": a request could match both`},
+		{"the same match with other names of captures", []Route{route("one", Match{Path: "/{a}"}), route("two", Match{Path: "/{b}"})}, `"one" and "two"`},
+		{"one host in common", []Route{route("one", Match{Hosts: []string{"a", "b"}}), route("two", Match{Hosts: []string{"B.", "c"}})}, `"one" and "two"`},
+		{"conditions that can both be met", []Route{route("one", Match{Headers: []Condition{{Name: "a"}}}), route("two", Match{Headers: []Condition{{Name: "b"}}})}, `"one" and "two"`},
 		{"hidden by an order", []Route{route("one", Match{Path: "/a"}, order(1)), route("two", Match{Path: "/a"})}, `routes "one" and "two": no request reaches the first`},
 		{"hidden by two", []Route{route("one", Match{Methods: []string{"GET", "PUT"}}), route("two", Match{Methods: []string{"GET"}}), route("three", Match{Methods: []string{"PUT"}})}, `no request reaches the first`},
 		{"hidden by a pattern", []Route{route("one", Match{Headers: []Condition{{Name: "a", Pattern: "x+"}}}, order(1)), route("two", Match{Headers: []Condition{{Name: "a", Pattern: "x+"}}})}, "no request reaches the first"},
-		{"a name twice", []Route{route("one", Match{Path: "/a"}), route("one", Match{Path: "/b"})}, "the name is there twice"},
+		{"a duplicate name", []Route{route("one", Match{Path: "/a"}), route("one", Match{Path: "/b"})}, "the name is there twice"},
 		{"no name", []Route{route("", Match{})}, "no name"},
 		{"no slash", []Route{route("one", Match{Path: "a"})}, "slash"},
-		{"the rest in the middle", []Route{route("one", Match{Path: "/{a...}/b"})}, "not at the end"},
-		{"a part twice", []Route{route("one", Match{Path: "/{a}/{a}"})}, "twice"},
-		{"half a part", []Route{route("one", Match{Path: "/a{b}"})}, "neither"},
+		{"a rest capture in the middle", []Route{route("one", Match{Path: "/{a...}/b"})}, "not at the end"},
+		{"a duplicate capture", []Route{route("one", Match{Path: "/{a}/{a}"})}, "twice"},
+		{"a literal with a capture in one segment", []Route{route("one", Match{Path: "/a{b}"})}, "neither"},
 		{"a dot segment", []Route{route("one", Match{Path: "/a/../b"})}, "dot"},
 		{"a host with a port", []Route{route("one", Match{Hosts: []string{"a:80"}})}, "port"},
-		{"a wildcard inside", []Route{route("one", Match{Hosts: []string{"a.*.b"}})}, "want a name"},
+		{"a wildcard inside a host", []Route{route("one", Match{Hosts: []string{"a.*.b"}})}, "want a name"},
 		{"a method of two words", []Route{route("one", Match{Methods: []string{"GET PUT"}})}, "is none"},
-		{"a pattern that is none", []Route{route("one", Match{Headers: []Condition{{Name: "a", Pattern: "("}}})}, "missing closing"},
+		{"an invalid pattern", []Route{route("one", Match{Headers: []Condition{{Name: "a", Pattern: "("}}})}, "missing closing"},
 		{"a value and a pattern", []Route{route("one", Match{Query: []Condition{{Name: "a", Exact: "x", Pattern: "x"}}})}, "both"},
 		{"no pool", []Route{route("one", Match{}, func(r *Route) { r.Pools = nil })}, "no pool"},
 		{"no weight", []Route{route("one", Match{}, func(r *Route) { r.Pools = []WeightedPool{{"a", 0}} })}, "no weight"},
-		{"a weight that is none", []Route{route("one", Match{}, func(r *Route) { r.Pools = []WeightedPool{{"a", math.NaN()}} })}, "weight"},
-		{"a key of no part", []Route{route("one", Match{Path: "/{a}"}, func(r *Route) { r.Key = []ValueSource{{Path: "b"}} })}, "no part {b}"},
-		{"a key of two sources", []Route{route("one", Match{}, func(r *Route) { r.Key = []ValueSource{{Header: "a", Query: "b"}} })}, "2 sources"},
+		{"an invalid weight", []Route{route("one", Match{}, func(r *Route) { r.Pools = []WeightedPool{{"a", math.NaN()}} })}, "weight"},
+		{"a key from an unknown capture", []Route{route("one", Match{Path: "/{a}"}, func(r *Route) { r.Key = []ValueSource{{Path: "b"}} })}, "no part {b}"},
+		{"a key source with two fields", []Route{route("one", Match{}, func(r *Route) { r.Key = []ValueSource{{Header: "a", Query: "b"}} })}, "2 sources"},
 	} {
 		_, err := New(tt.list)
-		var wrong *RouteError
-		if !errors.As(err, &wrong) || !strings.Contains(err.Error(), tt.want) {
+		var routeErr *RouteError
+		if !errors.As(err, &routeErr) || !strings.Contains(err.Error(), tt.want) {
 			t.Errorf("%s: %v, want %s", tt.name, err, tt.want)
 		}
 	}
@@ -159,12 +163,12 @@
 		route("one", Match{Headers: []Condition{{Name: "a", Exact: "1"}}}), route("two", Match{Headers: []Condition{{Name: "a", Exact: "2"}}}),
 		route("three", Match{Headers: []Condition{{Name: "b", Exact: "2"}}}, order(1)), route("get", Match{Methods: get}), route("any", Match{}),
 	}); err != nil {
-		t.Errorf("routes that exclude each other: %v", err)
+		t.Errorf("disjoint routes: %v", err)
 	}
 }
 
-// TestValues: key, tenant and effect follow from the request by the route.
-func TestValues(t *testing.T) {
+// TestRequestValues checks the key, the tenant and the effect of requests.
+func TestRequestValues(t *testing.T) {
 	table, err := New([]Route{route("one", Match{Path: "/farms/{farm}/{rest...}"}, func(r *Route) {
 		r.Key, r.Tenant, r.TrustIdempotencyKey = []ValueSource{{Path: "farm"}, {Query: "outlet"}, {Header: "X-Group"}}, []ValueSource{{Header: "X-Group"}}, true
 	})})
@@ -174,7 +178,7 @@
 	q := Request{Method: "POST", Target: "/farms/a%2Fb/x/y?outlet=7", Header: header("x-group", "g")}
 	f, err := table.Find(&q)
 	if err != nil || f.RequestKey() != "3:a/b1:71:g" || f.RequestTenant() != "g" || f.captures["rest"] != "x/y" {
-		t.Errorf("%q, %q, %q, %v", f.RequestKey(), f.RequestTenant(), f.captures, err)
+		t.Errorf("key %q, tenant %q, captures %q, error %v", f.RequestKey(), f.RequestTenant(), f.captures, err)
 	}
 	for method, want := range map[string][2]policy.Effect{
 		"GET": {policy.Safe, policy.Safe}, "PUT": {policy.Safe, policy.Safe}, "DELETE": {policy.Safe, policy.Safe},
@@ -188,8 +192,8 @@
 	}
 }
 
-// TestFindAgainstScan: the tree finds what trying all routes one by one finds.
-func TestFindAgainstScan(t *testing.T) {
+// TestFindAgainstLinearScan checks that the tree finds the same route as a linear scan of the list.
+func TestFindAgainstLinearScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		paths := []string{"", "/a", "/a/b", "/{x}", "/a/{x}", "/{x}/b", "/a/{x...}", "/{x...}", "/a/b/c", "/{x}/{y}/c", "/"}
 		hosts := []string{"", "a.b", "*.b", "**.b"}
@@ -205,21 +209,21 @@
 			list = append(list, route(fmt.Sprint(i), m, order(i)))
 		}
 		var table *Table
-		for { // without those that are hidden
+		for { // remove unreachable routes
 			var err error
 			if table, err = New(list); err == nil {
 				break
 			}
-			var wrong *RouteError
-			if !errors.As(err, &wrong) {
+			var routeErr *RouteError
+			if !errors.As(err, &routeErr) {
 				t.Fatal(err)
 			}
-			list = slices.DeleteFunc(list, func(r Route) bool { return r.Name == wrong.Route })
+			list = slices.DeleteFunc(list, func(r Route) bool { return r.Name == routeErr.Route })
 		}
 		q := Request{
-			Host:   rapid.SampledFrom([]string{"a.b", "c.b", "d.c.b", "b", "e"}).Draw(t, "asked host"),
-			Method: rapid.SampledFrom([]string{"GET", "POST", "PUT"}).Draw(t, "asked method"),
-			Target: rapid.SampledFrom([]string{"/", "/a", "/b", "/a/b", "/b/b", "/a/c", "/a/b/c", "/x/y/c", "/a/b/d", "//b"}).Draw(t, "asked path"),
+			Host:   rapid.SampledFrom([]string{"a.b", "c.b", "d.c.b", "b", "e"}).Draw(t, "request host"),
+			Method: rapid.SampledFrom([]string{"GET", "POST", "PUT"}).Draw(t, "request method"),
+			Target: rapid.SampledFrom([]string{"/", "/a", "/b", "/a/b", "/b/b", "/a/c", "/a/b/c", "/x/y/c", "/a/b/d", "//b"}).Draw(t, "request path"),
 		}
 		var best *Route
 		for i := range list {
@@ -234,7 +238,10 @@
 	})
 }
 
-// matches and before say the rules anew, without a tree.
+// matches, hostMatches and before implement the rules again without a tree. They support the
+// subset of patterns that TestFindAgainstLinearScan generates.
+
+// matches reports whether r matches q.
 func matches(r *Route, q *Request) bool {
 	if len(r.Match.Methods) > 0 && r.Match.Methods[0] != q.Method || len(r.Match.Hosts) > 0 && !hostMatches(r.Match.Hosts[0], q.Host) {
 		return false
@@ -252,6 +259,7 @@
 	return len(path) == len(segments)
 }
 
+// hostMatches reports whether a host pattern matches host.
 func hostMatches(pattern, host string) bool {
 	if name, ok := strings.CutPrefix(pattern, "**."); ok {
 		return strings.HasSuffix(host, "."+name)
@@ -263,6 +271,7 @@
 	return pattern == host
 }
 
+// before reports whether a takes precedence over b.
 func before(a, b *Route, q *Request) bool {
 	key := func(r *Route) string {
 		host := byte('9')
@@ -282,7 +291,7 @@
 			}
 		}
 		for len(text) < 8 {
-			text += "0" // one that ends comes before the rest
+			text += "0" // a path that ends takes precedence over a rest capture
 		}
 		if len(r.Match.Methods) > 0 {
 			return text + "0" + fmt.Sprintf("%05d", r.Order)
@@ -292,64 +301,64 @@
 	return key(a) < key(b)
 }
 
-// TestSplit: shares are those of the weights; when weights move no more keys do than must; and a firm key is never with two pools
-// within its window.
-func TestSplit(t *testing.T) {
+// TestSplitter checks that the shares follow the weights, that no more keys than necessary move
+// when the weights change, and that a sticky key never changes its pool within its window.
+func TestSplitter(t *testing.T) {
 	const keys, window = 20_000, time.Minute
 	pools := func(canary float64) []WeightedPool {
 		return []WeightedPool{{"stable", 100 - canary}, {"canary", canary}}
 	}
-	loose, err := NewSplitter(pools(0), 0, 1)
+	unpinned, err := NewSplitter(pools(0), 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	firm, err := NewSplitter(pools(0), window, keys)
+	sticky, err := NewSplitter(pools(0), window, keys)
 	if err != nil {
 		t.Fatal(err)
 	}
 	where, last := map[int]string{}, map[int]string{}
 	now := time.Duration(0)
 	for _, share := range []float64{0, 1, 10, 50, 100} {
-		loose.SetWeights(pools(share))
-		firm.SetWeights(pools(share))
+		unpinned.SetWeights(pools(share))
+		sticky.SetWeights(pools(share))
 		now += 10 * time.Second
 		moved, canary := 0, 0
 		for k := range keys {
 			key := fmt.Sprint("farm-", k)
-			pool := loose.Pick(now, key, false, nil)
+			pool := unpinned.Pick(now, key, false, nil)
 			if pool == "canary" {
 				canary++
 			}
 			if where[k] != "" && where[k] != pool {
 				moved++
 				if pool != "canary" {
-					t.Fatalf("%s moved to the pool that shrank", key)
+					t.Fatalf("%s moved to the pool whose weight decreased", key)
 				}
 			}
 			where[k] = pool
-			got := firm.Pick(now, key, true, nil)
+			got := sticky.Pick(now, key, true, nil)
 			if last[k] != "" && got != last[k] {
 				t.Fatalf("%s went to %s and %s within its window", key, last[k], got)
 			}
 			last[k] = got
 		}
 		if got := float64(canary) / keys; math.Abs(got-share/100) > 0.015 {
-			t.Errorf("weight %v: a share of %.3f", share, got)
+			t.Errorf("weight %v: share %.3f", share, got)
 		}
 		t.Logf("canary at %v of 100: %d of %d keys moved", share, moved, keys)
 	}
-	if firm.PinnedKeys() != keys || firm.EarlyEvictions() != 0 {
-		t.Errorf("%d are held, %d let go early", firm.PinnedKeys(), firm.EarlyEvictions())
+	if sticky.PinnedKeys() != keys || sticky.EarlyEvictions() != 0 {
+		t.Errorf("%d keys pinned, %d evicted early", sticky.PinnedKeys(), sticky.EarlyEvictions())
 	}
-	if got := firm.Pick(now+window+1, "farm-1", true, nil); got != "canary" || firm.PinnedKeys() != 1 {
-		t.Errorf("past the window: %s, %d are held", got, firm.PinnedKeys())
+	if got := sticky.Pick(now+window+1, "farm-1", true, nil); got != "canary" || sticky.PinnedKeys() != 1 {
+		t.Errorf("after the window: %s, %d keys pinned", got, sticky.PinnedKeys())
 	}
 	down := func(pool string) bool { return pool != "canary" }
-	if got := firm.Pick(now+window+2, "farm-1", true, down); got != "canary" {
-		t.Errorf("a firm key whose pool is not ready went to %q", got)
+	if got := sticky.Pick(now+window+2, "farm-1", true, down); got != "canary" {
+		t.Errorf("a sticky key whose pool is not ready went to %q", got)
 	}
-	if got := firm.Pick(now+window+2, "farm-2", false, down); got != "" {
-		t.Errorf("nothing of any weight is ready, and it went to %q", got)
+	if got := sticky.Pick(now+window+2, "farm-2", false, down); got != "" {
+		t.Errorf("no pool with a weight is ready, and the key went to %q", got)
 	}
 	small, err := NewSplitter(pools(50), window, 10)
 	if err != nil {
@@ -359,11 +368,11 @@
 		small.Pick(0, fmt.Sprint(k), true, nil)
 	}
 	if small.PinnedKeys() != 10 || small.EarlyEvictions() != 15 {
-		t.Errorf("%d are held, %d let go early", small.PinnedKeys(), small.EarlyEvictions())
+		t.Errorf("%d keys pinned, %d evicted early", small.PinnedKeys(), small.EarlyEvictions())
 	}
 }
 
-// BenchmarkFind looks routes up beside http.ServeMux.
+// BenchmarkFind compares Find with http.ServeMux.
 func BenchmarkFind(b *testing.B) {
 	for _, n := range []int{10, 1000, 10_000} {
 		var list []Route
@@ -398,8 +407,9 @@
 	}
 }
 
-// TestSlowPattern: a pattern made to be slow takes time in step with the value, as RE2 has it: a value twice as long does not take the
-// square of it. A backtracking engine would not come to an end.
+// TestSlowPattern guards against patterns that are slow in backtracking engines, which would not
+// come to an end here. RE2 takes time linear in the length of the value: a value twice as long does
+// not take four times as long.
 func TestSlowPattern(t *testing.T) {
 	table, err := New([]Route{route("slow", Match{Headers: []Condition{{Name: "X", Pattern: "(a*)*(a|aa)+b"}}}), route("other", Match{})})
 	if err != nil {
