--- a/http.go
+++ b/http.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Release, r.Upload = release, more != nil
+	r.Release, r.Uploading = release, more != nil
 	var up *upload
 	if more != nil {
 		up = send(m, more, call.Length)
@@ -115,7 +115,7 @@
 		return b.engine.Submit(r, b.engine.Now())
 	}
 	read := b.engine.Now()
-	return b.desk.Take(r, orders.Ask{Key: call.IdempotencyKey, Print: call.Fingerprint(m.Body)}, read)
+	return b.desk.Submit(r, orders.Identity{Key: call.IdempotencyKey, Fingerprint: call.Fingerprint(m.Body)}, read)
 }
 
 // result is what the caller gets of an engine's result.
--- a/internal/engine/shutdown_test.go
+++ b/internal/engine/shutdown_test.go
@@ -8,31 +8,32 @@
 	"quillfront/policy"
 )
 
-// TestStopSendingTakesBack: an attempt that waits for a connection is called off, proves never to have run, and has no
-// successor; its request is refused at once.
-func TestStopSendingTakesBack(t *testing.T) {
-	e, f := start(t, "a", "b")
-	r, released := take(t, e, "unsafe", "n")
-	next(t, "attempt", f.started)
+// TestStopSendingCancelsUnsent verifies that StopSending cancels an attempt that waits for a
+// connection: it counts as not executed, there is no retry, and the request is refused at once.
+func TestStopSendingCancelsUnsent(t *testing.T) {
+	e, f := startEngine(t, "a", "b")
+	r, released := submit(t, e, "unsafe", "n")
+	receive(t, "attempt", f.started)
 	e.StopSending(r)
-	if got := next(t, "result", r.Result()); got.Kind != Refused || !got.NotRun || got.Attempts != 1 {
+	if got := receive(t, "result", r.Result()); got.Kind != Refused || !got.NotRun || got.Attempts != 1 {
 		t.Errorf("result %+v, want refused, not run, after one attempt", got)
 	}
-	next(t, "release", released)
+	receive(t, "release", released)
 }
 
-// TestStopSendingLeavesWhatIsOut: an attempt that its server may have seen goes on, and its answer is the request's.
-func TestStopSendingLeavesWhatIsOut(t *testing.T) {
-	e, f := start(t, "a", "b")
-	r, _ := take(t, e, "safe", "n")
-	a := next(t, "attempt", f.started)
-	a.Sending(func() { t.Error("called off") })
+// TestStopSendingKeepsSentAttempts verifies that an attempt that the server may have received
+// continues, and that its reply becomes the result.
+func TestStopSendingKeepsSentAttempts(t *testing.T) {
+	e, f := startEngine(t, "a", "b")
+	r, _ := submit(t, e, "safe", "n")
+	a := receive(t, "attempt", f.started)
+	a.Sending(func() { t.Error("the attempt was canceled") })
 	e.StopSending(r)
 	if len(r.Result()) > 0 {
-		t.Error("answered before its server did")
+		t.Error("the request has a result before the server replied")
 	}
 	f.finish(a, AttemptResult{Status: policy.OK, Reply: "reply"})
-	if got := next(t, "result", r.Result()); got.Kind != Served {
+	if got := receive(t, "result", r.Result()); got.Kind != Served {
 		t.Errorf("result %+v", got)
 	}
 	e.StopSending(r) // it has ended
@@ -42,46 +43,51 @@
 	}
 }
 
-// TestGiveUpAnswers: a request whose attempt hangs has its result at once, by the module's word, and only one.
-func TestGiveUpAnswers(t *testing.T) {
+// TestGiveUpEndsRequestAtOnce verifies that GiveUp ends a request whose attempt hangs at once, with
+// the result that the module chooses, and that a late reply yields no second result.
+func TestGiveUpEndsRequestAtOnce(t *testing.T) {
 	for class, want := range map[string]ResultKind{"safe": Refused, "unsafe": Failed} {
-		e, f := start(t, "a")
-		r, released := take(t, e, class, "n")
-		a := next(t, "attempt", f.started)
+		e, f := startEngine(t, "a")
+		r, released := submit(t, e, class, "n")
+		a := receive(t, "attempt", f.started)
 		a.Sending(func() {})
 		e.GiveUp(r)
-		if got := next(t, "result", r.Result()); got.Kind != want || got.NotRun {
-			t.Errorf("%s: result %+v, want %v and no promise that it has not run", class, got, want)
+		if got := receive(t, "result", r.Result()); got.Kind != want || got.NotRun {
+			t.Errorf("%s: result %+v, want %v without NotRun", class, got, want)
 		}
 		f.finish(a, AttemptResult{Status: policy.OK, Reply: "late"})
-		next(t, "release", released)
+		receive(t, "release", released)
 		if len(r.Result()) > 0 {
 			t.Errorf("%s: a second result", class)
 		}
 	}
 }
 
-// TestShutdownBeforeTake: a request that was stopped or given up just before it is handed over is not taken.
-func TestShutdownBeforeTake(t *testing.T) {
-	e, f := start(t, "a")
+// TestShutdownBeforeSubmit verifies that Submit rejects a request for which StopSending or GiveUp
+// was called before.
+func TestShutdownBeforeSubmit(t *testing.T) {
+	e, f := startEngine(t, "a")
 	for _, stop := range []func(*Request){e.StopSending, e.GiveUp} {
 		r := &Request{Class: "safe", Timeout: time.Second}
 		stop(r)
 		if err := e.Submit(r, e.Now()); !errors.Is(err, ErrClosed) {
-			t.Errorf("Take: %v, want ErrClosed", err)
+			t.Errorf("Submit: %v, want ErrClosed", err)
 		}
 	}
 	if len(f.started) > 0 || e.Snapshot().Retained > 0 {
-		t.Error("it was taken")
+		t.Error("the request was accepted")
 	}
 }
 
-// TestShutdownOfAdopted: an adopted request that may not be sent is not handed to the module any more, and one that is given
-// up is told as one that may have run.
-func TestShutdownOfAdopted(t *testing.T) {
-	e, f := start(t, "a")
+// TestShutdownOfDeferredRequest verifies that a deferred request is not dispatched after
+// StopSending, and that StopSending and GiveUp end it as one that may have run.
+func TestShutdownOfDeferredRequest(t *testing.T) {
+	e, f := startEngine(t, "a")
 	for _, end := range []func(r *Request){
-		func(r *Request) { e.StopSending(r); e.DispatchDeferred(r, e.Now(), func() { t.Error("handed over") }) },
+		func(r *Request) {
+			e.StopSending(r)
+			e.DispatchDeferred(r, e.Now(), func() { t.Error("the request was dispatched") })
+		},
 		func(r *Request) { e.GiveUp(r) },
 	} {
 		r := &Request{Class: "safe", Timeout: time.Second}
@@ -89,28 +95,28 @@
 			t.Fatal(err)
 		}
 		end(r)
-		if got := next(t, "result", r.Result()); got.Kind != Failed || !got.MayHaveRun {
+		if got := receive(t, "result", r.Result()); got.Kind != Failed || !got.MayHaveRun {
 			t.Errorf("result %+v, want failed, may have run", got)
 		}
 	}
 	if len(f.started) > 0 {
-		t.Error("something was sent")
+		t.Error("an attempt was started")
 	}
 }
 
-// mute leaves open what it is told to give up.
-type mute struct{ Module }
+// giveUpIgnorer is a module that ignores GiveUp.
+type giveUpIgnorer struct{ Module }
 
-func (mute) GiveUp(policy.Time, policy.RequestID, policy.Actions) {}
+func (giveUpIgnorer) GiveUp(policy.Time, policy.RequestID, policy.Actions) {}
 
-// TestGiveUpWhateverTheModuleDoes: no request stays open.
-func TestGiveUpWhateverTheModuleDoes(t *testing.T) {
-	e, f := start(t, "a")
-	e.module = mute{e.module}
-	r, _ := take(t, e, "safe", "n")
-	a := next(t, "attempt", f.started)
+// TestGiveUpIgnoredByModule verifies that GiveUp ends the request even if the module ignores it.
+func TestGiveUpIgnoredByModule(t *testing.T) {
+	e, f := startEngine(t, "a")
+	e.module = giveUpIgnorer{e.module}
+	r, _ := submit(t, e, "safe", "n")
+	a := receive(t, "attempt", f.started)
 	e.GiveUp(r)
-	if got := next(t, "result", r.Result()); got.Kind != Failed {
+	if got := receive(t, "result", r.Result()); got.Kind != Failed {
 		t.Errorf("result %+v", got)
 	}
 	f.finish(a, AttemptResult{Status: policy.Timeout})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -188,7 +188,7 @@
 			switch {
 			case !ok || !k.ByRequest:
 				return fmt.Errorf("[[routes]] %s: class: pool %q has no class %q with effect \"by-request\"", r.Name, name, r.Class)
-			case (r.Effect == routes.Keyed || r.TrustIdempotencyKey) && k.Window == 0:
+			case (r.Effect == routes.Keyed || r.TrustIdempotencyKey) && k.KeyWindow == 0:
 				return fmt.Errorf("[[routes]] %s: class %q of pool %q has no window, the time for which servers drop repeats of a key", r.Name, r.Class, name)
 			}
 		}
@@ -215,7 +215,7 @@
 				return fmt.Errorf("route %q: there is no pool %q", route.Name, w.Pool)
 			}
 			k, _ := p.Config.Class(route.Class)
-			window = max(window, k.Window)
+			window = max(window, k.KeyWindow)
 		}
 		s := r.splits[route.Name]
 		if s == nil {
@@ -293,7 +293,7 @@
 		if reserved > 0 {
 			d.BodyBudget.Release(reserved)
 		}
-		next.Request.Payload, next.Request.Retry, next.Request.Upload = d.Request.Payload, d.Request.Retry, d.Request.Upload
+		next.Request.Payload, next.Request.Retry, next.Request.Uploading = d.Request.Payload, d.Request.Retry, d.Request.Uploading
 		d.Release()
 		d = next
 	}
@@ -342,9 +342,9 @@
 	class := k.Name
 	switch effect {
 	case policy.Safe:
-		class = pool.ReadOf(k.Name)
+		class = pool.SafeClass(k.Name)
 	case policy.Keyed:
-		class = pool.KeyedOf(k.Name)
+		class = pool.KeyedClass(k.Name)
 	}
 	rules := found.ResponseRules
 	return &Decision{
--- a/internal/stream/transport.go
+++ b/internal/stream/transport.go
@@ -23,7 +23,7 @@
 	load   func(engine.Endpoint) string // where a server tells its load; empty: nowhere
 	prober pool.Prober                  // nil: none does
 	log    *slog.Logger
-	open   pool.Out // streams
+	open   pool.InFlight // streams
 }
 
 // NewTransport returns a Transport that takes its descriptors from b. With a prober, load tells where it asks.
@@ -99,8 +99,8 @@
 	return t.prober.Probe(ctx, to)
 }
 
-// HangUp is a method of engine.Transport. There are no idle connections.
-func (t *Transport) HangUp(engine.Endpoint) {}
+// CloseIdle is a method of engine.Transport. There are no idle connections.
+func (t *Transport) CloseIdle(engine.Endpoint) {}
 
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -173,18 +173,18 @@
 	for _, v := range s.Engine.Sites {
 		gauge(siteShare, v.Share, v.Site)
 		gauge(siteState, float64(v.State), v.Site)
-		gauge(siteBad, v.Bad, v.Site)
+		gauge(siteBad, v.FailureRatio, v.Site)
 		total(siteSpilled, v.Spilled, v.Site)
 		total(siteAway, v.TurnedAway, v.Site)
 	}
 	gauge(active, float64(s.Engine.Open))
-	gauge(held, float64(s.Engine.Beliefs.Held))
+	gauge(held, float64(s.Engine.Module.Held))
 	gauge(poolSize, float64(len(s.Engine.Servers)))
 	gauge(poolEjected, float64(ejected))
 	gauge(poolOut, float64(s.Out))
 	gauge(poolDraining, float64(draining))
-	gauge(readySet, float64(s.Engine.Beliefs.ReadySet))
-	gauge(threshold, s.Engine.Beliefs.Threshold)
+	gauge(readySet, float64(s.Engine.Module.ReadySet))
+	gauge(threshold, s.Engine.Module.Threshold)
 	gauge(evacuated, truth(s.Evacuated))
 	total(applied, uint64(s.Applied))
 	total(rejected, uint64(s.Rejected))
@@ -197,12 +197,12 @@
 			result string
 			n      int64
 		}{
-			{"replayed", o.Replayed}, {"joined", o.Joined}, {"again", o.Again}, {"mismatched", o.Mismatched}, {"unknown", o.Unknown},
+			{"replayed", o.Replayed}, {"joined", o.Joined}, {"again", o.Resent}, {"mismatched", o.Mismatched}, {"unknown", o.Unknown},
 			{"unwritable", o.Unwritable},
 		} {
 			total(ordersTotal, uint64(r.n), r.result)
 		}
-		gauge(ordersFailing, truth(o.Failing != nil))
+		gauge(ordersFailing, truth(o.StoreError != nil))
 	}
 	for _, f := range s.Services {
 		tellService(f, total, gauge)
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -118,8 +118,8 @@
 	return s
 }
 
-// HangUp implements engine.Transport.
-func (t *Transport) HangUp(to engine.Endpoint) { t.pool.closeIdleTo(to) }
+// CloseIdle implements engine.Transport.
+func (t *Transport) CloseIdle(to engine.Endpoint) { t.pool.closeIdleTo(to) }
 
 // Do implements engine.Transport. What the end of an attempt proves about its execution follows the
 // protocol's table of outcomes.
--- a/snapshot.go
+++ b/snapshot.go
@@ -54,18 +54,18 @@
 	e := b.engine.Snapshot()
 	used, _ := b.sockets.InUse()
 	s := Snapshot{
-		Open: e.Open, Taken: e.Accepted, Probing: e.Probing, Waiting: e.Beliefs.Held, Connections: used,
-		Watching: e.Watching, Threshold: e.Beliefs.Threshold, ReadySet: e.Beliefs.ReadySet,
+		Open: e.Open, Taken: e.Accepted, Probing: e.Probing, Waiting: e.Module.Held, Connections: used,
+		Watching: e.Watching, Threshold: e.Module.Threshold, ReadySet: e.Module.ReadySet,
 		Servers: make([]ServerSnapshot, len(e.Servers)), Sites: siteSnapshots(e),
 	}
 	if b.desk != nil {
 		d := b.desk.Stats()
 		s.Orders = &OrdersSnapshot{
-			Open: d.Open, Replayed: d.Replayed, Joined: d.Joined, Again: d.Again, Mismatched: d.Mismatched, Unknown: d.Unknown,
+			Open: d.Open, Replayed: d.Replayed, Joined: d.Joined, Again: d.Resent, Mismatched: d.Mismatched, Unknown: d.Unknown,
 			Unwritable: d.Unwritable,
 		}
-		if d.Failing != nil {
-			s.Orders.Failing = d.Failing.Error()
+		if d.StoreError != nil {
+			s.Orders.Failing = d.StoreError.Error()
 		}
 	}
 	if math.IsInf(s.Threshold, 1) {
