--- a/internal/httpmsg/httpmsg_test.go
+++ b/internal/httpmsg/httpmsg_test.go
@@ -67,7 +67,7 @@
 	} {
 		h := Head{StartLine: []byte(line)}
 		if _, _, _, err := h.ParseRequestLine(); (err == nil) != want {
-			t.Errorf("%q: error %v, want valid %v", line, err, want)
+			t.Errorf("request line %q: error %v", line, err)
 		}
 	}
 	for line, want := range map[string]int{
@@ -76,7 +76,7 @@
 	} {
 		h := Head{StartLine: []byte(line)}
 		if code, _, err := h.ParseStatusLine(); (err == nil) != (want > 0) || err == nil && code != want {
-			t.Errorf("%q: %d, %v; want %d, where 0 means an error", line, code, err, want)
+			t.Errorf("status line %q: code %d, error %v", line, code, err)
 		}
 	}
 }
--- a/routes/response_test.go
+++ b/routes/response_test.go
@@ -91,7 +91,7 @@
 	}
 	for code, want := range map[int]bool{404: true, 403: false, 500: true, 599: true, 419: false, 420: true, 429: true, 430: false} {
 		if s.Has(code) != want {
-			t.Errorf("Has(%d) = %v, want %v", code, !want, want)
+			t.Errorf("Has(%d) = %v", code, !want)
 		}
 	}
 	for _, bad := range [][]string{{"1xx"}, {"6xx"}, {"xx"}, {"199"}, {"600"}, {"503-500"}, {"5x"}, {""}, {"-"}, {"500-"}, {"404", "4xx"}} {
@@ -109,7 +109,7 @@
 		want   bool
 	}{{"GET", 200, true}, {"HEAD", 200, false}, {"GET", 204, false}, {"GET", 304, false}, {"GET", 206, true}, {"GET", 103, false}, {"POST", 404, true}} {
 		if got := HasBody(tt.method, tt.code); got != tt.want {
-			t.Errorf("%s %d: %v, want %v", tt.method, tt.code, got, tt.want)
+			t.Errorf("HasBody(%s, %d) = %v", tt.method, tt.code, got)
 		}
 	}
 }
