--- a/internal/httpmsg/body.go
+++ b/internal/httpmsg/body.go
@@ -258,8 +258,8 @@
 	})
 }
 
-// Stop makes all further Reads fail. It does not wait for a Read in progress, whose data is
-// discarded.
+// Stop makes all further Reads fail. It does not wait for a Read in progress, whose data nobody
+// uses any more.
 func (u *Upload) Stop() { u.reclaimed.Store(true) }
 
 // MarkStarted records that the body is about to be read, so that it cannot be sent again.
