--- a/routes/splitter.go
+++ b/routes/splitter.go
@@ -14,10 +14,10 @@
 // for concurrent use. It has no clock: callers pass the time, which must never decrease.
 //
 // It uses weighted rendezvous hashing (Schindelhauer and Schomaker, SPAA 2005): each pool has the
-// score -w/ln(h) with a hash h of key and pool, and the highest score wins. A key moves only if the
-// score of a pool with a higher weight overtakes that of its pool, or the score of its pool falls
-// behind. The share of keys that moves is half the sum of the changes of all shares, which is the
-// minimum of any method.
+// score -w/ln(h) with a hash h of key and pool, and the highest score wins. A key moves only if a
+// pool whose weight increased overtakes its pool, or if the weight of its pool decreased and it
+// falls behind. The share of keys that moves is half the sum of the changes of all shares, which is
+// the minimum of any method.
 //
 // In addition, a key can be pinned: it stays with its pool for a window after its latest request,
 // whatever the weights are. Otherwise servers of two pools could both execute an order under one
