--- a/routes/explain.go
+++ b/routes/explain.go
@@ -9,12 +9,13 @@
 	"quillfront/policy"
 )
 
-// ExplainLine is one thing that is said of a request.
+// ExplainLine is one named line of the output of Explain.
 type ExplainLine struct{ Name, Text string }
 
-// Explain says what follows for the request, and why its route won. keyed tells whether it has an Idempotency-Key.
+// Explain describes how the request is handled and why its route was chosen. keyed says whether it
+// has an Idempotency-Key header.
 func (f *MatchedRoute) Explain(keyed bool) []ExplainLine {
-	lines := []ExplainLine{{"route", f.Name}, {"because", f.why()}, {"class", f.Class}}
+	lines := []ExplainLine{{"route", f.Name}, {"because", f.reason()}, {"class", f.Class}}
 	var pools []string
 	sum := 0.0
 	for _, p := range f.Pools {
@@ -58,8 +59,8 @@
 	return lines
 }
 
-// why names what of the request the route asks for.
-func (f *MatchedRoute) why() string {
+// reason describes the conditions of the route that the request meets.
+func (f *MatchedRoute) reason() string {
 	var parts []string
 	if len(f.Match.Hosts) > 0 {
 		parts = append(parts, "the host is "+strings.Join(f.Match.Hosts, " or "))
@@ -68,24 +69,24 @@
 		parts = append(parts, "the method is "+strings.Join(f.Match.Methods, " or "))
 	}
 	if f.Match.Path != "" {
-		text := "the path is like " + f.Match.Path
-		names := make([]string, 0, len(f.parts))
-		for name := range f.parts {
+		text := "the path matches " + f.Match.Path
+		names := make([]string, 0, len(f.captures))
+		for name := range f.captures {
 			names = append(names, name)
 		}
 		slices.SortFunc(names, cmp.Compare)
 		for _, name := range names {
-			text += fmt.Sprintf(", %s is %q", name, f.parts[name])
+			text += fmt.Sprintf(", %s is %q", name, f.captures[name])
 		}
 		parts = append(parts, text)
 	}
 	say := func(what string, list []Condition) {
 		for _, c := range list {
-			switch c.kind() {
+			switch c.specificity() {
 			case 2:
 				parts = append(parts, fmt.Sprintf("the %s %s is %q", what, c.Name, c.Exact))
 			case 1:
-				parts = append(parts, fmt.Sprintf("the %s %s is like %s", what, c.Name, c.Pattern))
+				parts = append(parts, fmt.Sprintf("the %s %s matches %s", what, c.Name, c.Pattern))
 			default:
 				parts = append(parts, fmt.Sprintf("the %s %s is there", what, c.Name))
 			}
