--- a/cmd/quillfront/account.go
+++ b/cmd/quillfront/account.go
@@ -40,7 +40,7 @@
 			if len(seconds) == 0 {
 				return errors.New("no log holds an account: do the sidecars run with --account?")
 			}
-			account.Print(cmd.OutOrStdout(), account.Phases(seconds, cuts), servers)
+			account.Print(cmd.OutOrStdout(), account.SumPhases(seconds, cuts), servers)
 			return nil
 		},
 	}
--- a/cmd/quillfront/main.go
+++ b/cmd/quillfront/main.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	cfg.Fill(op.Process)
+	cfg.ApplyProcess(op.Process)
 	return s.Reload(cfg, op)
 }
 
@@ -122,8 +122,8 @@
 	}
 	// The process has one core at most: more threads that run Go code would only take turns on it.
 	runtime.GOMAXPROCS(max(1, op.Process.Cores))
-	cfg.Fill(op.Process)
-	op.Account, _ = cmd.Flags().GetBool("account")
+	cfg.ApplyProcess(op.Process)
+	op.LogAccount, _ = cmd.Flags().GetBool("account")
 	s, err := daemon.New(cfg, op, daemon.NewLog(os.Stderr, op.Log))
 	if err != nil {
 		return nil, nil, err
@@ -137,7 +137,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	cfg, err := config.Own(os.Getenv, &op)
+	cfg, err := config.Standalone(os.Getenv, &op)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
--- a/cmd/quillfront/own_test.go
+++ b/cmd/quillfront/own_test.go
@@ -60,7 +60,7 @@
 	pool := fmt.Sprintf("discovery = %q", cfg.Discovery)
 	if cfg.Discovery == "127.0.0.1:1" { // nobody listens there
 		var list []string
-		for _, s := range cfg.Known.Servers {
+		for _, s := range cfg.CachedList.Servers {
 			list = append(list, fmt.Sprintf("{id = %q, addr = %q, cell = %d}", s.ID, s.Addr, s.Cell))
 		}
 		pool = "servers = [" + strings.Join(list, ", ") + "]"
--- a/config.go
+++ b/config.go
@@ -264,7 +264,7 @@
 	if err != nil {
 		return plan{}, fmt.Errorf("quillfront: %w", err)
 	}
-	p := plan{settings: c.Settings, known: c.Known, seed: c.Seed, source: blocked{}}
+	p := plan{settings: c.Settings, known: c.CachedList, seed: c.Seed, source: blocked{}}
 	if c.Discovery != "" {
 		if p.source, _, err = Discovery(c.Discovery).start(); err != nil {
 			return plan{}, err
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -80,19 +80,19 @@
 	}
 	got := told[0]
 	c := got.Classes["check"]
-	if got.Up != 0 || r.sec.Up != 1 && r.sec.Up != 2 {
-		t.Errorf("up for %d s, and then for %d", got.Up, r.sec.Up)
+	if got.UpSeconds != 0 || r.sec.UpSeconds != 1 && r.sec.UpSeconds != 2 {
+		t.Errorf("up for %d s, and then for %d", got.UpSeconds, r.sec.UpSeconds)
 	}
-	if got.Unix%1000 != 0 || got.Unix != origin-250+time.Hour.Milliseconds() {
-		t.Errorf("the second begins at %d", got.Unix)
+	if got.StartMs%1000 != 0 || got.StartMs != origin-250+time.Hour.Milliseconds() {
+		t.Errorf("the second begins at %d", got.StartMs)
 	}
-	if c == nil || c.Taken != 4 || c.InTime != 1 || c.Late != 1 || c.Work < 0.199 || c.Work > 0.201 {
+	if c == nil || c.Accepted != 4 || c.InTime != 1 || c.Late != 1 || c.Work < 0.199 || c.Work > 0.201 {
 		t.Errorf("class: %+v", c)
 	}
-	if got.Sends.First != 4 || got.Sends.Never != len(h.sent) || got.Sends.Again != len(h.sent)-4 {
+	if got.Sends.FirstAttempts != 4 || got.Sends.NoReport != len(h.sent) || got.Sends.Resends != len(h.sent)-4 {
 		t.Errorf("sends: %+v of %d", got.Sends, len(h.sent))
 	}
-	if got.Endings["ok"] != 2 || got.Endings["error"] != 1 || got.Ready != 2 || got.Young != 1 || got.Lists != 1 {
+	if got.AttemptResults["ok"] != 2 || got.AttemptResults["error"] != 1 || got.ReadyServers != 2 || got.ColdServers != 1 || got.ListUpdates != 1 {
 		t.Errorf("second: %+v", got)
 	}
 	cold := 0
@@ -101,8 +101,8 @@
 			cold++
 		}
 	}
-	if got.Sends.Cold != cold {
-		t.Errorf("%d sends to cold servers, %d were made", got.Sends.Cold, cold)
+	if got.Sends.ToCold != cold {
+		t.Errorf("%d sends to cold servers, %d were made", got.Sends.ToCold, cold)
 	}
 }
 
@@ -110,9 +110,9 @@
 // stands around them is read.
 func TestRead(t *testing.T) {
 	entry := func(unix int64, taken, refused int, queue float64) string {
-		s := Second{Unix: unix, Up: int(unix-4000) / 1000, Dials: 3, Sends: Sends{First: taken - refused, Stale: 1}, Classes: map[string]*Class{"check": {Taken: taken, Unsent: refused}},
+		s := Second{StartMs: unix, UpSeconds: int(unix-4000) / 1000, Dials: 3, Sends: Sends{FirstAttempts: taken - refused, StaleReport: 1}, Classes: map[string]*Class{"check": {Accepted: taken, RefusedAtOnce: refused}},
 			Servers: map[string]*Server{"a": {Sent: taken - refused, Queue: queue, Age: 3}}}
-		return "0.01 time=x level=INFO msg=account second=" + strconv.Quote(s.Text())
+		return "0.01 time=x level=INFO msg=account second=" + strconv.Quote(s.Encode())
 	}
 	whole := entry(5000, 10, 2, 4)
 	log := strings.Join([]string{whole, "msg=ready", whole[:len(whole)-9], "msg=account second=\"{}x", entry(7000, 6, 1, -1), entry(7000, 4, 1, 2)}, "\n")
@@ -121,29 +121,29 @@
 	if err != nil || bad != 2 || len(all) != 3 {
 		t.Fatalf("%d seconds, %d spoilt, %v", len(all), bad, err)
 	}
-	p := Phases(all, []time.Duration{2 * time.Second})
+	p := SumPhases(all, []time.Duration{2 * time.Second})
 	if len(p) != 2 {
 		t.Fatalf("%d phases", len(p))
 	}
-	first, second := p[0].Sum.Classes["check"], p[1].Sum.Classes["check"]
-	if first.Taken != 10 || first.Unsent != 2 || second.Taken != 10 || second.Unsent != 2 || p[1].Sidecars != 2 {
+	first, second := p[0].Total.Classes["check"], p[1].Total.Classes["check"]
+	if first.Accepted != 10 || first.RefusedAtOnce != 2 || second.Accepted != 10 || second.RefusedAtOnce != 2 || p[1].Sidecars != 2 {
 		t.Errorf("phases: %+v %+v, %d sidecars", first, second, p[1].Sidecars)
 	}
-	if p[0].Sum.Dials != 3 || p[1].Sum.Dials != 6 {
-		t.Errorf("%d and %d connects", p[0].Sum.Dials, p[1].Sum.Dials)
+	if p[0].Total.Dials != 3 || p[1].Total.Dials != 6 {
+		t.Errorf("%d and %d connects", p[0].Total.Dials, p[1].Total.Dials)
 	}
-	if q := p[1].PerServer["a"].Queue; q != 2 || p[1].ByAge[1].Sent != 8 {
-		t.Errorf("queue %v, by age %+v", q, p[1].ByAge)
+	if q := p[1].PerServer["a"].Queue; q != 2 || p[1].ByServerAge[1].Sent != 8 {
+		t.Errorf("queue %v, by age %+v", q, p[1].ByServerAge)
 	}
-	if b := p[0].Begun; b.Seconds != 1 || b.Classes.Taken != 10 || b.Sends.First != 8 || b.Sends.Stale != 1 || p[1].Begun.Seconds != 0 {
-		t.Errorf("first seconds: %+v, and later %+v", b, p[1].Begun)
+	if b := p[0].Startup; b.Seconds != 1 || b.Classes.Accepted != 10 || b.Sends.FirstAttempts != 8 || b.Sends.StaleReport != 1 || p[1].Startup.Seconds != 0 {
+		t.Errorf("first seconds: %+v, and later %+v", b, p[1].Startup)
 	}
 	var out strings.Builder
 	Print(&out, p, true)
 	if !strings.Contains(out.String(), fmt.Sprintf("| check | %d |", 5)) {
 		t.Errorf("printed: %s", out.String())
 	}
-	if Phases(nil, nil) != nil {
+	if SumPhases(nil, nil) != nil {
 		t.Error("phases of nothing")
 	}
 }
--- a/internal/account/read.go
+++ b/internal/account/read.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// line is how a Second stands in a log.
-const line = "msg=account second="
+// logPrefix is how a Second stands in a log.
+const logPrefix = "msg=account second="
 
-// mostLine bounds a line of a log that is read, in bytes.
-const mostLine = 1 << 20
+// maxLineBytes bounds a line of a log that is read, in bytes.
+const maxLineBytes = 1 << 20
 
-// Text is s as the value of the log's key second.
-func (s Second) Text() string {
+// Encode is s as the value of the log's key second.
+func (s Second) Encode() string {
 	text, _ := json.Marshal(s) // of plain figures, which cannot fail
 	return string(text)
 }
@@ -27,9 +27,9 @@
 // Read calls f with each Second in a log, and returns how many lines are marked as accounts and cannot be read.
 func Read(log io.Reader, f func(Second)) (bad int, err error) {
 	lines := bufio.NewScanner(log)
-	lines.Buffer(nil, mostLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		_, quoted, ok := strings.Cut(lines.Text(), line)
+		_, quoted, ok := strings.Cut(lines.Text(), logPrefix)
 		if !ok {
 			continue
 		}
@@ -46,25 +46,25 @@
 
 // Phase is a part of a day, over all sidecars.
 type Phase struct {
-	From, To  time.Duration // from the first second of any log
-	Sum       Second        // Unix, Ready and Young mean nothing in it
-	Sidecars  int           // most that were heard of in a second
-	ByAge     [len(AgeNames)]Server
-	Begun     Begun
-	PerServer map[string]*Server // Queue is the mean of what was reported, -1 where nothing was
-	told      map[string]int
+	From, To     time.Duration // from the first second of any log
+	Total        Second        // Unix, Ready and Young mean nothing in it
+	Sidecars     int           // most that were heard of in a second
+	ByServerAge  [len(AgeNames)]Server
+	Startup      Startup
+	PerServer    map[string]*Server // Queue is the mean of what was reported, -1 where nothing was
+	queueReports map[string]int
 }
 
-// Begun sums up what sidecars did in the first justUp seconds of their lives.
-type Begun struct {
-	Seconds int // of sidecars
-	Classes Class
-	Sends   Sends
-	Calls   int
+// Startup sums up what sidecars did in the first startupSeconds seconds of their lives.
+type Startup struct {
+	Seconds   int // of sidecars
+	Classes   Class
+	Sends     Sends
+	ListCalls int
 }
 
-// justUp is how long, in seconds, a sidecar counts as just begun: it believes nothing, and its list may be an old one.
-const justUp = 3
+// startupSeconds is how long, in seconds, a sidecar counts as just begun: it believes nothing, and its list may be an old one.
+const startupSeconds = 3
 
 // AgeNames names the ages of servers by which sends are counted apart.
 var AgeNames = [...]string{"under 2 s", "2 to 5 s", "5 to 10 s", "older"}
@@ -81,27 +81,27 @@
 	return 2
 }
 
-// Phases sums up seconds between the given instants, counted from the first second of all.
-func Phases(seconds []Second, cuts []time.Duration) []Phase {
+// SumPhases sums up seconds between the given instants, counted from the first second of all.
+func SumPhases(seconds []Second, cuts []time.Duration) []Phase {
 	if len(seconds) == 0 {
 		return nil
 	}
-	first := slices.MinFunc(seconds, func(a, b Second) int { return int(a.Unix - b.Unix) }).Unix
-	last := slices.MaxFunc(seconds, func(a, b Second) int { return int(a.Unix - b.Unix) }).Unix
+	first := slices.MinFunc(seconds, func(a, b Second) int { return int(a.StartMs - b.StartMs) }).StartMs
+	last := slices.MaxFunc(seconds, func(a, b Second) int { return int(a.StartMs - b.StartMs) }).StartMs
 	bounds := append([]time.Duration{0}, cuts...)
 	bounds = append(bounds, time.Duration(last-first+1000)*time.Millisecond)
 	phases := make([]Phase, len(bounds)-1)
 	heard := map[int64]int{}
 	for i := range phases {
-		phases[i] = Phase{From: bounds[i], To: bounds[i+1], PerServer: map[string]*Server{}, told: map[string]int{}}
-		phases[i].Sum = Second{Classes: map[string]*Class{}, Endings: map[string]int{}, Probes: map[string]int{}}
+		phases[i] = Phase{From: bounds[i], To: bounds[i+1], PerServer: map[string]*Server{}, queueReports: map[string]int{}}
+		phases[i].Total = Second{Classes: map[string]*Class{}, AttemptResults: map[string]int{}, ProbeResults: map[string]int{}}
 	}
 	for _, s := range seconds {
-		at := time.Duration(s.Unix-first) * time.Millisecond
+		at := time.Duration(s.StartMs-first) * time.Millisecond
 		for i := range phases {
 			if p := &phases[i]; at >= p.From && at < p.To {
-				heard[s.Unix]++
-				p.Sidecars = max(p.Sidecars, heard[s.Unix])
+				heard[s.StartMs]++
+				p.Sidecars = max(p.Sidecars, heard[s.StartMs])
 				p.add(s)
 			}
 		}
@@ -111,26 +111,26 @@
 
 func (p *Phase) add(s Second) {
 	for name, c := range s.Classes {
-		sum := p.Sum.Classes[name]
+		sum := p.Total.Classes[name]
 		if sum == nil {
 			sum = &Class{}
-			p.Sum.Classes[name] = sum
+			p.Total.Classes[name] = sum
 		}
 		sum.add(c)
 	}
-	addMap(p.Sum.Endings, s.Endings)
-	addMap(p.Sum.Probes, s.Probes)
-	p.Sum.Lists += s.Lists
-	p.Sum.Calls += s.Calls
-	p.Sum.Dials += s.Dials
-	p.Sum.Failures += s.Failures
-	p.Sum.Sends.add(s.Sends)
-	if s.Up < justUp {
-		p.Begun.Seconds++
-		p.Begun.Calls += s.Calls
-		p.Begun.Sends.add(s.Sends)
+	addMap(p.Total.AttemptResults, s.AttemptResults)
+	addMap(p.Total.ProbeResults, s.ProbeResults)
+	p.Total.ListUpdates += s.ListUpdates
+	p.Total.ListCalls += s.ListCalls
+	p.Total.Dials += s.Dials
+	p.Total.FailedListCalls += s.FailedListCalls
+	p.Total.Sends.add(s.Sends)
+	if s.UpSeconds < startupSeconds {
+		p.Startup.Seconds++
+		p.Startup.ListCalls += s.ListCalls
+		p.Startup.Sends.add(s.Sends)
 		for _, c := range s.Classes {
-			p.Begun.Classes.add(c)
+			p.Startup.Classes.add(c)
 		}
 	}
 	for id, v := range s.Servers {
@@ -141,44 +141,44 @@
 		}
 		sum.add(v)
 		if v.Queue >= 0 {
-			if p.told[id]++; p.told[id] == 1 {
+			if p.queueReports[id]++; p.queueReports[id] == 1 {
 				sum.Queue = 0
 			}
-			sum.Queue += (v.Queue - sum.Queue) / float64(p.told[id])
+			sum.Queue += (v.Queue - sum.Queue) / float64(p.queueReports[id])
 		}
-		p.ByAge[ageOf(v.Age)].add(v)
+		p.ByServerAge[ageOf(v.Age)].add(v)
 	}
 }
 
 func (s *Sends) add(o Sends) {
-	s.First += o.First
-	s.Again += o.Again
-	s.Cold += o.Cold
-	s.Erring += o.Erring
-	s.Dark += o.Dark
-	s.Never += o.Never
-	s.Fresh += o.Fresh
-	s.Recent += o.Recent
-	s.Stale += o.Stale
+	s.FirstAttempts += o.FirstAttempts
+	s.Resends += o.Resends
+	s.ToCold += o.ToCold
+	s.ToErroring += o.ToErroring
+	s.ToUnreachable += o.ToUnreachable
+	s.NoReport += o.NoReport
+	s.FreshReport += o.FreshReport
+	s.RecentReport += o.RecentReport
+	s.StaleReport += o.StaleReport
 }
 
 func (c *Class) add(o *Class) {
-	c.Taken += o.Taken
+	c.Accepted += o.Accepted
 	c.InTime += o.InTime
 	c.Late += o.Late
-	c.Unsent += o.Unsent
-	c.Waited += o.Waited
-	c.Refused += o.Refused
+	c.RefusedAtOnce += o.RefusedAtOnce
+	c.RefusedAfterProbe += o.RefusedAfterProbe
+	c.RefusedAfterSend += o.RefusedAfterSend
 	c.Failed += o.Failed
 	c.Work += o.Work
-	c.Lost += o.Lost
+	c.LostWork += o.LostWork
 }
 
 func (v *Server) add(o *Server) {
 	v.Sent += o.Sent
 	v.OK += o.OK
-	v.Err += o.Err
-	v.Dark += o.Dark
+	v.Errors += o.Errors
+	v.Unreachable += o.Unreachable
 	v.Age = max(v.Age, o.Age)
 }
 
@@ -196,32 +196,32 @@
 		fmt.Fprintf(w, "\n%g to %g s, %d sidecars, figures a second\n\n", p.From.Seconds(), p.To.Seconds(), p.Sidecars)
 		fmt.Fprintln(w, "| class | tries | in time | late | refused at once | after probes | after sends | failed | work lost |")
 		fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-		for _, name := range slices.Sorted(maps.Keys(p.Sum.Classes)) {
-			c := p.Sum.Classes[name]
-			fmt.Fprintf(w, "| %s | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.2f |\n", name, rate(c.Taken), rate(c.InTime),
-				rate(c.Late), rate(c.Unsent), rate(c.Waited), rate(c.Refused), rate(c.Failed), c.Lost/max(c.Work, 1e-9))
+		for _, name := range slices.Sorted(maps.Keys(p.Total.Classes)) {
+			c := p.Total.Classes[name]
+			fmt.Fprintf(w, "| %s | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.2f |\n", name, rate(c.Accepted), rate(c.InTime),
+				rate(c.Late), rate(c.RefusedAtOnce), rate(c.RefusedAfterProbe), rate(c.RefusedAfterSend), rate(c.Failed), c.LostWork/max(c.Work, 1e-9))
 		}
-		s := p.Sum.Sends
+		s := p.Total.Sends
 		fmt.Fprintf(w, "\nsends: first %.0f, further %.0f; to cold %.0f, erring %.0f, dark %.0f; figures never %.0f, fresh %.0f, of a second %.0f, older %.0f\n",
-			rate(s.First), rate(s.Again), rate(s.Cold), rate(s.Erring), rate(s.Dark), rate(s.Never), rate(s.Fresh), rate(s.Recent), rate(s.Stale))
-		fmt.Fprintf(w, "endings: %s; probes: %s; connects %.0f; lists %.0f, calls %.0f, failed %.0f\n", rates(p.Sum.Endings, rate), rates(p.Sum.Probes, rate),
-			rate(int(p.Sum.Dials)), rate(p.Sum.Lists), rate(p.Sum.Calls), rate(p.Sum.Failures))
-		if b := p.Begun; b.Seconds > 0 {
+			rate(s.FirstAttempts), rate(s.Resends), rate(s.ToCold), rate(s.ToErroring), rate(s.ToUnreachable), rate(s.NoReport), rate(s.FreshReport), rate(s.RecentReport), rate(s.StaleReport))
+		fmt.Fprintf(w, "endings: %s; probes: %s; connects %.0f; lists %.0f, calls %.0f, failed %.0f\n", rates(p.Total.AttemptResults, rate), rates(p.Total.ProbeResults, rate),
+			rate(int(p.Total.Dials)), rate(p.Total.ListUpdates), rate(p.Total.ListCalls), rate(p.Total.FailedListCalls))
+		if b := p.Startup; b.Seconds > 0 {
 			each := func(n int) float64 { return float64(n) / float64(b.Seconds) }
 			c, s := b.Classes, b.Sends
 			fmt.Fprintf(w, "sidecars in their first %d s, each a second: tries %.1f, in time %.1f, late %.1f, refused %.1f, failed %.1f; sends %.1f, to cold %.1f, erring %.1f, dark %.1f, no figures %.1f; calls %.2f\n",
-				justUp, each(c.Taken), each(c.InTime), each(c.Late), each(c.Unsent+c.Waited+c.Refused), each(c.Failed),
-				each(s.First+s.Again), each(s.Cold), each(s.Erring), each(s.Dark), each(s.Never), each(b.Calls))
+				startupSeconds, each(c.Accepted), each(c.InTime), each(c.Late), each(c.RefusedAtOnce+c.RefusedAfterProbe+c.RefusedAfterSend), each(c.Failed),
+				each(s.FirstAttempts+s.Resends), each(s.ToCold), each(s.ToErroring), each(s.ToUnreachable), each(s.NoReport), each(b.ListCalls))
 		}
 		fmt.Fprint(w, "by the server's age:")
-		for i, v := range p.ByAge {
-			fmt.Fprintf(w, " %s %.0f sent, %.0f ok, %.0f errors, %.0f dark;", AgeNames[i], rate(v.Sent), rate(v.OK), rate(v.Err), rate(v.Dark))
+		for i, v := range p.ByServerAge {
+			fmt.Fprintf(w, " %s %.0f sent, %.0f ok, %.0f errors, %.0f dark;", AgeNames[i], rate(v.Sent), rate(v.OK), rate(v.Errors), rate(v.Unreachable))
 		}
 		fmt.Fprintln(w)
 		if servers {
 			for _, id := range slices.Sorted(maps.Keys(p.PerServer)) {
 				v := p.PerServer[id]
-				fmt.Fprintf(w, "%s sent %.1f ok %.1f err %.1f dark %.1f queue %.1f age %.1f\n", id, rate(v.Sent), rate(v.OK), rate(v.Err), rate(v.Dark), v.Queue, v.Age)
+				fmt.Fprintf(w, "%s sent %.1f ok %.1f err %.1f dark %.1f queue %.1f age %.1f\n", id, rate(v.Sent), rate(v.OK), rate(v.Errors), rate(v.Unreachable), v.Queue, v.Age)
 			}
 		}
 	}
--- a/internal/account/recorder.go
+++ b/internal/account/recorder.go
@@ -10,56 +10,56 @@
 
 // Second is what befell one sidecar within a second.
 type Second struct {
-	Unix    int64             `json:"t"` // milliseconds since 1970 at its begin
-	Up      int               `json:"b"` // seconds that the sidecar had been up by then
-	Classes map[string]*Class `json:"c,omitempty"`
-
-	Sends    Sends              `json:"s"`
-	Endings  map[string]int     `json:"e,omitempty"` // of attempts, by status
-	Probes   map[string]int     `json:"p,omitempty"` // that have ended, by status
-	Lists    int                `json:"l,omitempty"` // that were told
-	Calls    int                `json:"k,omitempty"` // for the list
-	Dials    int64              `json:"d,omitempty"` // connects to servers that were begun; whoever is told fills it in
-	Failures int                `json:"f,omitempty"` // of such calls
-	Servers  map[string]*Server `json:"h,omitempty"` // that were sent to or have reported
-	Ready    int                `json:"r"`           // servers listed as ready
-	Young    int                `json:"y,omitempty"` // of them, those that may be cold
+	StartMs   int64             `json:"t"` // milliseconds since 1970 at its begin
+	UpSeconds int               `json:"b"` // seconds that the sidecar had been up by then
+	Classes   map[string]*Class `json:"c,omitempty"`
+
+	Sends           Sends              `json:"s"`
+	AttemptResults  map[string]int     `json:"e,omitempty"` // of attempts, by status
+	ProbeResults    map[string]int     `json:"p,omitempty"` // that have ended, by status
+	ListUpdates     int                `json:"l,omitempty"` // that were told
+	ListCalls       int                `json:"k,omitempty"` // for the list
+	Dials           int64              `json:"d,omitempty"` // connects to servers that were begun; whoever is told fills it in
+	FailedListCalls int                `json:"f,omitempty"` // of such calls
+	Servers         map[string]*Server `json:"h,omitempty"` // that were sent to or have reported
+	ReadyServers    int                `json:"r"`           // servers listed as ready
+	ColdServers     int                `json:"y,omitempty"` // of them, those that may be cold
 }
 
 // Class is what became of the tries of a class. Served is counted at its end, all else at its own time.
 type Class struct {
-	Taken   int     `json:"n,omitempty"`
-	InTime  int     `json:"i,omitempty"` // served within the class's aim
-	Late    int     `json:"l,omitempty"` // served after it
-	Unsent  int     `json:"u,omitempty"` // refused at once, with nothing sent
-	Waited  int     `json:"w,omitempty"` // refused with nothing sent, once a probe round was over
-	Refused int     `json:"r,omitempty"` // refused after an attempt
-	Failed  int     `json:"f,omitempty"`
-	Work    float64 `json:"k,omitempty"` // hinted work taken, seconds
-	Lost    float64 `json:"x,omitempty"` // hinted work refused or failed, seconds
+	Accepted          int     `json:"n,omitempty"`
+	InTime            int     `json:"i,omitempty"` // served within the class's aim
+	Late              int     `json:"l,omitempty"` // served after it
+	RefusedAtOnce     int     `json:"u,omitempty"` // refused at once, with nothing sent
+	RefusedAfterProbe int     `json:"w,omitempty"` // refused with nothing sent, once a probe round was over
+	RefusedAfterSend  int     `json:"r,omitempty"` // refused after an attempt
+	Failed            int     `json:"f,omitempty"`
+	Work              float64 `json:"k,omitempty"` // hinted work taken, seconds
+	LostWork          float64 `json:"x,omitempty"` // hinted work refused or failed, seconds
 }
 
 // Sends counts attempts, by what this sidecar could know of the server, and by the age of its figures.
 type Sends struct {
-	First  int `json:"n,omitempty"`
-	Again  int `json:"a,omitempty"`
-	Cold   int `json:"c,omitempty"` // by the list it may still be cold
-	Erring int `json:"e,omitempty"` // its latest ending was an error
-	Dark   int `json:"d,omitempty"` // its latest ending was a failed connect or a time-out
-	Never  int `json:"v,omitempty"` // it has never reported
-	Fresh  int `json:"f,omitempty"` // reported within ageFresh
-	Recent int `json:"r,omitempty"` // within ageRecent
-	Stale  int `json:"o,omitempty"` // before that
+	FirstAttempts int `json:"n,omitempty"`
+	Resends       int `json:"a,omitempty"`
+	ToCold        int `json:"c,omitempty"` // by the list it may still be cold
+	ToErroring    int `json:"e,omitempty"` // its latest ending was an error
+	ToUnreachable int `json:"d,omitempty"` // its latest ending was a failed connect or a time-out
+	NoReport      int `json:"v,omitempty"` // it has never reported
+	FreshReport   int `json:"f,omitempty"` // reported within ageFresh
+	RecentReport  int `json:"r,omitempty"` // within ageRecent
+	StaleReport   int `json:"o,omitempty"` // before that
 }
 
 // Server is what a sidecar had to do with one server.
 type Server struct {
-	Sent  int     `json:"n,omitempty"`
-	OK    int     `json:"o,omitempty"`
-	Err   int     `json:"e,omitempty"` // errors
-	Dark  int     `json:"d,omitempty"` // failed connects and time-outs
-	Queue float64 `json:"q"`           // latest reported, -1 for none
-	Age   float64 `json:"a,omitempty"` // seconds since its start, 0: long ago
+	Sent        int     `json:"n,omitempty"`
+	OK          int     `json:"o,omitempty"`
+	Errors      int     `json:"e,omitempty"` // errors
+	Unreachable int     `json:"d,omitempty"` // failed connects and time-outs
+	Queue       float64 `json:"q"`           // latest reported, -1 for none
+	Age         float64 `json:"a,omitempty"` // seconds since its start, 0: long ago
 }
 
 // The bounds of how old figures are.
@@ -126,9 +126,9 @@
 	if r.sec.Classes != nil {
 		for _, s := range r.servers {
 			if s.State == policy.Ready {
-				r.sec.Ready++
+				r.sec.ReadyServers++
 				if r.cold(r.began, s) {
-					r.sec.Young++
+					r.sec.ColdServers++
 				}
 			}
 		}
@@ -138,7 +138,7 @@
 		r.up = begin
 	}
 	r.sec = Second{
-		Unix: r.origin + begin.Milliseconds(), Up: int((begin - r.up) / time.Second), Classes: map[string]*Class{}, Endings: map[string]int{}, Probes: map[string]int{},
+		StartMs: r.origin + begin.Milliseconds(), UpSeconds: int((begin - r.up) / time.Second), Classes: map[string]*Class{}, AttemptResults: map[string]int{}, ProbeResults: map[string]int{},
 		Servers: map[string]*Server{},
 	}
 }
@@ -175,9 +175,9 @@
 func (r *Recorder) UpdateServers(now policy.Time, kind policy.ListKind, list []policy.Server, act policy.Actions) {
 	r.tick(now)
 	if kind == policy.ListFailed {
-		r.sec.Failures++
+		r.sec.FailedListCalls++
 	} else {
-		r.sec.Lists++
+		r.sec.ListUpdates++
 		if kind.Complete() {
 			for _, s := range r.servers {
 				s.State = policy.Gone
@@ -203,7 +203,7 @@
 func (r *Recorder) Request(now policy.Time, q policy.Request, act policy.Actions) {
 	r.tick(now)
 	c := r.class(q.Class)
-	c.Taken++
+	c.Accepted++
 	c.Work += q.Cost.Seconds()
 	t := &taken{class: q.Class, at: now, cost: q.Cost}
 	r.requests[q.ID] = t
@@ -213,15 +213,15 @@
 
 func (r *Recorder) Outcome(now policy.Time, o policy.Outcome, act policy.Actions) {
 	r.tick(now)
-	r.sec.Endings[status(o.Status)]++
+	r.sec.AttemptResults[status(o.Status)]++
 	v := r.server(now, o.Server)
 	switch o.Status {
 	case policy.OK:
 		v.OK++
 	case policy.AppError:
-		v.Err++
+		v.Errors++
 	case policy.ConnectFailed, policy.Timeout:
-		v.Dark++
+		v.Unreachable++
 	}
 	if k := r.servers[o.Server]; k != nil && o.Status != policy.Canceled {
 		k.last, k.hasEnded = o.Status, true
@@ -250,7 +250,7 @@
 
 func (r *Recorder) Probed(now policy.Time, p policy.ProbeResult, act policy.Actions) {
 	r.tick(now)
-	r.sec.Probes[status(p.Status)]++
+	r.sec.ProbeResults[status(p.Status)]++
 	if p.Status == policy.OK {
 		r.told(now, p.Server, p.Load)
 	}
@@ -305,31 +305,31 @@
 	s := &r.sec.Sends
 	if t := r.requests[id]; t != nil {
 		if t.sent++; t.sent == 1 {
-			s.First++
+			s.FirstAttempts++
 		} else {
-			s.Again++
+			s.Resends++
 		}
 	}
 	r.server(a.now, server).Sent++
 	if k := r.servers[server]; k != nil {
 		if r.cold(a.now, k) {
-			s.Cold++
+			s.ToCold++
 		}
 		switch {
 		case k.hasEnded && k.last == policy.AppError:
-			s.Erring++
+			s.ToErroring++
 		case k.hasEnded && (k.last == policy.ConnectFailed || k.last == policy.Timeout):
-			s.Dark++
+			s.ToUnreachable++
 		}
 		switch age := a.now - k.told; {
 		case k.told == 0:
-			s.Never++
+			s.NoReport++
 		case age <= ageFresh:
-			s.Fresh++
+			s.FreshReport++
 		case age <= ageRecent:
-			s.Recent++
+			s.RecentReport++
 		default:
-			s.Stale++
+			s.StaleReport++
 		}
 	}
 	a.Actions.Send(id, server, timeout)
@@ -338,14 +338,14 @@
 func (a actions) Refuse(id policy.RequestID, after time.Duration) {
 	if t := a.r.requests[id]; t != nil {
 		c := a.r.class(t.class)
-		c.Lost += t.cost.Seconds()
+		c.LostWork += t.cost.Seconds()
 		switch {
 		case t.sent > 0:
-			c.Refused++
+			c.RefusedAfterSend++
 		case t.probed:
-			c.Waited++
+			c.RefusedAfterProbe++
 		default:
-			c.Unsent++
+			c.RefusedAtOnce++
 		}
 		delete(a.r.requests, id)
 	}
@@ -355,7 +355,7 @@
 func (a actions) Fail(id policy.RequestID) {
 	if t := a.r.requests[id]; t != nil {
 		c := a.r.class(t.class)
-		c.Lost += t.cost.Seconds()
+		c.LostWork += t.cost.Seconds()
 		c.Failed++
 		delete(a.r.requests, id)
 	}
@@ -364,7 +364,7 @@
 
 func (a actions) Watch(on bool) {
 	if on {
-		a.r.sec.Calls++
+		a.r.sec.ListCalls++
 	}
 	a.Actions.Watch(on)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -29,22 +29,22 @@
 	PeerListen string
 	Peers      []string
 	AcceptFD   int    // the clients' listening socket, inherited; 0: there is none
-	Shared     string // a directory that is this sidecar's, whichever process it runs in; empty: there is none
+	SharedDir  string // a directory that is this sidecar's, whichever process it runs in; empty: there is none
 	Seed       uint64
 	MemoryMB   int          // the sidecar is killed over it
 	Sockets    int          // descriptors that the process may hold
-	Known      *engine.List // the list as it was last known
+	CachedList *engine.List // the list as it was last known
 	Settings   settings.Settings
-	Text       []byte // what it was read from
-	named      struct{ memory, sockets, seed bool }
+	Raw        []byte // what it was read from
+	explicit   struct{ memory, sockets, seed bool }
 }
 
 // The limits taken where the configuration gives none, and the least that a sidecar can work with.
 const (
-	usualMemoryMB = 128
-	usualSockets  = 1024
-	LeastMemoryMB = 24 // scored days give 32 and more; the runtime and a full table of connections take about 16
-	LeastSockets  = 64
+	defaultMemoryMB = 128
+	defaultSockets  = 1024
+	MinMemoryMB     = 24 // scored days give 32 and more; the runtime and a full table of connections take about 16
+	MinSockets      = 64
 )
 
 // Reload is Load for a process that runs by running: it also turns away a file that lacks a key which that one has, but for
@@ -55,7 +55,7 @@
 		return Config{}, err
 	}
 	var was map[string]json.RawMessage
-	if err := json.Unmarshal(running.Text, &was); err != nil {
+	if err := json.Unmarshal(running.Raw, &was); err != nil {
 		return Config{}, err
 	}
 	for _, key := range []string{"seed", "known", "peers", "peers_all", "peer_listen"} {
@@ -65,7 +65,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	if err := reconfig.CheckComplete(before, c.Text); err != nil {
+	if err := reconfig.CheckComplete(before, c.Raw); err != nil {
 		return Config{}, fmt.Errorf("GW_CONFIG: %w", err)
 	}
 	return c, nil
@@ -103,7 +103,7 @@
 		return Config{}, err
 	}
 	if dir := getenv("TMPDIR"); dir != "" && (c.Management != "" || c.AcceptFD != 0) {
-		c.Shared = filepath.Join(dir, "quillfront-"+url.PathEscape(c.Name))
+		c.SharedDir = filepath.Join(dir, "quillfront-"+url.PathEscape(c.Name))
 	}
 	switch {
 	case c.Listen == "":
@@ -148,10 +148,10 @@
 		return Config{}, err
 	}
 	c := Config{
-		Text: text, Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Management: file.Management,
-		PeerListen: file.PeerListen, Peers: file.Peers, MemoryMB: usualMemoryMB, Sockets: usualSockets,
+		Raw: text, Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Management: file.Management,
+		PeerListen: file.PeerListen, Peers: file.Peers, MemoryMB: defaultMemoryMB, Sockets: defaultSockets,
 	}
-	c.named.memory, c.named.sockets, c.named.seed = file.Limits.MemoryMB != 0, file.Limits.Sockets != 0, file.Seed != ""
+	c.explicit.memory, c.explicit.sockets, c.explicit.seed = file.Limits.MemoryMB != 0, file.Limits.Sockets != 0, file.Seed != ""
 	if file.Limits.MemoryMB != 0 {
 		c.MemoryMB = int(min(file.Limits.MemoryMB, math.MaxInt32))
 	}
@@ -159,10 +159,10 @@
 		c.Sockets = file.Limits.Sockets
 	}
 	switch {
-	case c.MemoryMB < LeastMemoryMB:
-		return Config{}, fmt.Errorf("limits.memory_mb is %d, below %d", c.MemoryMB, LeastMemoryMB)
-	case c.Sockets < LeastSockets:
-		return Config{}, fmt.Errorf("limits.sockets is %d, below %d", c.Sockets, LeastSockets)
+	case c.MemoryMB < MinMemoryMB:
+		return Config{}, fmt.Errorf("limits.memory_mb is %d, below %d", c.MemoryMB, MinMemoryMB)
+	case c.Sockets < MinSockets:
+		return Config{}, fmt.Errorf("limits.sockets is %d, below %d", c.Sockets, MinSockets)
 	case len(file.Settings) == 0:
 		return Config{}, errors.New("settings is not set")
 	}
@@ -178,7 +178,7 @@
 		if err != nil {
 			return Config{}, fmt.Errorf("known: %w", err)
 		}
-		c.Known = &known
+		c.CachedList = &known
 	}
 	s, err := settings.Parse(file.Settings)
 	if err != nil {
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -18,12 +18,12 @@
 // Members is how the process is one of many.
 type Members struct {
 	Peers peering.Config // without the process's name
-	// Share has the number of those who live take the place of a fixed one, as Sharing says, which lacks only the number by the settings.
-	Share   bool
-	Sharing members.GroupEstimator
-	// Platform has the addresses be those that the platform gives.
-	Platform bool
-	Hints    bool // what other processes' lists say makes this one more careful, and they are told of what its own says
+	// EstimateGroup has the number of those who live take the place of a fixed one, as Sharing says, which lacks only the number by the settings.
+	EstimateGroup bool
+	Estimator     members.GroupEstimator
+	// UsePlatformAddresses has the addresses be those that the platform gives.
+	UsePlatformAddresses bool
+	ExchangeHints        bool // what other processes' lists say makes this one more careful, and they are told of what its own says
 }
 
 type membersTable struct {
@@ -50,10 +50,10 @@
 	Platform  bool      `toml:"platform"`
 }
 
-// For returns what m comes to for a process of the platform, which has the last word on whether sidecars may tell one another anything: nil,
+// ForPlatform returns what m comes to for a process of the platform, which has the last word on whether sidecars may tell one another anything: nil,
 // and why, if they may not.
-func (m *Members) For(c *Config) (*Members, error) {
-	if m == nil || !m.Platform {
+func (m *Members) ForPlatform(c *Config) (*Members, error) {
+	if m == nil || !m.UsePlatformAddresses {
 		return m, nil
 	}
 	if !c.Settings.Peers {
@@ -86,7 +86,7 @@
 // members reads the table, and fills its defaults in. The error names the key.
 func (t *membersTable) members(dir string) (*Members, error) {
 	t.Bolder, t.Fall = cmp.Or(t.Bolder, 2), cmp.Or(t.Fall, duration(time.Minute))
-	m := &Members{Share: t.Share, Hints: t.Hints, Sharing: members.GroupEstimator{MaxShareFactor: t.Bolder, HalfLife: time.Duration(t.Fall)}}
+	m := &Members{EstimateGroup: t.Share, ExchangeHints: t.Hints, Estimator: members.GroupEstimator{MaxShareFactor: t.Bolder, HalfLife: time.Duration(t.Fall)}}
 	m.Peers = peering.Config{
 		Listen: t.Listen, MaxSendRate: t.MostBytes,
 		Node: members.Config{
@@ -142,7 +142,7 @@
 	case time.Duration(t.Fall) < time.Second:
 		return nil, fmt.Errorf("fall: %v is below 1s", time.Duration(t.Fall))
 	}
-	if m.Platform = t.Platform; m.Platform {
+	if m.UsePlatformAddresses = t.Platform; m.UsePlatformAddresses {
 		if t.Listen != "" || t.Advertise != "" || len(t.Seeds) > 0 || m.Peers.SeedSource != nil {
 			return nil, errors.New("platform: listen, advertise and seeds are the platform's then")
 		}
@@ -152,7 +152,7 @@
 		return nil, err
 	}
 	n := m.Peers.Node
-	if m.Platform {
+	if m.UsePlatformAddresses {
 		m.Peers.Listen, n.Address, m.Peers.Node.Address = "", netip.AddrPort{}, netip.AddrPort{}
 	} else {
 		t.Advertise = n.Address.String()
--- a/internal/config/members_test.go
+++ b/internal/config/members_test.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := o.Members.Peers.Node; n.Silence != 2*time.Second || n.Address.String() != "127.0.0.1:7946" || len(o.Members.Peers.Seeds) != 1 || o.Members.Sharing.MaxShareFactor != 2 {
+	if n := o.Members.Peers.Node; n.Silence != 2*time.Second || n.Address.String() != "127.0.0.1:7946" || len(o.Members.Peers.Seeds) != 1 || o.Members.Estimator.MaxShareFactor != 2 {
 		t.Errorf("%+v", o.Members)
 	}
 	for want, line := range map[string]string{
@@ -41,16 +41,16 @@
 		t.Fatal(err)
 	}
 	c := Config{PeerListen: "127.0.0.1:5", Peers: []string{"127.0.0.2:5", "127.0.0.3:5"}}
-	if m, err := o.Members.For(&c); m != nil || err == nil {
+	if m, err := o.Members.ForPlatform(&c); m != nil || err == nil {
 		t.Errorf("on though the platform does not allow it: %v", m)
 	}
 	c.Settings.Peers, c.Settings.Config.Ordinal = true, 1
-	m, err := o.Members.For(&c)
+	m, err := o.Members.ForPlatform(&c)
 	if err != nil || m.Peers.Listen != c.PeerListen || m.Peers.Node.Address.String() != c.Peers[1] || len(m.Peers.Seeds) != 1 {
 		t.Errorf("%+v, %v", m, err)
 	}
 	c.Settings.Config.Ordinal = 2
-	if _, err := o.Members.For(&c); err == nil {
+	if _, err := o.Members.ForPlatform(&c); err == nil {
 		t.Error("a number without an address")
 	}
 	if _, err := parseOperator("[members]\ncluster = \"c\"\nlisten = \"0.0.0.0:7946\"\n", ""); err == nil || !strings.Contains(err.Error(), "address") {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -29,8 +29,8 @@
 	Process Process
 	Log     Log
 	Members *Members
-	// Account has the log tell each second what was done. It is a flag's, not the file's.
-	Account bool
+	// LogAccount has the log tell each second what was done. It is a flag's, not the file's.
+	LogAccount bool
 }
 
 // operatorFile is the file as it stands.
@@ -118,7 +118,7 @@
 // file, line and key. With an empty path all is off.
 func LoadOperator(path string) (Operator, error) {
 	if path == "" {
-		return Operator{Log: Log{Rate: usualLogRate}}, nil
+		return Operator{Log: Log{Rate: defaultLogRate}}, nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -40,8 +40,8 @@
 	Rate   int    `toml:"rate"`
 }
 
-// usualLogRate bounds the log where there is no disk, as its lines are kept in memory there.
-const usualLogRate = 5
+// defaultLogRate bounds the log where there is no disk, as its lines are kept in memory there.
+const defaultLogRate = 5
 
 // log reads the table, and fills its defaults in.
 func (t *logTable) log() (l Log, err error) {
@@ -52,7 +52,7 @@
 		t.Format = "text"
 	}
 	if t.Rate == 0 {
-		t.Rate = usualLogRate
+		t.Rate = defaultLogRate
 	}
 	l.Rate = t.Rate
 	if err := l.Level.UnmarshalText([]byte(t.Level)); err != nil {
@@ -77,10 +77,10 @@
 		t.Name = "quillfront"
 	}
 	if t.MemoryMB == 0 {
-		t.MemoryMB = usualMemoryMB
+		t.MemoryMB = defaultMemoryMB
 	}
 	if t.Sockets == 0 {
-		t.Sockets = usualSockets
+		t.Sockets = defaultSockets
 	}
 	p := Process(*t)
 	if err := p.check(); err != nil {
@@ -91,10 +91,10 @@
 
 func (p *Process) check() error {
 	switch _, err := strconv.ParseUint(p.Seed, 16, 64); {
-	case p.MemoryMB < LeastMemoryMB:
-		return fmt.Errorf("memory_mb: %d is below %d", p.MemoryMB, LeastMemoryMB)
-	case p.Sockets < LeastSockets:
-		return fmt.Errorf("sockets: %d is below %d", p.Sockets, LeastSockets)
+	case p.MemoryMB < MinMemoryMB:
+		return fmt.Errorf("memory_mb: %d is below %d", p.MemoryMB, MinMemoryMB)
+	case p.Sockets < MinSockets:
+		return fmt.Errorf("sockets: %d is below %d", p.Sockets, MinSockets)
 	case p.Cores < 0:
 		return fmt.Errorf("cores: %d is negative", p.Cores)
 	case p.Seed != "" && err != nil:
@@ -103,28 +103,28 @@
 	return nil
 }
 
-// Fill takes from the operator's file what the platform has not told.
-func (c *Config) Fill(p Process) {
+// ApplyProcess takes from the operator's file what the platform has not told.
+func (c *Config) ApplyProcess(p Process) {
 	if c.Name == "" {
 		c.Name = p.Name
 	}
 	if c.Management == "" {
 		c.Management = p.Management
 	}
-	if !c.named.memory && p.MemoryMB != 0 {
+	if !c.explicit.memory && p.MemoryMB != 0 {
 		c.MemoryMB = p.MemoryMB
 	}
-	if !c.named.sockets && p.Sockets != 0 {
+	if !c.explicit.sockets && p.Sockets != 0 {
 		c.Sockets = p.Sockets
 	}
-	if !c.named.seed && p.Seed != "" {
+	if !c.explicit.seed && p.Seed != "" {
 		c.Seed, _ = strconv.ParseUint(p.Seed, 16, 64)
 	}
 }
 
-// Own is what a process runs by that the platform has not started: the operator's file alone, but for what the environment names. It has
+// Standalone is what a process runs by that the platform has not started: the operator's file alone, but for what the environment names. It has
 // no Listen, no Discovery and no Settings.
-func Own(getenv func(string) string, o *Operator) (Config, error) {
+func Standalone(getenv func(string) string, o *Operator) (Config, error) {
 	for _, name := range []string{"GW_LISTEN", "GW_DISCOVERY", "GW_ACCEPT_FD"} {
 		if getenv(name) != "" {
 			return Config{}, fmt.Errorf("%s is set and GW_CONFIG is not: it speaks of a start by the platform", name)
@@ -133,7 +133,7 @@
 	if len(o.HTTP)+len(o.Streams)+len(o.MySQL) == 0 {
 		return Config{}, errors.New("nothing is to be served: GW_CONFIG is not set, and the operator's file has no [[http]], [[streams]] or [[mysql]]")
 	}
-	if o.Members != nil && o.Members.Platform {
+	if o.Members != nil && o.Members.UsePlatformAddresses {
 		return Config{}, errors.New("[members] platform: there is no platform, as GW_CONFIG is not set")
 	}
 	if o.Store != nil || o.Sites != nil {
@@ -144,6 +144,6 @@
 	if p.MemoryMB == 0 { // the table is not there
 		p, _ = (&processTable{}).process()
 	}
-	c.Fill(p)
+	c.ApplyProcess(p)
 	return c, nil
 }
--- a/internal/config/services.go
+++ b/internal/config/services.go
@@ -35,18 +35,18 @@
 
 // HTTP is an address at which plain HTTP is served by routes.
 type HTTP struct {
-	Name, Listen string
-	Patience     time.Duration         // at the end of the process
-	Whole        httpfront.ProxyConfig // without a Router
+	Name, Listen    string
+	ShutdownTimeout time.Duration         // at the end of the process
+	Proxy           httpfront.ProxyConfig // without a Router
 }
 
 const (
 	// lateShare is what an answer of HTTP is worth after its aim where the file does not say.
 	lateShare = 0.5
-	// ServerHead is the longest head of a server's answer, in bytes.
-	ServerHead = 16 << 10
-	mostHead   = 1 << 20
-	mostHold   = 64 << 20
+	// MaxResponseHead is the longest head of a server's answer, in bytes.
+	MaxResponseHead = 16 << 10
+	mostHead        = 1 << 20
+	mostHold        = 64 << 20
 )
 
 type httpTable struct {
@@ -78,7 +78,7 @@
 		hold := int64(1 << 20)
 		t.Hold = &hold
 	}
-	c := HTTP{Name: t.Name, Listen: t.Listen, Patience: or(&t.Patience, 10*time.Second), Whole: httpfront.ProxyConfig{
+	c := HTTP{Name: t.Name, Listen: t.Listen, ShutdownTimeout: or(&t.Patience, 10*time.Second), Proxy: httpfront.ProxyConfig{
 		Pseudonym: t.Via, HealthPath: t.Health, MaxHead: t.MostHead, HeadTimeout: or(&t.HeadTime, 10*time.Second), IdleTimeout: or(&t.Idle, time.Minute),
 		StallTimeout: or(&t.Stall, 30*time.Second), MinBodyRate: t.Rate, MaxBufferedBody: *t.Hold, MaxBody: t.MostBody, ExpectTimeout: or(&t.Expect, time.Second),
 		AddForwardedFor: t.Forwarded, AddTraceparent: t.Trace,
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n0" || c.Discovery != "127.0.0.1:2" || c.Seed != 0x8c1f30d27a5be964 || c.MemoryMB != 128 ||
-		c.Sockets != 256 || len(c.Known.Servers) != 1 || len(c.Settings.Config.Classes) != 3 {
+		c.Sockets != 256 || len(c.CachedList.Servers) != 1 || len(c.Settings.Config.Classes) != 3 {
 		t.Errorf("configuration %+v", c)
 	}
 	// Guards against asking for more than small machines have: it would end the program at its start.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if op.Account {
+	if op.LogAccount {
 		var transport atomic.Pointer[upstream.Transport]
 		dials := int64(0) // told so far; seconds are told one after the other
 		tell := func(second account.Second) {
@@ -83,7 +83,7 @@
 				n := t.Dials()
 				second.Dials, dials = n-dials, n
 			}
-			log.Info("account", "second", second.Text())
+			log.Info("account", "second", second.Encode())
 		}
 		s, err := newSidecar(cfg, op, account.New(b, cfg.Settings.Config, engine.ClockOrigin().UnixMilli(), tell), log)
 		if err == nil {
@@ -118,7 +118,7 @@
 	}
 	options := engine.Options{
 		Config: cfg.Settings.Config, Module: b, Transport: transport, Source: source(cfg),
-		CachedList: cfg.Known, Sites: op.Sites, Log: log,
+		CachedList: cfg.CachedList, Sites: op.Sites, Log: log,
 	}
 	s.engine = engine.New(options)
 	if book != nil {
@@ -130,13 +130,13 @@
 		return nil, err
 	}
 	s.sockets.OnShortage(func() bool { return s.transport.EvictIdle() || s.services.MakeRoom() }, func() bool { return s.server.Evict() || s.services.Evict() })
-	if cfg.Shared != "" {
-		if s.dir, err = handover.Open(cfg.Shared); err != nil {
+	if cfg.SharedDir != "" {
+		if s.dir, err = handover.Open(cfg.SharedDir); err != nil {
 			s.close()
 			return nil, err
 		}
 		s.apply(s.dir.State())
-		o, err := s.dir.Others()
+		o, err := s.dir.CountOthers()
 		if err != nil {
 			s.close()
 			return nil, err
@@ -144,7 +144,7 @@
 		s.beside(o)
 		if s.took = o.Older > 0; s.took {
 			var l note
-			if s.dir.Noted(&l, noteAge) {
+			if s.dir.LoadLearned(&l, noteAge) {
 				s.engine.Learn(l.Policy)
 				s.engine.RestoreSites(l.Sites)
 			}
@@ -152,7 +152,7 @@
 		}
 	}
 	engines := func() []*engine.Engine { return append(s.services.Engines(), s.engine) }
-	among, err := op.Members.For(&cfg)
+	among, err := op.Members.ForPlatform(&cfg)
 	if err != nil { // the platform has the last word, and the sidecar serves without
 		log.Warn("members: off", "why", err)
 	}
@@ -367,7 +367,7 @@
 	if moved {
 		s.engine.SetSource(source(cfg))
 	}
-	s.cfg.Settings, s.cfg.Discovery, s.cfg.Text = cfg.Settings, cfg.Discovery, cfg.Text
+	s.cfg.Settings, s.cfg.Discovery, s.cfg.Raw = cfg.Settings, cfg.Discovery, cfg.Raw
 	s.reloads.applied++
 	s.log.Info("reloaded", "discovery", cfg.Discovery, "moved", moved, "retuned", retuned)
 	return nil
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -77,7 +77,7 @@
 // TestDrainEmptiesTheBacklog: connections that the kernel has accepted count as taken.
 func TestDrainEmptiesTheBacklog(t *testing.T) {
 	g := newGate(t)
-	w := start(t, newScript(), g.addr, "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.LeastSockets })
+	w := start(t, newScript(), g.addr, "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.MinSockets })
 	var clients []*client
 	for range w.clientPlaces() + 5 { // five have to wait
 		c := w.connect(t)
@@ -109,9 +109,9 @@
 // TestSocketsAreBounded: many times as many clients as there are descriptors get their answers, by turns.
 func TestSocketsAreBounded(t *testing.T) {
 	m := newScript()
-	w := start(t, m, peer(t, say(okAnswer)), "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.LeastSockets })
+	w := start(t, m, peer(t, say(okAnswer)), "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.MinSockets })
 	var clients []*client
-	for range 4 * config.LeastSockets {
+	for range 4 * config.MinSockets {
 		c := w.connect(t)
 		c.write(plainGet)
 		clients = append(clients, c)
@@ -120,7 +120,7 @@
 		if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
 			t.Fatalf("answer %d", resp.StatusCode)
 		}
-		if n := w.inUse(); n > config.LeastSockets-sockets.Reserved {
+		if n := w.inUse(); n > config.MinSockets-sockets.Reserved {
 			t.Fatalf("%d descriptors in use", n)
 		}
 	}
@@ -129,7 +129,7 @@
 // TestSilentConnectionsMakeRoom guards against incident rab7690: connections on which nothing ever comes must not
 // keep clients out. The one that has been silent longest goes, and no other.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
-	w := start(t, newScript(), peer(t, say(okAnswer)), "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.LeastSockets })
+	w := start(t, newScript(), peer(t, say(okAnswer)), "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.MinSockets })
 	quiet := func() int { return w.server.Stats().Idle }
 	var silent []*client
 	begun := w.connect(t) // a head that is slow to come is not silence
@@ -157,7 +157,7 @@
 func TestNoDescriptorForAnAttempt(t *testing.T) {
 	m := newScript()
 	w := start(t, m, peer(t, say(okAnswer)), "127.0.0.1:1", func(c *config.Config) {
-		c.Sockets = config.LeastSockets
+		c.Sockets = config.MinSockets
 		c.Settings.Config.DialTimeout = 30 * time.Millisecond
 	})
 	c := w.connect(t)
--- a/internal/daemon/interleaving_test.go
+++ b/internal/daemon/interleaving_test.go
@@ -120,7 +120,7 @@
 	}
 	t.Run("a place", func(t *testing.T) { // clients leave in the kernel's queue
 		g := newGate(t)
-		w := start(t, newScript(), g.addr, "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.LeastSockets })
+		w := start(t, newScript(), g.addr, "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.MinSockets })
 		busy := w.clientPlaces()
 		for range busy {
 			c := w.connect(t)
--- a/internal/daemon/management.go
+++ b/internal/daemon/management.go
@@ -73,7 +73,7 @@
 			continue
 		}
 		if l, ok := s.engine.Learned(); ok {
-			if err := s.dir.Note(note{l, s.engine.SiteMemory()}); err != nil {
+			if err := s.dir.SaveLearned(note{l, s.engine.SiteMemory()}); err != nil {
 				s.log.Warn("handover", "err", err)
 			}
 		}
@@ -87,8 +87,8 @@
 	if s.dir != nil {
 		state = s.dir.State() // of two calls at once, the second applies what both have changed
 	}
-	if !state.Absences.Equal(&s.state.Absences) {
-		s.engine.SetAbsences(state.Absences.Clone())
+	if !state.Exclusions.Equal(&s.state.Exclusions) {
+		s.engine.SetAbsences(state.Exclusions.Clone())
 	}
 	if state.Evacuated != s.state.Evacuated {
 		if state.Evacuated {
@@ -123,7 +123,7 @@
 }
 
 // beside fits this process to the others of the sidecar: memory and descriptors are counted together.
-func (s *Sidecar) beside(o handover.Others) {
+func (s *Sidecar) beside(o handover.ProcessCounts) {
 	parts := 1 + o.Older + o.Newer
 	s.newer.Store(int32(o.Newer))
 	s.sockets.SetFraction(1 / float64(parts))
@@ -138,14 +138,14 @@
 	if s.dir == nil || s.cfg.AcceptFD == 0 {
 		return false
 	}
-	o, err := s.dir.Others()
+	o, err := s.dir.CountOthers()
 	return err == nil && o.Newer > 0
 }
 
 // operated is what operators may do to a Sidecar.
 type operated struct{ *Sidecar }
 
-// Ready is a method of management.Operated. A process that takes over is ready once it has the list, so that it knows of
+// Ready is a method of management.Target. A process that takes over is ready once it has the list, so that it knows of
 // every drain that the process before was told of, or after takeoverWait.
 func (o operated) Ready() error {
 	s := o.Sidecar
@@ -161,24 +161,24 @@
 	return nil
 }
 
-// Exclude is a method of management.Operated.
+// Exclude is a method of management.Target.
 func (o operated) Exclude(id policy.ServerID) error {
 	return o.update(func(st *handover.State) error {
-		return st.Absences.Exclude(id, o.engine.ListEntry, time.Now().UnixMilli())
+		return st.Exclusions.Exclude(id, o.engine.ListEntry, time.Now().UnixMilli())
 	})
 }
 
-// Include is a method of management.Operated.
+// Include is a method of management.Target.
 func (o operated) Include(id policy.ServerID) error {
 	return o.update(func(st *handover.State) error {
-		return st.Absences.Include(id, o.engine.ListEntry, time.Now().UnixMilli())
+		return st.Exclusions.Include(id, o.engine.ListEntry, time.Now().UnixMilli())
 	})
 }
 
-// Evacuate is a method of management.Operated.
+// Evacuate is a method of management.Target.
 func (o operated) Evacuate() error { return o.evacuated(true) }
 
-// Rejoin is a method of management.Operated.
+// Rejoin is a method of management.Target.
 func (o operated) Rejoin() error { return o.evacuated(false) }
 
 func (o operated) evacuated(is bool) error {
@@ -188,14 +188,14 @@
 	})
 }
 
-// Members is a method of management.Operated.
+// Members is a method of management.Target.
 func (o operated) Members() http.Handler { return o.peers.handler() }
 
-// Metrics is a method of management.Operated.
+// Metrics is a method of management.Target.
 func (o operated) Metrics() http.Handler { return telemetry.Handler(o) }
 
-// Waiting is a method of management.Operated.
-func (o operated) Waiting(d time.Duration) []string {
+// PendingRequests is a method of management.Target.
+func (o operated) PendingRequests(d time.Duration) []string {
 	var all []services.Waiting
 	for _, w := range o.engine.PendingRequests(d) {
 		all = append(all, services.Waiting{Pool: "platform", PendingRequest: w})
@@ -218,7 +218,7 @@
 func (o operated) State() telemetry.State {
 	s := telemetry.State{Engine: o.engine.Snapshot(), Peers: o.peers.figures()}
 	s.Descriptors[0], s.Descriptors[1] = o.sockets.InUse()
-	s.Places[0], s.Places[1] = o.sockets.Limits()
+	s.DescriptorLimits[0], s.DescriptorLimits[1] = o.sockets.Limits()
 	if o.desk != nil {
 		d := o.desk.Stats()
 		s.Orders = &d
@@ -226,7 +226,7 @@
 	s.Services = o.services.Figures()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	s.Out, s.Evacuated = len(o.state.Absences.Excluded), o.state.Evacuated
-	s.Applied, s.Rejected = o.reloads.applied, o.reloads.rejected
+	s.Excluded, s.Evacuated = len(o.state.Exclusions.Excluded), o.state.Evacuated
+	s.ConfigsApplied, s.ConfigsRejected = o.reloads.applied, o.reloads.rejected
 	return s
 }
--- a/internal/daemon/management_test.go
+++ b/internal/daemon/management_test.go
@@ -116,7 +116,7 @@
 // ends.
 func TestSharedByTwo(t *testing.T) {
 	shared := t.TempDir() + "/shared"
-	share := func(c *config.Config) { c.Shared = shared }
+	share := func(c *config.Config) { c.SharedDir = shared }
 	older := start(t, newScript(), "127.0.0.1:1", "127.0.0.1:1", share)
 	alone := older.places()
 	newer := start(t, newScript(), "127.0.0.1:1", "127.0.0.1:1", share)
@@ -130,7 +130,7 @@
 	out := func(w *world) bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		_, ok := w.state.Absences.Excluded["a"]
+		_, ok := w.state.Exclusions.Excluded["a"]
 		return ok && w.state.Evacuated
 	}
 	eventually(t, "both do what either was told", func() bool { return out(older) && out(newer) })
@@ -155,12 +155,12 @@
 		calls.Go(func() {
 			w.update(func(s *handover.State) error {
 				runtime.Gosched()
-				return s.Absences.Exclude(policy.ServerID(fmt.Sprint(i)), func(id policy.ServerID) (exclusion.Entry, bool) { return exclusion.Entry{ID: id}, true }, 1)
+				return s.Exclusions.Exclude(policy.ServerID(fmt.Sprint(i)), func(id policy.ServerID) (exclusion.Entry, bool) { return exclusion.Entry{ID: id}, true }, 1)
 			})
 		})
 	}
 	calls.Wait()
-	if n := len(w.state.Absences.Excluded); n != 100 {
+	if n := len(w.state.Exclusions.Excluded); n != 100 {
 		t.Errorf("%d of 100 are kept", n)
 	}
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -31,8 +31,8 @@
 	}
 	p := &peers{cfg: *cfg, patient: patient, log: log, leaving: make(chan policy.ServerID, mostLeaving)}
 	var on peering.Hooks
-	if cfg.Share {
-		sharing := cfg.Sharing
+	if cfg.EstimateGroup {
+		sharing := cfg.Estimator
 		sharing.Configured = base
 		on.Estimator = &sharing
 		on.GroupChanged = func(group int) {
@@ -44,7 +44,7 @@
 			log.Info("members: shares", "group", group)
 		}
 	}
-	if cfg.Hints {
+	if cfg.ExchangeHints {
 		on.HintReceived = func(server string) {
 			for _, e := range engines() {
 				e.HintDraining(policy.ServerID(server))
@@ -67,7 +67,7 @@
 		return
 	}
 	for _, e := range engines {
-		if p.cfg.Hints {
+		if p.cfg.ExchangeHints {
 			e.OnLeaving(func(id policy.ServerID) {
 				select {
 				case p.leaving <- id:
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -479,8 +479,8 @@
 // TestRoomIsBounded: bodies that are only announced never hold more than their part of the memory, and one that finds
 // no room is refused rather than lost.
 func TestRoomIsBounded(t *testing.T) {
-	w := start(t, newScript(), peer(t, say(okAnswer)), "127.0.0.1:1", func(c *config.Config) { c.MemoryMB = config.LeastMemoryMB })
-	if !w.room.TryAcquire(config.LeastMemoryMB<<20/8) || w.room.TryAcquire(1) {
+	w := start(t, newScript(), peer(t, say(okAnswer)), "127.0.0.1:1", func(c *config.Config) { c.MemoryMB = config.MinMemoryMB })
+	if !w.room.TryAcquire(config.MinMemoryMB<<20/8) || w.room.TryAcquire(1) {
 		t.Error("the room is not its part of the memory")
 	}
 	resp, _ := w.ask(t, "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 1\n\nx")
@@ -523,7 +523,7 @@
 	}
 	free, busy := peer(t, serve("queue=0", service)), peer(t, serve("queue=100", 20*service))
 	w := start(t, nil, free, "127.0.0.1:1", func(c *config.Config) {
-		c.Known.Servers = append(c.Known.Servers, engine.Server{ID: "b", Addr: busy, Zone: "z"})
+		c.CachedList.Servers = append(c.CachedList.Servers, engine.Server{ID: "b", Addr: busy, Zone: "z"})
 		c.Settings.Config.ProbeTariff = 1e6      // nothing is probed but for the first request
 		c.Settings.Config.Classes[1].Worth = 1e4 // so that the others stand little of a queue, well below their aim
 	})
@@ -617,7 +617,7 @@
 		hosts = append(hosts, engine.Server{ID: policy.ServerID(fmt.Sprint("u", i)), Addr: addr, Zone: "z"})
 	}
 	w := start(t, nil, "127.0.0.1:1", "127.0.0.1:1", func(c *config.Config) {
-		c.Known.Servers = hosts
+		c.CachedList.Servers = hosts
 		c.Settings.Config.MayProbe = false
 	})
 	c := w.connect(t)
@@ -638,7 +638,7 @@
 // for their next request, a crowd is told that its answers are the last.
 func TestCrowdIsNotKept(t *testing.T) {
 	w := start(t, nil, peer(t, say(okAnswer)), "127.0.0.1:1", func(c *config.Config) {
-		c.Sockets, c.Settings.Config.MayProbe = config.LeastSockets, false
+		c.Sockets, c.Settings.Config.MayProbe = config.MinSockets, false
 	})
 	const many = 20 // of 28 places for clients
 	kept := 0
@@ -682,7 +682,7 @@
 			}
 			w := start(t, nil, serve(load), "127.0.0.1:1", func(c *config.Config) {
 				for i := range 3 {
-					c.Known.Servers = append(c.Known.Servers, engine.Server{ID: policy.ServerID(fmt.Sprint("u", i)), Addr: serve(load), Zone: "z"})
+					c.CachedList.Servers = append(c.CachedList.Servers, engine.Server{ID: policy.ServerID(fmt.Sprint("u", i)), Addr: serve(load), Zone: "z"})
 				}
 			})
 			for range 3 {
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -220,7 +220,7 @@
 // requests are answered though the server never answers any.
 func TestShutdownWithFewDescriptors(t *testing.T) {
 	h := newHangingServer(t)
-	w := start(t, nil, h.addr, "127.0.0.1:1", withDeadline(longDeadline), func(c *config.Config) { c.Sockets = config.LeastSockets })
+	w := start(t, nil, h.addr, "127.0.0.1:1", withDeadline(longDeadline), func(c *config.Config) { c.Sockets = config.MinSockets })
 	var clients []*client
 	for range 2 * w.clientPlaces() {
 		c := w.connect(t)
@@ -390,7 +390,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		cfg.Shared = shared
+		cfg.SharedDir = shared
 		if cfg.AcceptFD, err = syscall.Dup(int(socket.Fd())); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/daemon/sites_test.go
+++ b/internal/daemon/sites_test.go
@@ -68,7 +68,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			cfg.Known = &known
+			cfg.CachedList = &known
 			s, err := New(cfg, config.Operator{Sites: &sites.Config{
 				EvidenceHalfLife: 300 * time.Millisecond, HoldTime: 200 * time.Millisecond, RecoveryTime: 2 * time.Second, MaxRecoveryTime: time.Minute, MaxSpill: spill,
 			}}, slog.New(slog.DiscardHandler))
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -133,7 +133,7 @@
 // ownOperated is what operators may do to an Own.
 type ownOperated struct{ *Standalone }
 
-// Ready is a method of management.Operated.
+// Ready is a method of management.Target.
 func (o ownOperated) Ready() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -143,12 +143,12 @@
 	return nil
 }
 
-// Exclude is a method of management.Operated. A server is out of all pools that list it.
+// Exclude is a method of management.Target. A server is out of all pools that list it.
 func (o ownOperated) Exclude(id policy.ServerID) error {
 	return o.change(func(a *exclusion.State) error { return a.Exclude(id, o.listed, time.Now().UnixMilli()) })
 }
 
-// Include is a method of management.Operated.
+// Include is a method of management.Target.
 func (o ownOperated) Include(id policy.ServerID) error {
 	return o.change(func(a *exclusion.State) error { return a.Include(id, o.listed, time.Now().UnixMilli()) })
 }
@@ -174,10 +174,10 @@
 	return exclusion.Entry{}, false
 }
 
-// Evacuate is a method of management.Operated.
+// Evacuate is a method of management.Target.
 func (o ownOperated) Evacuate() error { return o.setAway(true) }
 
-// Rejoin is a method of management.Operated.
+// Rejoin is a method of management.Target.
 func (o ownOperated) Rejoin() error { return o.setAway(false) }
 
 func (o ownOperated) setAway(is bool) error {
@@ -188,14 +188,14 @@
 	return nil
 }
 
-// Members is a method of management.Operated.
+// Members is a method of management.Target.
 func (o ownOperated) Members() http.Handler { return o.peers.handler() }
 
-// Metrics is a method of management.Operated.
+// Metrics is a method of management.Target.
 func (o ownOperated) Metrics() http.Handler { return telemetry.Handler(o) }
 
-// Waiting is a method of management.Operated.
-func (o ownOperated) Waiting(d time.Duration) []string { return linesOf(o.services.Waiting(d)) }
+// PendingRequests is a method of management.Target.
+func (o ownOperated) PendingRequests(d time.Duration) []string { return linesOf(o.services.Waiting(d)) }
 
 // Counts is a method of telemetry.Source.
 func (o ownOperated) Counts() map[string]engine.Counts { return nil }
@@ -204,9 +204,9 @@
 func (o ownOperated) State() telemetry.State {
 	s := telemetry.State{Services: o.services.Figures(), Peers: o.peers.figures()}
 	s.Descriptors[0], s.Descriptors[1] = o.sockets.InUse()
-	s.Places[0], s.Places[1] = o.sockets.Limits()
+	s.DescriptorLimits[0], s.DescriptorLimits[1] = o.sockets.Limits()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	s.Out, s.Evacuated, s.Applied, s.Rejected = len(o.absences.Excluded), o.away, o.applied, o.rejected
+	s.Excluded, s.Evacuated, s.ConfigsApplied, s.ConfigsRejected = len(o.absences.Excluded), o.away, o.applied, o.rejected
 	return s
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -33,18 +33,18 @@
 
 // State is what operators have asked for, and what outlasts a process of the sidecar.
 type State struct {
-	Absences  exclusion.State `json:"absences"`
-	Evacuated bool            `json:"evacuated,omitempty"`
+	Exclusions exclusion.State `json:"absences"`
+	Evacuated  bool            `json:"evacuated,omitempty"`
 }
 
 // Clone returns a copy that shares nothing with s.
 func (s State) Clone() State {
-	s.Absences = s.Absences.Clone()
+	s.Exclusions = s.Exclusions.Clone()
 	return s
 }
 
 func (s State) equal(t State) bool {
-	return s.Evacuated == t.Evacuated && s.Absences.Equal(&t.Absences)
+	return s.Evacuated == t.Evacuated && s.Exclusions.Equal(&t.Exclusions)
 }
 
 // Dir is one process's part in the shared directory. Its methods may be called from many goroutines at once.
@@ -212,8 +212,8 @@
 	return nil
 }
 
-// Note leaves what may help a process that takes over. It is replaced whole.
-func (d *Dir) Note(v any) error {
+// SaveLearned leaves what may help a process that takes over. It is replaced whole.
+func (d *Dir) SaveLearned(v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
@@ -221,8 +221,8 @@
 	return d.replace(noteName, text)
 }
 
-// Noted reads into v what another process has left within the last age, and reports whether there was such.
-func (d *Dir) Noted(v any, age time.Duration) bool {
+// LoadLearned reads into v what another process has left within the last age, and reports whether there was such.
+func (d *Dir) LoadLearned(v any, age time.Duration) bool {
 	name := filepath.Join(d.path, noteName)
 	info, err := os.Stat(name)
 	if err != nil || time.Since(info.ModTime()).Abs() > age || info.Size() > mostState {
@@ -232,12 +232,12 @@
 	return err == nil && json.Unmarshal(text, v) == nil
 }
 
-// Others counts the other processes that live.
-type Others struct{ Older, Newer int }
+// ProcessCounts counts the other processes that live.
+type ProcessCounts struct{ Older, Newer int }
 
-// Others returns who else lives, and forgets those that have died.
-func (d *Dir) Others() (Others, error) {
-	var o Others
+// CountOthers returns who else lives, and forgets those that have died.
+func (d *Dir) CountOthers() (ProcessCounts, error) {
+	var o ProcessCounts
 	names, err := os.ReadDir(d.path)
 	if err != nil {
 		return o, fmt.Errorf("handover: %w", err)
@@ -265,11 +265,11 @@
 
 // Follow tells of each change of the state and of who lives, by whichever process, until ctx ends. It first tells how both
 // are. The functions are called one at a time.
-func (d *Dir) Follow(ctx context.Context, state func(State), others func(Others)) {
+func (d *Dir) Follow(ctx context.Context, state func(State), others func(ProcessCounts)) {
 	tick := time.NewTicker(poll)
 	defer tick.Stop()
 	var seen os.FileInfo
-	var with Others
+	var with ProcessCounts
 	for first := true; ; first = false {
 		if info, err := os.Stat(filepath.Join(d.path, stateName)); err == nil && (seen == nil || !os.SameFile(seen, info) || !info.ModTime().Equal(seen.ModTime())) {
 			if s, err := d.refresh(); err == nil {
@@ -277,7 +277,7 @@
 				state(s)
 			}
 		}
-		if o, err := d.Others(); err == nil && (first || o != with) {
+		if o, err := d.CountOthers(); err == nil && (first || o != with) {
 			with = o
 			others(o)
 		}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -37,7 +37,7 @@
 		work.Go(func() {
 			for n := range each {
 				if _, err := d.Update(func(s *State) error {
-					return s.Absences.Exclude(policy.ServerID(fmt.Sprintf("%d-%d", i, n)), anyServer, 1)
+					return s.Exclusions.Exclude(policy.ServerID(fmt.Sprintf("%d-%d", i, n)), anyServer, 1)
 				}); err != nil {
 					t.Error(err)
 				}
@@ -47,9 +47,9 @@
 	work.Wait()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	followed := make(chan State, 100)
-	work.Go(func() { older.Follow(ctx, func(s State) { followed <- s }, func(Others) {}) })
-	if s := <-followed; len(s.Absences.Excluded) != 2*each {
-		t.Errorf("%d of %d changes are kept", len(s.Absences.Excluded), 2*each)
+	work.Go(func() { older.Follow(ctx, func(s State) { followed <- s }, func(ProcessCounts) {}) })
+	if s := <-followed; len(s.Exclusions.Excluded) != 2*each {
+		t.Errorf("%d of %d changes are kept", len(s.Exclusions.Excluded), 2*each)
 	}
 	wrong := errors.New("no")
 	if _, err := newer.Update(func(s *State) error { s.Evacuated = true; return wrong }); !errors.Is(err, wrong) || newer.State().Evacuated {
@@ -68,25 +68,25 @@
 // TestOthers: who lives is told apart by age, and one that dies without a word counts no longer.
 func TestOthers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "shared")
-	is := func(d *Dir, want Others) {
+	is := func(d *Dir, want ProcessCounts) {
 		t.Helper()
-		if o, err := d.Others(); err != nil || o != want {
+		if o, err := d.CountOthers(); err != nil || o != want {
 			t.Errorf("others are %+v, %v; want %+v", o, err, want)
 		}
 	}
 	older := open(t, path)
-	is(older, Others{})
+	is(older, ProcessCounts{})
 	newer := open(t, path)
-	is(older, Others{Newer: 1})
-	is(newer, Others{Older: 1})
+	is(older, ProcessCounts{Newer: 1})
+	is(newer, ProcessCounts{Older: 1})
 	older.live.Close() // what the kernel does for a process that is killed
-	is(newer, Others{})
+	is(newer, ProcessCounts{})
 	if names, _ := filepath.Glob(filepath.Join(path, "*"+liveSuffix)); len(names) != 1 {
 		t.Errorf("%v are left", names)
 	}
 	newer.Close()
 	if again := open(t, path); true {
-		is(again, Others{})
+		is(again, ProcessCounts{})
 	}
 }
 
@@ -119,26 +119,26 @@
 	path := filepath.Join(t.TempDir(), "shared")
 	older, newer := open(t, path), open(t, path)
 	var got []int
-	if newer.Noted(&got, time.Hour) {
+	if newer.LoadLearned(&got, time.Hour) {
 		t.Error("there is something at the start")
 	}
-	if err := older.Note([]int{1, 2}); err != nil {
+	if err := older.SaveLearned([]int{1, 2}); err != nil {
 		t.Fatal(err)
 	}
-	if !newer.Noted(&got, time.Hour) || len(got) != 2 {
+	if !newer.LoadLearned(&got, time.Hour) || len(got) != 2 {
 		t.Errorf("%v", got)
 	}
 	long := time.Now().Add(-time.Hour)
 	if err := os.Chtimes(filepath.Join(path, noteName), long, long); err != nil {
 		t.Fatal(err)
 	}
-	if newer.Noted(&got, time.Minute) {
+	if newer.LoadLearned(&got, time.Minute) {
 		t.Error("what is old is taken")
 	}
 	if err := os.WriteFile(filepath.Join(path, noteName), []byte("[1,"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if newer.Noted(&got, time.Hour) {
+	if newer.LoadLearned(&got, time.Hour) {
 		t.Error("half of it is taken")
 	}
 }
--- a/internal/management/server.go
+++ b/internal/management/server.go
@@ -1,5 +1,5 @@
 // Package management is the operators' side of a sidecar: an address of its own, at which its staff ask whether it is
-// ready, take servers out and put them back, and drain it. It decides nothing: each call is handed to an Operated.
+// ready, take servers out and put them back, and drain it. It decides nothing: each call is handed to a Target.
 package management
 
 import (
@@ -18,8 +18,8 @@
 )
 
 const (
-	// MostConns bounds the connections that are open at once; a new one beyond it has the oldest closed.
-	MostConns = 16
+	// MaxConnections bounds the connections that are open at once; a new one beyond it has the oldest closed.
+	MaxConnections = 16
 	// callTime is how long one call may take in all. Callers may take 4 s to write one.
 	callTime = 6 * time.Second
 	// mostHead bounds the head of a call, in bytes, and mostBody its body, which is read and dropped.
@@ -33,16 +33,16 @@
 // ErrNotReady tells that the sidecar does not serve at present.
 var ErrNotReady = errors.New("not ready")
 
-// Operated is what can be operated on.
-type Operated interface {
-	Ready() error                     // ErrNotReady, or nil
-	Exclude(id policy.ServerID) error // exclusion.ErrUnknown, exclusion.ErrTooMany
-	Include(id policy.ServerID) error // exclusion.ErrUnknown
-	Evacuate() error                  // begins the drain
-	Rejoin() error                    // ends it
-	Metrics() http.Handler            // nil: there are none
-	Members() http.Handler            // of the other processes; nil: there are none
-	Waiting(time.Duration) []string   // requests that have waited for longer, and for what
+// Target is what can be operated on.
+type Target interface {
+	Ready() error                           // ErrNotReady, or nil
+	Exclude(id policy.ServerID) error       // exclusion.ErrUnknown, exclusion.ErrTooMany
+	Include(id policy.ServerID) error       // exclusion.ErrUnknown
+	Evacuate() error                        // begins the drain
+	Rejoin() error                          // ends it
+	Metrics() http.Handler                  // nil: there are none
+	Members() http.Handler                  // of the other processes; nil: there are none
+	PendingRequests(time.Duration) []string // requests that have waited for longer, and for what
 }
 
 // Server serves the operators.
@@ -52,7 +52,7 @@
 }
 
 // New returns a server of calls on o.
-func New(o Operated, log *slog.Logger) *Server {
+func New(o Target, log *slog.Logger) *Server {
 	mux := http.NewServeMux()
 	call := func(pattern, done string, f func(*http.Request) error) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, q *http.Request) {
@@ -86,7 +86,7 @@
 			}
 		}
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		all := o.Waiting(over)
+		all := o.PendingRequests(over)
 		for _, line := range all[:min(len(all), mostWaiting)] {
 			fmt.Fprintln(w, line)
 		}
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// crowd is a listener that keeps at most MostConns connections open. It guards against callers that connect and finish
+// crowd is a listener that keeps at most MaxConnections connections open. It guards against callers that connect and finish
 // no call: a new one has the oldest closed, as a call that is heard ends within milliseconds. Someone who opens connections
 // faster than calls end could cut those off; the address is for operators only.
 type crowd struct {
@@ -154,7 +154,7 @@
 	m := &member{Conn: nc, in: c}
 	c.mu.Lock()
 	var oldest *member
-	if len(c.open) >= MostConns {
+	if len(c.open) >= MaxConnections {
 		oldest = c.open[0]
 	}
 	c.open = append(c.open, m)
--- a/internal/management/server_test.go
+++ b/internal/management/server_test.go
@@ -39,11 +39,11 @@
 func (o *operated) Rejoin() error                    { return o.note("rejoin") }
 func (o *operated) Metrics() http.Handler            { return nil }
 func (o *operated) Members() http.Handler            { return nil }
-func (o *operated) Waiting(d time.Duration) []string {
+func (o *operated) PendingRequests(d time.Duration) []string {
 	return slices.Repeat([]string{d.String()}, 201)
 }
 
-func start(t *testing.T, o Operated) string {
+func start(t *testing.T, o Target) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -114,12 +114,12 @@
 	}
 }
 
-// TestSilentCallers: callers that connect and finish no call keep nobody out, and hold no more than MostConns connections.
+// TestSilentCallers: callers that connect and finish no call keep nobody out, and hold no more than MaxConnections connections.
 func TestSilentCallers(t *testing.T) {
 	o := &operated{}
 	addr := start(t, o)
 	var silent []net.Conn
-	for i := range 3 * MostConns {
+	for i := range 3 * MaxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -140,7 +140,7 @@
 			closed++
 		}
 	}
-	if closed < 2*MostConns {
+	if closed < 2*MaxConnections {
 		t.Errorf("%d of %d silent connections were closed", closed, len(silent))
 	}
 }
--- a/internal/services/http.go
+++ b/internal/services/http.go
@@ -295,7 +295,7 @@
 	p := &webPool{name: c.Name, cfg: c, conns: w.conns.NewShare(), room: w.bodies.NewShare()}
 	lender := w.budget.ForPool(p.conns, w.makeRoomFor(p))
 	p.transport = &webTransport{Transport: upstream.New(settingsOf(c), lender, log)}
-	p.transport.SetMaxHeaderBytes(config.ServerHead)
+	p.transport.SetMaxHeaderBytes(config.MaxResponseHead)
 	p.transport.cfg.Store(&c)
 	var err error
 	if p.Pool, err = c.Open(p.transport, log); err != nil {
@@ -502,9 +502,9 @@
 }
 
 func (s *Services) http(c config.HTTP) {
-	whole := c.Whole
+	whole := c.Proxy
 	whole.Router = s.web.router
-	f := &webFront{Server: httpfront.NewProxy(whole, s.budget, s.log.With("http", c.Name)), patience: c.Patience}
+	f := &webFront{Server: httpfront.NewProxy(whole, s.budget, s.log.With("http", c.Name)), patience: c.ShutdownTimeout}
 	s.all = append(s.all, &service{
 		kind: "http", name: c.Name, listen: c.Listen, front: f, makeRoom: func() bool { return s.web.makeRoom(nil) }, close: func() {},
 		clients: f.Server,
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -25,15 +25,15 @@
 
 // State is what a sidecar holds at one moment.
 type State struct {
-	Engine            engine.Snapshot
-	Out               int // servers that operators have out
-	Evacuated         bool
-	Applied, Rejected int // configurations
-	Descriptors       [2]int
-	Places            [2]int        // descriptors that may be taken, in all and by clients
-	Orders            *orders.Stats // nil: nothing is noted of orders
-	Services          []services.Figures
-	Peers             *peering.Metrics // nil: there are no other processes
+	Engine                          engine.Snapshot
+	Excluded                        int // servers that operators have out
+	Evacuated                       bool
+	ConfigsApplied, ConfigsRejected int // configurations
+	Descriptors                     [2]int
+	DescriptorLimits                [2]int        // descriptors that may be taken, in all and by clients
+	Orders                          *orders.Stats // nil: nothing is noted of orders
+	Services                        []services.Figures
+	Peers                           *peering.Metrics // nil: there are no other processes
 }
 
 const prefix = "svc_"
@@ -181,16 +181,16 @@
 	gauge(held, float64(s.Engine.Module.Held))
 	gauge(poolSize, float64(len(s.Engine.Servers)))
 	gauge(poolEjected, float64(ejected))
-	gauge(poolOut, float64(s.Out))
+	gauge(poolOut, float64(s.Excluded))
 	gauge(poolDraining, float64(draining))
 	gauge(readySet, float64(s.Engine.Module.ReadySet))
 	gauge(threshold, s.Engine.Module.Threshold)
 	gauge(evacuated, truth(s.Evacuated))
-	total(applied, uint64(s.Applied))
-	total(rejected, uint64(s.Rejected))
+	total(applied, uint64(s.ConfigsApplied))
+	total(rejected, uint64(s.ConfigsRejected))
 	for i, of := range []string{"all", "clients"} {
 		gauge(descriptors, float64(s.Descriptors[i]), of)
-		gauge(places, float64(s.Places[i]), of)
+		gauge(places, float64(s.DescriptorLimits[i]), of)
 	}
 	if o := s.Orders; o != nil {
 		for _, r := range []struct {
