--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -80,8 +80,8 @@
 	}
 	got := told[0]
 	c := got.Classes["check"]
-	if got.UpSeconds != 0 || r.sec.UpSeconds != 1 && r.sec.UpSeconds != 2 {
-		t.Errorf("up for %d s, and then for %d", got.UpSeconds, r.sec.UpSeconds)
+	if got.UpSeconds != 0 || r.current.UpSeconds != 1 && r.current.UpSeconds != 2 {
+		t.Errorf("up for %d s, and then for %d", got.UpSeconds, r.current.UpSeconds)
 	}
 	if got.StartMs%1000 != 0 || got.StartMs != origin-250+time.Hour.Milliseconds() {
 		t.Errorf("the second begins at %d", got.StartMs)
--- a/internal/account/read.go
+++ b/internal/account/read.go
@@ -69,7 +69,7 @@
 // AgeNames names the ages of servers by which sends are counted apart.
 var AgeNames = [...]string{"under 2 s", "2 to 5 s", "5 to 10 s", "older"}
 
-func ageOf(s float64) int {
+func ageBucket(s float64) int {
 	switch {
 	case s == 0 || s >= 10:
 		return 3
@@ -118,8 +118,8 @@
 		}
 		sum.add(c)
 	}
-	addMap(p.Total.AttemptResults, s.AttemptResults)
-	addMap(p.Total.ProbeResults, s.ProbeResults)
+	addCounts(p.Total.AttemptResults, s.AttemptResults)
+	addCounts(p.Total.ProbeResults, s.ProbeResults)
 	p.Total.ListUpdates += s.ListUpdates
 	p.Total.ListCalls += s.ListCalls
 	p.Total.Dials += s.Dials
@@ -146,7 +146,7 @@
 			}
 			sum.Queue += (v.Queue - sum.Queue) / float64(p.queueReports[id])
 		}
-		p.ByServerAge[ageOf(v.Age)].add(v)
+		p.ByServerAge[ageBucket(v.Age)].add(v)
 	}
 }
 
@@ -182,7 +182,7 @@
 	v.Age = max(v.Age, o.Age)
 }
 
-func addMap(to, from map[string]int) {
+func addCounts(to, from map[string]int) {
 	for k, n := range from {
 		to[k] += n
 	}
@@ -204,7 +204,7 @@
 		s := p.Total.Sends
 		fmt.Fprintf(w, "\nsends: first %.0f, further %.0f; to cold %.0f, erring %.0f, dark %.0f; figures never %.0f, fresh %.0f, of a second %.0f, older %.0f\n",
 			rate(s.FirstAttempts), rate(s.Resends), rate(s.ToCold), rate(s.ToErroring), rate(s.ToUnreachable), rate(s.NoReport), rate(s.FreshReport), rate(s.RecentReport), rate(s.StaleReport))
-		fmt.Fprintf(w, "endings: %s; probes: %s; connects %.0f; lists %.0f, calls %.0f, failed %.0f\n", rates(p.Total.AttemptResults, rate), rates(p.Total.ProbeResults, rate),
+		fmt.Fprintf(w, "endings: %s; probes: %s; connects %.0f; lists %.0f, calls %.0f, failed %.0f\n", formatRates(p.Total.AttemptResults, rate), formatRates(p.Total.ProbeResults, rate),
 			rate(int(p.Total.Dials)), rate(p.Total.ListUpdates), rate(p.Total.ListCalls), rate(p.Total.FailedListCalls))
 		if b := p.Startup; b.Seconds > 0 {
 			each := func(n int) float64 { return float64(n) / float64(b.Seconds) }
@@ -227,7 +227,7 @@
 	}
 }
 
-func rates(m map[string]int, rate func(int) float64) string {
+func formatRates(m map[string]int, rate func(int) float64) string {
 	var b strings.Builder
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		fmt.Fprintf(&b, "%s %.0f ", k, rate(m[k]))
--- a/internal/account/recorder.go
+++ b/internal/account/recorder.go
@@ -64,50 +64,50 @@
 
 // The bounds of how old figures are.
 const (
-	ageFresh  = 250 * time.Millisecond
-	ageRecent = time.Second
+	freshAge  = 250 * time.Millisecond
+	recentAge = time.Second
 )
 
-// mostServers bounds the servers of a Second; those beyond are not told apart.
-const mostServers = 1000
+// maxServers bounds the servers of a Second; those beyond are not told apart.
+const maxServers = 1000
 
 // Recorder hands all on to a Balancer and counts. It is as safe for concurrent use as that is.
 type Recorder struct {
 	*policy.Balancer
-	tell   func(Second)
+	emit   func(Second)
 	origin int64 // Unix milliseconds at policy.Time 0
 	aims   map[string]time.Duration
 	ramp   time.Duration
 
-	sec      Second
-	began    policy.Time // of sec
-	up       policy.Time // the first second of all
-	requests map[policy.RequestID]*taken
-	servers  map[policy.ServerID]*known
+	current      Second
+	currentStart policy.Time // of sec
+	firstStart   policy.Time // the first second of all
+	requests     map[policy.RequestID]*requestState
+	servers      map[policy.ServerID]*serverState
 }
 
-type taken struct {
-	class  string
-	at     policy.Time
-	cost   time.Duration
-	sent   int
-	probed bool // an event passed before it was refused
+type requestState struct {
+	class    string
+	at       policy.Time
+	cost     time.Duration
+	attempts int
+	waited   bool // an event passed before it was refused
 }
 
-type known struct {
+type serverState struct {
 	policy.Server
-	told     policy.Time // latest report, 0 for none
-	queue    float64
-	last     policy.Status
-	hasEnded bool
+	lastReport policy.Time // latest report, 0 for none
+	queue      float64
+	lastStatus policy.Status
+	hasEnded   bool
 }
 
 // New returns a Recorder of b, which goes by cfg. origin is the Unix time in milliseconds of policy.Time 0. tell is given each second
 // in which anything happened, once the next has begun; it must not block.
 func New(b *policy.Balancer, cfg policy.Config, origin int64, tell func(Second)) *Recorder {
 	r := &Recorder{
-		Balancer: b, tell: tell, origin: origin, aims: map[string]time.Duration{}, ramp: cfg.Ramp,
-		requests: map[policy.RequestID]*taken{}, servers: map[policy.ServerID]*known{},
+		Balancer: b, emit: tell, origin: origin, aims: map[string]time.Duration{}, ramp: cfg.Ramp,
+		requests: map[policy.RequestID]*requestState{}, servers: map[policy.ServerID]*serverState{},
 	}
 	for _, c := range cfg.Classes {
 		r.aims[c.Name] = c.Aim
@@ -115,57 +115,57 @@
 	return r
 }
 
-// tick begins a new second if the last one is over.
-func (r *Recorder) tick(now policy.Time) {
+// advance begins a new second if the last one is over.
+func (r *Recorder) advance(now policy.Time) {
 	// By the clock on the wall, so that the seconds of all sidecars are the same.
 	into := (r.origin + now.Milliseconds()) % 1000
 	begin := now.Truncate(time.Millisecond) - time.Duration(into)*time.Millisecond
-	if r.sec.Classes != nil && begin == r.began {
+	if r.current.Classes != nil && begin == r.currentStart {
 		return
 	}
-	if r.sec.Classes != nil {
+	if r.current.Classes != nil {
 		for _, s := range r.servers {
 			if s.State == policy.Ready {
-				r.sec.ReadyServers++
-				if r.cold(r.began, s) {
-					r.sec.ColdServers++
+				r.current.ReadyServers++
+				if r.isCold(r.currentStart, s) {
+					r.current.ColdServers++
 				}
 			}
 		}
-		r.tell(r.sec)
+		r.emit(r.current)
 	}
-	if r.began = begin; r.up == 0 {
-		r.up = begin
+	if r.currentStart = begin; r.firstStart == 0 {
+		r.firstStart = begin
 	}
-	r.sec = Second{
-		StartMs: r.origin + begin.Milliseconds(), UpSeconds: int((begin - r.up) / time.Second), Classes: map[string]*Class{}, AttemptResults: map[string]int{}, ProbeResults: map[string]int{},
+	r.current = Second{
+		StartMs: r.origin + begin.Milliseconds(), UpSeconds: int((begin - r.firstStart) / time.Second), Classes: map[string]*Class{}, AttemptResults: map[string]int{}, ProbeResults: map[string]int{},
 		Servers: map[string]*Server{},
 	}
 }
 
-func (r *Recorder) cold(now policy.Time, s *known) bool {
+func (r *Recorder) isCold(now policy.Time, s *serverState) bool {
 	return s.Started != 0 && now-s.Started < r.ramp
 }
 
-func (r *Recorder) class(name string) *Class {
-	c := r.sec.Classes[name]
+func (r *Recorder) classCounts(name string) *Class {
+	c := r.current.Classes[name]
 	if c == nil {
 		c = &Class{}
-		r.sec.Classes[name] = c
+		r.current.Classes[name] = c
 	}
 	return c
 }
 
-// server returns the count of id in the present second, or one that is thrown away.
-func (r *Recorder) server(now policy.Time, id policy.ServerID) *Server {
-	v := r.sec.Servers[string(id)]
+// serverCounts returns the count of id in the present second, or one that is thrown away.
+func (r *Recorder) serverCounts(now policy.Time, id policy.ServerID) *Server {
+	v := r.current.Servers[string(id)]
 	if v == nil {
 		v = &Server{Queue: -1}
 		if k := r.servers[id]; k != nil && k.Started != 0 {
 			v.Age = (now - k.Started).Seconds()
 		}
-		if len(r.sec.Servers) < mostServers {
-			r.sec.Servers[string(id)] = v
+		if len(r.current.Servers) < maxServers {
+			r.current.Servers[string(id)] = v
 		}
 	}
 	return v
@@ -173,11 +173,11 @@
 
 // UpdateServers is a method of policy.Balancer, as are those below.
 func (r *Recorder) UpdateServers(now policy.Time, kind policy.ListKind, list []policy.Server, act policy.Actions) {
-	r.tick(now)
+	r.advance(now)
 	if kind == policy.ListFailed {
-		r.sec.FailedListCalls++
+		r.current.FailedListCalls++
 	} else {
-		r.sec.ListUpdates++
+		r.current.ListUpdates++
 		if kind.Complete() {
 			for _, s := range r.servers {
 				s.State = policy.Gone
@@ -186,7 +186,7 @@
 		for _, e := range list {
 			k := r.servers[e.ID]
 			if k == nil || k.Started != e.Started {
-				k = &known{}
+				k = &serverState{}
 				r.servers[e.ID] = k
 			}
 			k.Server = e
@@ -201,20 +201,20 @@
 }
 
 func (r *Recorder) Request(now policy.Time, q policy.Request, act policy.Actions) {
-	r.tick(now)
-	c := r.class(q.Class)
+	r.advance(now)
+	c := r.classCounts(q.Class)
 	c.Accepted++
 	c.Work += q.Cost.Seconds()
-	t := &taken{class: q.Class, at: now, cost: q.Cost}
+	t := &requestState{class: q.Class, at: now, cost: q.Cost}
 	r.requests[q.ID] = t
 	r.Balancer.Request(now, q, actions{act, r, now})
-	t.probed = true
+	t.waited = true
 }
 
 func (r *Recorder) Outcome(now policy.Time, o policy.Outcome, act policy.Actions) {
-	r.tick(now)
-	r.sec.AttemptResults[status(o.Status)]++
-	v := r.server(now, o.Server)
+	r.advance(now)
+	r.current.AttemptResults[statusName(o.Status)]++
+	v := r.serverCounts(now, o.Server)
 	switch o.Status {
 	case policy.OK:
 		v.OK++
@@ -224,14 +224,14 @@
 		v.Unreachable++
 	}
 	if k := r.servers[o.Server]; k != nil && o.Status != policy.Canceled {
-		k.last, k.hasEnded = o.Status, true
+		k.lastStatus, k.hasEnded = o.Status, true
 	}
-	r.told(now, o.Server, o.Load)
+	r.recordLoad(now, o.Server, o.Load)
 	if t := r.requests[o.ID]; t != nil && o.Status == policy.OK {
 		if now-t.at <= r.aims[t.class] {
-			r.class(t.class).InTime++
+			r.classCounts(t.class).InTime++
 		} else {
-			r.class(t.class).Late++
+			r.classCounts(t.class).Late++
 		}
 		delete(r.requests, o.ID)
 	}
@@ -241,45 +241,45 @@
 	r.Balancer.Outcome(now, o, actions{act, r, now})
 }
 
-func (r *Recorder) told(now policy.Time, id policy.ServerID, l *policy.Load) {
+func (r *Recorder) recordLoad(now policy.Time, id policy.ServerID, l *policy.Load) {
 	if k := r.servers[id]; k != nil && l != nil && l.Queue >= 0 {
-		k.told, k.queue = now, l.Queue
-		r.server(now, id).Queue = l.Queue
+		k.lastReport, k.queue = now, l.Queue
+		r.serverCounts(now, id).Queue = l.Queue
 	}
 }
 
 func (r *Recorder) Probed(now policy.Time, p policy.ProbeResult, act policy.Actions) {
-	r.tick(now)
-	r.sec.ProbeResults[status(p.Status)]++
+	r.advance(now)
+	r.current.ProbeResults[statusName(p.Status)]++
 	if p.Status == policy.OK {
-		r.told(now, p.Server, p.Load)
+		r.recordLoad(now, p.Server, p.Load)
 	}
 	r.Balancer.Probed(now, p, actions{act, r, now})
 }
 
 func (r *Recorder) ClientDisconnected(now policy.Time, id policy.RequestID, act policy.Actions) {
-	r.tick(now)
+	r.advance(now)
 	delete(r.requests, id)
 	r.Balancer.ClientDisconnected(now, id, actions{act, r, now})
 }
 
 func (r *Recorder) StopSending(now policy.Time, id policy.RequestID, act policy.Actions) {
-	r.tick(now)
+	r.advance(now)
 	r.Balancer.StopSending(now, id, actions{act, r, now})
 }
 
 func (r *Recorder) GiveUp(now policy.Time, id policy.RequestID, act policy.Actions) {
-	r.tick(now)
+	r.advance(now)
 	r.Balancer.GiveUp(now, id, actions{act, r, now})
 }
 
 func (r *Recorder) Timer(now policy.Time, tok string, act policy.Actions) {
-	r.tick(now)
+	r.advance(now)
 	r.Balancer.Timer(now, tok, actions{act, r, now})
 }
 
 func (r *Recorder) DiscoveryMoved(now policy.Time, act policy.Actions) {
-	r.tick(now)
+	r.advance(now)
 	r.Balancer.DiscoveryMoved(now, actions{act, r, now})
 }
 
@@ -302,31 +302,31 @@
 
 func (a actions) Send(id policy.RequestID, server policy.ServerID, timeout time.Duration) {
 	r := a.r
-	s := &r.sec.Sends
+	s := &r.current.Sends
 	if t := r.requests[id]; t != nil {
-		if t.sent++; t.sent == 1 {
+		if t.attempts++; t.attempts == 1 {
 			s.FirstAttempts++
 		} else {
 			s.Resends++
 		}
 	}
-	r.server(a.now, server).Sent++
+	r.serverCounts(a.now, server).Sent++
 	if k := r.servers[server]; k != nil {
-		if r.cold(a.now, k) {
+		if r.isCold(a.now, k) {
 			s.ToCold++
 		}
 		switch {
-		case k.hasEnded && k.last == policy.AppError:
+		case k.hasEnded && k.lastStatus == policy.AppError:
 			s.ToErroring++
-		case k.hasEnded && (k.last == policy.ConnectFailed || k.last == policy.Timeout):
+		case k.hasEnded && (k.lastStatus == policy.ConnectFailed || k.lastStatus == policy.Timeout):
 			s.ToUnreachable++
 		}
-		switch age := a.now - k.told; {
-		case k.told == 0:
+		switch age := a.now - k.lastReport; {
+		case k.lastReport == 0:
 			s.NoReport++
-		case age <= ageFresh:
+		case age <= freshAge:
 			s.FreshReport++
-		case age <= ageRecent:
+		case age <= recentAge:
 			s.RecentReport++
 		default:
 			s.StaleReport++
@@ -337,12 +337,12 @@
 
 func (a actions) Refuse(id policy.RequestID, after time.Duration) {
 	if t := a.r.requests[id]; t != nil {
-		c := a.r.class(t.class)
+		c := a.r.classCounts(t.class)
 		c.LostWork += t.cost.Seconds()
 		switch {
-		case t.sent > 0:
+		case t.attempts > 0:
 			c.RefusedAfterSend++
-		case t.probed:
+		case t.waited:
 			c.RefusedAfterProbe++
 		default:
 			c.RefusedAtOnce++
@@ -354,7 +354,7 @@
 
 func (a actions) Fail(id policy.RequestID) {
 	if t := a.r.requests[id]; t != nil {
-		c := a.r.class(t.class)
+		c := a.r.classCounts(t.class)
 		c.LostWork += t.cost.Seconds()
 		c.Failed++
 		delete(a.r.requests, id)
@@ -364,16 +364,16 @@
 
 func (a actions) Watch(on bool) {
 	if on {
-		a.r.sec.ListCalls++
+		a.r.current.ListCalls++
 	}
 	a.Actions.Watch(on)
 }
 
-var statuses = [...]string{"ok", "error", "full", "timeout", "connect", "reset", "canceled", "moot", "rejected"}
+var statusNames = [...]string{"ok", "error", "full", "timeout", "connect", "reset", "canceled", "moot", "rejected"}
 
-func status(s policy.Status) string {
-	if s < 0 || int(s) >= len(statuses) {
+func statusName(s policy.Status) string {
+	if s < 0 || int(s) >= len(statusNames) {
 		return "other"
 	}
-	return statuses[s]
+	return statusNames[s]
 }
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -80,8 +80,8 @@
 	return &n, err
 }
 
-// mostSeeds bounds the seeds that a file may name.
-const mostSeeds = 100
+// maxSeeds bounds the seeds that a file may name.
+const maxSeeds = 100
 
 // members reads the table, and fills its defaults in. The error names the key.
 func (t *membersTable) members(dir string) (*Members, error) {
@@ -100,8 +100,8 @@
 			return nil, fmt.Errorf("advertise: %q is no IP address with a port", t.Advertise)
 		}
 	}
-	if len(t.Seeds) > mostSeeds {
-		return nil, fmt.Errorf("seeds: %d of them, at most %d", len(t.Seeds), mostSeeds)
+	if len(t.Seeds) > maxSeeds {
+		return nil, fmt.Errorf("seeds: %d of them, at most %d", len(t.Seeds), maxSeeds)
 	}
 	for _, s := range t.Seeds {
 		a, err := netip.ParseAddrPort(s)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -58,28 +58,28 @@
 }
 
 type sitesTable struct {
-	Prefer    []string    `toml:"prefer"`
-	Rules     []sitesRule `toml:"rules"`
-	Fade      duration    `toml:"fade"`
-	Clear     float64     `toml:"clear"`
-	Doubt     float64     `toml:"doubt"`
-	Dark      float64     `toml:"dark"`
-	Memory    duration    `toml:"memory"`
-	Hold      duration    `toml:"hold"`
-	First     float64     `toml:"first"`
-	Spill     float64     `toml:"spill"`
-	Climb     duration    `toml:"climb"`
-	MostClimb duration    `toml:"most_climb"`
-	Changes   int         `toml:"changes"`
+	Prefer    []string         `toml:"prefer"`
+	Rules     []sitesRuleTable `toml:"rules"`
+	Fade      duration         `toml:"fade"`
+	Clear     float64          `toml:"clear"`
+	Doubt     float64          `toml:"doubt"`
+	Dark      float64          `toml:"dark"`
+	Memory    duration         `toml:"memory"`
+	Hold      duration         `toml:"hold"`
+	First     float64          `toml:"first"`
+	Spill     float64          `toml:"spill"`
+	Climb     duration         `toml:"climb"`
+	MostClimb duration         `toml:"most_climb"`
+	Changes   int              `toml:"changes"`
 }
 
-type sitesRule struct {
-	Classes []string    `toml:"classes"`
-	Tenants []string    `toml:"tenants"`
-	Tiers   []sitesTier `toml:"tiers"`
+type sitesRuleTable struct {
+	Classes []string         `toml:"classes"`
+	Tenants []string         `toml:"tenants"`
+	Tiers   []sitesTierTable `toml:"tiers"`
 }
 
-type sitesTier struct {
+type sitesTierTable struct {
 	Sites    []string `toml:"sites"`
 	MaxShare float64  `toml:"most"`
 }
@@ -137,13 +137,13 @@
 	if err != nil {
 		var parse toml.ParseError
 		if errors.As(err, &parse) {
-			return Operator{}, fmt.Errorf("line %d: %s", parse.Position.Line, cleared(parse))
+			return Operator{}, fmt.Errorf("line %d: %s", parse.Position.Line, parseErrorText(parse))
 		}
 		return Operator{}, err
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		key := unknown[0]
-		return Operator{}, fmt.Errorf("line %d: unknown key %s", lineOf(text, key), key)
+		return Operator{}, fmt.Errorf("line %d: unknown key %s", lineOfKey(text, key), key)
 	}
 	var o Operator
 	if f.Log == nil {
@@ -217,16 +217,16 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-// cleared is what is wrong by a ParseError, in one line and with the key if there is one.
-func cleared(e toml.ParseError) string {
+// parseErrorText is what is wrong by a ParseError, in one line and with the key if there is one.
+func parseErrorText(e toml.ParseError) string {
 	if e.LastKey != "" {
 		return e.LastKey + ": " + e.Message
 	}
 	return e.Message
 }
 
-// lineOf returns the line in which a key stands, from 1, or that of its table.
-func lineOf(text string, key toml.Key) int {
+// lineOfKey returns the line in which a key stands, from 1, or that of its table.
+func lineOfKey(text string, key toml.Key) int {
 	last := key[len(key)-1]
 	table := strings.Join(key[:len(key)-1], ".")
 	in := ""
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -92,7 +92,7 @@
 	}
 	r := routes.Route{
 		Name:  t.Name,
-		Match: routes.Match{Hosts: t.Hosts, Methods: t.Methods, Path: t.Path, Headers: listed(t.Headers), Query: listed(t.Query)},
+		Match: routes.Match{Hosts: t.Hosts, Methods: t.Methods, Path: t.Path, Headers: conditions(t.Headers), Query: conditions(t.Query)},
 		Order: t.Order, Class: t.Class, Override: t.Override, Fallback: t.Fallback, Timeout: time.Duration(t.Timeout),
 		Effect: effect, TrustIdempotencyKey: t.TrustKey,
 	}
@@ -109,7 +109,7 @@
 	}
 	for key, from := range map[string][]string{"key": t.Key, "tenant": t.Tenant} {
 		for _, text := range from {
-			p, err := part(text)
+			p, err := parseValueSource(text)
 			if err != nil {
 				return wrong(key, "%v", err)
 			}
@@ -123,15 +123,15 @@
 	return r, nil
 }
 
-func listed(tables []conditionTable) (list []routes.Condition) {
+func conditions(tables []conditionTable) (list []routes.Condition) {
 	for _, c := range tables {
 		list = append(list, routes.Condition(c))
 	}
 	return list
 }
 
-// part reads where a value is taken from: "path:NAME", "header:NAME" or "query:NAME".
-func part(text string) (routes.ValueSource, error) {
+// parseValueSource reads where a value is taken from: "path:NAME", "header:NAME" or "query:NAME".
+func parseValueSource(text string) (routes.ValueSource, error) {
 	from, name, ok := strings.Cut(text, ":")
 	if ok && name != "" {
 		switch from {
--- a/internal/config/services.go
+++ b/internal/config/services.go
@@ -41,12 +41,12 @@
 }
 
 const (
-	// lateShare is what an answer of HTTP is worth after its aim where the file does not say.
-	lateShare = 0.5
+	// defaultLateShare is what an answer of HTTP is worth after its aim where the file does not say.
+	defaultLateShare = 0.5
 	// MaxResponseHead is the longest head of a server's answer, in bytes.
 	MaxResponseHead = 16 << 10
-	mostHead        = 1 << 20
-	mostHold        = 64 << 20
+	maxRequestHead  = 1 << 20
+	maxBufferedBody = 64 << 20
 )
 
 type httpTable struct {
@@ -102,12 +102,12 @@
 		return c, fmt.Errorf("via: %q is no pseudonym of letters, digits, dots, dashes and underscores", t.Via)
 	case t.Health != "" && !strings.HasPrefix(t.Health, "/"):
 		return c, fmt.Errorf("health: %q does not begin with a slash", t.Health)
-	case t.MostHead < 1<<10 || t.MostHead > mostHead:
-		return c, fmt.Errorf("most_head: %d is outside 1,024 to %d", t.MostHead, mostHead)
+	case t.MostHead < 1<<10 || t.MostHead > maxRequestHead:
+		return c, fmt.Errorf("most_head: %d is outside 1,024 to %d", t.MostHead, maxRequestHead)
 	case t.Rate < 1:
 		return c, fmt.Errorf("least_rate: %d is below 1", t.Rate)
-	case *t.Hold < 0 || *t.Hold > mostHold:
-		return c, fmt.Errorf("hold: %d is outside 0 to %d", *t.Hold, mostHold)
+	case *t.Hold < 0 || *t.Hold > maxBufferedBody:
+		return c, fmt.Errorf("hold: %d is outside 0 to %d", *t.Hold, maxBufferedBody)
 	case t.MostBody < 0:
 		return c, fmt.Errorf("most_body: %d is negative", t.MostBody)
 	}
@@ -207,7 +207,7 @@
 		case k.LateShare != nil:
 			class.LateShare = *k.LateShare
 		case k.Effect == "by-request": // else nothing would be waited for beyond the aim
-			class.LateShare = lateShare
+			class.LateShare = defaultLateShare
 		}
 		c.Classes = append(c.Classes, class)
 	}
@@ -287,9 +287,9 @@
 }
 
 type mysqlServerTLS struct {
-	CA     string `toml:"ca"`
-	Name   string `toml:"name"`
-	Unsafe bool   `toml:"skip_verify"`
+	CA         string `toml:"ca"`
+	Name       string `toml:"name"`
+	SkipVerify bool   `toml:"skip_verify"`
 }
 
 type mysqlRuleTable struct {
@@ -350,7 +350,7 @@
 		c.TLS = &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS12}
 	}
 	if t.ServerTLS != (mysqlServerTLS{}) {
-		c.ServerTLS = &tls.Config{ServerName: t.ServerTLS.Name, InsecureSkipVerify: t.ServerTLS.Unsafe, MinVersion: tls.VersionTLS12}
+		c.ServerTLS = &tls.Config{ServerName: t.ServerTLS.Name, InsecureSkipVerify: t.ServerTLS.SkipVerify, MinVersion: tls.VersionTLS12}
 		if t.ServerTLS.CA != "" {
 			text, err := os.ReadFile(in(t.ServerTLS.CA))
 			if err != nil {
@@ -430,7 +430,7 @@
 			err = errors.New("name: is there twice")
 		}
 		if err != nil {
-			return s, fmt.Errorf("[[pools]] %s: %w", named(f.Pools[i].Name, i), err)
+			return s, fmt.Errorf("[[pools]] %s: %w", displayName(f.Pools[i].Name, i), err)
 		}
 		seen[p.Name] = true
 		s.Pools = append(s.Pools, p)
@@ -452,7 +452,7 @@
 			err = once(c.Name, c.Listen)
 		}
 		if err != nil {
-			return s, fmt.Errorf("[[http]] %s: %w", named(f.HTTP[i].Name, i), err)
+			return s, fmt.Errorf("[[http]] %s: %w", displayName(f.HTTP[i].Name, i), err)
 		}
 		s.HTTP = append(s.HTTP, c)
 	}
@@ -462,7 +462,7 @@
 			err = once(c.Name, c.Listen)
 		}
 		if err != nil {
-			return s, fmt.Errorf("[[streams]] %s: %w", named(f.Streams[i].Name, i), err)
+			return s, fmt.Errorf("[[streams]] %s: %w", displayName(f.Streams[i].Name, i), err)
 		}
 		s.Streams = append(s.Streams, c)
 	}
@@ -472,14 +472,14 @@
 			err = once(c.Name, c.Listen)
 		}
 		if err != nil {
-			return s, fmt.Errorf("[[mysql]] %s: %w", named(f.MySQL[i].Name, i), err)
+			return s, fmt.Errorf("[[mysql]] %s: %w", displayName(f.MySQL[i].Name, i), err)
 		}
 		s.MySQL = append(s.MySQL, c)
 	}
 	return s, nil
 }
 
-func named(name string, i int) string {
+func displayName(name string, i int) string {
 	if name == "" {
 		return fmt.Sprintf("number %d", i+1)
 	}
--- a/internal/config/show.go
+++ b/internal/config/show.go
@@ -37,11 +37,11 @@
 	if err := e.Encode(f); err != nil {
 		return "", err
 	}
-	return spare(b.String()), nil
+	return dropEmptyKeys(b.String()), nil
 }
 
-// spare takes out the lines that tell nothing: those of keys that are empty.
-func spare(text string) string {
+// dropEmptyKeys takes out the lines that tell nothing: those of keys that are empty.
+func dropEmptyKeys(text string) string {
 	var b strings.Builder
 	for line := range strings.Lines(text) {
 		_, value, ok := strings.Cut(strings.TrimRight(line, "\n"), " = ")
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,6 +1,8 @@
-// Package handover is what two processes of one sidecar share while one takes over from the other: who of them lives, and
-// what operators have asked for. It lies in a directory that both were given. A lock that the kernel lets go when its holder
-// dies tells who lives, so that no process counts for longer than it runs, however it ends.
+// Package handover keeps the state that two processes of one sidecar share while one takes over
+// from the other: which processes are alive, and what operators have requested. The state is
+// stored in a directory that both processes are given. Each process holds a file lock, which the
+// kernel releases when the process ends, so that a process never counts as alive after it has
+// ended, however it ends.
 package handover
 
 import (
@@ -20,24 +22,24 @@
 )
 
 const (
-	// poll is how often a Dir looks for what the other process has changed.
-	poll = 100 * time.Millisecond
-	// mostState bounds the file of the state, in bytes.
-	mostState = 4 << 20
+	// pollInterval is how often Follow checks the directory for changes.
+	pollInterval = 100 * time.Millisecond
+	// maxFileSize limits the files that are read, in bytes.
+	maxFileSize = 4 << 20
 
-	stateName  = "state.json"
-	lockName   = "lock"
-	noteName   = "learned.json"
-	liveSuffix = ".live"
+	stateFile   = "state.json"
+	lockFile    = "lock"
+	learnedFile = "learned.json"
+	liveSuffix  = ".live"
 )
 
-// State is what operators have asked for, and what outlasts a process of the sidecar.
+// State holds what operators have requested. It outlives a single process of the sidecar.
 type State struct {
 	Exclusions exclusion.State `json:"absences"`
 	Evacuated  bool            `json:"evacuated,omitempty"`
 }
 
-// Clone returns a copy that shares nothing with s.
+// Clone returns a deep copy of s.
 func (s State) Clone() State {
 	s.Exclusions = s.Exclusions.Clone()
 	return s
@@ -47,18 +49,19 @@
 	return s.Evacuated == t.Evacuated && s.Exclusions.Equal(&t.Exclusions)
 }
 
-// Dir is one process's part in the shared directory. Its methods may be called from many goroutines at once.
+// Dir is one process's handle on the shared directory. Its methods are safe for concurrent use.
 type Dir struct {
-	path string
-	live *os.File // locked while this process lives
-	name string
+	path     string
+	liveFile *os.File // locked for as long as this process runs
+	name     string
 
-	mu   sync.Mutex
-	last State // as it was last read or written
+	mu     sync.Mutex
+	cached State // as last read or written
 }
 
-// Open takes part in the directory at path, which it makes if need be. It must be on a local file system and the
-// process's own: an error says so if others may write to it.
+// Open registers this process in the directory at path, creating the directory if necessary. The
+// directory must be on a local file system and belong to the user of the process; Open returns an
+// error if other users may write to it.
 func Open(path string) (*Dir, error) {
 	if err := os.Mkdir(path, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -68,27 +71,27 @@
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	if st, ok := info.Sys().(*syscall.Stat_t); !info.IsDir() || info.Mode().Perm()&0o022 != 0 || ok && int(st.Uid) != os.Getuid() {
-		return nil, fmt.Errorf("handover: %s is no directory that only this user may write to", path)
+		return nil, fmt.Errorf("handover: %s is not a directory that only this user may write to", path)
 	}
-	// The names of the living sort by when they came.
+	// The names of the liveness files sort by the time at which their processes started.
 	d := &Dir{path: path, name: fmt.Sprintf("%020d-%d%s", time.Now().UnixNano(), os.Getpid(), liveSuffix)}
 	unlock, err := d.lock()
 	if err != nil {
 		return nil, err
 	}
 	defer unlock()
-	if d.live, err = locked(filepath.Join(path, d.name), syscall.LOCK_EX); err != nil {
+	if d.liveFile, err = openLocked(filepath.Join(path, d.name), syscall.LOCK_EX); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	if d.last, err = d.read(); err != nil {
+	if d.cached, err = d.readState(); err != nil {
 		d.Close()
 		return nil, err
 	}
 	return d, nil
 }
 
-// locked opens the file of that name and locks it.
-func locked(name string, how int) (*os.File, error) {
+// openLocked opens the named file, creating it if necessary, and locks it.
+func openLocked(name string, how int) (*os.File, error) {
 	f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
@@ -106,38 +109,40 @@
 	return f, nil
 }
 
-// lock keeps other processes from changing the directory until unlock. Its holders do only a few calls.
+// lock keeps other processes from changing the directory until unlock is called. It is held only
+// for a few system calls.
 func (d *Dir) lock() (unlock func(), err error) {
-	f, err := locked(filepath.Join(d.path, lockName), syscall.LOCK_EX)
+	f, err := openLocked(filepath.Join(d.path, lockFile), syscall.LOCK_EX)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	return func() { f.Close() }, nil
 }
 
-// Close takes no further part.
+// Close removes this process from the directory.
 func (d *Dir) Close() {
 	os.Remove(filepath.Join(d.path, d.name))
-	if d.live != nil {
-		d.live.Close()
+	if d.liveFile != nil {
+		d.liveFile.Close()
 	}
 }
 
-// State returns the state as it was last read or written.
+// State returns the state as this process last read or wrote it, without accessing the file.
 func (d *Dir) State() State {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.last.Clone()
+	return d.cached.Clone()
 }
 
-// Update changes the state by f, as one step for all processes. With an error of f's, which it returns, nothing is changed.
+// Update applies f to the state, atomically for all processes. If f returns an error, Update
+// returns it and leaves the state unchanged.
 func (d *Dir) Update(f func(*State) error) (State, error) {
 	unlock, err := d.lock()
 	if err != nil {
 		return State{}, err
 	}
 	defer unlock()
-	s, err := d.read()
+	s, err := d.readState()
 	if err != nil {
 		return State{}, err
 	}
@@ -146,19 +151,20 @@
 		return State{}, err
 	}
 	if !s.equal(before) {
-		if err := d.write(s); err != nil {
+		if err := d.writeState(s); err != nil {
 			return State{}, err
 		}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.last = s.Clone()
+	d.cached = s.Clone()
 	return s, nil
 }
 
-func (d *Dir) read() (State, error) {
+// readState reads the state file. A file that does not exist is the zero State.
+func (d *Dir) readState() (State, error) {
 	var s State
-	f, err := os.Open(filepath.Join(d.path, stateName))
+	f, err := os.Open(filepath.Join(d.path, stateFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return s, nil
 	}
@@ -166,7 +172,7 @@
 		return s, fmt.Errorf("handover: %w", err)
 	}
 	defer f.Close()
-	if info, err := f.Stat(); err != nil || info.Size() > mostState {
+	if info, err := f.Stat(); err != nil || info.Size() > maxFileSize {
 		return s, fmt.Errorf("handover: %s is too large, or cannot be read: %w", f.Name(), err)
 	}
 	if err := json.NewDecoder(f).Decode(&s); err != nil {
@@ -175,67 +181,73 @@
 	return s, nil
 }
 
-// refresh reads the state. It holds the lock, so that what it notes is never older than what Update has noted.
+// refresh reads the state and caches it. It holds the lock, so that it never replaces the state
+// that Update has cached by an older one.
 func (d *Dir) refresh() (State, error) {
 	unlock, err := d.lock()
 	if err != nil {
 		return State{}, err
 	}
 	defer unlock()
-	s, err := d.read()
+	s, err := d.readState()
 	if err == nil {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.last = s.Clone()
+		d.cached = s.Clone()
 	}
 	return s, err
 }
 
-// write replaces the file whole: a process that dies on the way leaves the one before.
-func (d *Dir) write(s State) error {
+// writeState replaces the state file atomically: if the process dies during the write, the
+// previous file remains.
+func (d *Dir) writeState(s State) error {
 	text, err := json.Marshal(s)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	return d.replace(stateName, text)
+	return d.replaceFile(stateFile, text)
 }
 
-func (d *Dir) replace(name string, text []byte) error {
+// replaceFile writes text to a temporary file and renames it to name.
+func (d *Dir) replaceFile(name string, text []byte) error {
 	path := filepath.Join(d.path, name)
-	fresh := fmt.Sprintf("%s.%d.new", path, os.Getpid())
-	if err := os.WriteFile(fresh, text, 0o600); err != nil {
+	tmp := fmt.Sprintf("%s.%d.new", path, os.Getpid())
+	if err := os.WriteFile(tmp, text, 0o600); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	if err := os.Rename(fresh, path); err != nil {
+	if err := os.Rename(tmp, path); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
 	return nil
 }
 
-// SaveLearned leaves what may help a process that takes over. It is replaced whole.
+// SaveLearned saves what this process has learned, for a process that takes over. It replaces what
+// was saved before.
 func (d *Dir) SaveLearned(v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	return d.replace(noteName, text)
+	return d.replaceFile(learnedFile, text)
 }
 
-// LoadLearned reads into v what another process has left within the last age, and reports whether there was such.
+// LoadLearned decodes into v what a process has saved within the last age, and reports whether it
+// found any.
 func (d *Dir) LoadLearned(v any, age time.Duration) bool {
-	name := filepath.Join(d.path, noteName)
+	name := filepath.Join(d.path, learnedFile)
 	info, err := os.Stat(name)
-	if err != nil || time.Since(info.ModTime()).Abs() > age || info.Size() > mostState {
+	if err != nil || time.Since(info.ModTime()).Abs() > age || info.Size() > maxFileSize {
 		return false
 	}
 	text, err := os.ReadFile(name)
 	return err == nil && json.Unmarshal(text, v) == nil
 }
 
-// ProcessCounts counts the other processes that live.
+// ProcessCounts counts the other live processes of the sidecar, by whether they started before or
+// after this one.
 type ProcessCounts struct{ Older, Newer int }
 
-// CountOthers returns who else lives, and forgets those that have died.
+// CountOthers counts the other live processes, and removes the files of those that have died.
 func (d *Dir) CountOthers() (ProcessCounts, error) {
 	var o ProcessCounts
 	names, err := os.ReadDir(d.path)
@@ -249,10 +261,10 @@
 		path := filepath.Join(d.path, n.Name())
 		f, err := os.OpenFile(path, os.O_RDWR, 0)
 		if err != nil {
-			continue // it has just ended in order
+			continue // its process has just ended and removed it
 		}
 		if syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil {
-			os.Remove(path) // nobody holds it: its process has died
+			os.Remove(path) // the lock is free: its process has died
 		} else if n.Name() < d.name {
 			o.Older++
 		} else {
@@ -263,22 +275,23 @@
 	return o, nil
 }
 
-// Follow tells of each change of the state and of who lives, by whichever process, until ctx ends. It first tells how both
-// are. The functions are called one at a time.
+// Follow calls state and others with the current values, and again whenever any process changes
+// them, until ctx ends. It calls state for the first time once there is a state file. The
+// functions are never called concurrently.
 func (d *Dir) Follow(ctx context.Context, state func(State), others func(ProcessCounts)) {
-	tick := time.NewTicker(poll)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	var seen os.FileInfo
-	var with ProcessCounts
+	var last ProcessCounts
 	for first := true; ; first = false {
-		if info, err := os.Stat(filepath.Join(d.path, stateName)); err == nil && (seen == nil || !os.SameFile(seen, info) || !info.ModTime().Equal(seen.ModTime())) {
+		if info, err := os.Stat(filepath.Join(d.path, stateFile)); err == nil && (seen == nil || !os.SameFile(seen, info) || !info.ModTime().Equal(seen.ModTime())) {
 			if s, err := d.refresh(); err == nil {
 				seen = info
 				state(s)
 			}
 		}
-		if o, err := d.CountOthers(); err == nil && (first || o != with) {
-			with = o
+		if o, err := d.CountOthers(); err == nil && (first || o != last) {
+			last = o
 			others(o)
 		}
 		select {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -26,15 +26,16 @@
 
 func anyServer(id policy.ServerID) (exclusion.Entry, bool) { return exclusion.Entry{ID: id}, true }
 
-// TestUpdate: changes by two processes at once are both kept, and each follows the other.
+// TestUpdate checks that concurrent updates by two processes are all kept, that each process is
+// notified of the other's, and that a failed update changes nothing.
 func TestUpdate(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "shared")
 	older := open(t, path)
 	newer := open(t, path)
 	const each = 50
-	var work sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, d := range []*Dir{older, newer} {
-		work.Go(func() {
+		wg.Go(func() {
 			for n := range each {
 				if _, err := d.Update(func(s *State) error {
 					return s.Exclusions.Exclude(policy.ServerID(fmt.Sprintf("%d-%d", i, n)), anyServer, 1)
@@ -44,101 +45,103 @@
 			}
 		})
 	}
-	work.Wait()
+	wg.Wait()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
-	followed := make(chan State, 100)
-	work.Go(func() { older.Follow(ctx, func(s State) { followed <- s }, func(ProcessCounts) {}) })
-	if s := <-followed; len(s.Exclusions.Excluded) != 2*each {
-		t.Errorf("%d of %d changes are kept", len(s.Exclusions.Excluded), 2*each)
+	states := make(chan State, 100)
+	wg.Go(func() { older.Follow(ctx, func(s State) { states <- s }, func(ProcessCounts) {}) })
+	if s := <-states; len(s.Exclusions.Excluded) != 2*each {
+		t.Errorf("%d of %d updates are kept", len(s.Exclusions.Excluded), 2*each)
 	}
-	wrong := errors.New("no")
-	if _, err := newer.Update(func(s *State) error { s.Evacuated = true; return wrong }); !errors.Is(err, wrong) || newer.State().Evacuated {
-		t.Errorf("a change that failed: %v", err)
+	failure := errors.New("no")
+	if _, err := newer.Update(func(s *State) error { s.Evacuated = true; return failure }); !errors.Is(err, failure) || newer.State().Evacuated {
+		t.Errorf("failed update: error %v, evacuated %v", err, newer.State().Evacuated)
 	}
 	if _, err := newer.Update(func(s *State) error { s.Evacuated = true; return nil }); err != nil {
 		t.Fatal(err)
 	}
-	if s := <-followed; !s.Evacuated || !older.State().Evacuated {
-		t.Error("the other process does not follow")
+	if s := <-states; !s.Evacuated || !older.State().Evacuated {
+		t.Error("the other process did not receive the update")
 	}
 	cancel()
-	work.Wait()
+	wg.Wait()
 }
 
-// TestOthers: who lives is told apart by age, and one that dies without a word counts no longer.
-func TestOthers(t *testing.T) {
+// TestCountOthers checks that live processes are counted as older or newer, and that one that is
+// killed, and so does not remove its file, is no longer counted.
+func TestCountOthers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "shared")
-	is := func(d *Dir, want ProcessCounts) {
+	expect := func(d *Dir, want ProcessCounts) {
 		t.Helper()
 		if o, err := d.CountOthers(); err != nil || o != want {
-			t.Errorf("others are %+v, %v; want %+v", o, err, want)
+			t.Errorf("CountOthers() = %+v, %v; want %+v", o, err, want)
 		}
 	}
 	older := open(t, path)
-	is(older, ProcessCounts{})
+	expect(older, ProcessCounts{})
 	newer := open(t, path)
-	is(older, ProcessCounts{Newer: 1})
-	is(newer, ProcessCounts{Older: 1})
-	older.live.Close() // what the kernel does for a process that is killed
-	is(newer, ProcessCounts{})
+	expect(older, ProcessCounts{Newer: 1})
+	expect(newer, ProcessCounts{Older: 1})
+	older.liveFile.Close() // as the kernel does for a process that is killed
+	expect(newer, ProcessCounts{})
 	if names, _ := filepath.Glob(filepath.Join(path, "*"+liveSuffix)); len(names) != 1 {
-		t.Errorf("%v are left", names)
+		t.Errorf("liveness files %v, want one", names)
 	}
 	newer.Close()
 	if again := open(t, path); true {
-		is(again, ProcessCounts{})
+		expect(again, ProcessCounts{})
 	}
 }
 
-// TestBadDirectory: a state that cannot be read, and a directory that others may write to, are errors that name them.
+// TestBadDirectory checks that a state file that cannot be decoded, a directory that other users
+// may write to, and a path that is not a directory are errors.
 func TestBadDirectory(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "shared")
 	d := open(t, path)
-	if err := os.WriteFile(filepath.Join(path, stateName), []byte(`{"absen`), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(path, stateFile), []byte(`{"absen`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := d.Update(func(*State) error { return nil }); err == nil {
-		t.Error("half a state is taken")
+		t.Error("Update accepted a truncated state file")
 	}
 	if _, err := Open(path); err == nil {
-		t.Error("half a state is taken at the start")
+		t.Error("Open accepted a truncated state file")
 	}
 	if err := os.Chmod(path, 0o777); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(path); err == nil {
-		t.Error("a directory of everybody's is taken")
+		t.Error("Open accepted a world-writable directory")
 	}
-	if _, err := Open(filepath.Join(path, stateName)); err == nil {
-		t.Error("a file is taken for a directory")
+	if _, err := Open(filepath.Join(path, stateFile)); err == nil {
+		t.Error("Open accepted a regular file as the directory")
 	}
 }
 
-// TestNote: what one process leaves another finds, unless it is old or cut.
-func TestNote(t *testing.T) {
+// TestLearned checks that what one process saves another loads, unless it is too old or truncated.
+func TestLearned(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "shared")
 	older, newer := open(t, path), open(t, path)
 	var got []int
 	if newer.LoadLearned(&got, time.Hour) {
-		t.Error("there is something at the start")
+		t.Error("LoadLearned found something before anything was saved")
 	}
 	if err := older.SaveLearned([]int{1, 2}); err != nil {
 		t.Fatal(err)
 	}
 	if !newer.LoadLearned(&got, time.Hour) || len(got) != 2 {
-		t.Errorf("%v", got)
+		t.Errorf("loaded %v, want [1 2]", got)
 	}
-	long := time.Now().Add(-time.Hour)
-	if err := os.Chtimes(filepath.Join(path, noteName), long, long); err != nil {
+	old := time.Now().Add(-time.Hour)
+	if err := os.Chtimes(filepath.Join(path, learnedFile), old, old); err != nil {
 		t.Fatal(err)
 	}
 	if newer.LoadLearned(&got, time.Minute) {
-		t.Error("what is old is taken")
+		t.Error("LoadLearned accepted data older than the limit")
 	}
-	if err := os.WriteFile(filepath.Join(path, noteName), []byte("[1,"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(path, learnedFile), []byte("[1,"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if newer.LoadLearned(&got, time.Hour) {
-		t.Error("half of it is taken")
+		t.Error("LoadLearned accepted truncated data")
 	}
 }
--- a/internal/management/server.go
+++ b/internal/management/server.go
@@ -1,5 +1,6 @@
-// Package management is the operators' side of a sidecar: an address of its own, at which its staff ask whether it is
-// ready, take servers out and put them back, and drain it. It decides nothing: each call is handed to a Target.
+// Package management serves the HTTP API of the operators of a sidecar on a separate address. They
+// query whether the sidecar is ready, exclude and include servers, and drain the sidecar. Every
+// call is delegated to a Target.
 package management
 
 import (
@@ -18,45 +19,47 @@
 )
 
 const (
-	// MaxConnections bounds the connections that are open at once; a new one beyond it has the oldest closed.
+	// MaxConnections limits the open connections; a new one above the limit closes the oldest.
 	MaxConnections = 16
-	// callTime is how long one call may take in all. Callers may take 4 s to write one.
-	callTime = 6 * time.Second
-	// mostHead bounds the head of a call, in bytes, and mostBody its body, which is read and dropped.
-	mostHead = 8 << 10
-	mostBody = 64 << 10
-	// defaultOver is how long a request has waited at least that is told of unless the call says otherwise, and mostWaiting how many are.
-	defaultOver = 500 * time.Millisecond
-	mostWaiting = 200
+	// callTimeout limits both reading a call and answering it. Callers may take 4 s to send one.
+	callTimeout = 6 * time.Second
+	// maxHeadBytes limits the head of a call, and maxBodyBytes its body, which is read and
+	// discarded.
+	maxHeadBytes = 8 << 10
+	maxBodyBytes = 64 << 10
+	// defaultMinWait is how long a request must have waited to be listed, unless the call gives
+	// another duration, and maxPendingListed limits how many are listed.
+	defaultMinWait   = 500 * time.Millisecond
+	maxPendingListed = 200
 )
 
-// ErrNotReady tells that the sidecar does not serve at present.
+// ErrNotReady reports that the sidecar is not serving at present.
 var ErrNotReady = errors.New("not ready")
 
-// Target is what can be operated on.
+// Target is the process that the operators control.
 type Target interface {
-	Ready() error                           // ErrNotReady, or nil
+	Ready() error                           // nil, or ErrNotReady
 	Exclude(id policy.ServerID) error       // exclusion.ErrUnknown, exclusion.ErrTooMany
 	Include(id policy.ServerID) error       // exclusion.ErrUnknown
-	Evacuate() error                        // begins the drain
-	Rejoin() error                          // ends it
-	Metrics() http.Handler                  // nil: there are none
-	Members() http.Handler                  // of the other processes; nil: there are none
-	PendingRequests(time.Duration) []string // requests that have waited for longer, and for what
+	Evacuate() error                        // starts draining the sidecar
+	Rejoin() error                          // ends the drain
+	Metrics() http.Handler                  // serves the metrics; nil if there are none
+	Members() http.Handler                  // serves the list of processes; nil if there is none
+	PendingRequests(time.Duration) []string // a line for each request that has waited for longer
 }
 
-// Server serves the operators.
+// Server serves the operators' HTTP API.
 type Server struct {
 	http *http.Server
 	log  *slog.Logger
 }
 
-// New returns a server of calls on o.
-func New(o Target, log *slog.Logger) *Server {
+// New returns a Server that delegates calls to target.
+func New(target Target, log *slog.Logger) *Server {
 	mux := http.NewServeMux()
-	call := func(pattern, done string, f func(*http.Request) error) {
+	handle := func(pattern, done string, f func(*http.Request) error) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, q *http.Request) {
-			io.Copy(io.Discard, http.MaxBytesReader(w, q.Body, mostBody))
+			io.Copy(io.Discard, http.MaxBytesReader(w, q.Body, maxBodyBytes))
 			err := f(q)
 			status, text := http.StatusOK, done
 			if err != nil {
@@ -71,44 +74,44 @@
 		})
 	}
 	id := func(q *http.Request) policy.ServerID { return policy.ServerID(q.PathValue("id")) }
-	call("GET /api/ready", "ready", func(*http.Request) error { return o.Ready() })
-	call("POST /api/exclude/{id}", "out", func(q *http.Request) error { return o.Exclude(id(q)) })
-	call("POST /api/include/{id}", "back", func(q *http.Request) error { return o.Include(id(q)) })
-	call("POST /api/evacuate", "draining", func(*http.Request) error { return o.Evacuate() })
-	call("POST /api/rejoin", "serving", func(*http.Request) error { return o.Rejoin() })
+	handle("GET /api/ready", "ready", func(*http.Request) error { return target.Ready() })
+	handle("POST /api/exclude/{id}", "out", func(q *http.Request) error { return target.Exclude(id(q)) })
+	handle("POST /api/include/{id}", "back", func(q *http.Request) error { return target.Include(id(q)) })
+	handle("POST /api/evacuate", "draining", func(*http.Request) error { return target.Evacuate() })
+	handle("POST /api/rejoin", "serving", func(*http.Request) error { return target.Rejoin() })
 	mux.HandleFunc("GET /api/waiting", func(w http.ResponseWriter, q *http.Request) {
-		over := defaultOver
+		minWait := defaultMinWait
 		if text := q.FormValue("over"); text != "" {
 			var err error
-			if over, err = time.ParseDuration(text); err != nil || over < 0 {
+			if minWait, err = time.ParseDuration(text); err != nil || minWait < 0 {
 				http.Error(w, fmt.Sprintf("over: %.40q is no time such as 500ms", text), http.StatusBadRequest)
 				return
 			}
 		}
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		all := o.PendingRequests(over)
-		for _, line := range all[:min(len(all), mostWaiting)] {
+		lines := target.PendingRequests(minWait)
+		for _, line := range lines[:min(len(lines), maxPendingListed)] {
 			fmt.Fprintln(w, line)
 		}
-		if more := len(all) - mostWaiting; more > 0 {
+		if more := len(lines) - maxPendingListed; more > 0 {
 			fmt.Fprintf(w, "and %d more\n", more)
 		}
 	})
-	if h := o.Members(); h != nil {
+	if h := target.Members(); h != nil {
 		mux.Handle("GET /api/members", h)
 	}
-	if h := o.Metrics(); h != nil {
+	if h := target.Metrics(); h != nil {
 		mux.Handle("GET /api/telemetry", h)
 	}
 	s := &Server{log: log, http: &http.Server{
-		Handler: mux, ReadTimeout: callTime, WriteTimeout: callTime, MaxHeaderBytes: mostHead,
+		Handler: mux, ReadTimeout: callTimeout, WriteTimeout: callTimeout, MaxHeaderBytes: maxHeadBytes,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}}
 	s.http.SetKeepAlivesEnabled(false)
 	return s
 }
 
-// statusOf is the status of a no.
+// statusOf returns the HTTP status for an error of a Target.
 func statusOf(err error) int {
 	switch {
 	case errors.Is(err, exclusion.ErrUnknown):
@@ -121,39 +124,41 @@
 	return http.StatusInternalServerError
 }
 
-// Serve serves calls that come to ln until ctx ends, and then closes it.
+// Serve serves calls on ln until ctx ends, and then closes ln and all connections.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	defer context.AfterFunc(ctx, func() { s.http.Close() })()
-	if err := s.http.Serve(&crowd{Listener: ln}); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.http.Serve(&limitedListener{Listener: ln}); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// crowd is a listener that keeps at most MaxConnections connections open. It guards against callers that connect and finish
-// no call: a new one has the oldest closed, as a call that is heard ends within milliseconds. Someone who opens connections
-// faster than calls end could cut those off; the address is for operators only.
-type crowd struct {
+// limitedListener is a listener that keeps at most MaxConnections connections open. It guards
+// against callers that connect and never complete a call: a new connection closes the oldest, since
+// a call that arrives completes within milliseconds. A caller that opens connections faster than
+// calls complete could cut those off; this is accepted, as the address is for operators only.
+type limitedListener struct {
 	net.Listener
 	mu   sync.Mutex
-	open []*member // oldest first
+	open []*limitedConn // oldest first
 }
 
-type member struct {
+// limitedConn is a connection that leaves its limitedListener when it is closed.
+type limitedConn struct {
 	net.Conn
-	in   *crowd
-	once sync.Once
+	listener *limitedListener
+	once     sync.Once
 }
 
-// Accept is the method of net.Listener.
-func (c *crowd) Accept() (net.Conn, error) {
+// Accept implements net.Listener.
+func (c *limitedListener) Accept() (net.Conn, error) {
 	nc, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	m := &member{Conn: nc, in: c}
+	m := &limitedConn{Conn: nc, listener: c}
 	c.mu.Lock()
-	var oldest *member
+	var oldest *limitedConn
 	if len(c.open) >= MaxConnections {
 		oldest = c.open[0]
 	}
@@ -165,14 +170,14 @@
 	return m, nil
 }
 
-// Close is the method of net.Conn.
-func (m *member) Close() error {
+// Close implements net.Conn.
+func (m *limitedConn) Close() error {
 	m.once.Do(func() {
-		m.in.mu.Lock()
-		defer m.in.mu.Unlock()
-		for i, o := range m.in.open {
+		m.listener.mu.Lock()
+		defer m.listener.mu.Unlock()
+		for i, o := range m.listener.open {
 			if o == m {
-				m.in.open = append(m.in.open[:i], m.in.open[i+1:]...)
+				m.listener.open = append(m.listener.open[:i], m.listener.open[i+1:]...)
 				break
 			}
 		}
--- a/internal/management/server_test.go
+++ b/internal/management/server_test.go
@@ -24,26 +24,26 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// operated records the calls that it gets.
-type operated struct {
-	calls atomic.Value
-	err   error
+// fakeTarget is a Target that records the last call and returns err.
+type fakeTarget struct {
+	lastCall atomic.Value
+	err      error
 }
 
-func (o *operated) note(call string) error { o.calls.Store(call); return o.err }
+func (o *fakeTarget) record(call string) error { o.lastCall.Store(call); return o.err }
 
-func (o *operated) Ready() error                     { return o.note("ready") }
-func (o *operated) Exclude(id policy.ServerID) error { return o.note("exclude " + string(id)) }
-func (o *operated) Include(id policy.ServerID) error { return o.note("include " + string(id)) }
-func (o *operated) Evacuate() error                  { return o.note("evacuate") }
-func (o *operated) Rejoin() error                    { return o.note("rejoin") }
-func (o *operated) Metrics() http.Handler            { return nil }
-func (o *operated) Members() http.Handler            { return nil }
-func (o *operated) PendingRequests(d time.Duration) []string {
+func (o *fakeTarget) Ready() error                     { return o.record("ready") }
+func (o *fakeTarget) Exclude(id policy.ServerID) error { return o.record("exclude " + string(id)) }
+func (o *fakeTarget) Include(id policy.ServerID) error { return o.record("include " + string(id)) }
+func (o *fakeTarget) Evacuate() error                  { return o.record("evacuate") }
+func (o *fakeTarget) Rejoin() error                    { return o.record("rejoin") }
+func (o *fakeTarget) Metrics() http.Handler            { return nil }
+func (o *fakeTarget) Members() http.Handler            { return nil }
+func (o *fakeTarget) PendingRequests(d time.Duration) []string {
 	return slices.Repeat([]string{d.String()}, 201)
 }
 
-func start(t *testing.T, o Target) string {
+func startServer(t *testing.T, o Target) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -77,17 +77,17 @@
 	}
 	io.Copy(io.Discard, resp.Body)
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Errorf("%s %s: the connection goes on: %v", method, path, err)
+		t.Errorf("%s %s: the connection was not closed: %v", method, path, err)
 	}
 	return resp.StatusCode
 }
 
-// TestCalls is a table of calls, what is done, and the answer.
+// TestCalls checks, for each call, the method of the Target that is called and the status.
 func TestCalls(t *testing.T) {
 	for _, tt := range []struct {
 		method, path, body string
 		err                error
-		does               string
+		calls              string
 		want               int
 	}{
 		{"GET", "/api/ready", "", nil, "ready", 200},
@@ -106,18 +106,19 @@
 		{"POST", "/api/exclude", "", nil, "", 404},
 		{"POST", "/read/k", "", nil, "", 404},
 	} {
-		o := &operated{err: tt.err}
-		o.calls.Store("")
-		if got := call(t, start(t, o), tt.method, tt.path, tt.body); got != tt.want || o.calls.Load() != tt.does {
-			t.Errorf("%s %s: %d after %q, want %d after %q", tt.method, tt.path, got, o.calls.Load(), tt.want, tt.does)
+		o := &fakeTarget{err: tt.err}
+		o.lastCall.Store("")
+		if got := call(t, startServer(t, o), tt.method, tt.path, tt.body); got != tt.want || o.lastCall.Load() != tt.calls {
+			t.Errorf("%s %s: status %d after %q, want %d after %q", tt.method, tt.path, got, o.lastCall.Load(), tt.want, tt.calls)
 		}
 	}
 }
 
-// TestSilentCallers: callers that connect and finish no call keep nobody out, and hold no more than MaxConnections connections.
+// TestSilentCallers checks that callers that connect and never complete a call don't block other
+// callers, and hold at most MaxConnections connections.
 func TestSilentCallers(t *testing.T) {
-	o := &operated{}
-	addr := start(t, o)
+	o := &fakeTarget{}
+	addr := startServer(t, o)
 	var silent []net.Conn
 	for i := range 3 * MaxConnections {
 		c, err := net.Dial("tcp", addr)
@@ -131,7 +132,7 @@
 		silent = append(silent, c)
 	}
 	if got := call(t, addr, "GET", "/api/ready", ""); got != http.StatusOK {
-		t.Errorf("answer %d", got)
+		t.Errorf("status %d, want 200", got)
 	}
 	closed := 0
 	for _, c := range silent {
@@ -145,9 +146,10 @@
 	}
 }
 
-// TestWaiting: who asks what waits is told of as many as there is room for, over the time that is given; what is no time is an error.
-func TestWaiting(t *testing.T) {
-	addr := start(t, &operated{})
+// TestPendingRequests checks that pending requests are listed up to the limit, that the minimum
+// wait is passed on, and that one that is no duration is rejected.
+func TestPendingRequests(t *testing.T) {
+	addr := startServer(t, &fakeTarget{})
 	for _, tt := range []struct {
 		query, want string
 		status      int
@@ -161,9 +163,9 @@
 		text, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if resp.StatusCode != tt.status || !strings.HasPrefix(string(text), tt.want) {
-			t.Errorf("%s: %d %.40q", tt.query, resp.StatusCode, text)
+			t.Errorf("%s: status %d, body %.40q", tt.query, resp.StatusCode, text)
 		}
-		if tt.status == 200 && (strings.Count(string(text), tt.want) != mostWaiting || !strings.HasSuffix(string(text), "and 1 more\n")) {
+		if tt.status == 200 && (strings.Count(string(text), tt.want) != maxPendingListed || !strings.HasSuffix(string(text), "and 1 more\n")) {
 			t.Errorf("%s: %d lines", tt.query, strings.Count(string(text), "\n"))
 		}
 	}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -38,85 +38,85 @@
 
 const prefix = "svc_"
 
-// mostServers bounds the servers whose figures are told apart: the first by their ids.
-const mostServers = 200
+// maxServers bounds the servers whose figures are told apart: the first by their ids.
+const maxServers = 200
 
 func desc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc(prefix+name, help, labels, nil)
 }
 
 var (
-	okTotal       = desc("ok_total", "Requests that a server answered.", "kind")
-	shedTotal     = desc("shed_total", "Requests refused: a retry is harmless.", "kind")
-	errorsTotal   = desc("errors_total", "Requests that failed: nothing is promised.", "kind")
-	leftTotal     = desc("withdrawn_total", "Requests whose clients left.", "kind")
-	triesTotal    = desc("tries_total", "Attempts that have ended.", "kind", "result")
-	active        = desc("active", "Requests without an answer.")
-	held          = desc("held", "Requests that wait for a report.")
-	poolSize      = desc("pool_size", "Servers that are listed.")
-	poolEjected   = desc("pool_ejected", "Servers left out for what they failed at.")
-	poolOut       = desc("pool_out", "Servers that operators have out.")
-	poolDraining  = desc("pool_draining", "Servers that count as draining.")
-	readySet      = desc("ready_set", "Servers that requests usually go to.")
-	threshold     = desc("threshold", "Shortest queue of the last probe round.")
-	evacuated     = desc("evacuated", "1 while operators have this sidecar drained.")
-	applied       = desc("config_applied_total", "Configurations taken over.")
-	rejected      = desc("config_rejected_total", "Configurations that could not be used.")
-	descriptors   = desc("descriptors", "Descriptors in use.", "of")
-	places        = desc("descriptors_most", "Descriptors that may be in use.", "of")
-	ordersTotal   = desc("orders_total", "Requests that named an order, by what followed from what was known of it.", "result")
-	serverOut     = desc("server_out", "Attempts of this sidecar at a server.", "server")
-	serverQueue   = desc("server_queue", "Latest queue that a server reported.", "server")
-	serverDelay   = desc("server_expected_seconds", "Delay to expect of an answer of a server.", "server")
-	serverWarmth  = desc("server_warmth", "Least share of its capacity that a server has.", "server")
-	serverLeft    = desc("server_ejected_seconds", "How much longer a server is left out for what it failed at.", "server")
-	serverFails   = desc("server_failures", "Failures of a server in a row.", "server")
-	siteShare     = desc("site_share", "Part of its traffic that a site takes.", "site")
-	siteState     = desc("site_state", "0 healthy, 1 doubtful, 2 dark, 3 returning.", "site")
-	siteBad       = desc("site_bad", "Part of a site's servers that fails, of those that are known.", "site")
-	siteSpilled   = desc("site_spilled_total", "Requests that a site was sent for others.", "site")
-	siteAway      = desc("site_turned_away_total", "Requests meant for a site that no other had room for.", "site")
-	serviceGuests = desc("service_guests", "Connections of clients.", "service")
-	serviceAway   = desc("service_turned_away_total", "Connections that were turned away.", "service", "why")
-	serviceEnded  = desc("service_requests_total", "Statements, and streams that were to be opened, by how they ended.", "service", "class", "kind")
-	serviceServer = desc("service_server_out", "What a server has of a service at present.", "service", "server")
-	streamsOpen   = desc("streams_open", "Streams that are open.", "service")
-	streamsEnded  = desc("streams_ended_total", "Streams that have ended.", "service", "why")
-	streamBytes   = desc("stream_bytes_total", "Bytes that were passed on.", "service", "to")
-	mysqlBound    = desc("mysql_sessions_bound", "Sessions in a transaction, or otherwise bound to their server.", "service")
-	mysqlAnswers  = desc("mysql_statements_total", "Statements, by answer.", "service", "answer")
-	mysqlMoves    = desc("mysql_sessions_moved_total", "Sessions that left a server which takes nothing new: free ones, and ones whose time was up.", "service", "how")
-	mysqlServers  = desc("mysql_server_connections_total", "Connections to servers that were opened, used again, reset, and orders to end a statement.", "service", "what")
-	mysqlIdle     = desc("mysql_server_connections_idle", "Idle connections to servers.", "service")
-	routeRequests = desc("route_requests_total", "Requests that took a route.", "service", "route")
-	routeKeys     = desc("route_keys_held", "Keys that stay with their pool.", "service", "route")
-	routeEarly    = desc("route_keys_early_total", "Keys that were let go before their window had passed, for want of room.", "service", "route")
-	poolPlaces    = desc("service_descriptors", "Connections to servers.", "service")
-	poolBodies    = desc("service_bodies_bytes", "Bodies of requests that are held.", "service")
-	poolWaits     = desc("service_descriptor_waits_total", "Connections to servers for which no descriptor was free, by whether they got one in time.", "service", "result")
-	poolsEnded    = desc("pools_ended_total", "Pools that a reload took out and that have ended.", "service")
-	poolsCut      = desc("pools_ended_requests_total", "Requests that got no server's answer as their pool was over.", "service")
-	membersKnown  = desc("members", "Processes that are known, this one included, by state.", "state")
-	membersLiving = desc("members_living", "Processes that count as there.")
-	membersGroup  = desc("members_group", "By how many processes that is divided which all may do together; 0: by those of the settings.")
-	membersHealth = desc("members_health", "Part of the pings to members that are answered.")
-	membersApart  = desc("members_apart", "1 while no other process answers, or a later one has this one's name.")
-	membersEvents = desc("members_events_total", "Members held for gone, returns of this process after it was, times it stood still.", "what")
-	membersBytes  = desc("members_bytes_total", "Bytes of datagrams.", "direction")
-	membersLost   = desc("members_datagrams_dropped_total", "Datagrams that were not taken or not sent, by why.", "why")
-	ordersFailing = desc("orders_failing", "1 while nothing can be noted of orders.")
+	okTotal             = desc("ok_total", "Requests that a server answered.", "kind")
+	shedTotal           = desc("shed_total", "Requests refused: a retry is harmless.", "kind")
+	errorsTotal         = desc("errors_total", "Requests that failed: nothing is promised.", "kind")
+	withdrawnTotal      = desc("withdrawn_total", "Requests whose clients left.", "kind")
+	triesTotal          = desc("tries_total", "Attempts that have ended.", "kind", "result")
+	active              = desc("active", "Requests without an answer.")
+	held                = desc("held", "Requests that wait for a report.")
+	poolSize            = desc("pool_size", "Servers that are listed.")
+	poolEjected         = desc("pool_ejected", "Servers left out for what they failed at.")
+	poolExcluded        = desc("pool_out", "Servers that operators have out.")
+	poolDraining        = desc("pool_draining", "Servers that count as draining.")
+	readySet            = desc("ready_set", "Servers that requests usually go to.")
+	threshold           = desc("threshold", "Shortest queue of the last probe round.")
+	evacuated           = desc("evacuated", "1 while operators have this sidecar drained.")
+	configsApplied      = desc("config_applied_total", "Configurations taken over.")
+	configsRejected     = desc("config_rejected_total", "Configurations that could not be used.")
+	descriptors         = desc("descriptors", "Descriptors in use.", "of")
+	descriptorLimits    = desc("descriptors_most", "Descriptors that may be in use.", "of")
+	ordersTotal         = desc("orders_total", "Requests that named an order, by what followed from what was known of it.", "result")
+	serverOutstanding   = desc("server_out", "Attempts of this sidecar at a server.", "server")
+	serverQueue         = desc("server_queue", "Latest queue that a server reported.", "server")
+	serverDelay         = desc("server_expected_seconds", "Delay to expect of an answer of a server.", "server")
+	serverWarmth        = desc("server_warmth", "Least share of its capacity that a server has.", "server")
+	serverEjectedFor    = desc("server_ejected_seconds", "How much longer a server is left out for what it failed at.", "server")
+	serverFailures      = desc("server_failures", "Failures of a server in a row.", "server")
+	siteShare           = desc("site_share", "Part of its traffic that a site takes.", "site")
+	siteState           = desc("site_state", "0 healthy, 1 doubtful, 2 dark, 3 returning.", "site")
+	siteFailureRatio    = desc("site_bad", "Part of a site's servers that fails, of those that are known.", "site")
+	siteSpilled         = desc("site_spilled_total", "Requests that a site was sent for others.", "site")
+	siteTurnedAway      = desc("site_turned_away_total", "Requests meant for a site that no other had room for.", "site")
+	serviceConnections  = desc("service_guests", "Connections of clients.", "service")
+	serviceRejected     = desc("service_turned_away_total", "Connections that were turned away.", "service", "why")
+	serviceRequests     = desc("service_requests_total", "Statements, and streams that were to be opened, by how they ended.", "service", "class", "kind")
+	serviceOutstanding  = desc("service_server_out", "What a server has of a service at present.", "service", "server")
+	streamsOpen         = desc("streams_open", "Streams that are open.", "service")
+	streamsEnded        = desc("streams_ended_total", "Streams that have ended.", "service", "why")
+	streamBytes         = desc("stream_bytes_total", "Bytes that were passed on.", "service", "to")
+	mysqlBound          = desc("mysql_sessions_bound", "Sessions in a transaction, or otherwise bound to their server.", "service")
+	mysqlStatements     = desc("mysql_statements_total", "Statements, by answer.", "service", "answer")
+	mysqlSessionsMoved  = desc("mysql_sessions_moved_total", "Sessions that left a server which takes nothing new: free ones, and ones whose time was up.", "service", "how")
+	mysqlServerConns    = desc("mysql_server_connections_total", "Connections to servers that were opened, used again, reset, and orders to end a statement.", "service", "what")
+	mysqlIdleConns      = desc("mysql_server_connections_idle", "Idle connections to servers.", "service")
+	routeRequests       = desc("route_requests_total", "Requests that took a route.", "service", "route")
+	routePinnedKeys     = desc("route_keys_held", "Keys that stay with their pool.", "service", "route")
+	routeEarlyEvictions = desc("route_keys_early_total", "Keys that were let go before their window had passed, for want of room.", "service", "route")
+	poolDescriptors     = desc("service_descriptors", "Connections to servers.", "service")
+	poolBodyBytes       = desc("service_bodies_bytes", "Bodies of requests that are held.", "service")
+	poolDescriptorWaits = desc("service_descriptor_waits_total", "Connections to servers for which no descriptor was free, by whether they got one in time.", "service", "result")
+	poolsEnded          = desc("pools_ended_total", "Pools that a reload took out and that have ended.", "service")
+	poolsEndedRequests  = desc("pools_ended_requests_total", "Requests that got no server's answer as their pool was over.", "service")
+	membersKnown        = desc("members", "Processes that are known, this one included, by state.", "state")
+	membersLiving       = desc("members_living", "Processes that count as there.")
+	membersGroup        = desc("members_group", "By how many processes that is divided which all may do together; 0: by those of the settings.")
+	membersHealth       = desc("members_health", "Part of the pings to members that are answered.")
+	membersIsolated     = desc("members_apart", "1 while no other process answers, or a later one has this one's name.")
+	membersEvents       = desc("members_events_total", "Members held for gone, returns of this process after it was, times it stood still.", "what")
+	membersBytes        = desc("members_bytes_total", "Bytes of datagrams.", "direction")
+	membersDropped      = desc("members_datagrams_dropped_total", "Datagrams that were not taken or not sent, by why.", "why")
+	ordersFailing       = desc("orders_failing", "1 while nothing can be noted of orders.")
 )
 
-var all = []*prometheus.Desc{
-	okTotal, shedTotal, errorsTotal, leftTotal, triesTotal, active, held, poolSize, poolEjected, poolOut, poolDraining, readySet,
-	threshold, serverOut, serverQueue, serverDelay, serverWarmth, serverLeft, serverFails, siteShare, siteState, siteBad, siteSpilled, siteAway, evacuated, applied, rejected, descriptors, places, ordersTotal, ordersFailing,
-	serviceGuests, serviceAway, serviceEnded, serviceServer, streamsOpen, streamsEnded, streamBytes, mysqlBound, mysqlAnswers, mysqlMoves, mysqlServers,
-	mysqlIdle, routeRequests, routeKeys, routeEarly, poolPlaces, poolBodies, poolWaits, poolsEnded, poolsCut,
-	membersKnown, membersLiving, membersGroup, membersHealth, membersApart, membersEvents, membersBytes, membersLost,
+var allDescs = []*prometheus.Desc{
+	okTotal, shedTotal, errorsTotal, withdrawnTotal, triesTotal, active, held, poolSize, poolEjected, poolExcluded, poolDraining, readySet,
+	threshold, serverOutstanding, serverQueue, serverDelay, serverWarmth, serverEjectedFor, serverFailures, siteShare, siteState, siteFailureRatio, siteSpilled, siteTurnedAway, evacuated, configsApplied, configsRejected, descriptors, descriptorLimits, ordersTotal, ordersFailing,
+	serviceConnections, serviceRejected, serviceRequests, serviceOutstanding, streamsOpen, streamsEnded, streamBytes, mysqlBound, mysqlStatements, mysqlSessionsMoved, mysqlServerConns,
+	mysqlIdleConns, routeRequests, routePinnedKeys, routeEarlyEvictions, poolDescriptors, poolBodyBytes, poolDescriptorWaits, poolsEnded, poolsEndedRequests,
+	membersKnown, membersLiving, membersGroup, membersHealth, membersIsolated, membersEvents, membersBytes, membersDropped,
 }
 
-// statuses names how attempts end.
-var statuses = [...]string{
+// resultNames names how attempts end.
+var resultNames = [...]string{
 	policy.OK: "ok", policy.AppError: "error", policy.Overloaded: "turned_away", policy.Timeout: "timeout", policy.ConnectFailed: "connect",
 	policy.Reset: "reset", policy.Canceled: "canceled", policy.NotSent: "unsent", policy.Rejected: "rejected",
 }
@@ -126,7 +126,7 @@
 
 // Describe is a method of prometheus.Collector.
 func (c collector) Describe(to chan<- *prometheus.Desc) {
-	for _, d := range all {
+	for _, d := range allDescs {
 		to <- d
 	}
 }
@@ -144,9 +144,9 @@
 		total(okTotal, n.Results[engine.Served], class)
 		total(shedTotal, n.Results[engine.Refused], class)
 		total(errorsTotal, n.Results[engine.Failed]+n.Results[engine.Dropped], class)
-		total(leftTotal, n.Withdrawn, class)
+		total(withdrawnTotal, n.Withdrawn, class)
 		for status, v := range n.Attempts {
-			total(triesTotal, v, class, statuses[status])
+			total(triesTotal, v, class, resultNames[status])
 		}
 	}
 	s := c.State()
@@ -159,38 +159,38 @@
 			draining++
 		}
 	}
-	for _, t := range s.Engine.Servers[:min(len(s.Engine.Servers), mostServers)] {
+	for _, t := range s.Engine.Servers[:min(len(s.Engine.Servers), maxServers)] {
 		id := string(t.ID)
-		gauge(serverOut, float64(t.Outstanding), id)
+		gauge(serverOutstanding, float64(t.Outstanding), id)
 		if t.Reported {
 			gauge(serverQueue, t.Queue, id)
 		}
 		gauge(serverDelay, t.ExpectedDelay.Seconds(), id)
 		gauge(serverWarmth, t.Warmth, id)
-		gauge(serverLeft, t.EjectedFor.Seconds(), id)
-		gauge(serverFails, float64(t.ConsecutiveFailures), id)
+		gauge(serverEjectedFor, t.EjectedFor.Seconds(), id)
+		gauge(serverFailures, float64(t.ConsecutiveFailures), id)
 	}
 	for _, v := range s.Engine.Sites {
 		gauge(siteShare, v.Share, v.Site)
 		gauge(siteState, float64(v.State), v.Site)
-		gauge(siteBad, v.FailureRatio, v.Site)
+		gauge(siteFailureRatio, v.FailureRatio, v.Site)
 		total(siteSpilled, v.Spilled, v.Site)
-		total(siteAway, v.TurnedAway, v.Site)
+		total(siteTurnedAway, v.TurnedAway, v.Site)
 	}
 	gauge(active, float64(s.Engine.Open))
 	gauge(held, float64(s.Engine.Module.Held))
 	gauge(poolSize, float64(len(s.Engine.Servers)))
 	gauge(poolEjected, float64(ejected))
-	gauge(poolOut, float64(s.Excluded))
+	gauge(poolExcluded, float64(s.Excluded))
 	gauge(poolDraining, float64(draining))
 	gauge(readySet, float64(s.Engine.Module.ReadySet))
 	gauge(threshold, s.Engine.Module.Threshold)
-	gauge(evacuated, truth(s.Evacuated))
-	total(applied, uint64(s.ConfigsApplied))
-	total(rejected, uint64(s.ConfigsRejected))
+	gauge(evacuated, boolValue(s.Evacuated))
+	total(configsApplied, uint64(s.ConfigsApplied))
+	total(configsRejected, uint64(s.ConfigsRejected))
 	for i, of := range []string{"all", "clients"} {
 		gauge(descriptors, float64(s.Descriptors[i]), of)
-		gauge(places, float64(s.DescriptorLimits[i]), of)
+		gauge(descriptorLimits, float64(s.DescriptorLimits[i]), of)
 	}
 	if o := s.Orders; o != nil {
 		for _, r := range []struct {
@@ -202,10 +202,10 @@
 		} {
 			total(ordersTotal, uint64(r.n), r.result)
 		}
-		gauge(ordersFailing, truth(o.StoreError != nil))
+		gauge(ordersFailing, boolValue(o.StoreError != nil))
 	}
 	for _, f := range s.Services {
-		tellService(f, total, gauge)
+		collectService(f, total, gauge)
 	}
 	if f := s.Peers; f != nil {
 		for state, n := range f.States {
@@ -214,30 +214,30 @@
 		gauge(membersLiving, float64(f.Live))
 		gauge(membersGroup, float64(f.Group))
 		gauge(membersHealth, f.Stats.Health)
-		gauge(membersApart, truth(f.Isolated || f.Displaced))
+		gauge(membersIsolated, boolValue(f.Isolated || f.Displaced))
 		total(membersEvents, f.Stats.Verdicts, "condemned")
 		total(membersEvents, f.Stats.Refutations, "returned")
 		total(membersEvents, f.Stats.Stalls, "stalled")
 		total(membersBytes, f.SentBytes, "sent")
 		total(membersBytes, f.ReceivedBytes, "received")
-		total(membersLost, f.SendLimited, "over_bound")
-		total(membersLost, f.ReceiveLimited, "crowded")
+		total(membersDropped, f.SendLimited, "over_bound")
+		total(membersDropped, f.ReceiveLimited, "crowded")
 		for why, n := range f.Stats.Dropped {
-			total(membersLost, n, why)
+			total(membersDropped, n, why)
 		}
 	}
 }
 
-// tellService tells the figures of one service.
-func tellService(f services.Figures, total func(*prometheus.Desc, uint64, ...string), gauge func(*prometheus.Desc, float64, ...string)) {
+// collectService tells the figures of one service.
+func collectService(f services.Figures, total func(*prometheus.Desc, uint64, ...string), gauge func(*prometheus.Desc, float64, ...string)) {
 	for class, n := range f.Counts {
 		for kind, name := range []string{"served", "refused", "failed", "dropped"} {
-			total(serviceEnded, n.Results[kind], f.Name, class, name)
+			total(serviceRequests, n.Results[kind], f.Name, class, name)
 		}
-		total(serviceEnded, n.Withdrawn, f.Name, class, "withdrawn")
+		total(serviceRequests, n.Withdrawn, f.Name, class, "withdrawn")
 	}
-	for _, v := range f.Pool.Servers[:min(len(f.Pool.Servers), mostServers)] {
-		gauge(serviceServer, float64(v.Outstanding), f.Name, string(v.ID))
+	for _, v := range f.Pool.Servers[:min(len(f.Pool.Servers), maxServers)] {
+		gauge(serviceOutstanding, float64(v.Outstanding), f.Name, string(v.ID))
 	}
 	var g connlimit.Stats
 	if st := f.Stream; st != nil {
@@ -253,40 +253,40 @@
 		g = st.Guests
 		gauge(mysqlBound, float64(st.Bound), f.Name)
 		for answer, n := range st.Statements {
-			total(mysqlAnswers, n, f.Name, answer)
+			total(mysqlStatements, n, f.Name, answer)
 		}
-		total(mysqlMoves, st.Moved, f.Name, "free")
-		total(mysqlMoves, st.Drained, f.Name, "ended")
+		total(mysqlSessionsMoved, st.Moved, f.Name, "free")
+		total(mysqlSessionsMoved, st.Drained, f.Name, "ended")
 		c := st.Servers
 		for what, n := range map[string]uint64{"opened": c.Dials, "reused": c.Reuses, "reset": c.Resets, "killed": c.Kills} {
-			total(mysqlServers, n, f.Name, what)
+			total(mysqlServerConns, n, f.Name, what)
 		}
-		gauge(mysqlIdle, float64(c.Idle), f.Name)
+		gauge(mysqlIdleConns, float64(c.Idle), f.Name)
 	}
 	if st := f.Web; st != nil {
 		if f.Kind == "pool" {
-			gauge(poolPlaces, float64(st.Descriptors), f.Name)
-			gauge(poolBodies, float64(st.Bodies), f.Name)
-			total(poolWaits, st.Waits.Acquired, f.Name, "got")
-			total(poolWaits, st.Waits.TimedOut, f.Name, "none")
+			gauge(poolDescriptors, float64(st.Descriptors), f.Name)
+			gauge(poolBodyBytes, float64(st.Bodies), f.Name)
+			total(poolDescriptorWaits, st.Waits.Acquired, f.Name, "got")
+			total(poolDescriptorWaits, st.Waits.TimedOut, f.Name, "none")
 			return
 		}
 		g.Current = st.Clients.Open
 		total(poolsEnded, st.Ends.Pools, f.Name)
-		total(poolsCut, st.Ends.Cut, f.Name)
+		total(poolsEndedRequests, st.Ends.Cut, f.Name)
 		for route, n := range st.Routes {
 			total(routeRequests, n.Requests, f.Name, route)
-			gauge(routeKeys, float64(n.PinnedKeys), f.Name, route)
-			total(routeEarly, uint64(n.EarlyEvictions), f.Name, route)
+			gauge(routePinnedKeys, float64(n.PinnedKeys), f.Name, route)
+			total(routeEarlyEvictions, uint64(n.EarlyEvictions), f.Name, route)
 		}
 	}
-	gauge(serviceGuests, float64(g.Current), f.Name)
+	gauge(serviceConnections, float64(g.Current), f.Name)
 	for why, n := range g.Rejected {
-		total(serviceAway, n, f.Name, why)
+		total(serviceRejected, n, f.Name, why)
 	}
 }
 
-func truth(is bool) float64 {
+func boolValue(is bool) float64 {
 	if is {
 		return 1
 	}
