--- a/internal/account/read.go
+++ b/internal/account/read.go
@@ -12,19 +12,20 @@
 	"time"
 )
 
-// logPrefix is how a Second stands in a log.
+// logPrefix precedes the quoted JSON of a Second in a log line.
 const logPrefix = "msg=account second="
 
-// maxLineBytes bounds a line of a log that is read, in bytes.
+// maxLineBytes limits a line of a log that is read.
 const maxLineBytes = 1 << 20
 
-// Encode is s as the value of the log's key second.
+// Encode returns s as JSON, the value of the log key second.
 func (s Second) Encode() string {
-	text, _ := json.Marshal(s) // of plain figures, which cannot fail
+	text, _ := json.Marshal(s) // cannot fail for these types
 	return string(text)
 }
 
-// Read calls f with each Second in a log, and returns how many lines are marked as accounts and cannot be read.
+// Read calls f with each Second in a log. It returns the number of lines that have the prefix of a
+// Second and cannot be decoded.
 func Read(log io.Reader, f func(Second)) (bad int, err error) {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, maxLineBytes)
@@ -44,31 +45,33 @@
 	return bad, lines.Err()
 }
 
-// Phase is a part of a day, over all sidecars.
+// Phase is the sum of the seconds of all sidecars in an interval.
 type Phase struct {
-	From, To     time.Duration // from the first second of any log
-	Total        Second        // Unix, Ready and Young mean nothing in it
-	Sidecars     int           // most that were heard of in a second
+	From, To     time.Duration // since the first second of any log
+	Total        Second        // without StartMs, ReadyServers and ColdServers
+	Sidecars     int           // the most that logged the same second
 	ByServerAge  [len(AgeNames)]Server
 	Startup      Startup
-	PerServer    map[string]*Server // Queue is the mean of what was reported, -1 where nothing was
+	PerServer    map[string]*Server // Queue is the mean of the reported ones, -1 for none
 	queueReports map[string]int
 }
 
-// Startup sums up what sidecars did in the first startupSeconds seconds of their lives.
+// Startup is the sum of the first startupSeconds seconds of each sidecar.
 type Startup struct {
-	Seconds   int // of sidecars
+	Seconds   int // seconds that are summed up, over all sidecars
 	Classes   Class
 	Sends     Sends
 	ListCalls int
 }
 
-// startupSeconds is how long, in seconds, a sidecar counts as just begun: it believes nothing, and its list may be an old one.
+// startupSeconds is how long a sidecar counts as starting up: it knows nothing about the servers
+// yet, and its list may be outdated.
 const startupSeconds = 3
 
-// AgeNames names the ages of servers by which sends are counted apart.
+// AgeNames names the age ranges of Phase.ByServerAge.
 var AgeNames = [...]string{"under 2 s", "2 to 5 s", "5 to 10 s", "older"}
 
+// ageBucket returns the index in AgeNames of an age in seconds; 0 is an unknown age.
 func ageBucket(s float64) int {
 	switch {
 	case s == 0 || s >= 10:
@@ -81,7 +84,8 @@
 	return 2
 }
 
-// SumPhases sums up seconds between the given instants, counted from the first second of all.
+// SumPhases sums up the seconds of each phase. cuts are the ends of all phases but the last, since
+// the first second of all.
 func SumPhases(seconds []Second, cuts []time.Duration) []Phase {
 	if len(seconds) == 0 {
 		return nil
@@ -91,7 +95,7 @@
 	bounds := append([]time.Duration{0}, cuts...)
 	bounds = append(bounds, time.Duration(last-first+1000)*time.Millisecond)
 	phases := make([]Phase, len(bounds)-1)
-	heard := map[int64]int{}
+	sidecars := map[int64]int{}
 	for i := range phases {
 		phases[i] = Phase{From: bounds[i], To: bounds[i+1], PerServer: map[string]*Server{}, queueReports: map[string]int{}}
 		phases[i].Total = Second{Classes: map[string]*Class{}, AttemptResults: map[string]int{}, ProbeResults: map[string]int{}}
@@ -100,8 +104,8 @@
 		at := time.Duration(s.StartMs-first) * time.Millisecond
 		for i := range phases {
 			if p := &phases[i]; at >= p.From && at < p.To {
-				heard[s.StartMs]++
-				p.Sidecars = max(p.Sidecars, heard[s.StartMs])
+				sidecars[s.StartMs]++
+				p.Sidecars = max(p.Sidecars, sidecars[s.StartMs])
 				p.add(s)
 			}
 		}
@@ -163,7 +167,7 @@
 }
 
 func (c *Class) add(o *Class) {
-	c.Accepted += o.Accepted
+	c.Requests += o.Requests
 	c.InTime += o.InTime
 	c.Late += o.Late
 	c.RefusedAtOnce += o.RefusedAtOnce
@@ -188,7 +192,7 @@
 	}
 }
 
-// Print writes phases as tables in Markdown; servers adds a line for each server.
+// Print writes phases as Markdown tables, and with servers set a line for each server as well.
 func Print(w io.Writer, phases []Phase, servers bool) {
 	for _, p := range phases {
 		sec := (p.To - p.From).Seconds()
@@ -198,7 +202,7 @@
 		fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 		for _, name := range slices.Sorted(maps.Keys(p.Total.Classes)) {
 			c := p.Total.Classes[name]
-			fmt.Fprintf(w, "| %s | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.2f |\n", name, rate(c.Accepted), rate(c.InTime),
+			fmt.Fprintf(w, "| %s | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.2f |\n", name, rate(c.Requests), rate(c.InTime),
 				rate(c.Late), rate(c.RefusedAtOnce), rate(c.RefusedAfterProbe), rate(c.RefusedAfterSend), rate(c.Failed), c.LostWork/max(c.Work, 1e-9))
 		}
 		s := p.Total.Sends
@@ -210,7 +214,7 @@
 			each := func(n int) float64 { return float64(n) / float64(b.Seconds) }
 			c, s := b.Classes, b.Sends
 			fmt.Fprintf(w, "sidecars in their first %d s, each a second: tries %.1f, in time %.1f, late %.1f, refused %.1f, failed %.1f; sends %.1f, to cold %.1f, erring %.1f, dark %.1f, no figures %.1f; calls %.2f\n",
-				startupSeconds, each(c.Accepted), each(c.InTime), each(c.Late), each(c.RefusedAtOnce+c.RefusedAfterProbe+c.RefusedAfterSend), each(c.Failed),
+				startupSeconds, each(c.Requests), each(c.InTime), each(c.Late), each(c.RefusedAtOnce+c.RefusedAfterProbe+c.RefusedAfterSend), each(c.Failed),
 				each(s.FirstAttempts+s.Resends), each(s.ToCold), each(s.ToErroring), each(s.ToUnreachable), each(s.NoReport), each(b.ListCalls))
 		}
 		fmt.Fprint(w, "by the server's age:")
--- a/internal/account/recorder.go
+++ b/internal/account/recorder.go
@@ -1,5 +1,5 @@
-// Package account counts, second by second, what a decision module was told and what it did, so that a day can be counted
-// over a whole fleet from the logs of its sidecars.
+// Package account counts the inputs and actions of a decision module by the second. The counts go
+// to the log of each sidecar, from which Read and SumPhases add them up over a fleet.
 package account
 
 import (
@@ -8,70 +8,73 @@
 	"quillfront/policy"
 )
 
-// Second is what befell one sidecar within a second.
+// Second holds the counts of one sidecar for one second. The JSON keys are those of the log.
 type Second struct {
-	StartMs   int64             `json:"t"` // milliseconds since 1970 at its begin
-	UpSeconds int               `json:"b"` // seconds that the sidecar had been up by then
+	StartMs   int64             `json:"t"` // Unix time of its start, in milliseconds
+	UpSeconds int               `json:"b"` // uptime of the sidecar at its start, in seconds
 	Classes   map[string]*Class `json:"c,omitempty"`
 
 	Sends           Sends              `json:"s"`
-	AttemptResults  map[string]int     `json:"e,omitempty"` // of attempts, by status
-	ProbeResults    map[string]int     `json:"p,omitempty"` // that have ended, by status
-	ListUpdates     int                `json:"l,omitempty"` // that were told
-	ListCalls       int                `json:"k,omitempty"` // for the list
-	Dials           int64              `json:"d,omitempty"` // connects to servers that were begun; whoever is told fills it in
-	FailedListCalls int                `json:"f,omitempty"` // of such calls
-	Servers         map[string]*Server `json:"h,omitempty"` // that were sent to or have reported
+	AttemptResults  map[string]int     `json:"e,omitempty"` // attempts that ended, by status
+	ProbeResults    map[string]int     `json:"p,omitempty"` // probes that ended, by status
+	ListUpdates     int                `json:"l,omitempty"` // lists and changes of lists received
+	ListCalls       int                `json:"k,omitempty"` // calls to discovery for the list
+	Dials           int64              `json:"d,omitempty"` // set by the receiver of the Second
+	FailedListCalls int                `json:"f,omitempty"` // calls to discovery that failed
+	Servers         map[string]*Server `json:"h,omitempty"` // by id, if sent to or heard from
 	ReadyServers    int                `json:"r"`           // servers listed as ready
-	ColdServers     int                `json:"y,omitempty"` // of them, those that may be cold
+	ColdServers     int                `json:"y,omitempty"` // ready servers that may still be cold
 }
 
-// Class is what became of the tries of a class. Served is counted at its end, all else at its own time.
+// Class counts the tries of a request class by result. Each is counted in the second in which it
+// happens: a try that is served, when it ends.
 type Class struct {
-	Accepted          int     `json:"n,omitempty"`
+	Requests          int     `json:"n,omitempty"` // tries received
 	InTime            int     `json:"i,omitempty"` // served within the class's aim
-	Late              int     `json:"l,omitempty"` // served after it
-	RefusedAtOnce     int     `json:"u,omitempty"` // refused at once, with nothing sent
-	RefusedAfterProbe int     `json:"w,omitempty"` // refused with nothing sent, once a probe round was over
+	Late              int     `json:"l,omitempty"` // served after the class's aim
+	RefusedAtOnce     int     `json:"u,omitempty"` // refused immediately, without an attempt
+	RefusedAfterProbe int     `json:"w,omitempty"` // refused without an attempt, after a probe round
 	RefusedAfterSend  int     `json:"r,omitempty"` // refused after an attempt
 	Failed            int     `json:"f,omitempty"`
-	Work              float64 `json:"k,omitempty"` // hinted work taken, seconds
-	LostWork          float64 `json:"x,omitempty"` // hinted work refused or failed, seconds
+	Work              float64 `json:"k,omitempty"` // cost hints received, in seconds
+	LostWork          float64 `json:"x,omitempty"` // cost hints refused or failed, in seconds
 }
 
-// Sends counts attempts, by what this sidecar could know of the server, and by the age of its figures.
+// Sends counts the attempts that were sent, by what this sidecar knew about the server and by the
+// age of the server's last load report.
 type Sends struct {
 	FirstAttempts int `json:"n,omitempty"`
 	Resends       int `json:"a,omitempty"`
-	ToCold        int `json:"c,omitempty"` // by the list it may still be cold
-	ToErroring    int `json:"e,omitempty"` // its latest ending was an error
-	ToUnreachable int `json:"d,omitempty"` // its latest ending was a failed connect or a time-out
-	NoReport      int `json:"v,omitempty"` // it has never reported
-	FreshReport   int `json:"f,omitempty"` // reported within ageFresh
-	RecentReport  int `json:"r,omitempty"` // within ageRecent
-	StaleReport   int `json:"o,omitempty"` // before that
+	ToCold        int `json:"c,omitempty"` // by its start time in the list, the server may be cold
+	ToErroring    int `json:"e,omitempty"` // the last attempt there ended in an error
+	ToUnreachable int `json:"d,omitempty"` // the last attempt there was a failed connect or a timeout
+	NoReport      int `json:"v,omitempty"` // the server has never reported
+	FreshReport   int `json:"f,omitempty"` // reported within freshAge
+	RecentReport  int `json:"r,omitempty"` // reported within recentAge
+	StaleReport   int `json:"o,omitempty"` // reported before that
 }
 
-// Server is what a sidecar had to do with one server.
+// Server counts what a sidecar sent to one server, by result.
 type Server struct {
 	Sent        int     `json:"n,omitempty"`
 	OK          int     `json:"o,omitempty"`
-	Errors      int     `json:"e,omitempty"` // errors
-	Unreachable int     `json:"d,omitempty"` // failed connects and time-outs
-	Queue       float64 `json:"q"`           // latest reported, -1 for none
-	Age         float64 `json:"a,omitempty"` // seconds since its start, 0: long ago
+	Errors      int     `json:"e,omitempty"`
+	Unreachable int     `json:"d,omitempty"` // failed connects and timeouts
+	Queue       float64 `json:"q"`           // last reported queue, -1 for none
+	Age         float64 `json:"a,omitempty"` // seconds since the server's start; 0 if not known as new
 }
 
-// The bounds of how old figures are.
+// The limits by which load reports count as fresh, recent or stale.
 const (
 	freshAge  = 250 * time.Millisecond
 	recentAge = time.Second
 )
 
-// maxServers bounds the servers of a Second; those beyond are not told apart.
+// maxServers limits the servers of a Second; those above the limit are not counted by server.
 const maxServers = 1000
 
-// Recorder hands all on to a Balancer and counts. It is as safe for concurrent use as that is.
+// Recorder passes all calls on to a Balancer and counts them. It is safe for concurrent use only
+// as far as the Balancer is.
 type Recorder struct {
 	*policy.Balancer
 	emit   func(Second)
@@ -80,33 +83,36 @@
 	ramp   time.Duration
 
 	current      Second
-	currentStart policy.Time // of sec
-	firstStart   policy.Time // the first second of all
+	currentStart policy.Time // the start of current
+	firstStart   policy.Time // the start of the first second, 0 before it
 	requests     map[policy.RequestID]*requestState
 	servers      map[policy.ServerID]*serverState
 }
 
+// requestState is a request that has neither ended nor been refused.
 type requestState struct {
 	class    string
 	at       policy.Time
 	cost     time.Duration
 	attempts int
-	waited   bool // an event passed before it was refused
+	waited   bool // the call of Request has returned without refusing it
 }
 
+// serverState is a listed server and what this sidecar last learned about it.
 type serverState struct {
 	policy.Server
-	lastReport policy.Time // latest report, 0 for none
+	lastReport policy.Time // 0 for none
 	queue      float64
 	lastStatus policy.Status
 	hasEnded   bool
 }
 
-// New returns a Recorder of b, which goes by cfg. origin is the Unix time in milliseconds of policy.Time 0. tell is given each second
-// in which anything happened, once the next has begun; it must not block.
-func New(b *policy.Balancer, cfg policy.Config, origin int64, tell func(Second)) *Recorder {
+// New returns a Recorder of b, whose configuration is cfg. origin is the Unix time of policy.Time
+// 0, in milliseconds. emit is called with each second in which anything happened, once an event of
+// a later one arrives; it must not block.
+func New(b *policy.Balancer, cfg policy.Config, origin int64, emit func(Second)) *Recorder {
 	r := &Recorder{
-		Balancer: b, emit: tell, origin: origin, aims: map[string]time.Duration{}, ramp: cfg.Ramp,
+		Balancer: b, emit: emit, origin: origin, aims: map[string]time.Duration{}, ramp: cfg.Ramp,
 		requests: map[policy.RequestID]*requestState{}, servers: map[policy.ServerID]*serverState{},
 	}
 	for _, c := range cfg.Classes {
@@ -115,12 +121,12 @@
 	return r
 }
 
-// advance begins a new second if the last one is over.
+// advance emits the current second and starts a new one if it is over.
 func (r *Recorder) advance(now policy.Time) {
-	// By the clock on the wall, so that the seconds of all sidecars are the same.
-	into := (r.origin + now.Milliseconds()) % 1000
-	begin := now.Truncate(time.Millisecond) - time.Duration(into)*time.Millisecond
-	if r.current.Classes != nil && begin == r.currentStart {
+	// Seconds are aligned with the wall clock, so that those of all sidecars coincide.
+	elapsed := (r.origin + now.Milliseconds()) % 1000
+	start := now.Truncate(time.Millisecond) - time.Duration(elapsed)*time.Millisecond
+	if r.current.Classes != nil && start == r.currentStart {
 		return
 	}
 	if r.current.Classes != nil {
@@ -134,15 +140,16 @@
 		}
 		r.emit(r.current)
 	}
-	if r.currentStart = begin; r.firstStart == 0 {
-		r.firstStart = begin
+	if r.currentStart = start; r.firstStart == 0 {
+		r.firstStart = start
 	}
 	r.current = Second{
-		StartMs: r.origin + begin.Milliseconds(), UpSeconds: int((begin - r.firstStart) / time.Second), Classes: map[string]*Class{}, AttemptResults: map[string]int{}, ProbeResults: map[string]int{},
+		StartMs: r.origin + start.Milliseconds(), UpSeconds: int((start - r.firstStart) / time.Second), Classes: map[string]*Class{}, AttemptResults: map[string]int{}, ProbeResults: map[string]int{},
 		Servers: map[string]*Server{},
 	}
 }
 
+// isCold reports whether s started less than a ramp before now.
 func (r *Recorder) isCold(now policy.Time, s *serverState) bool {
 	return s.Started != 0 && now-s.Started < r.ramp
 }
@@ -156,7 +163,8 @@
 	return c
 }
 
-// serverCounts returns the count of id in the present second, or one that is thrown away.
+// serverCounts returns the counts of id in the current second, or ones that are discarded if there
+// are maxServers already.
 func (r *Recorder) serverCounts(now policy.Time, id policy.ServerID) *Server {
 	v := r.current.Servers[string(id)]
 	if v == nil {
@@ -171,7 +179,7 @@
 	return v
 }
 
-// UpdateServers is a method of policy.Balancer, as are those below.
+// UpdateServers counts a list or a failed call, and passes it on to the Balancer.
 func (r *Recorder) UpdateServers(now policy.Time, kind policy.ListKind, list []policy.Server, act policy.Actions) {
 	r.advance(now)
 	if kind == policy.ListFailed {
@@ -200,10 +208,11 @@
 	r.Balancer.UpdateServers(now, kind, list, actions{act, r, now})
 }
 
+// Request counts a try, and passes it on to the Balancer.
 func (r *Recorder) Request(now policy.Time, q policy.Request, act policy.Actions) {
 	r.advance(now)
 	c := r.classCounts(q.Class)
-	c.Accepted++
+	c.Requests++
 	c.Work += q.Cost.Seconds()
 	t := &requestState{class: q.Class, at: now, cost: q.Cost}
 	r.requests[q.ID] = t
@@ -211,6 +220,7 @@
 	t.waited = true
 }
 
+// Outcome counts the end of an attempt, and passes it on to the Balancer.
 func (r *Recorder) Outcome(now policy.Time, o policy.Outcome, act policy.Actions) {
 	r.advance(now)
 	r.current.AttemptResults[statusName(o.Status)]++
@@ -235,12 +245,13 @@
 		}
 		delete(r.requests, o.ID)
 	}
-	if o.Final { // also by an answer that had begun and broke off
+	if o.Final { // including a response that started and broke off
 		delete(r.requests, o.ID)
 	}
 	r.Balancer.Outcome(now, o, actions{act, r, now})
 }
 
+// recordLoad records the queue of a load report, if it has one.
 func (r *Recorder) recordLoad(now policy.Time, id policy.ServerID, l *policy.Load) {
 	if k := r.servers[id]; k != nil && l != nil && l.Queue >= 0 {
 		k.lastReport, k.queue = now, l.Queue
@@ -248,6 +259,7 @@
 	}
 }
 
+// Probed counts the end of a probe, and passes it on to the Balancer.
 func (r *Recorder) Probed(now policy.Time, p policy.ProbeResult, act policy.Actions) {
 	r.advance(now)
 	r.current.ProbeResults[statusName(p.Status)]++
@@ -257,32 +269,39 @@
 	r.Balancer.Probed(now, p, actions{act, r, now})
 }
 
+// ClientDisconnected forgets the request, and passes the call on to the Balancer.
 func (r *Recorder) ClientDisconnected(now policy.Time, id policy.RequestID, act policy.Actions) {
 	r.advance(now)
 	delete(r.requests, id)
 	r.Balancer.ClientDisconnected(now, id, actions{act, r, now})
 }
 
+// StopSending passes the call on to the Balancer.
 func (r *Recorder) StopSending(now policy.Time, id policy.RequestID, act policy.Actions) {
 	r.advance(now)
 	r.Balancer.StopSending(now, id, actions{act, r, now})
 }
 
+// GiveUp passes the call on to the Balancer.
 func (r *Recorder) GiveUp(now policy.Time, id policy.RequestID, act policy.Actions) {
 	r.advance(now)
 	r.Balancer.GiveUp(now, id, actions{act, r, now})
 }
 
+// Timer passes the call on to the Balancer.
 func (r *Recorder) Timer(now policy.Time, tok string, act policy.Actions) {
 	r.advance(now)
 	r.Balancer.Timer(now, tok, actions{act, r, now})
 }
 
+// DiscoveryMoved passes the call on to the Balancer.
 func (r *Recorder) DiscoveryMoved(now policy.Time, act policy.Actions) {
 	r.advance(now)
 	r.Balancer.DiscoveryMoved(now, actions{act, r, now})
 }
 
+// Reconfigure reconfigures the Balancer, and adopts the aims of the classes. The ramp stays that of
+// the configuration at the start.
 func (r *Recorder) Reconfigure(cfg policy.Config) error {
 	if err := r.Balancer.Reconfigure(cfg); err != nil {
 		return err
@@ -293,7 +312,7 @@
 	return nil
 }
 
-// actions counts what the module does.
+// actions counts the actions of the module, and passes them on.
 type actions struct {
 	policy.Actions
 	r   *Recorder
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,6 @@
-// Package telemetry tells what a sidecar does as metrics in the Prometheus text format. It keeps no figures of its own: each
-// scrape reads those that their owners keep, so that a request costs nothing more.
+// Package telemetry exports the metrics of a sidecar in the Prometheus text format. It keeps no
+// counters of its own: each scrape reads those of the other packages, so that metrics add no cost
+// to a request.
 package telemetry
 
 import (
@@ -17,28 +18,28 @@
 	"quillfront/policy"
 )
 
-// Source is whose figures are told.
+// Source provides the values that a scrape exports. Counts is by request class.
 type Source interface {
 	Counts() map[string]engine.Counts
 	State() State
 }
 
-// State is what a sidecar holds at one moment.
+// State is a snapshot of a sidecar's state.
 type State struct {
 	Engine                          engine.Snapshot
-	Excluded                        int // servers that operators have out
+	Excluded                        int // servers that operators have excluded
 	Evacuated                       bool
-	ConfigsApplied, ConfigsRejected int // configurations
-	Descriptors                     [2]int
-	DescriptorLimits                [2]int        // descriptors that may be taken, in all and by clients
-	Orders                          *orders.Stats // nil: nothing is noted of orders
+	ConfigsApplied, ConfigsRejected int
+	Descriptors                     [2]int        // in use, in total and by clients
+	DescriptorLimits                [2]int        // the limits of Descriptors
+	Orders                          *orders.Stats // nil if there is no store of orders
 	Services                        []services.Figures
-	Peers                           *peering.Metrics // nil: there are no other processes
+	Peers                           *peering.Metrics // nil without membership of a cluster
 }
 
 const prefix = "svc_"
 
-// maxServers bounds the servers whose figures are told apart: the first by their ids.
+// maxServers limits the servers that have time series of their own: the first by their ids.
 const maxServers = 200
 
 func desc(name, help string, labels ...string) *prometheus.Desc {
@@ -51,8 +52,8 @@
 	errorsTotal         = desc("errors_total", "Requests that failed: nothing is promised.", "kind")
 	withdrawnTotal      = desc("withdrawn_total", "Requests whose clients left.", "kind")
 	triesTotal          = desc("tries_total", "Attempts that have ended.", "kind", "result")
-	active              = desc("active", "Requests without an answer.")
-	held                = desc("held", "Requests that wait for a report.")
+	activeRequests      = desc("active", "Requests without an answer.")
+	heldRequests        = desc("held", "Requests that wait for a report.")
 	poolSize            = desc("pool_size", "Servers that are listed.")
 	poolEjected         = desc("pool_ejected", "Servers left out for what they failed at.")
 	poolExcluded        = desc("pool_out", "Servers that operators have out.")
@@ -108,38 +109,38 @@
 )
 
 var allDescs = []*prometheus.Desc{
-	okTotal, shedTotal, errorsTotal, withdrawnTotal, triesTotal, active, held, poolSize, poolEjected, poolExcluded, poolDraining, readySet,
+	okTotal, shedTotal, errorsTotal, withdrawnTotal, triesTotal, activeRequests, heldRequests, poolSize, poolEjected, poolExcluded, poolDraining, readySet,
 	threshold, serverOutstanding, serverQueue, serverDelay, serverWarmth, serverEjectedFor, serverFailures, siteShare, siteState, siteFailureRatio, siteSpilled, siteTurnedAway, evacuated, configsApplied, configsRejected, descriptors, descriptorLimits, ordersTotal, ordersFailing,
 	serviceConnections, serviceRejected, serviceRequests, serviceOutstanding, streamsOpen, streamsEnded, streamBytes, mysqlBound, mysqlStatements, mysqlSessionsMoved, mysqlServerConns,
 	mysqlIdleConns, routeRequests, routePinnedKeys, routeEarlyEvictions, poolDescriptors, poolBodyBytes, poolDescriptorWaits, poolsEnded, poolsEndedRequests,
 	membersKnown, membersLiving, membersGroup, membersHealth, membersIsolated, membersEvents, membersBytes, membersDropped,
 }
 
-// resultNames names how attempts end.
+// resultNames maps statuses of attempts to values of the label result.
 var resultNames = [...]string{
 	policy.OK: "ok", policy.AppError: "error", policy.Overloaded: "turned_away", policy.Timeout: "timeout", policy.ConnectFailed: "connect",
 	policy.Reset: "reset", policy.Canceled: "canceled", policy.NotSent: "unsent", policy.Rejected: "rejected",
 }
 
-// collector implements prometheus.Collector.
+// collector is a prometheus.Collector that reads a Source.
 type collector struct{ Source }
 
-// Describe is a method of prometheus.Collector.
+// Describe implements prometheus.Collector.
 func (c collector) Describe(to chan<- *prometheus.Desc) {
 	for _, d := range allDescs {
 		to <- d
 	}
 }
 
-// Collect is a method of prometheus.Collector.
+// Collect implements prometheus.Collector.
 func (c collector) Collect(to chan<- prometheus.Metric) {
-	tell := func(kind prometheus.ValueType, d *prometheus.Desc, v float64, labels ...string) {
+	emit := func(kind prometheus.ValueType, d *prometheus.Desc, v float64, labels ...string) {
 		to <- prometheus.MustNewConstMetric(d, kind, v, labels...)
 	}
 	total := func(d *prometheus.Desc, v uint64, labels ...string) {
-		tell(prometheus.CounterValue, d, float64(v), labels...)
+		emit(prometheus.CounterValue, d, float64(v), labels...)
 	}
-	gauge := func(d *prometheus.Desc, v float64, labels ...string) { tell(prometheus.GaugeValue, d, v, labels...) }
+	gauge := func(d *prometheus.Desc, v float64, labels ...string) { emit(prometheus.GaugeValue, d, v, labels...) }
 	for class, n := range c.Counts() {
 		total(okTotal, n.Results[engine.Served], class)
 		total(shedTotal, n.Results[engine.Refused], class)
@@ -177,8 +178,8 @@
 		total(siteSpilled, v.Spilled, v.Site)
 		total(siteTurnedAway, v.TurnedAway, v.Site)
 	}
-	gauge(active, float64(s.Engine.Open))
-	gauge(held, float64(s.Engine.Module.Held))
+	gauge(activeRequests, float64(s.Engine.Open))
+	gauge(heldRequests, float64(s.Engine.Module.Held))
 	gauge(poolSize, float64(len(s.Engine.Servers)))
 	gauge(poolEjected, float64(ejected))
 	gauge(poolExcluded, float64(s.Excluded))
@@ -228,7 +229,7 @@
 	}
 }
 
-// collectService tells the figures of one service.
+// collectService emits the metrics of one service.
 func collectService(f services.Figures, total func(*prometheus.Desc, uint64, ...string), gauge func(*prometheus.Desc, float64, ...string)) {
 	for class, n := range f.Counts {
 		for kind, name := range []string{"served", "refused", "failed", "dropped"} {
@@ -293,7 +294,7 @@
 	return 0
 }
 
-// Handler returns what answers scrapes of s, its process included.
+// Handler returns a handler of scrapes of s, which include the metrics of the process.
 func Handler(s Source) http.Handler {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collector{s}, collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
