--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,5 @@
-// Package config reads what the platform tells one sidecar at its start and at a reload.
+// Package config reads the configuration of a process, at its start and on a reload: the JSON file
+// of the platform and the TOML file of the operator.
 package config
 
 import (
@@ -17,51 +18,54 @@
 	"quillfront/reconfig"
 )
 
-// Config is what one sidecar is told at its start.
+// Config is the configuration that the platform gives to one sidecar.
 type Config struct {
 	Name      string
 	Listen    string // where clients connect
 	Discovery string // address of discovery
-	// Management is where operators connect; empty: nowhere.
+	// Management is the listen address of the operators' HTTP API; empty disables it.
 	Management string
-	// PeerListen is where datagrams of other sidecars come, and Peers where they are reached, in the order of their numbers. Whether any may
-	// be sent is in Settings.
+	// PeerListen is where this sidecar receives datagrams of the others. Peers has the addresses of
+	// all sidecars, in the order of their ordinals. Settings.Peers allows sending any.
 	PeerListen string
 	Peers      []string
-	AcceptFD   int    // the clients' listening socket, inherited; 0: there is none
-	SharedDir  string // a directory that is this sidecar's, whichever process it runs in; empty: there is none
+	AcceptFD   int    // inherited listening socket for clients; 0 for none
+	SharedDir  string // shared by successive processes of this sidecar; empty for none
 	Seed       uint64
-	MemoryMB   int          // the sidecar is killed over it
+	MemoryMB   int          // the platform kills the sidecar above it
 	Sockets    int          // descriptors that the process may hold
-	CachedList *engine.List // the list as it was last known
+	CachedList *engine.List // the last list that the platform knew; nil for none
 	Settings   settings.Settings
-	Raw        []byte // what it was read from
-	explicit   struct{ memory, sockets, seed bool }
+	Raw        []byte // the JSON that it was parsed from
+	// explicit reports which keys the JSON sets that the operator's file also has.
+	explicit struct{ memory, sockets, seed bool }
 }
 
-// The limits taken where the configuration gives none, and the least that a sidecar can work with.
+// The default limits, and the lowest ones that a sidecar can run with.
 const (
 	defaultMemoryMB = 128
 	defaultSockets  = 1024
-	MinMemoryMB     = 24 // scored days give 32 and more; the runtime and a full table of connections take about 16
-	MinSockets      = 64
+	// MinMemoryMB is above the 16 MB or so that the runtime and a full connection table take.
+	// Scored runs give 32 MB and more.
+	MinMemoryMB = 24
+	MinSockets  = 64
 )
 
-// Reload is Load for a process that runs by running: it also turns away a file that lacks a key which that one has, but for
-// what only a start needs.
+// Reload is Load for a process that is running with the configuration running. It also rejects a
+// file that lacks a key which the running configuration has, except those needed only at a start.
 func Reload(getenv func(string) string, running Config) (Config, error) {
 	c, err := Load(getenv)
 	if err != nil {
 		return Config{}, err
 	}
-	var was map[string]json.RawMessage
-	if err := json.Unmarshal(running.Raw, &was); err != nil {
+	var previous map[string]json.RawMessage
+	if err := json.Unmarshal(running.Raw, &previous); err != nil {
 		return Config{}, err
 	}
 	for _, key := range []string{"seed", "known", "peers", "peers_all", "peer_listen"} {
-		delete(was, key)
+		delete(previous, key)
 	}
-	before, err := json.Marshal(was)
+	before, err := json.Marshal(previous)
 	if err != nil {
 		return Config{}, err
 	}
@@ -71,9 +75,10 @@
 	return c, nil
 }
 
-// Load reads the file that GW_CONFIG names; GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_MANAGEMENT stand in for what it lacks. The
-// file has precedence, as it can be replaced while the program runs and its environment cannot: after a restart the
-// environment may still name a discovery that has moved. An error names the variable or the key at fault.
+// Load reads the file that GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_MANAGEMENT
+// supply the values that the file leaves out. The file has precedence because it can be replaced
+// while the program runs and the environment cannot: after a restart the environment may still have
+// the previous address of discovery. An error names the variable or key at fault.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
@@ -86,8 +91,8 @@
 	c, err := Parse(text)
 	if err != nil {
 		var syntax *json.SyntaxError
-		var kind *json.UnmarshalTypeError
-		if errors.As(err, &syntax) || errors.As(err, &kind) {
+		var mismatch *json.UnmarshalTypeError
+		if errors.As(err, &syntax) || errors.As(err, &mismatch) {
 			return Config{}, fmt.Errorf("GW_CONFIG %s: %w", path, err)
 		}
 		return Config{}, err
@@ -114,20 +119,20 @@
 	return c, nil
 }
 
-// acceptFD reads the number of an inherited descriptor.
+// acceptFD parses the number of an inherited descriptor.
 func acceptFD(text string) (int, error) {
 	if text == "" {
 		return 0, nil
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 3 {
-		return 0, fmt.Errorf("GW_ACCEPT_FD is %q, no number of an inherited descriptor", text)
+		return 0, fmt.Errorf("GW_ACCEPT_FD is %q, not the number of an inherited descriptor", text)
 	}
 	return n, nil
 }
 
-// Parse reads the text of a configuration. Where it listens and where discovery is may be missing: that is for the host
-// to judge. An error names the key at fault.
+// Parse parses the JSON of a configuration. The addresses of the listener and of discovery may be
+// missing; callers that need them check. An error names the key at fault.
 func Parse(text []byte) (Config, error) {
 	var file struct {
 		Name       string `json:"name"`
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -15,15 +15,18 @@
 	"quillfront/members"
 )
 
-// Members is how the process is one of many.
+// Members configures the membership of this process in a cluster.
 type Members struct {
-	Peers peering.Config // without the process's name
-	// EstimateGroup has the number of those who live take the place of a fixed one, as Sharing says, which lacks only the number by the settings.
+	Peers peering.Config // without the name of the process
+	// EstimateGroup makes the number of live processes, as smoothed by Estimator, replace the
+	// configured group size. Estimator.Configured is still to be set from the settings.
 	EstimateGroup bool
 	Estimator     members.GroupEstimator
-	// UsePlatformAddresses has the addresses be those that the platform gives.
+	// UsePlatformAddresses takes the addresses from the platform's configuration.
 	UsePlatformAddresses bool
-	ExchangeHints        bool // what other processes' lists say makes this one more careful, and they are told of what its own says
+	// ExchangeHints sends the other processes hints about servers from this process's list, and
+	// makes it more cautious about servers on which it receives hints from theirs.
+	ExchangeHints bool
 }
 
 type membersTable struct {
@@ -50,8 +53,9 @@
 	Platform  bool      `toml:"platform"`
 }
 
-// ForPlatform returns what m comes to for a process of the platform, which has the last word on whether sidecars may tell one another anything: nil,
-// and why, if they may not.
+// ForPlatform returns m with the addresses that the platform gives, if m uses those. It returns an
+// error if the platform's settings do not allow datagrams between sidecars, or if an address is
+// missing or invalid.
 func (m *Members) ForPlatform(c *Config) (*Members, error) {
 	if m == nil || !m.UsePlatformAddresses {
 		return m, nil
@@ -59,17 +63,17 @@
 	if !c.Settings.Peers {
 		return nil, errors.New("[members] platform: the settings do not allow datagrams between sidecars (Limits.Peers)")
 	}
-	n, at := *m, c.Settings.Config.Ordinal
-	if at >= len(c.Peers) {
-		return nil, fmt.Errorf("[members] platform: peers has %d addresses, and this sidecar has the number %d", len(c.Peers), at)
+	n, ordinal := *m, c.Settings.Config.Ordinal
+	if ordinal >= len(c.Peers) {
+		return nil, fmt.Errorf("[members] platform: peers has %d addresses, and the ordinal of this sidecar is %d", len(c.Peers), ordinal)
 	}
 	n.Peers.Listen, n.Peers.Seeds = c.PeerListen, nil
 	for i, text := range c.Peers {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return nil, fmt.Errorf("[members] platform: peers: %q is no IP address with a port", text)
+			return nil, fmt.Errorf("[members] platform: peers: %q is not an IP address with a port", text)
 		}
-		if i == at {
+		if i == ordinal {
 			n.Peers.Node.Address = a
 		} else {
 			n.Peers.Seeds = append(n.Peers.Seeds, a)
@@ -80,10 +84,10 @@
 	return &n, err
 }
 
-// maxSeeds bounds the seeds that a file may name.
+// maxSeeds limits the seeds in the file.
 const maxSeeds = 100
 
-// members reads the table, and fills its defaults in. The error names the key.
+// members converts the table, and sets the defaults in it. An error names the key.
 func (t *membersTable) members(dir string) (*Members, error) {
 	t.Bolder, t.Fall = cmp.Or(t.Bolder, 2), cmp.Or(t.Fall, duration(time.Minute))
 	m := &Members{EstimateGroup: t.Share, ExchangeHints: t.Hints, Estimator: members.GroupEstimator{MaxShareFactor: t.Bolder, HalfLife: time.Duration(t.Fall)}}
@@ -97,7 +101,7 @@
 	var err error
 	if t.Advertise != "" {
 		if m.Peers.Node.Address, err = netip.ParseAddrPort(t.Advertise); err != nil {
-			return nil, fmt.Errorf("advertise: %q is no IP address with a port", t.Advertise)
+			return nil, fmt.Errorf("advertise: %q is not an IP address with a port", t.Advertise)
 		}
 	}
 	if len(t.Seeds) > maxSeeds {
@@ -106,13 +110,13 @@
 	for _, s := range t.Seeds {
 		a, err := netip.ParseAddrPort(s)
 		if err != nil {
-			return nil, fmt.Errorf("seeds: %q is no IP address with a port", s)
+			return nil, fmt.Errorf("seeds: %q is not an IP address with a port", s)
 		}
 		m.Peers.Seeds = append(m.Peers.Seeds, a)
 	}
 	switch log := slog.Default(); {
 	case t.SeedsFile != "" && t.SeedsDNS != nil:
-		return nil, errors.New("seeds_file: seeds_dns is there too, want one")
+		return nil, errors.New("seeds_file: seeds_dns is set too, only one of them may be")
 	case t.SeedsFile != "":
 		path := t.SeedsFile
 		if !filepath.IsAbs(path) {
@@ -129,7 +133,7 @@
 			s.Kind = dnslist.Addresses
 		}
 		if len(d.Resolvers) == 0 {
-			return nil, errors.New("seeds_dns: resolvers: none are there")
+			return nil, errors.New("seeds_dns: resolvers: not set")
 		}
 		if err := s.Check(); err != nil {
 			return nil, fmt.Errorf("seeds_dns: %w", err)
@@ -144,9 +148,9 @@
 	}
 	if m.UsePlatformAddresses = t.Platform; m.UsePlatformAddresses {
 		if t.Listen != "" || t.Advertise != "" || len(t.Seeds) > 0 || m.Peers.SeedSource != nil {
-			return nil, errors.New("platform: listen, advertise and seeds are the platform's then")
+			return nil, errors.New("platform: listen, advertise and seeds come from the platform and must not be set")
 		}
-		m.Peers.Listen = "127.0.0.1:1" // until the platform's is known
+		m.Peers.Listen = "127.0.0.1:1" // a placeholder for the check, until the platform's is known
 	}
 	if m.Peers, err = m.Peers.WithDefaults(); err != nil {
 		return nil, err
--- a/internal/config/members_test.go
+++ b/internal/config/members_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestMembers: the table is read, filled in, and what cannot be used is named.
+// TestMembers checks that the table [members] is parsed, that its defaults are set, that errors
+// name the key, and that the platform's addresses replace those of the table.
 func TestMembers(t *testing.T) {
 	const good = "[members]\ncluster = \"c\"\nlisten = \"127.0.0.1:7946\"\nseeds = [\"127.0.0.1:7947\"]\n"
 	o, err := parseOperator(good, "")
@@ -42,7 +43,7 @@
 	}
 	c := Config{PeerListen: "127.0.0.1:5", Peers: []string{"127.0.0.2:5", "127.0.0.3:5"}}
 	if m, err := o.Members.ForPlatform(&c); m != nil || err == nil {
-		t.Errorf("on though the platform does not allow it: %v", m)
+		t.Errorf("accepted though the platform does not allow datagrams: %v", m)
 	}
 	c.Settings.Peers, c.Settings.Config.Ordinal = true, 1
 	m, err := o.Members.ForPlatform(&c)
@@ -51,9 +52,9 @@
 	}
 	c.Settings.Config.Ordinal = 2
 	if _, err := o.Members.ForPlatform(&c); err == nil {
-		t.Error("a number without an address")
+		t.Error("accepted an ordinal without an address")
 	}
 	if _, err := parseOperator("[members]\ncluster = \"c\"\nlisten = \"0.0.0.0:7946\"\n", ""); err == nil || !strings.Contains(err.Error(), "address") {
-		t.Errorf("an address that nobody reaches: %v", err)
+		t.Errorf("unreachable address: error %v", err)
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -20,20 +20,21 @@
 	"quillfront/sites"
 )
 
-// Operator is the operator's own file: what the platform knows nothing of. A part that the file lacks is off.
+// Operator is the operator's file, which configures what the platform's configuration does not. A
+// feature whose table is missing is disabled.
 type Operator struct {
 	Store  *orders.Config
 	Sites  *sites.Config
-	Routes []routes.Route // checked against each other
+	Routes []routes.Route // checked, also for conflicts with one another
 	Services
 	Process Process
 	Log     Log
 	Members *Members
-	// LogAccount has the log tell each second what was done. It is a flag's, not the file's.
+	// LogAccount logs each second what the module did. It is set by a flag, not by the file.
 	LogAccount bool
 }
 
-// operatorFile is the file as it stands.
+// operatorFile is the file as it is decoded.
 type operatorFile struct {
 	Process *processTable `toml:"process"`
 	Log     *logTable     `toml:"log"`
@@ -84,7 +85,7 @@
 	MaxShare float64  `toml:"most"`
 }
 
-// config returns what the table says, not yet checked.
+// config converts the table without checking it.
 func (t *sitesTable) config() *sites.Config {
 	c := sites.Config{
 		Prefer: t.Prefer, HealthyThreshold: t.Clear, DegradedThreshold: t.Doubt, DownThreshold: t.Dark, EvidenceHalfLife: time.Duration(t.Memory), HoldTime: time.Duration(t.Hold),
@@ -101,21 +102,22 @@
 	return &c
 }
 
-// duration is a time such as "24h".
+// duration is a time.Duration in the form "24h".
 type duration time.Duration
 
-// UnmarshalText is the method of encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no time such as \"24h\" or \"10ms\"", text)
+		return fmt.Errorf("%q is not a duration such as \"24h\" or \"10ms\"", text)
 	}
 	*d = duration(v)
 	return nil
 }
 
-// LoadOperator reads the operator's file at path, strictly: what it does not know, or cannot use, is an error that names
-// file, line and key. With an empty path all is off.
+// LoadOperator reads the operator's file at path. Keys that are unknown and values that are invalid
+// are errors that name the file, the line where it is known, and the key. With an empty path all
+// features are disabled.
 func LoadOperator(path string) (Operator, error) {
 	if path == "" {
 		return Operator{Log: Log{Rate: defaultLogRate}}, nil
@@ -131,13 +133,14 @@
 	return o, nil
 }
 
+// parseOperator parses the text of an operator's file; dir is what relative paths in it start from.
 func parseOperator(text, dir string) (Operator, error) {
 	var f operatorFile
 	meta, err := toml.Decode(text, &f)
 	if err != nil {
-		var parse toml.ParseError
-		if errors.As(err, &parse) {
-			return Operator{}, fmt.Errorf("line %d: %s", parse.Position.Line, parseErrorText(parse))
+		var parseErr toml.ParseError
+		if errors.As(err, &parseErr) {
+			return Operator{}, fmt.Errorf("line %d: %s", parseErr.Position.Line, parseErrorText(parseErr))
 		}
 		return Operator{}, err
 	}
@@ -206,18 +209,18 @@
 			return Operator{}, err
 		}
 		if len(o.Routes) == 0 {
-			return Operator{}, errors.New("[[http]]: there are no [[routes]] to serve by")
+			return Operator{}, errors.New("[[http]]: there are no [[routes]] for it to serve")
 		}
 	}
 	return o, nil
 }
 
-// sortedKeys returns the keys of m in order.
+// sortedKeys returns the keys of m in ascending order.
 func sortedKeys[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
 }
 
-// parseErrorText is what is wrong by a ParseError, in one line and with the key if there is one.
+// parseErrorText returns the message of a ParseError in one line, with the key if it has one.
 func parseErrorText(e toml.ParseError) string {
 	if e.LastKey != "" {
 		return e.LastKey + ": " + e.Message
@@ -225,7 +228,8 @@
 	return e.Message
 }
 
-// lineOfKey returns the line in which a key stands, from 1, or that of its table.
+// lineOfKey returns the number of the line of a key or table, from 1. It returns that of the first
+// line with the last part of the key if it finds neither.
 func lineOfKey(text string, key toml.Key) int {
 	last := key[len(key)-1]
 	table := strings.Join(key[:len(key)-1], ".")
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -10,7 +10,8 @@
 	"quillfront/internal/orders"
 )
 
-// TestOperator: the file that the repository ships is read, and what is wrong in one is named with file, line and key.
+// TestOperator checks that the file in the repository is accepted, and that errors name the file,
+// the line and the key at fault in one line.
 func TestOperator(t *testing.T) {
 	o, err := LoadOperator(filepath.Join("..", "..", "deploy", "quillfront.toml"))
 	if err != nil || o.Store == nil || o.Store.Dir != "/var/lib/quillfront" || o.Store.Durability != orders.Sync ||
@@ -50,16 +51,16 @@
 		}
 		_, err := LoadOperator(path)
 		if err == nil {
-			t.Errorf("%q is taken", text)
+			t.Errorf("%q is accepted", text)
 			continue
 		}
 		for _, part := range append(want, path) {
 			if !strings.Contains(err.Error(), part) {
-				t.Errorf("%q: %v, which does not name %s", text, err, part)
+				t.Errorf("%q: error %v does not contain %s", text, err, part)
 			}
 		}
 		if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: more than a line: %v", text, err)
+			t.Errorf("%q: error of more than one line: %v", text, err)
 		}
 	}
 }
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -7,15 +7,15 @@
 	"strconv"
 )
 
-// Process is what the operator's file says of the process itself. What the platform tells, by GW_CONFIG or in the environment, has
-// precedence.
+// Process is the table [process] of the operator's file. Values of the platform, from the file that
+// GW_CONFIG names or from the environment, have precedence.
 type Process struct {
 	Name       string
-	Management string // where operators connect; empty: nowhere
+	Management string // listen address of the operators' HTTP API; empty disables it
 	MemoryMB   int    // 0: 128
 	Sockets    int    // descriptors; 0: 1,024
-	Seed       string // 16 hexadecimal digits; empty: drawn
-	Cores      int    // threads that run Go code; 0: as many as there are, or 1 beside the platform
+	Seed       string // up to 16 hexadecimal digits; empty: random
+	Cores      int    // GOMAXPROCS; 0: all cores, or 1 with a platform
 }
 
 type processTable struct {
@@ -27,11 +27,11 @@
 	Cores      int    `toml:"cores"`
 }
 
-// Log is how the log is written.
+// Log is the table [log] of the operator's file.
 type Log struct {
 	Level slog.Level
 	JSON  bool
-	Rate  int // lines a second in the long run
+	Rate  int // sustained rate, in lines a second
 }
 
 type logTable struct {
@@ -40,10 +40,10 @@
 	Rate   int    `toml:"rate"`
 }
 
-// defaultLogRate bounds the log where there is no disk, as its lines are kept in memory there.
+// defaultLogRate limits the growth of the log on systems without a disk, which keep it in memory.
 const defaultLogRate = 5
 
-// log reads the table, and fills its defaults in.
+// log converts the table, and sets the defaults in it.
 func (t *logTable) log() (l Log, err error) {
 	if t.Level == "" {
 		t.Level = "info"
@@ -56,7 +56,7 @@
 	}
 	l.Rate = t.Rate
 	if err := l.Level.UnmarshalText([]byte(t.Level)); err != nil {
-		return l, fmt.Errorf("[log]: level: %q is none of debug, info, warn and error", t.Level)
+		return l, fmt.Errorf("[log]: level: %q is not one of debug, info, warn and error", t.Level)
 	}
 	switch t.Format {
 	case "text":
@@ -71,7 +71,7 @@
 	return l, nil
 }
 
-// process reads the table, and fills its defaults in.
+// process converts the table, and sets the defaults in it.
 func (t *processTable) process() (Process, error) {
 	if t.Name == "" {
 		t.Name = "quillfront"
@@ -98,12 +98,12 @@
 	case p.Cores < 0:
 		return fmt.Errorf("cores: %d is negative", p.Cores)
 	case p.Seed != "" && err != nil:
-		return fmt.Errorf("seed: %q is no number of up to 16 hexadecimal digits", p.Seed)
+		return fmt.Errorf("seed: %q is not a number of up to 16 hexadecimal digits", p.Seed)
 	}
 	return nil
 }
 
-// ApplyProcess takes from the operator's file what the platform has not told.
+// ApplyProcess sets, from the operator's file, the values that the platform leaves out.
 func (c *Config) ApplyProcess(p Process) {
 	if c.Name == "" {
 		c.Name = p.Name
@@ -122,26 +122,27 @@
 	}
 }
 
-// Standalone is what a process runs by that the platform has not started: the operator's file alone, but for what the environment names. It has
-// no Listen, no Discovery and no Settings.
+// Standalone returns the configuration of a process that is not started by the platform: that of
+// the operator's file, with GW_NAME and GW_MANAGEMENT of the environment taking precedence. It has
+// no Listen, Discovery or Settings.
 func Standalone(getenv func(string) string, o *Operator) (Config, error) {
 	for _, name := range []string{"GW_LISTEN", "GW_DISCOVERY", "GW_ACCEPT_FD"} {
 		if getenv(name) != "" {
-			return Config{}, fmt.Errorf("%s is set and GW_CONFIG is not: it speaks of a start by the platform", name)
+			return Config{}, fmt.Errorf("%s is set and GW_CONFIG is not: the variable is only for processes that the platform starts", name)
 		}
 	}
 	if len(o.HTTP)+len(o.Streams)+len(o.MySQL) == 0 {
 		return Config{}, errors.New("nothing is to be served: GW_CONFIG is not set, and the operator's file has no [[http]], [[streams]] or [[mysql]]")
 	}
 	if o.Members != nil && o.Members.UsePlatformAddresses {
-		return Config{}, errors.New("[members] platform: there is no platform, as GW_CONFIG is not set")
+		return Config{}, errors.New("[members] platform: it requires a platform, and GW_CONFIG is not set")
 	}
 	if o.Store != nil || o.Sites != nil {
-		return Config{}, errors.New("[store] and [sites] are for the platform's front, and GW_CONFIG is not set")
+		return Config{}, errors.New("[store] and [sites] apply only to a sidecar of the platform, and GW_CONFIG is not set")
 	}
 	c := Config{Name: getenv("GW_NAME"), Management: getenv("GW_MANAGEMENT")}
 	p := o.Process
-	if p.MemoryMB == 0 { // the table is not there
+	if p.MemoryMB == 0 { // there is no table [process]
 		p, _ = (&processTable{}).process()
 	}
 	c.ApplyProcess(p)
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -8,7 +8,7 @@
 	"quillfront/routes"
 )
 
-// routeTable is a route as the operator's file has it.
+// routeTable is a table [[routes]] of the operator's file.
 type routeTable struct {
 	Name     string             `toml:"name"`
 	Hosts    []string           `toml:"hosts"`
@@ -30,7 +30,7 @@
 	Answers  answersTable       `toml:"answers"`
 }
 
-// answersTable says how answers are judged.
+// answersTable classifies the answers of servers.
 type answersTable struct {
 	Failure    []string `toml:"failure"`
 	NotRun     []string `toml:"not_run"`
@@ -39,7 +39,7 @@
 	RetryAfter string   `toml:"retry_after"`
 }
 
-// answers reads the table. The error names the key at fault.
+// answers converts the table. With an error it also returns the key at fault.
 func (t *answersTable) answers() (routes.ResponseRules, string, error) {
 	a := routes.ResponseRules{NotRunHeader: t.Mark, NotRunByStatus: t.Bare}
 	var err error
@@ -54,25 +54,27 @@
 	case "avoid":
 		a.RetryAfter = routes.AvoidServer
 	default:
-		return a, "answers.retry_after", fmt.Errorf("%q is none of tell and avoid", t.RetryAfter)
+		return a, "answers.retry_after", fmt.Errorf("%q is neither tell nor avoid", t.RetryAfter)
 	}
 	return a, "", nil
 }
 
-// conditionTable is a condition: a name alone says that it must be there.
+// conditionTable is a condition on a header or a query parameter. A name without a value requires
+// only that it is present.
 type conditionTable struct {
 	Name    string `toml:"name"`
 	Exact   string `toml:"exact"`
 	Pattern string `toml:"pattern"`
 }
 
+// routeEffects maps the values of the key effect; by-method is the default.
 var routeEffects = map[string]routes.Effect{
 	"": routes.ByMethod, "by-method": routes.ByMethod, "safe": routes.Safe, "keyed": routes.Keyed, "unsafe": routes.Unsafe,
 }
 
-// route reads the i-th table.
+// route converts the table with index i. An error names the route and the key.
 func (t *routeTable) route(i int) (routes.Route, error) {
-	wrong := func(key, format string, args ...any) (routes.Route, error) {
+	fail := func(key, format string, args ...any) (routes.Route, error) {
 		name := t.Name
 		if name == "" {
 			name = fmt.Sprintf("number %d", i+1)
@@ -82,13 +84,13 @@
 	effect, known := routeEffects[t.Effect]
 	switch {
 	case !known:
-		return wrong("effect", "%q is none of by-method, safe, keyed and unsafe", t.Effect)
+		return fail("effect", "%q is not one of by-method, safe, keyed and unsafe", t.Effect)
 	case t.Pool == "" && len(t.Split) == 0:
-		return wrong("pool", "neither pool nor split is set")
+		return fail("pool", "neither pool nor split is set")
 	case t.Pool != "" && len(t.Split) > 0:
-		return wrong("split", "both pool and split are set")
+		return fail("split", "both pool and split are set")
 	case t.Timeout < 0:
-		return wrong("timeout", "%v is negative", time.Duration(t.Timeout))
+		return fail("timeout", "%v is negative", time.Duration(t.Timeout))
 	}
 	r := routes.Route{
 		Name:  t.Name,
@@ -99,7 +101,7 @@
 	var err error
 	var key string
 	if r.ResponseRules, key, err = t.Answers.answers(); err != nil {
-		return wrong(key, "%v", err)
+		return fail(key, "%v", err)
 	}
 	if t.Pool != "" {
 		r.Pools = []routes.WeightedPool{{Pool: t.Pool, Weight: 1}}
@@ -111,7 +113,7 @@
 		for _, text := range from {
 			p, err := parseValueSource(text)
 			if err != nil {
-				return wrong(key, "%v", err)
+				return fail(key, "%v", err)
 			}
 			if key == "key" {
 				r.Key = append(r.Key, p)
@@ -123,6 +125,7 @@
 	return r, nil
 }
 
+// conditions converts tables of conditions.
 func conditions(tables []conditionTable) (list []routes.Condition) {
 	for _, c := range tables {
 		list = append(list, routes.Condition(c))
@@ -130,7 +133,7 @@
 	return list
 }
 
-// parseValueSource reads where a value is taken from: "path:NAME", "header:NAME" or "query:NAME".
+// parseValueSource parses the source of a value: "path:NAME", "header:NAME" or "query:NAME".
 func parseValueSource(text string) (routes.ValueSource, error) {
 	from, name, ok := strings.Cut(text, ":")
 	if ok && name != "" {
@@ -143,5 +146,5 @@
 			return routes.ValueSource{Query: name}, nil
 		}
 	}
-	return routes.ValueSource{}, fmt.Errorf("%q is none of path:NAME, header:NAME and query:NAME", text)
+	return routes.ValueSource{}, fmt.Errorf("%q is not one of path:NAME, header:NAME and query:NAME", text)
 }
--- a/internal/config/services.go
+++ b/internal/config/services.go
@@ -25,7 +25,7 @@
 	"quillfront/internal/stream"
 )
 
-// Services are the operator's own pools, and what listens for them.
+// Services holds the pools of the operator's file and the services that use them.
 type Services struct {
 	Pools   []pool.Config
 	Streams []stream.Config
@@ -33,18 +33,19 @@
 	HTTP    []HTTP
 }
 
-// HTTP is an address at which plain HTTP is served by routes.
+// HTTP is a listener that serves plain HTTP by the routes.
 type HTTP struct {
 	Name, Listen    string
-	ShutdownTimeout time.Duration         // at the end of the process
-	Proxy           httpfront.ProxyConfig // without a Router
+	ShutdownTimeout time.Duration         // how long connections may finish when the process ends
+	Proxy           httpfront.ProxyConfig // without its Router
 }
 
 const (
-	// defaultLateShare is what an answer of HTTP is worth after its aim where the file does not say.
+	// defaultLateShare is the late share of classes with effect "by-request".
 	defaultLateShare = 0.5
-	// MaxResponseHead is the longest head of a server's answer, in bytes.
+	// MaxResponseHead limits the head of a server's response, in bytes.
 	MaxResponseHead = 16 << 10
+	// maxRequestHead is the upper limit of most_head, and maxBufferedBody that of hold, in bytes.
 	maxRequestHead  = 1 << 20
 	maxBufferedBody = 64 << 20
 )
@@ -67,10 +68,10 @@
 	Trace     bool     `toml:"trace"`
 }
 
-// http reads the table, and fills its defaults in. The error names the key.
+// http converts the table, and sets the defaults in it. An error names the key.
 func (t *httpTable) http() (HTTP, error) {
-	or := func(d *duration, otherwise time.Duration) time.Duration {
-		*d = cmp.Or(*d, duration(otherwise))
+	orDefault := func(d *duration, value time.Duration) time.Duration {
+		*d = cmp.Or(*d, duration(value))
 		return time.Duration(*d)
 	}
 	t.Via, t.MostHead, t.Rate = cmp.Or(t.Via, "quillfront"), cmp.Or(t.MostHead, 16<<10), cmp.Or(t.Rate, 1<<10)
@@ -78,9 +79,9 @@
 		hold := int64(1 << 20)
 		t.Hold = &hold
 	}
-	c := HTTP{Name: t.Name, Listen: t.Listen, ShutdownTimeout: or(&t.Patience, 10*time.Second), Proxy: httpfront.ProxyConfig{
-		Pseudonym: t.Via, HealthPath: t.Health, MaxHead: t.MostHead, HeadTimeout: or(&t.HeadTime, 10*time.Second), IdleTimeout: or(&t.Idle, time.Minute),
-		StallTimeout: or(&t.Stall, 30*time.Second), MinBodyRate: t.Rate, MaxBufferedBody: *t.Hold, MaxBody: t.MostBody, ExpectTimeout: or(&t.Expect, time.Second),
+	c := HTTP{Name: t.Name, Listen: t.Listen, ShutdownTimeout: orDefault(&t.Patience, 10*time.Second), Proxy: httpfront.ProxyConfig{
+		Pseudonym: t.Via, HealthPath: t.Health, MaxHead: t.MostHead, HeadTimeout: orDefault(&t.HeadTime, 10*time.Second), IdleTimeout: orDefault(&t.Idle, time.Minute),
+		StallTimeout: orDefault(&t.Stall, 30*time.Second), MinBodyRate: t.Rate, MaxBufferedBody: *t.Hold, MaxBody: t.MostBody, ExpectTimeout: orDefault(&t.Expect, time.Second),
 		AddForwardedFor: t.Forwarded, AddTraceparent: t.Trace,
 	}}
 	_, port, err := net.SplitHostPort(t.Listen)
@@ -99,7 +100,7 @@
 	case t.Name == "":
 		return c, errors.New("name: not set")
 	case !router.ValidName(t.Via):
-		return c, fmt.Errorf("via: %q is no pseudonym of letters, digits, dots, dashes and underscores", t.Via)
+		return c, fmt.Errorf("via: %q is not a pseudonym of letters, digits, dots, dashes and underscores", t.Via)
 	case t.Health != "" && !strings.HasPrefix(t.Health, "/"):
 		return c, fmt.Errorf("health: %q does not begin with a slash", t.Health)
 	case t.MostHead < 1<<10 || t.MostHead > maxRequestHead:
@@ -114,7 +115,8 @@
 	return c, nil
 }
 
-// Pool returns the pool of that name. There is one: the file was checked.
+// Pool returns the pool of that name, or the zero Config if there is none. The pools that a checked
+// file refers to always exist.
 func (s *Services) Pool(name string) pool.Config {
 	for _, p := range s.Pools {
 		if p.Name == name {
@@ -172,7 +174,7 @@
 	LateShare *float64 `toml:"late_share"`
 }
 
-// pool reads the table. The error names the key.
+// pool converts the table. An error names the key.
 func (t *poolTable) pool(dir string) (pool.Config, error) {
 	c := pool.Config{
 		Name: t.Name, Discovery: t.Discovery, Zone: t.Zone, Attempts: t.Attempts, Dial: time.Duration(t.Dial), Idle: time.Duration(t.Idle),
@@ -182,7 +184,7 @@
 	for _, s := range t.Servers {
 		c.Servers = append(c.Servers, pool.Server{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Cell: s.Cell, Drain: s.Drain})
 	}
-	if c.File = t.File; c.File != "" && !filepath.IsAbs(c.File) { // beside the operator's file
+	if c.File = t.File; c.File != "" && !filepath.IsAbs(c.File) { // relative to the operator's file
 		c.File = filepath.Join(dir, c.File)
 	}
 	if d := t.DNS; d != nil {
@@ -201,12 +203,12 @@
 		case "by-statement", "by-request":
 			class.ByRequest = true
 		default:
-			return c, fmt.Errorf("classes %q: effect: %q is none of safe, unsafe, by-statement and by-request", k.Name, k.Effect)
+			return c, fmt.Errorf("classes %q: effect: %q is not one of safe, unsafe, by-statement and by-request", k.Name, k.Effect)
 		}
 		switch {
 		case k.LateShare != nil:
 			class.LateShare = *k.LateShare
-		case k.Effect == "by-request": // else nothing would be waited for beyond the aim
+		case k.Effect == "by-request": // otherwise no answer would be waited for beyond the aim
 			class.LateShare = defaultLateShare
 		}
 		c.Classes = append(c.Classes, class)
@@ -230,6 +232,7 @@
 	PerAddr  int      `toml:"most_per_address"`
 }
 
+// stream converts the table. An error names the key.
 func (t *streamTable) stream(pools []pool.Config) (stream.Config, error) {
 	c := stream.Config{
 		Name: t.Name, Listen: t.Listen, Pool: t.Pool, Class: t.Class, Idle: time.Duration(t.Idle), Stall: time.Duration(t.Stall), Total: time.Duration(t.Total),
@@ -299,7 +302,7 @@
 	Class  string `toml:"class"`
 }
 
-// service reads the table and the files that it names. The error names the key.
+// service converts the table and reads the files that it names. An error names the key.
 func (t *mysqlTable) service(pools []pool.Config, dir string) (proxy.Config, error) {
 	c := proxy.Config{
 		Name: t.Name, Listen: t.Listen, Pool: t.Pool, Plugin: t.Plugin, Default: t.Class, Hints: t.Hints, MostStatement: t.Statement, Memory: t.Memory,
@@ -323,7 +326,7 @@
 	default:
 		return c, fmt.Errorf("auth: %q is neither \"users\" nor \"pass\"", t.Auth)
 	}
-	in := func(path string) string { // what is not absolute is beside the operator's file
+	resolve := func(path string) string { // relative paths start from the operator's file
 		if path == "" || filepath.IsAbs(path) {
 			return path
 		}
@@ -331,19 +334,19 @@
 	}
 	var err error
 	if t.Users != "" {
-		if c.Users, err = mysqlUsers(in(t.Users)); err != nil {
+		if c.Users, err = mysqlUsers(resolve(t.Users)); err != nil {
 			return c, fmt.Errorf("users: %w", err)
 		}
 	}
 	if c.Account.User = t.Account.User; t.Account.PasswordFile != "" {
-		text, err := os.ReadFile(in(t.Account.PasswordFile))
+		text, err := os.ReadFile(resolve(t.Account.PasswordFile))
 		if err != nil {
 			return c, fmt.Errorf("account.password_file: %w", err)
 		}
 		c.Account.Password = strings.TrimRight(string(text), "\r\n")
 	}
 	if t.TLS != (mysqlTLS{}) {
-		cert, err := tls.LoadX509KeyPair(in(t.TLS.Cert), in(t.TLS.Key))
+		cert, err := tls.LoadX509KeyPair(resolve(t.TLS.Cert), resolve(t.TLS.Key))
 		if err != nil {
 			return c, fmt.Errorf("tls: %w", err)
 		}
@@ -352,7 +355,7 @@
 	if t.ServerTLS != (mysqlServerTLS{}) {
 		c.ServerTLS = &tls.Config{ServerName: t.ServerTLS.Name, InsecureSkipVerify: t.ServerTLS.SkipVerify, MinVersion: tls.VersionTLS12}
 		if t.ServerTLS.CA != "" {
-			text, err := os.ReadFile(in(t.ServerTLS.CA))
+			text, err := os.ReadFile(resolve(t.ServerTLS.CA))
 			if err != nil {
 				return c, fmt.Errorf("server_tls.ca: %w", err)
 			}
@@ -369,7 +372,7 @@
 	return c, err
 }
 
-// mysqlUsers reads the file of those who may log in.
+// mysqlUsers reads the file of the users who may log in.
 func mysqlUsers(path string) ([]proxy.User, error) {
 	var f struct {
 		Users []struct {
@@ -391,16 +394,16 @@
 	var users []proxy.User
 	for _, u := range f.Users {
 		user := proxy.User{Name: u.Name, Schemas: u.Schemas, Salted: u.Salted}
-		wrong := func(key string, err error) error { return fmt.Errorf("%s: %q: %s: %w", path, u.Name, key, err) }
+		fail := func(key string, err error) error { return fmt.Errorf("%s: %q: %s: %w", path, u.Name, key, err) }
 		hashes := u.Native != "" || u.SHA2 != ""
 		switch {
 		case u.Password != nil && (hashes || u.Salted != ""), u.Salted != "" && hashes:
-			return nil, wrong("password", errors.New("it is told in two ways"))
+			return nil, fail("password", errors.New("it is told in two ways"))
 		case u.Password != nil:
 			user.Password = wire.Keep(*u.Password)
 		case u.Salted != "":
 		case !hashes:
-			return nil, wrong("password", errors.New("neither password, salted, native nor sha2 is set"))
+			return nil, fail("password", errors.New("neither password, salted, native nor sha2 is set"))
 		}
 		for _, h := range []struct {
 			key, text string
@@ -411,7 +414,7 @@
 			}
 			b, err := hex.DecodeString(h.text)
 			if err != nil || len(b) != len(h.to) {
-				return nil, wrong(h.key, fmt.Errorf("%d bytes in hex are wanted", len(h.to)))
+				return nil, fail(h.key, fmt.Errorf("%d bytes in hex are required", len(h.to)))
 			}
 			copy(h.to, b)
 		}
@@ -420,7 +423,8 @@
 	return users, nil
 }
 
-// services reads all tables of pools and what listens for them, and the files that they name in dir.
+// services converts the tables of pools and of the services that use them, and reads the files that
+// they name. Relative paths start from dir.
 func (f *operatorFile) services(dir string) (Services, error) {
 	var s Services
 	seen := map[string]bool{}
@@ -436,7 +440,7 @@
 		s.Pools = append(s.Pools, p)
 	}
 	names, listens := map[string]bool{}, map[string]bool{}
-	once := func(name, listen string) error {
+	checkUnique := func(name, listen string) error {
 		if names[name] {
 			return errors.New("name: another service has it")
 		}
@@ -449,7 +453,7 @@
 	for i := range f.HTTP {
 		c, err := f.HTTP[i].http()
 		if err == nil {
-			err = once(c.Name, c.Listen)
+			err = checkUnique(c.Name, c.Listen)
 		}
 		if err != nil {
 			return s, fmt.Errorf("[[http]] %s: %w", displayName(f.HTTP[i].Name, i), err)
@@ -459,7 +463,7 @@
 	for i := range f.Streams {
 		c, err := f.Streams[i].stream(s.Pools)
 		if err == nil {
-			err = once(c.Name, c.Listen)
+			err = checkUnique(c.Name, c.Listen)
 		}
 		if err != nil {
 			return s, fmt.Errorf("[[streams]] %s: %w", displayName(f.Streams[i].Name, i), err)
@@ -469,7 +473,7 @@
 	for i := range f.MySQL {
 		c, err := f.MySQL[i].service(s.Pools, dir)
 		if err == nil {
-			err = once(c.Name, c.Listen)
+			err = checkUnique(c.Name, c.Listen)
 		}
 		if err != nil {
 			return s, fmt.Errorf("[[mysql]] %s: %w", displayName(f.MySQL[i].Name, i), err)
@@ -479,6 +483,7 @@
 	return s, nil
 }
 
+// displayName returns the name of a table for messages: its position if it has no name.
 func displayName(name string, i int) string {
 	if name == "" {
 		return fmt.Sprintf("number %d", i+1)
--- a/internal/config/services_test.go
+++ b/internal/config/services_test.go
@@ -12,7 +12,7 @@
 	"quillfront/internal/mysql/wire"
 )
 
-// TestServices: the services of the file that the repository ships.
+// TestServices checks the services of the operator's file in the repository.
 func TestServices(t *testing.T) {
 	o, err := LoadOperator(filepath.Join("..", "..", "deploy", "quillfront.toml"))
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestPageOfRoutes: the configurations of the operators' page are whole.
+// TestPageOfRoutes checks that the example configurations on the operators' page are complete.
 func TestPageOfRoutes(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "operate", "routes.md"))
 	if err != nil {
@@ -47,15 +47,16 @@
 	for i, block := range append(blocks, string(example)) {
 		text, _, _ := strings.Cut(block, "```")
 		if o, err := parseOperator(text, t.TempDir()); err != nil || len(o.HTTP) != 1 || len(o.Routes) == 0 {
-			t.Errorf("number %d: %v", i+1, err)
+			t.Errorf("configuration %d: %v", i+1, err)
 		}
 	}
 	if len(blocks) != 2 {
-		t.Errorf("%d configurations on the page", len(blocks))
+		t.Errorf("%d configurations on the page, want 2", len(blocks))
 	}
 }
 
-// TestShow: what is shown of a file means what the file does, and is shown again as it stands.
+// TestShow checks that the output of Show has the same meaning as the file, and that Show of its
+// own output leaves it unchanged.
 func TestShow(t *testing.T) {
 	for _, path := range []string{filepath.Join("..", "..", "deploy", "quillfront.toml"), filepath.Join("..", "..", "examples", "two-servers.toml")} {
 		want, err := LoadOperator(path)
@@ -78,7 +79,7 @@
 			t.Fatalf("%v in\n%s", err, text)
 		}
 		if again, err := Show(shown); err != nil || again != text {
-			t.Errorf("%s: shown again it is\n%s\nand was\n%s", path, again, text)
+			t.Errorf("%s: Show of its own output is\n%s\nwant\n%s", path, again, text)
 		}
 		for i, p := range want.Pools {
 			p.Seed = got.Pools[i].Seed
@@ -91,11 +92,12 @@
 		}
 	}
 	if _, err := Show("none"); err == nil {
-		t.Error("a file that is not there is shown")
+		t.Error("Show accepted a file that does not exist")
 	}
 }
 
-// TestBadServices: what cannot be used is named.
+// TestBadServices checks that the error for an invalid table names the table and the key, in one
+// line.
 func TestBadServices(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) {
--- a/internal/config/show.go
+++ b/internal/config/show.go
@@ -11,11 +11,11 @@
 	"quillfront/routes"
 )
 
-// MarshalText is the method of encoding.TextMarshaler.
+// MarshalText implements encoding.TextMarshaler.
 func (d duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Show returns the operator's file at path as it counts: with what it leaves out filled in, and nothing that other files hold. What cannot
-// be used is an error, as at a start.
+// Show returns the effective operator's file at path: with the defaults of the keys that it leaves
+// out, and without the contents of other files. A file that LoadOperator rejects is an error.
 func Show(path string) (string, error) {
 	if _, err := LoadOperator(path); err != nil {
 		return "", err
@@ -28,7 +28,7 @@
 	if _, err := toml.Decode(string(text), &f); err != nil {
 		return "", err
 	}
-	if err := f.fill(); err != nil {
+	if err := f.setDefaults(); err != nil {
 		return "", err
 	}
 	var b strings.Builder
@@ -40,7 +40,7 @@
 	return dropEmptyKeys(b.String()), nil
 }
 
-// dropEmptyKeys takes out the lines that tell nothing: those of keys that are empty.
+// dropEmptyKeys removes the lines of keys whose value is an empty string or list.
 func dropEmptyKeys(text string) string {
 	var b strings.Builder
 	for line := range strings.Lines(text) {
@@ -52,8 +52,8 @@
 	return strings.TrimLeft(b.String(), "\n")
 }
 
-// fill fills in what the file leaves out.
-func (f *operatorFile) fill() error {
+// setDefaults sets the defaults of all keys that the file leaves out.
+func (f *operatorFile) setDefaults() error {
 	if f.Process == nil {
 		f.Process = &processTable{}
 	}
@@ -77,7 +77,7 @@
 		}
 	}
 	for i := range f.Pools {
-		f.Pools[i].fill()
+		f.Pools[i].setDefaults()
 	}
 	for i := range f.Streams {
 		t := &f.Streams[i]
@@ -100,12 +100,13 @@
 		t.Drain, t.Patience = duration(c.Drain), duration(c.Patience)
 	}
 	for i := range f.Routes {
-		f.Routes[i].fill()
+		f.Routes[i].setDefaults()
 	}
 	return nil
 }
 
-func (t *poolTable) fill() {
+// setDefaults sets the defaults of the table.
+func (t *poolTable) setDefaults() {
 	c, _ := t.pool("")
 	c = c.WithDefaults()
 	t.Attempts, t.Dial, t.Idle, t.RetryAfter, t.Ramp = c.Attempts, duration(c.Dial), duration(c.Idle), duration(c.RetryAfter), duration(c.Ramp)
@@ -117,7 +118,8 @@
 	}
 }
 
-func (t *routeTable) fill() {
+// setDefaults sets the defaults of the table.
+func (t *routeTable) setDefaults() {
 	t.Effect = cmp.Or(t.Effect, "by-method")
 	a, _, _ := t.Answers.answers()
 	a, err := a.WithDefaults()
