--- a/store/compact.go
+++ b/store/compact.go
@@ -8,32 +8,34 @@
 	"time"
 )
 
-// compactEvery is how often the store looks whether there is something to compact.
-const compactEvery = time.Second
+// compactInterval is how often the store checks whether compaction is worthwhile.
+const compactInterval = time.Second
 
-// reserve is the room that only compaction may use, under mu: what it copies of a segment before the segment goes.
-func (s *Store) reserve() int64 {
-	return min(s.o.SegmentBytes, s.o.MaxBytes/4)
+// compactionReserve returns the number of bytes that only compaction may use: the space for its
+// copies of a segment's records until the segment is removed. The caller holds mu.
+func (s *Store) compactionReserve() int64 {
+	return min(s.options.SegmentBytes, s.options.MaxBytes/4)
 }
 
-// wasteful reports whether compaction is worth its writes, under mu: half of what the store may hold is taken, and a third of that is
-// dead. A segment that goes then has on average cost twice its live part at the most.
-func (s *Store) wasteful() bool {
+// shouldCompact reports whether compaction is worth its writes: more than half of the permitted
+// bytes are used, and more than a third of those are dead. On average, freeing a byte then costs
+// copying at most two live ones. The caller holds mu.
+func (s *Store) shouldCompact() bool {
 	var live int64
 	for _, g := range s.segments {
-		live += g.live
+		live += g.liveBytes
 	}
-	bytes := s.bytes()
-	return len(s.segments) > 1 && 2*bytes > s.o.MaxBytes && 3*live < 2*bytes
+	bytes := s.totalBytes()
+	return len(s.segments) > 1 && 2*bytes > s.options.MaxBytes && 3*live < 2*bytes
 }
 
-// compactor compacts beside writes until the store closes.
-func (s *Store) compactor() {
-	tick := time.NewTicker(compactEvery)
+// runCompactor compacts in the background until the store closes.
+func (s *Store) runCompactor() {
+	tick := time.NewTicker(compactInterval)
 	defer tick.Stop()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s.work.Go(func() {
+	s.workers.Go(func() {
 		<-s.stop
 		cancel()
 	})
@@ -45,65 +47,69 @@
 		}
 		for ctx.Err() == nil {
 			s.mu.Lock()
-			wasteful := s.wasteful()
+			worthwhile := s.shouldCompact()
 			s.mu.Unlock()
-			if !wasteful || s.compactFront(ctx, s.o.CompactRate) != nil { // an error shows at the next write as well
+			if !worthwhile || s.compactOldest(ctx, s.options.CompactRate) != nil {
+				// The next write fails with a persistent error as well.
 				break
 			}
 		}
 	}
 }
 
-// Compact copies what is live in the oldest segment behind the latest record and takes the segment away, one segment after the
-// other, until it has come to the ones that were begun meanwhile. It runs beside writes.
+// Compact copies the live records of the oldest segment to the end of the log and removes the
+// segment. It repeats this for each segment that existed when it was called. Writes continue
+// meanwhile.
 func (s *Store) Compact(ctx context.Context) error {
 	s.mu.Lock()
-	until := s.seq
+	until := s.lastSeq
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
-		over := len(s.segments) < 2 || s.segments[1].first > until
+		done := len(s.segments) < 2 || s.segments[1].firstSeq > until
 		s.mu.Unlock()
-		if over {
+		if done {
 			return nil
 		}
-		if err := s.compactFront(ctx, 0); err != nil {
+		if err := s.compactOldest(ctx, 0); err != nil {
 			return err
 		}
 	}
 }
 
-// compactFront compacts the oldest segment, at no more than rate bytes a second; 0 is no bound. The segment goes only once all
-// copies are durable: after a cut there are both, and the copy counts as it is the later one. A key that is removed in a
-// segment that goes has its earlier values there too, or in one that went before.
-func (s *Store) compactFront(ctx context.Context, rate int64) error {
-	s.compacting.Lock()
-	defer s.compacting.Unlock()
+// compactOldest compacts the oldest segment at no more than rate bytes per second; 0 is no limit.
+// It removes the segment only once all copies are durable. After a crash in between both exist, and
+// the copy takes precedence as the later record. Deletions need no copies: the earlier values of
+// their keys are in the same segment or in one that was removed before.
+func (s *Store) compactOldest(ctx context.Context, rate int64) error {
+	s.compactMu.Lock()
+	defer s.compactMu.Unlock()
 	s.mu.Lock()
 	if s.closed || len(s.segments) < 2 {
 		s.mu.Unlock()
 		return nil
 	}
-	g, next := s.segments[0], s.segments[1].first
+	g, next := s.segments[0], s.segments[1].firstSeq
 	s.mu.Unlock()
-	b, err := s.readAll(g)
+	b, err := s.readSegment(g)
 	if err != nil {
 		return err
 	}
-	seq := g.first - 1
-	for offset := headerSize; offset < len(b) && seq+1 < next; { // what stands behind was given up, and written anew
-		r, err := parse(b[offset:])
+	seq := g.firstSeq - 1
+	for offset := segmentHeaderSize; offset < len(b) && seq+1 < next; {
+		// Bytes after record next-1 were abandoned and written again to the next segment.
+		r, err := parseRecord(b[offset:])
 		if err != nil {
 			return &CorruptError{g.name, int64(offset), err}
 		}
 		seq = r.seq
-		took, err := s.copyOver(g, &r, offset)
+		copied, err := s.copyIfLive(g, &r, offset)
 		if err != nil {
 			return err
 		}
 		offset += r.size()
-		if took > 0 && rate > 0 {
-			pause := time.NewTimer(time.Duration(int64(took) * int64(time.Second) / rate))
+		if copied > 0 && rate > 0 {
+			pause := time.NewTimer(time.Duration(int64(copied) * int64(time.Second) / rate))
 			select {
 			case <-pause.C:
 			case <-ctx.Done():
@@ -119,22 +125,22 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || len(s.segments) < 2 || s.segments[0] != g { // it has expired meanwhile
+	if s.closed || len(s.segments) < 2 || s.segments[0] != g { // expired meanwhile
 		return nil
 	}
-	if g.live > 0 {
-		return fmt.Errorf("store: %s: %d bytes of it are still live", g.name, g.live)
+	if g.liveBytes > 0 {
+		return fmt.Errorf("store: %s: %d bytes are still live after compaction", g.name, g.liveBytes)
 	}
 	if err := s.fs.Remove(g.name); err != nil && !notExist(err) {
 		return fmt.Errorf("store: %w", err)
 	}
-	s.fs.Remove(hintName(g)) // one that stays is taken away by the next Open
+	s.fs.Remove(hintName(g)) // best effort: the next Open removes a leftover hint
 	s.segments = s.segments[1:]
 	return nil
 }
 
-// readAll reads a segment that is written no more.
-func (s *Store) readAll(g *segment) ([]byte, error) {
+// readSegment reads a closed segment.
+func (s *Store) readSegment(g *segment) ([]byte, error) {
 	f, err := s.fs.Open(g.name)
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
@@ -147,25 +153,26 @@
 	return b, nil
 }
 
-// copyOver copies a record of g if it is the latest of its key and not past the retention, and returns how much it wrote.
-func (s *Store) copyOver(g *segment, r *record, offset int) (took int, err error) {
+// copyIfLive copies a record of g if it is the latest of its key and has not expired. It returns
+// the number of bytes written.
+func (s *Store) copyIfLive(g *segment, r *record, offset int) (copied int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	key := s.id(r.key)
+	key := s.hashKey(r.key)
 	p, ok := s.index[key]
-	if !ok || p.in != g || int(p.offset) != offset {
+	if !ok || p.segment != g || int(p.offset) != offset {
 		return 0, nil
 	}
-	if p.at < s.oldest() {
+	if p.valueTime < s.expiryCutoff() {
 		delete(s.index, key)
-		g.live -= int64(p.size)
+		g.liveBytes -= int64(p.size)
 		return 0, nil
 	}
-	if _, err := s.appendRecord(record{kind: copied, first: p.at, key: r.key, value: r.value}); err != nil {
+	if _, err := s.appendRecord(record{kind: kindCopy, originalTime: p.valueTime, key: r.key, value: r.value}); err != nil {
 		if errors.Is(err, ErrFull) {
 			return 0, fmt.Errorf("compaction: %w", err)
 		}
 		return 0, err
 	}
-	return r.size() + copiedHead, nil
+	return r.size() + copyPrefixSize, nil
 }
--- a/store/fs.go
+++ b/store/fs.go
@@ -10,48 +10,56 @@
 	"syscall"
 )
 
-// FS is what a store needs of a file system, in one directory. Names have no slashes. Nothing is durable before it was
-// synced: a file's bytes by File.Sync, and the creation, removal or renaming of names by SyncDir.
+// FS is the access to one directory that a store needs. Names contain no slashes. Changes are
+// durable only once they are synced: File.Sync syncs the bytes of a file, and SyncDir the creation,
+// removal or renaming of files.
 type FS interface {
-	// Create makes a new, empty file for writing. It fails if there is one of that name.
+	// Create creates an empty file for writing. It fails if the file exists.
 	Create(name string) (File, error)
-	// Append opens a file to write behind its first size bytes; what it holds beyond them is cut off.
+	// Append truncates an existing file to size bytes and opens it for writing at its end.
 	Append(name string, size int64) (File, error)
 	// Open opens a file for reading.
 	Open(name string) (Reader, error)
+	// Remove removes a file.
 	Remove(name string) error
-	// List returns the names of all files, in order.
+	// List returns the names of all files, sorted.
 	List() ([]string, error)
+	// SyncDir makes the creation, removal and renaming of files durable.
 	SyncDir() error
-	// Lock keeps other processes out until the lock is closed. It fails with ErrLocked if one is in.
+	// Lock takes an exclusive lock, which is released when the result is closed. It fails with
+	// ErrLocked if another process holds the lock.
 	Lock(name string) (io.Closer, error)
 }
 
-// File is a file that is written from its front to its end.
+// File is a file that is written sequentially.
 type File interface {
 	io.WriteCloser
+	// Sync makes the bytes written so far durable.
 	Sync() error
 }
 
-// allocator is a File that can set room aside ahead of its writes, so that they need none and its length stays.
+// allocator is implemented by a File that can allocate space in advance, so that later writes need
+// no space and do not change the file's length.
 type allocator interface {
-	// Allocate makes the file size bytes long: what is not written is zeros. It fails if there is no room.
+	// Allocate extends the file to size bytes, of which those not yet written are zeros. It fails
+	// if there is not enough space.
 	Allocate(size int64) error
-	// Truncate ends the file behind its first size bytes.
+	// Truncate truncates the file to size bytes.
 	Truncate(size int64) error
 }
 
-// Reader is a file that is read.
+// Reader is a file that is open for reading.
 type Reader interface {
 	io.ReaderAt
 	io.Closer
+	// Size returns the file's length in bytes.
 	Size() (int64, error)
 }
 
-// ErrLocked tells that another process holds the store.
-var ErrLocked = errors.New("store: another process has it open")
+// ErrLocked reports that another process has the store open.
+var ErrLocked = errors.New("store: locked by another process")
 
-// Dir returns the file system of a directory of the machine, which must exist.
+// Dir returns an FS for an existing directory of the local file system.
 func Dir(path string) FS { return dir(path) }
 
 type dir string
@@ -142,8 +150,8 @@
 		}
 		return nil, err
 	}
-	return f, nil // closing it unlocks
+	return f, nil // closing the file releases the lock
 }
 
-// notExist reports whether err says that there is no such file.
+// notExist reports whether err means that a file does not exist.
 func notExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
--- a/store/hint.go
+++ b/store/hint.go
@@ -9,54 +9,59 @@
 	"strings"
 )
 
-// A hint file stands beside a segment that is written no more, under its name with hintSuffix. It holds what the index
-// needs of each of the segment's records, so that Open need not read the values. All numbers are little endian.
+// A hint file accompanies a closed segment, under the segment's name with hintSuffix. It holds what
+// the index needs of each record, so that Open does not have to read the values. All numbers are
+// little endian.
 //
 //	magic "QFHINTS\x00", uint32 version, uint64 first, uint64 next, uint64 end,
-//	and for each record of the segment with a sequence from first to before next, in order:
-//	    uint8 kind, uint32 size of the record, int64 time, int64 time at which its value was first written, uint16 length of key, key;
-//	uint32 CRC-32C of all before
+//	and for each record of the segment with a sequence from first to next-1, in order:
+//	    uint8 kind, uint32 size of the record, int64 time,
+//	    int64 time at which its value was first written, uint16 length of key, key;
+//	uint32 CRC-32C of all bytes before
 //
-// First is the segment's, next the first sequence of the segment behind it, and end where its records end.
+// First is the first sequence of the segment, next that of the following segment, and end the
+// offset at which the segment's records end.
 //
-// A hint is never more than that: it is not synced, and one that is cut, changed, of another version or not of the segment's
-// present neighbours is passed over, and the segment read. What it spares Open from reading is checked when it is read.
+// Hints are optional and not synced. A hint that is truncated, corrupt, of another version or does
+// not match its segment and the following one is ignored, and the segment is read instead. Values
+// that Open skips because of a hint are verified when they are read.
 const (
-	hintMagic   = "QFHINTS\x00"
-	hintVersion = 1
-	hintSuffix  = ".hint"
-	hintHead    = len(hintMagic) + 4 + 8 + 8 + 8
-	hintEntry   = 1 + 4 + 8 + 8 + 2
+	hintMagic      = "QFHINTS\x00"
+	hintVersion    = 1
+	hintSuffix     = ".hint"
+	hintHeaderSize = len(hintMagic) + 4 + 8 + 8 + 8
+	hintEntrySize  = 1 + 4 + 8 + 8 + 2
 )
 
-func hintName(g *segment) string { return strings.TrimSuffix(g.name, suffix) + hintSuffix }
+func hintName(g *segment) string { return strings.TrimSuffix(g.name, segmentSuffix) + hintSuffix }
 
-// errHint tells that a hint cannot be used.
-var errHint = errors.New("store: the hint cannot be used")
+// errUnusableHint reports that a hint is invalid or does not match its segment.
+var errUnusableHint = errors.New("store: unusable hint")
 
-// hinter writes hints as segments are closed, until the store closes.
-func (s *Store) hinter() {
+// runHintWriter writes the hints of segments as they are closed, until the store closes.
+func (s *Store) runHintWriter() {
 	for {
 		select {
 		case <-s.stop:
 			return
 		case <-s.sealed:
-			s.WriteHints() // a segment without one is read
+			s.WriteHints() // errors are ignored: Open reads a segment that has no hint
 		}
 	}
 }
 
-// WriteHints writes the hints that segments lack. With Options.Hints it is done beside writes.
+// WriteHints writes the missing hints of closed segments. With Options.Hints the store does this in
+// the background.
 func (s *Store) WriteHints() error {
-	s.hinting.Lock()
-	defer s.hinting.Unlock()
+	s.hintMu.Lock()
+	defer s.hintMu.Unlock()
 	for {
 		s.mu.Lock()
 		var g *segment
 		var next uint64
 		for i := 0; i+1 < len(s.segments); i++ {
 			if !s.segments[i].hinted {
-				g, next = s.segments[i], s.segments[i+1].first
+				g, next = s.segments[i], s.segments[i+1].firstSeq
 				break
 			}
 		}
@@ -71,32 +76,32 @@
 	}
 }
 
-// writeHint writes the hint of g, behind which a segment begins with record next.
+// writeHint writes the hint of g. The following segment starts with record next.
 func (s *Store) writeHint(g *segment, next uint64) error {
-	b, err := s.readAll(g)
-	if notExist(err) { // it has expired or was compacted meanwhile
+	b, err := s.readSegment(g)
+	if notExist(err) { // expired or compacted meanwhile
 		err = nil
 	} else if err == nil {
-		b, err = appendHint(nil, g.first, next, b)
+		b, err = appendHint(nil, g.firstSeq, next, b)
 	}
 	if err == nil && b != nil {
-		err = s.replace(hintName(g), b)
+		err = s.replaceFile(hintName(g), b)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g.hinted = true // or it is not worth another try
-	gone := true
+	g.hinted = true // also after an error, so that it is not tried again
+	removed := true
 	for _, h := range s.segments {
-		gone = gone && h != g
+		removed = removed && h != g
 	}
-	if gone {
+	if removed {
 		s.fs.Remove(hintName(g))
 	}
 	return err
 }
 
-// replace writes a file whole, in place of one of that name.
-func (s *Store) replace(name string, b []byte) error {
+// replaceFile writes a file with the contents b and replaces an existing one of that name.
+func (s *Store) replaceFile(name string, b []byte) error {
 	if err := s.fs.Remove(name); err != nil && !notExist(err) {
 		return fmt.Errorf("store: %w", err)
 	}
@@ -112,81 +117,82 @@
 	return nil
 }
 
-// appendHint appends the hint of a segment whose bytes are given.
-func appendHint(to []byte, first, next uint64, b []byte) ([]byte, error) {
-	from := len(to)
-	to = append(to, hintMagic...)
-	to = binary.LittleEndian.AppendUint32(to, hintVersion)
-	to = binary.LittleEndian.AppendUint64(to, first)
-	to = binary.LittleEndian.AppendUint64(to, next)
-	to = binary.LittleEndian.AppendUint64(to, 0) // the end, below
-	offset := headerSize
+// appendHint appends the hint of the segment with the contents b to dst.
+func appendHint(dst []byte, first, next uint64, b []byte) ([]byte, error) {
+	from := len(dst)
+	dst = append(dst, hintMagic...)
+	dst = binary.LittleEndian.AppendUint32(dst, hintVersion)
+	dst = binary.LittleEndian.AppendUint64(dst, first)
+	dst = binary.LittleEndian.AppendUint64(dst, next)
+	dst = binary.LittleEndian.AppendUint64(dst, 0) // end, which is set below
+	offset := segmentHeaderSize
 	for seq := first; seq < next; seq++ {
-		r, err := parse(b[min(offset, len(b)):])
+		r, err := parseRecord(b[min(offset, len(b)):])
 		if err == nil && r.seq != seq {
-			err = errRecord
+			err = errInvalidRecord
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%w: record %d: %w", errHint, seq, err)
+			return nil, fmt.Errorf("%w: record %d: %w", errUnusableHint, seq, err)
 		}
-		to = append(to, byte(r.kind))
-		to = binary.LittleEndian.AppendUint32(to, uint32(r.size()))
-		to = binary.LittleEndian.AppendUint64(to, uint64(r.at))
-		to = binary.LittleEndian.AppendUint64(to, uint64(r.written()))
-		to = binary.LittleEndian.AppendUint16(to, uint16(len(r.key)))
-		to = append(to, r.key...)
+		dst = append(dst, byte(r.kind))
+		dst = binary.LittleEndian.AppendUint32(dst, uint32(r.size()))
+		dst = binary.LittleEndian.AppendUint64(dst, uint64(r.time))
+		dst = binary.LittleEndian.AppendUint64(dst, uint64(r.valueTime()))
+		dst = binary.LittleEndian.AppendUint16(dst, uint16(len(r.key)))
+		dst = append(dst, r.key...)
 		offset += r.size()
 	}
-	binary.LittleEndian.PutUint64(to[from+hintHead-8:], uint64(offset))
-	return binary.LittleEndian.AppendUint32(to, crc32.Checksum(to[from:], castagnoli)), nil
+	binary.LittleEndian.PutUint64(dst[from+hintHeaderSize-8:], uint64(offset))
+	return binary.LittleEndian.AppendUint32(dst, crc32.Checksum(dst[from:], castagnoli)), nil
 }
 
-// hinted is what a hint says of a record.
-type hinted struct {
-	kind        kind
-	size        int
-	at, written int64
-	key         []byte
+// hintEntry is the description of one record in a hint.
+type hintEntry struct {
+	kind            recordKind
+	size            int
+	time, valueTime int64
+	key             []byte
 }
 
-// parseHint reads the hint of a segment that has that many bytes, and calls f with each of its records and where it lies. It
-// calls f only if all of it can be used.
-func parseHint(b []byte, first, next uint64, size int64, f func(h hinted, offset int)) (end int64, err error) {
-	if len(b) < hintHead+4 || string(b[:len(hintMagic)]) != hintMagic ||
+// parseHint parses the hint of a segment of size bytes, and calls f with each entry and the offset
+// of its record. It validates the whole hint before the first call of f.
+func parseHint(b []byte, first, next uint64, size int64, f func(h hintEntry, offset int)) (end int64, err error) {
+	if len(b) < hintHeaderSize+4 || string(b[:len(hintMagic)]) != hintMagic ||
 		crc32.Checksum(b[:len(b)-4], castagnoli) != binary.LittleEndian.Uint32(b[len(b)-4:]) ||
 		binary.LittleEndian.Uint32(b[len(hintMagic):]) != hintVersion ||
 		binary.LittleEndian.Uint64(b[len(hintMagic)+4:]) != first || binary.LittleEndian.Uint64(b[len(hintMagic)+12:]) != next {
-		return 0, errHint
+		return 0, errUnusableHint
 	}
-	end = int64(binary.LittleEndian.Uint64(b[hintHead-8:]))
-	for _, tell := range []bool{false, true} {
-		rest, offset, seq := b[hintHead:len(b)-4], headerSize, first
+	end = int64(binary.LittleEndian.Uint64(b[hintHeaderSize-8:]))
+	for _, report := range []bool{false, true} {
+		rest, offset, seq := b[hintHeaderSize:len(b)-4], segmentHeaderSize, first
 		for ; len(rest) > 0; seq++ {
-			if len(rest) < hintEntry {
-				return 0, errHint
+			if len(rest) < hintEntrySize {
+				return 0, errUnusableHint
 			}
-			h := hinted{
-				kind: kind(rest[0]), size: int(binary.LittleEndian.Uint32(rest[1:])),
-				at: int64(binary.LittleEndian.Uint64(rest[5:])), written: int64(binary.LittleEndian.Uint64(rest[13:])),
+			h := hintEntry{
+				kind: recordKind(rest[0]), size: int(binary.LittleEndian.Uint32(rest[1:])),
+				time: int64(binary.LittleEndian.Uint64(rest[5:])), valueTime: int64(binary.LittleEndian.Uint64(rest[13:])),
 			}
 			n := int(binary.LittleEndian.Uint16(rest[21:]))
-			if len(rest) < hintEntry+n || n == 0 || h.kind < put || h.kind > copied || h.size < recordHead+n {
-				return 0, errHint
+			if len(rest) < hintEntrySize+n || n == 0 || h.kind < kindPut || h.kind > kindCopy || h.size < recordHeaderSize+n {
+				return 0, errUnusableHint
 			}
-			h.key, rest = rest[hintEntry:hintEntry+n], rest[hintEntry+n:]
-			if tell {
+			h.key, rest = rest[hintEntrySize:hintEntrySize+n], rest[hintEntrySize+n:]
+			if report {
 				f(h, offset)
 			}
 			offset += h.size
 		}
 		if int64(offset) != end || end > size || seq != next {
-			return 0, errHint
+			return 0, errUnusableHint
 		}
 	}
 	return end, nil
 }
 
-// loadHint reads the segment's hint into the index, and returns where its records end. With an error nothing was read.
+// loadHint adds the records in the segment's hint to the index, and returns the offset at which
+// they end. If it returns an error, the index is unchanged.
 func (s *Store) loadHint(g *segment, next uint64) (end int64, err error) {
 	f, err := s.fs.Open(hintName(g))
 	if err != nil {
@@ -195,7 +201,7 @@
 	defer f.Close()
 	size, err := f.Size()
 	if err != nil || size > 2<<30 {
-		return 0, errors.Join(err, errHint)
+		return 0, errors.Join(err, errUnusableHint)
 	}
 	b := make([]byte, size)
 	if _, err := io.ReadFull(io.NewSectionReader(f, 0, size), b); err != nil {
@@ -209,5 +215,5 @@
 	if size, err = records.Size(); err != nil {
 		return 0, err
 	}
-	return parseHint(b, g.first, next, size, func(h hinted, offset int) { s.note(h, g, offset) })
+	return parseHint(b, g.firstSeq, next, size, func(h hintEntry, offset int) { s.indexEntry(h, g, offset) })
 }
--- a/store/model_test.go
+++ b/store/model_test.go
@@ -15,7 +15,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		disk, clk := newMemFS(), newClock()
 		options := Options{SegmentBytes: 1 << 10, Now: clk.Now, Hints: true}
-		s, err := prepare(disk, options)
+		s, err := openWithoutWorkers(disk, options)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,7 +38,7 @@
 			t.Fatalf("the state is none from %d to %d: %v", from, len(states)-1, got)
 		}
 		reopen := func() map[string]string {
-			if s, err = prepare(disk, options); err != nil {
+			if s, err = openWithoutWorkers(disk, options); err != nil {
 				t.Fatal(err)
 			}
 			return contentsOf(t, s)
--- a/store/store.go
+++ b/store/store.go
@@ -1,9 +1,11 @@
-// Package store is an embedded store for what must outlast a restart: an append-only log in segments, with a checksum and a
-// sequence in every record, and an index in memory that is rebuilt from it. After any cut it opens to a state that it has
-// had before, which holds everything that was acknowledged as durable, and never a record that was not written.
+// Package store is an embedded key-value store for data that must survive a restart. It is an
+// append-only log split into segments, with a checksum and a sequence number in every record, and
+// an in-memory index that is rebuilt from the log. After a crash or power loss at any point it
+// opens to a state that it had before, which contains every write that was acknowledged as durable
+// and never a record that was not written.
 //
-// It owns the files of one directory, whose format is at record.go, and bounds them and its memory by Options. It imports
-// nothing of the rest of the program.
+// A store owns the files of one directory, whose format is described in record.go. Options limits
+// their size and the memory of the index. The package imports no other package of the program.
 package store
 
 import (
@@ -22,34 +24,35 @@
 	"time"
 )
 
-// Options bounds a store. Zero values take the defaults.
+// Options configures a store. Zero values select the defaults. Writes that exceed MaxBytes or
+// MaxKeys fail with ErrFull.
 type Options struct {
-	SegmentBytes int64            // a segment is closed once it is that long; 4 MiB, at most 1 GiB
-	MaxBytes     int64            // of all segments; 256 MiB. What does not fit gives ErrFull
-	MaxKeys      int              // 1,000,000. One more gives ErrFull
-	Retention    time.Duration    // how long a record is kept; 24 h
-	Grace        time.Duration    // how long after Open nothing expires, in case the clock was wrong when the machine started
-	CompactRate  int64            // bytes a second that compaction may copy beside writes; 0: only Compact compacts
-	Hints        bool             // write a hint for each closed segment, and open by them: values are then checked as they are read
-	SyncEvery    time.Duration    // Buffered writes become durable about that often; 0: when a Synced one comes
-	Now          func() time.Time // time.Now
-}
-
-// The errors of a store, beside those of its file system.
+	SegmentBytes int64            // size at which a segment is closed, up to 1 GiB; default 4 MiB
+	MaxBytes     int64            // limit on the size of all segments; default 256 MiB
+	MaxKeys      int              // limit on the number of keys; default 1,000,000
+	Retention    time.Duration    // how long a record is kept; default 24 h
+	Grace        time.Duration    // time without expiry after Open: the clock may be wrong at boot
+	CompactRate  int64            // bytes/s copied by background compaction; 0: only Compact compacts
+	Hints        bool             // write and open from hints; values are then verified when read
+	SyncEvery    time.Duration    // interval of syncs of Buffered writes; 0: only with Synced ones
+	Now          func() time.Time // default time.Now
+}
+
+// The errors of a store, in addition to those of its file system.
 var (
 	ErrClosed = errors.New("store: closed")
 	ErrFull   = errors.New("store: full")
-	ErrSize   = errors.New("store: the key or the value is too long, or the key is empty")
+	ErrSize   = errors.New("store: key is empty, or key or value is too long")
 )
 
-// CorruptError tells that bytes which were durable are not as they were written.
+// CorruptError reports that durable bytes differ from what was written.
 type CorruptError struct {
 	File   string
 	Offset int64
 	Reason error
 }
 
-// Error names the file and the offset.
+// Error returns the file, the offset and the reason.
 func (e *CorruptError) Error() string {
 	return fmt.Sprintf("store: %s at offset %d: %v", e.File, e.Offset, e.Reason)
 }
@@ -57,103 +60,105 @@
 // Unwrap returns the reason.
 func (e *CorruptError) Unwrap() error { return e.Reason }
 
-// Durability says when a write is acknowledged.
+// Durability determines when a write is acknowledged.
 type Durability int
 
-// The levels.
+// Durability levels.
 const (
-	// Synced writes return once they are durable. Those that wait together share a sync.
+	// Synced writes return once they are durable. Concurrent writers share a sync.
 	Synced Durability = iota
-	// Buffered writes return once the file system has them: they survive the death of the process, and a power cut only
-	// after the next Sync.
+	// Buffered writes return once they are passed to the file system: they survive a crash of the
+	// process, but a power loss only after the next Sync.
 	Buffered
 )
 
-// Store is an open store. Its methods may be called from many goroutines at once.
+// Store is an open store. Its methods are safe for concurrent use.
 type Store struct {
-	fs   FS
-	o    Options
-	lock io.Closer
-
-	mu       sync.Mutex
-	index    map[id]place
-	seeds    [2]maphash.Seed // of ids
-	segments []*segment      // in order of their sequences; the last one is written to
-	out      File            // of the last one; nil: the next write begins a segment
-	seq      uint64          // of the latest record
-	at       int64           // of the latest record: times never run backwards
-	scratch  []byte          // room to write a record
-	pending  []byte          // written since the last sync, to write it again elsewhere should a sync fail
-	opened   time.Time
-	closed   bool
-	failed   error // why the last write could not be made; nil: it could
-
-	stop       chan struct{} // ends work
-	work       sync.WaitGroup
-	compacting sync.Mutex // held by the one that compacts
-	hinting    sync.Mutex // held by the one that writes hints
-	sealed     chan struct{}
-
-	syncing bool       // one syncs, without mu
-	synced  *sync.Cond // told when it has
-	durable uint64     // the latest record known to be durable
-}
-
-// segment is one file. Its records have the sequences from first on.
+	fs      FS
+	options Options
+	lock    io.Closer
+
+	mu         sync.Mutex
+	index      map[keyHash]location
+	seeds      [2]maphash.Seed // of key hashes
+	segments   []*segment      // ordered by sequence number; the last one is active
+	activeFile File            // of the active segment; nil: the next write starts a new segment
+	lastSeq    uint64          // of the latest record
+	lastTime   int64           // Unix nanoseconds of the latest record; never decreases
+	scratch    []byte          // encoding buffer of records
+	unsynced   []byte          // written since the last sync, to rewrite after a failed one
+	openedAt   time.Time
+	closed     bool
+	writeErr   error // error of the last write; nil if it succeeded
+
+	stop      chan struct{} // closed to stop the workers
+	workers   sync.WaitGroup
+	compactMu sync.Mutex    // serializes compactions
+	hintMu    sync.Mutex    // serializes the writing of hints
+	sealed    chan struct{} // signals that a segment was closed
+
+	syncing    bool       // a sync is in progress, without mu
+	syncDone   *sync.Cond // signaled when a sync completes
+	durableSeq uint64     // latest sequence known to be durable
+}
+
+// segment is one file of the log. Its records have consecutive sequences from firstSeq on.
 type segment struct {
-	name  string
-	first uint64
-	size  int64
-	live  int64 // bytes of records that are the latest of their keys
-	last  int64 // time of its latest record
+	name      string
+	firstSeq  uint64
+	size      int64
+	liveBytes int64 // bytes of records that are the latest of their keys
+	lastTime  int64 // of its latest record, in Unix nanoseconds
 
-	hinted bool // it has its hint, or is not to have one
+	hinted bool // its hint is written, or writing it failed and is not retried
 }
 
-// id stands for a key in the index, so that its size does not hang on the keys'. Its seeds are drawn by each process: nobody can
-// choose keys that share one, and of a million keys two do by chance once in 2^89.
-type id [16]byte
+// keyHash identifies a key in the index, so that the size of the index does not depend on the
+// length of the keys. The seeds are random in each process, so that nobody can choose colliding
+// keys. Among a million keys the probability of a chance collision is 2^-89.
+type keyHash [16]byte
 
-func (s *Store) id(key []byte) (i id) {
-	binary.LittleEndian.PutUint64(i[:8], maphash.Bytes(s.seeds[0], key))
-	binary.LittleEndian.PutUint64(i[8:], maphash.Bytes(s.seeds[1], key))
-	return i
+func (s *Store) hashKey(key []byte) (h keyHash) {
+	binary.LittleEndian.PutUint64(h[:8], maphash.Bytes(s.seeds[0], key))
+	binary.LittleEndian.PutUint64(h[8:], maphash.Bytes(s.seeds[1], key))
+	return h
 }
 
-// place is where the latest record of a key lies.
-type place struct {
-	in     *segment
-	at     int64 // when the value was written
-	offset uint32
-	size   uint32
+// location is the position of the latest record of a key.
+type location struct {
+	segment   *segment
+	valueTime int64 // when the value was first written, in Unix nanoseconds
+	offset    uint32
+	size      uint32
 }
 
-const suffix = ".seg"
+const segmentSuffix = ".seg"
 
-func segmentName(first uint64) string { return fmt.Sprintf("%020d%s", first, suffix) }
+func segmentName(first uint64) string { return fmt.Sprintf("%020d%s", first, segmentSuffix) }
 
-// Open opens the store in fs, or makes one. A directory that another process has open gives ErrLocked, files of a newer
-// version ErrVersion, and durable bytes that have changed a *CorruptError; in all cases nothing is changed.
+// Open opens the store in fs, or creates one. It returns ErrLocked if another process has the
+// directory open, ErrVersion if the files are of a newer version, and a *CorruptError if durable
+// bytes have changed. In all these cases it modifies nothing.
 func Open(fs FS, o Options) (*Store, error) {
-	s, err := prepare(fs, o)
+	s, err := openWithoutWorkers(fs, o)
 	if err != nil {
 		return nil, err
 	}
-	if s.o.Hints {
-		s.work.Go(s.hinter)
-		s.tellSealed()
+	if s.options.Hints {
+		s.workers.Go(s.runHintWriter)
+		s.notifySealed()
 	}
-	if s.o.SyncEvery > 0 {
-		s.work.Go(s.batch)
+	if s.options.SyncEvery > 0 {
+		s.workers.Go(s.syncPeriodically)
 	}
-	if s.o.CompactRate > 0 {
-		s.work.Go(s.compactor)
+	if s.options.CompactRate > 0 {
+		s.workers.Go(s.runCompactor)
 	}
 	return s, nil
 }
 
-// prepare opens a store that does nothing by itself.
-func prepare(fs FS, o Options) (*Store, error) {
+// openWithoutWorkers opens a store without its background goroutines.
+func openWithoutWorkers(fs FS, o Options) (*Store, error) {
 	if o.SegmentBytes == 0 {
 		o.SegmentBytes = 4 << 20
 	}
@@ -176,8 +181,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{fs: fs, o: o, opened: o.Now(), lock: lock, index: map[id]place{}, seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}, sealed: make(chan struct{}, 1), stop: make(chan struct{})}
-	s.synced = sync.NewCond(&s.mu)
+	s := &Store{fs: fs, options: o, openedAt: o.Now(), lock: lock, index: map[keyHash]location{}, seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}, sealed: make(chan struct{}, 1), stop: make(chan struct{})}
+	s.syncDone = sync.NewCond(&s.mu)
 	if err := s.recover(); err != nil {
 		lock.Close()
 		return nil, err
@@ -185,17 +190,18 @@
 	return s, nil
 }
 
-// tellSealed wakes the hinter, if there is one.
-func (s *Store) tellSealed() {
+// notifySealed wakes the hint writer, if it runs.
+func (s *Store) notifySealed() {
 	select {
 	case s.sealed <- struct{}{}:
 	default:
 	}
 }
 
-// batch makes durable what was written, every now and then. A sync that fails shows in Err, and at the next write.
-func (s *Store) batch() {
-	tick := time.NewTicker(s.o.SyncEvery)
+// syncPeriodically syncs outstanding writes every Options.SyncEvery. A failed sync is reported by
+// Err and by the next write.
+func (s *Store) syncPeriodically() {
+	tick := time.NewTicker(s.options.SyncEvery)
 	defer tick.Stop()
 	for {
 		select {
@@ -203,7 +209,7 @@
 			return
 		case <-tick.C:
 			s.mu.Lock()
-			behind := s.durable < s.seq
+			behind := s.durableSeq < s.lastSeq
 			s.mu.Unlock()
 			if behind {
 				s.Sync()
@@ -212,8 +218,9 @@
 	}
 }
 
-// recover reads all segments. The first record that is not one ends the log, unless a later record shows that it had
-// been durable: each segment begins only once the one before is durable whole, so that only the last may be cut.
+// recover reads all segments. The first invalid record ends the log, unless a later record proves
+// that it was durable. Only the last segment may be truncated, because a segment is started only
+// once the previous one is durable as a whole.
 func (s *Store) recover() error {
 	names, err := s.fs.List()
 	if err != nil {
@@ -222,52 +229,53 @@
 	hints := map[string]bool{}
 	for _, name := range names {
 		if number, ok := strings.CutSuffix(name, hintSuffix); ok {
-			hints[number+suffix] = true
+			hints[number+segmentSuffix] = true
 		}
-		number, ok := strings.CutSuffix(name, suffix)
+		number, ok := strings.CutSuffix(name, segmentSuffix)
 		if !ok {
 			continue
 		}
 		first, err := strconv.ParseUint(number, 10, 64)
 		if err != nil || segmentName(first) != name {
-			return &CorruptError{name, 0, errors.New("the name is none that this program gives")}
+			return &CorruptError{name, 0, errors.New("invalid segment file name")}
 		}
-		s.segments = append(s.segments, &segment{name: name, first: first})
+		s.segments = append(s.segments, &segment{name: name, firstSeq: first})
 	}
 	for _, g := range s.segments {
 		delete(hints, g.name)
 	}
-	for name := range hints { // their segments were taken away, and they were not
-		s.fs.Remove(strings.TrimSuffix(name, suffix) + hintSuffix)
+	for name := range hints { // hints that were left behind when their segments were removed
+		s.fs.Remove(strings.TrimSuffix(name, segmentSuffix) + hintSuffix)
 	}
 	for i := 0; i < len(s.segments); i++ {
 		g := s.segments[i]
 		next := uint64(math.MaxUint64)
 		if i+1 < len(s.segments) {
-			next = s.segments[i+1].first
+			next = s.segments[i+1].firstSeq
 		}
-		end, err := s.load(g, next)
+		end, err := s.loadSegment(g, next)
 		if err != nil {
 			return err
 		}
 		g.size = end
-		if next != math.MaxUint64 && next != s.seq+1 {
-			return &CorruptError{g.name, end, fmt.Errorf("records %d to %d are missing", s.seq+1, next-1)}
+		if next != math.MaxUint64 && next != s.lastSeq+1 {
+			return &CorruptError{g.name, end, fmt.Errorf("records %d to %d are missing", s.lastSeq+1, next-1)}
 		}
 	}
-	if n := len(s.segments); n > 0 && s.segments[n-1].size == 0 { // cut before its header was durable
+	if n := len(s.segments); n > 0 && s.segments[n-1].size == 0 {
+		// Truncated before its header was durable.
 		if err := s.fs.Remove(s.segments[n-1].name); err != nil {
 			return fmt.Errorf("store: %w", err)
 		}
 		s.segments = s.segments[:n-1]
 	}
-	s.durable = s.seq
-	return s.resume()
+	s.durableSeq = s.lastSeq
+	return s.openActive()
 }
 
-// resume opens the last segment for writing behind its last record, and makes durable what was read: it may not be so yet,
-// as what the process before had not synced can be read though a power cut would lose it.
-func (s *Store) resume() error {
+// openActive opens the last segment for writing after its last record, and syncs it: records that
+// the previous process had not synced can be read, but a power loss would still lose them.
+func (s *Store) openActive() error {
 	if len(s.segments) == 0 {
 		return nil
 	}
@@ -283,17 +291,18 @@
 		out.Close()
 		return fmt.Errorf("store: %w", err)
 	}
-	s.out = out
+	s.activeFile = out
 	return nil
 }
 
-// load reads a segment into the index, up to the first record of the next one, and returns where its records end; 0 if
-// not even its header is there. What stands at and behind that record was given up after a failure and written anew.
-func (s *Store) load(g *segment, next uint64) (end int64, err error) {
+// loadSegment reads a segment into the index, up to the first record of the next segment, and
+// returns the offset at which its records end, or 0 if its header is incomplete. Records from that
+// one on were abandoned in this segment after a failure, and written again to the next one.
+func (s *Store) loadSegment(g *segment, next uint64) (end int64, err error) {
 	last := next == math.MaxUint64
-	if s.o.Hints && !last {
+	if s.options.Hints && !last {
 		if end, err := s.loadHint(g, next); err == nil {
-			g.hinted, s.seq = true, next-1
+			g.hinted, s.lastSeq = true, next-1
 			return end, nil
 		}
 	}
@@ -307,86 +316,87 @@
 		return 0, fmt.Errorf("store: %w", err)
 	}
 	if size > 2<<30 {
-		return 0, &CorruptError{g.name, 0, errRecord}
+		return 0, &CorruptError{g.name, 0, errInvalidRecord}
 	}
 	b := make([]byte, size)
 	if _, err := io.ReadFull(io.NewSectionReader(f, 0, size), b); err != nil {
 		return 0, fmt.Errorf("store: %s: %w", g.name, err)
 	}
-	first, err := parseHeader(b)
+	first, err := parseSegmentHeader(b)
 	switch {
 	case errors.Is(err, ErrVersion):
 		return 0, fmt.Errorf("%s: %w", g.name, err)
-	case err != nil && last && !anyRecord(b, g.first+1):
+	case err != nil && last && !hasLaterRecord(b, g.firstSeq+1):
 		return 0, nil
 	case err != nil:
 		return 0, &CorruptError{g.name, 0, err}
-	case first != g.first:
-		return 0, &CorruptError{g.name, 0, fmt.Errorf("it begins with record %d", first)}
+	case first != g.firstSeq:
+		return 0, &CorruptError{g.name, 0, fmt.Errorf("the header names record %d as the first", first)}
 	}
-	seq := g.first - 1
-	offset := headerSize
+	seq := g.firstSeq - 1
+	offset := segmentHeaderSize
 	for offset < len(b) && seq+1 < next {
-		r, err := parse(b[offset:])
+		r, err := parseRecord(b[offset:])
 		if err == nil && r.seq != seq+1 {
-			err = fmt.Errorf("record %d stands where %d belongs", r.seq, seq+1)
+			err = fmt.Errorf("sequence number %d instead of %d", r.seq, seq+1)
 		}
 		if err != nil {
-			if !last || anyRecord(b[offset:], seq+2) {
+			if !last || hasLaterRecord(b[offset:], seq+2) {
 				return 0, &CorruptError{g.name, int64(offset), err}
 			}
-			break // the cut
+			break // the truncated end
 		}
 		seq = r.seq
-		s.apply(r, g, offset)
+		s.indexRecord(r, g, offset)
 		offset += r.size()
 	}
-	s.seq = max(seq, g.first-1)
+	s.lastSeq = max(seq, g.firstSeq-1)
 	return int64(offset), nil
 }
 
-// anyRecord reports whether a whole record with a sequence of at least least stands anywhere in b that says that what
-// was before it had been durable. Such a record follows a bit that has flipped, never a cut.
-func anyRecord(b []byte, least uint64) bool {
+// hasLaterRecord reports whether b contains, at any offset, a valid record with a sequence of at
+// least minSeq that states that the records before it were durable. Such a record can follow a
+// flipped bit, but never a truncated end.
+func hasLaterRecord(b []byte, minSeq uint64) bool {
 	end := len(b)
-	for end > 0 && b[end-1] == 0 { // none begins in what is all zeros
+	for end > 0 && b[end-1] == 0 { // no record starts within trailing zeros
 		end--
 	}
-	for i := 0; i < end && i+recordHead <= len(b); i++ {
-		if r, err := parse(b[i:]); err == nil && r.seq >= least && r.durable+1 >= least {
+	for i := 0; i < end && i+recordHeaderSize <= len(b); i++ {
+		if r, err := parseRecord(b[i:]); err == nil && r.seq >= minSeq && r.durableSeq+1 >= minSeq {
 			return true
 		}
 	}
 	return false
 }
 
-// apply notes a record that lies in g at offset.
-func (s *Store) apply(r record, g *segment, offset int) {
-	s.note(hinted{r.kind, r.size(), r.at, r.written(), r.key}, g, offset)
+// indexRecord adds a record at offset of g to the index.
+func (s *Store) indexRecord(r record, g *segment, offset int) {
+	s.indexEntry(hintEntry{r.kind, r.size(), r.time, r.valueTime(), r.key}, g, offset)
 }
 
-// note notes what h says of a record that lies in g at offset.
-func (s *Store) note(h hinted, g *segment, offset int) {
-	s.at, g.last = max(s.at, h.at), max(g.last, h.at)
-	key := s.id(h.key)
+// indexEntry adds the record that h describes, at offset of g, to the index.
+func (s *Store) indexEntry(h hintEntry, g *segment, offset int) {
+	s.lastTime, g.lastTime = max(s.lastTime, h.time), max(g.lastTime, h.time)
+	key := s.hashKey(h.key)
 	if old, ok := s.index[key]; ok {
-		old.in.live -= int64(old.size)
+		old.segment.liveBytes -= int64(old.size)
 	}
-	if h.kind == remove {
+	if h.kind == kindDelete {
 		delete(s.index, key)
 		return
 	}
-	s.index[key] = place{g, h.written, uint32(offset), uint32(h.size)}
-	g.live += int64(h.size)
+	s.index[key] = location{g, h.valueTime, uint32(offset), uint32(h.size)}
+	g.liveBytes += int64(h.size)
 }
 
-// Put writes a value under a key.
-func (s *Store) Put(key, value []byte, d Durability) error { return s.write(put, key, value, d) }
+// Put stores value under key.
+func (s *Store) Put(key, value []byte, d Durability) error { return s.write(kindPut, key, value, d) }
 
-// Delete takes a key out. It is no error if there is none.
-func (s *Store) Delete(key []byte, d Durability) error { return s.write(remove, key, nil, d) }
+// Delete removes a key. It is not an error if the key does not exist.
+func (s *Store) Delete(key []byte, d Durability) error { return s.write(kindDelete, key, nil, d) }
 
-func (s *Store) write(k kind, key, value []byte, d Durability) error {
+func (s *Store) write(k recordKind, key, value []byte, d Durability) error {
 	if len(key) == 0 || len(key) > MaxKeySize || len(value) > MaxValueSize {
 		return ErrSize
 	}
@@ -399,77 +409,80 @@
 	return s.syncTo(seq)
 }
 
-// appendRecord appends a record under mu, which gives it its sequence and time.
+// appendRecord appends a record and sets its sequence and time. The caller holds mu.
 func (s *Store) appendRecord(r record) (seq uint64, err error) {
 	if s.closed {
 		return 0, ErrClosed
 	}
-	s.expire()
-	most := s.o.MaxBytes
-	if r.kind != copied { // which frees more than it takes
-		most -= s.reserve()
-		if _, there := s.index[s.id(r.key)]; !there && r.kind == put && len(s.index) >= s.o.MaxKeys {
+	s.removeExpired()
+	limit := s.options.MaxBytes
+	if r.kind != kindCopy { // copies may use the reserve: compaction frees more than it writes
+		limit -= s.compactionReserve()
+		if _, exists := s.index[s.hashKey(r.key)]; !exists && r.kind == kindPut && len(s.index) >= s.options.MaxKeys {
 			return 0, fmt.Errorf("%w: %d keys", ErrFull, len(s.index))
 		}
 	}
-	r.seq, r.at, r.durable = s.seq+1, max(s.at, s.now()), s.durable
-	if s.bytes()+int64(r.size()+headerSize) > most {
-		return 0, fmt.Errorf("%w: %d bytes", ErrFull, s.bytes())
+	r.seq, r.time, r.durableSeq = s.lastSeq+1, max(s.lastTime, s.now()), s.durableSeq
+	if s.totalBytes()+int64(r.size()+segmentHeaderSize) > limit {
+		return 0, fmt.Errorf("%w: %d bytes", ErrFull, s.totalBytes())
 	}
-	g, err := s.room(r.size())
+	g, err := s.segmentFor(r.size())
 	if err != nil {
-		s.failed = err
+		s.writeErr = err
 		return 0, err
 	}
 	b := r.appendTo(s.scratch[:0])
 	s.scratch = b
-	if _, err := s.out.Write(b); err != nil {
-		s.failed = err
-		s.abandon()
+	if _, err := s.activeFile.Write(b); err != nil {
+		s.writeErr = err
+		s.abandonActive()
 		return 0, fmt.Errorf("store: %w", err)
 	}
-	s.failed = nil
-	s.pending = append(s.pending, b...)
-	s.seq = r.seq
-	s.apply(r, g, int(g.size))
+	s.writeErr = nil
+	s.unsynced = append(s.unsynced, b...)
+	s.lastSeq = r.seq
+	s.indexRecord(r, g, int(g.size))
 	g.size += int64(len(b))
 	return r.seq, nil
 }
 
-// bytes is how long all segments are.
-func (s *Store) bytes() (n int64) {
+// totalBytes returns the size of all segments.
+func (s *Store) totalBytes() (n int64) {
 	for _, g := range s.segments {
 		n += g.size
 	}
 	return n
 }
 
-// room returns a segment with room for n bytes. The one before it is made durable first.
-func (s *Store) room(n int) (*segment, error) {
-	if s.out != nil {
+// segmentFor returns a segment with space for n bytes. A full segment is synced before the next one
+// is started.
+func (s *Store) segmentFor(n int) (*segment, error) {
+	if s.activeFile != nil {
 		g := s.segments[len(s.segments)-1]
-		if g.size+int64(n) <= s.o.SegmentBytes {
+		if g.size+int64(n) <= s.options.SegmentBytes {
 			return g, nil
 		}
-		if err := s.out.Sync(); err != nil {
-			s.abandon()
+		if err := s.activeFile.Sync(); err != nil {
+			s.abandonActive()
 			return nil, fmt.Errorf("store: %w", err)
 		}
-		s.durable, s.pending = s.seq, s.pending[:0]
-		if a, ok := s.out.(allocator); ok {
-			a.Truncate(g.size) // else zeros stay: they are never read
+		s.durableSeq, s.unsynced = s.lastSeq, s.unsynced[:0]
+		if a, ok := s.activeFile.(allocator); ok {
+			a.Truncate(g.size) // best effort: if it fails, zeros remain and are never read
 		}
-		s.out.Close()
-		s.out = nil
+		s.activeFile.Close()
+		s.activeFile = nil
 	}
-	return s.begin()
+	return s.startSegment()
 }
 
-// begin begins a segment, with what has been written since the last sync if a sync has failed.
-func (s *Store) begin() (*segment, error) {
-	first := s.durable + 1
-	g := &segment{name: segmentName(first), first: first, last: s.at}
-	if n := len(s.segments); n > 0 && s.segments[n-1].first == first { // nothing of it was ever durable
+// startSegment starts a segment. After a failed sync it begins with the records written since the
+// last successful one.
+func (s *Store) startSegment() (*segment, error) {
+	first := s.durableSeq + 1
+	g := &segment{name: segmentName(first), firstSeq: first, lastTime: s.lastTime}
+	if n := len(s.segments); n > 0 && s.segments[n-1].firstSeq == first {
+		// None of its records was ever durable.
 		s.segments = s.segments[:n-1]
 	}
 	if err := s.fs.Remove(g.name); err != nil && !notExist(err) {
@@ -479,11 +492,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	b := append(appendHeader(nil, first), s.pending...)
-	// Guards against writes that wait for the file system's journal: a file whose length stays needs no more of it. The zeros
-	// behind the records are a cut to whoever reads them.
+	b := append(appendSegmentHeader(nil, first), s.unsynced...)
+	// Allocates the whole segment, so that writes don't wait for the file system's journal, which a
+	// file of constant length does not need. Readers treat the zeros after the records as the end.
 	if a, ok := out.(allocator); ok {
-		err = a.Allocate(s.o.SegmentBytes)
+		err = a.Allocate(s.options.SegmentBytes)
 	}
 	if err == nil {
 		_, err = out.Write(b)
@@ -495,220 +508,225 @@
 	}
 	if err != nil {
 		out.Close()
-		s.fs.Remove(g.name) // best effort: the next begin, or recovery, meets it again
+		s.fs.Remove(g.name) // best effort: the next startSegment or recovery handles it
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	for offset := headerSize; offset < len(b); {
-		r, err := parse(b[offset:])
+	for offset := segmentHeaderSize; offset < len(b); {
+		r, err := parseRecord(b[offset:])
 		if err != nil {
-			panic(err) // what this store has written itself
+			panic(err) // the store has encoded these records itself
 		}
-		s.apply(r, g, offset)
+		s.indexRecord(r, g, offset)
 		offset += r.size()
 	}
 	g.size = int64(len(b))
-	s.segments, s.out, s.pending, s.durable = append(s.segments, g), out, nil, s.seq
-	s.tellSealed()
+	s.segments, s.activeFile, s.unsynced, s.durableSeq = append(s.segments, g), out, nil, s.lastSeq
+	s.notifySealed()
 	return g, nil
 }
 
-// abandon gives up the file that is written to, after a failure that leaves unknown what of it is durable. What was
-// durable stays there; the rest is written anew with the next segment.
-func (s *Store) abandon() {
-	if s.out != nil {
-		s.out.Close()
-		s.out = nil
+// abandonActive closes the active file after a failure that leaves it unknown which of its bytes
+// are durable. Records known to be durable stay in it; the others are written again to the next
+// segment.
+func (s *Store) abandonActive() {
+	if s.activeFile != nil {
+		s.activeFile.Close()
+		s.activeFile = nil
 	}
 }
 
-// syncTo returns once record seq is durable. One syncs for all that have written by then; whoever is covered returns with it, and
-// of the others one is the next to sync.
+// syncTo returns once record seq is durable. One caller syncs on behalf of all that have written by
+// then. The callers that it covers return with it, and one of the others syncs next.
 func (s *Store) syncTo(seq uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.durable < seq {
+	for s.durableSeq < seq {
 		switch {
 		case s.closed:
 			return ErrClosed
 		case s.syncing:
-			s.synced.Wait()
+			s.syncDone.Wait()
 			continue
-		case s.out == nil: // given up after a failure
-			if _, err := s.begin(); err != nil {
-				s.failed = err
+		case s.activeFile == nil: // abandoned after a failure
+			if _, err := s.startSegment(); err != nil {
+				s.writeErr = err
 				return err
 			}
-			s.failed = nil
+			s.writeErr = nil
 			continue
 		}
-		out, to, n := s.out, s.seq, len(s.pending)
+		out, to, n := s.activeFile, s.lastSeq, len(s.unsynced)
 		s.syncing = true
 		s.mu.Unlock()
-		err := out.Sync() // others append meanwhile
+		err := out.Sync() // without mu, so that other writers can append meanwhile
 		s.mu.Lock()
 		s.syncing = false
-		s.synced.Broadcast()
-		if s.out != out { // another segment was begun, which made this one durable, or it was given up
+		s.syncDone.Broadcast()
+		if s.activeFile != out {
+			// The file was abandoned, or it was synced before a new segment was started.
 			continue
 		}
 		if err != nil {
-			s.failed = err
-			s.abandon()
+			s.writeErr = err
+			s.abandonActive()
 			return fmt.Errorf("store: %w", err)
 		}
-		s.durable, s.pending = to, s.pending[:copy(s.pending, s.pending[n:])]
+		s.durableSeq, s.unsynced = to, s.unsynced[:copy(s.unsynced, s.unsynced[n:])]
 	}
 	return nil
 }
 
-// Sync returns once everything that was written before is durable.
+// Sync returns once all earlier writes are durable.
 func (s *Store) Sync() error {
 	s.mu.Lock()
-	seq := s.seq
+	seq := s.lastSeq
 	s.mu.Unlock()
 	return s.syncTo(seq)
 }
 
-// Err returns why the last write could not be made, or nil once one could.
+// Err returns the error of the last write, or nil if it succeeded.
 func (s *Store) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.failed
+	return s.writeErr
 }
 
-// expire removes segments all of whose records are older than the retention, under mu.
-func (s *Store) expire() {
-	oldest := s.oldest()
-	for len(s.segments) > 1 && s.segments[0].last < oldest {
+// removeExpired removes segments whose records are all older than the retention. The caller holds
+// mu.
+func (s *Store) removeExpired() {
+	oldest := s.expiryCutoff()
+	for len(s.segments) > 1 && s.segments[0].lastTime < oldest {
 		g := s.segments[0]
 		if s.fs.Remove(g.name) != nil {
-			return // it is met again with the next write
+			return // retried with the next write
 		}
-		s.fs.Remove(hintName(g)) // one that stays is taken away by the next Open
+		s.fs.Remove(hintName(g)) // best effort: the next Open removes a leftover hint
 		s.segments = s.segments[1:]
 		for key, p := range s.index {
-			if p.in == g {
+			if p.segment == g {
 				delete(s.index, key)
 			}
 		}
 	}
 }
 
-// now is the time by the clock as it stood when the store was opened: one that is set later makes nothing older or younger.
+// now returns the time at which the store was opened plus the time elapsed since, in Unix
+// nanoseconds, so that later changes to the wall clock do not alter the age of records.
 func (s *Store) now() int64 {
-	return s.opened.UnixNano() + int64(s.o.Now().Sub(s.opened))
+	return s.openedAt.UnixNano() + int64(s.options.Now().Sub(s.openedAt))
 }
 
-// oldest is the time before which records are not kept.
-func (s *Store) oldest() int64 {
-	if s.o.Retention == math.MaxInt64 || s.o.Now().Sub(s.opened) < s.o.Grace {
+// expiryCutoff returns the time before which records are expired, in Unix nanoseconds.
+func (s *Store) expiryCutoff() int64 {
+	if s.options.Retention == math.MaxInt64 || s.options.Now().Sub(s.openedAt) < s.options.Grace {
 		return math.MinInt64
 	}
-	return max(s.at, s.now()) - int64(s.o.Retention)
+	return max(s.lastTime, s.now()) - int64(s.options.Retention)
 }
 
-// Get returns the value under a key and when it was written, or ok false.
+// Get returns the value of a key and the time at which it was written. ok reports whether the key
+// exists.
 func (s *Store) Get(key []byte) (value []byte, at time.Time, ok bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return nil, time.Time{}, false, ErrClosed
 	}
-	p, ok := s.index[s.id(key)]
-	if !ok || p.at < s.oldest() {
+	p, ok := s.index[s.hashKey(key)]
+	if !ok || p.valueTime < s.expiryCutoff() {
 		return nil, time.Time{}, false, nil
 	}
-	r, err := s.read(p)
+	r, err := s.readRecord(p)
 	if err != nil {
 		return nil, time.Time{}, false, err
 	}
 	if !bytes.Equal(r.key, key) {
-		return nil, time.Time{}, false, &CorruptError{p.in.name, int64(p.offset), errRecord}
+		return nil, time.Time{}, false, &CorruptError{p.segment.name, int64(p.offset), errInvalidRecord}
 	}
-	return r.value, time.Unix(0, r.written()), true, nil
+	return r.value, time.Unix(0, r.valueTime()), true, nil
 }
 
-// read reads the record at a place.
-func (s *Store) read(p place) (record, error) {
-	f, err := s.fs.Open(p.in.name)
+// readRecord reads the record at a location.
+func (s *Store) readRecord(p location) (record, error) {
+	f, err := s.fs.Open(p.segment.name)
 	if err != nil {
 		return record{}, fmt.Errorf("store: %w", err)
 	}
 	defer f.Close()
 	b := make([]byte, p.size)
 	if _, err := io.ReadFull(io.NewSectionReader(f, int64(p.offset), int64(p.size)), b); err != nil {
-		return record{}, fmt.Errorf("store: %s: %w", p.in.name, err)
+		return record{}, fmt.Errorf("store: %s: %w", p.segment.name, err)
 	}
-	r, err := parse(b)
+	r, err := parseRecord(b)
 	if err != nil {
-		return record{}, &CorruptError{p.in.name, int64(p.offset), err}
+		return record{}, &CorruptError{p.segment.name, int64(p.offset), err}
 	}
 	return r, nil
 }
 
-// Range calls f with all keys written from one time to before another, in the order of their writing, until it returns
-// false. It sees the store as it was when it was called.
+// Range calls f for every key that was written at or after from and before to, in the order of
+// writing, until f returns false. It works on a snapshot of the index taken when it is called.
 func (s *Store) Range(from, to time.Time, f func(key, value []byte, at time.Time) bool) error {
 	s.mu.Lock()
 	if s.closed {
 		s.mu.Unlock()
 		return ErrClosed
 	}
-	low := max(from.UnixNano(), s.oldest())
-	var places []place
+	low := max(from.UnixNano(), s.expiryCutoff())
+	var locations []location
 	for _, p := range s.index {
-		if p.at >= low && p.at < to.UnixNano() {
-			places = append(places, p)
+		if p.valueTime >= low && p.valueTime < to.UnixNano() {
+			locations = append(locations, p)
 		}
 	}
 	s.mu.Unlock()
-	slices.SortFunc(places, func(a, b place) int {
-		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.in.first, b.in.first), cmp.Compare(a.offset, b.offset))
+	slices.SortFunc(locations, func(a, b location) int {
+		return cmp.Or(cmp.Compare(a.valueTime, b.valueTime), cmp.Compare(a.segment.firstSeq, b.segment.firstSeq), cmp.Compare(a.offset, b.offset))
 	})
-	for _, p := range places {
+	for _, p := range locations {
 		s.mu.Lock()
-		r, err := s.read(p)
+		r, err := s.readRecord(p)
 		s.mu.Unlock()
 		if notExist(err) {
-			continue // it has expired meanwhile
+			continue // its segment has expired or was compacted meanwhile
 		}
 		if err != nil {
 			return err
 		}
-		if !f(r.key, r.value, time.Unix(0, r.written())) {
+		if !f(r.key, r.value, time.Unix(0, r.valueTime())) {
 			return nil
 		}
 	}
 	return nil
 }
 
-// Stats tells how large a store is.
+// Stats describes the size of a store.
 type Stats struct {
 	Keys     int
 	Segments int
-	Bytes    int64 // of all segments
-	Live     int64 // of records that are the latest of their keys
+	Bytes    int64 // size of all segments
+	Live     int64 // bytes of records that are the latest of their keys
 }
 
-// Stats returns the present figures.
+// Stats returns the current size of the store.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := Stats{Keys: len(s.index), Segments: len(s.segments), Bytes: s.bytes()}
+	st := Stats{Keys: len(s.index), Segments: len(s.segments), Bytes: s.totalBytes()}
 	for _, g := range s.segments {
-		st.Live += g.live
+		st.Live += g.liveBytes
 	}
 	return st
 }
 
-// Len returns how many keys there are, expired ones too that still take room.
+// Len returns the number of keys, including expired ones that are still in the index.
 func (s *Store) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.index)
 }
 
-// Close makes everything durable and closes the store.
+// Close makes all writes durable and closes the store.
 func (s *Store) Close() error {
 	err := s.Sync()
 	s.mu.Lock()
@@ -717,17 +735,17 @@
 		return ErrClosed
 	}
 	s.closed = true
-	s.synced.Broadcast()
+	s.syncDone.Broadcast()
 	s.mu.Unlock()
 	close(s.stop)
-	s.work.Wait()
+	s.workers.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.out != nil {
-		if a, ok := s.out.(allocator); ok {
+	if s.activeFile != nil {
+		if a, ok := s.activeFile.(allocator); ok {
 			a.Truncate(s.segments[len(s.segments)-1].size)
 		}
-		err = errors.Join(err, s.out.Close())
+		err = errors.Join(err, s.activeFile.Close())
 	}
 	return errors.Join(err, s.lock.Close())
 }
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -131,7 +131,7 @@
 // byHints opens by hints, and leaves the writing of them to the workload.
 func byHints(t testing.TB, fs FS) (*Store, error) {
 	t.Helper()
-	return prepare(fs, Options{SegmentBytes: 1 << 10, Now: newClock().Now, Hints: true})
+	return openWithoutWorkers(fs, Options{SegmentBytes: 1 << 10, Now: newClock().Now, Hints: true})
 }
 
 // TestPowerCut cuts the power after every byte written and every call made, for a workload over several segments, and
@@ -258,7 +258,7 @@
 		slices.Sort(list)
 		return list
 	}
-	hints, segments := names(m, hintSuffix), names(m, suffix)
+	hints, segments := names(m, hintSuffix), names(m, segmentSuffix)
 	if len(hints) < 2 || len(hints) != len(segments)-1 {
 		t.Fatalf("hints %v of %v", hints, segments)
 	}
@@ -503,10 +503,10 @@
 		t.Errorf("Put on a closed store: %v", err)
 	}
 	name := segmentName(1)
-	newer := appendHeader(nil, 1)
-	newer[len(magic)]++
-	newer = newer[:headerSize-4]
-	m.files[name].data = append(binary.LittleEndian.AppendUint32(newer, crc32.Checksum(newer, castagnoli)), m.files[name].data[headerSize:]...)
+	newer := appendSegmentHeader(nil, 1)
+	newer[len(segmentMagic)]++
+	newer = newer[:segmentHeaderSize-4]
+	m.files[name].data = append(binary.LittleEndian.AppendUint32(newer, crc32.Checksum(newer, castagnoli)), m.files[name].data[segmentHeaderSize:]...)
 	if _, err := Open(m, Options{}); !errors.Is(err, ErrVersion) || !strings.Contains(err.Error(), name) {
 		t.Errorf("a newer version: %v", err)
 	}
@@ -553,12 +553,12 @@
 
 // FuzzParse: no bytes make the decoder panic, and what it takes it would write just so.
 func FuzzParse(f *testing.F) {
-	r := record{seq: 7, durable: 3, at: 5, kind: put, key: []byte("key"), value: []byte("value")}
+	r := record{seq: 7, durableSeq: 3, time: 5, kind: kindPut, key: []byte("key"), value: []byte("value")}
 	f.Add(r.appendTo(nil))
 	f.Add([]byte{})
-	f.Add(make([]byte, recordHead))
+	f.Add(make([]byte, recordHeaderSize))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r, err := parse(b)
+		r, err := parseRecord(b)
 		if err != nil {
 			return
 		}
@@ -617,8 +617,8 @@
 		if len(b) >= 4 { // past the checksum, which would stop nearly all
 			binary.LittleEndian.PutUint32(b[len(b)-4:], crc32.Checksum(b[:len(b)-4], castagnoli))
 		}
-		next := headerSize
-		end, err := parseHint(b, 1, 9, 1<<20, func(h hinted, offset int) {
+		next := segmentHeaderSize
+		end, err := parseHint(b, 1, 9, 1<<20, func(h hintEntry, offset int) {
 			if offset != next || len(h.key) == 0 {
 				t.Errorf("a record of %q at %d, want %d", h.key, offset, next)
 			}
@@ -636,7 +636,7 @@
 	s := open(f, m)
 	play(s, workload(5, 5))
 	f.Add(m.files[segmentName(1)].data)
-	f.Add(appendHeader(nil, 1))
+	f.Add(appendSegmentHeader(nil, 1))
 	f.Add([]byte("QFSTORE"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m := newMemFS()
--- a/store/sync_linux.go
+++ b/store/sync_linux.go
@@ -5,13 +5,15 @@
 	"syscall"
 )
 
-// datasync makes a file's bytes and its length durable, and not the times that nobody goes by (fdatasync(2)). The file may be
-// closed meanwhile: the descriptor is held until it returns.
-func datasync(f *os.File) error { return call(f, "fdatasync", syscall.Fdatasync) }
+// datasync makes a file's bytes and length durable with fdatasync(2), but not its timestamps, which
+// nothing uses. The file may be closed concurrently: the descriptor stays valid until datasync
+// returns.
+func datasync(f *os.File) error { return retryOnEINTR(f, "fdatasync", syscall.Fdatasync) }
 
-// allocate sets room aside (fallocate(2)). Where the file system cannot, the file stays as it is.
+// allocate allocates space with fallocate(2). If the file system does not support it, the file
+// stays unchanged.
 func allocate(f *os.File, size int64) error {
-	return call(f, "fallocate", func(fd int) error {
+	return retryOnEINTR(f, "fallocate", func(fd int) error {
 		err := syscall.Fallocate(fd, 0, 0, size)
 		if err == syscall.EOPNOTSUPP || err == syscall.ENOSYS {
 			return nil
@@ -20,20 +22,20 @@
 	})
 }
 
-// call makes a system call on f's descriptor, again where a signal has interrupted it.
-func call(f *os.File, name string, what func(fd int) error) error {
+// retryOnEINTR makes a system call on f's descriptor and repeats it while a signal interrupts it.
+func retryOnEINTR(f *os.File, name string, fn func(fd int) error) error {
 	raw, err := f.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var failed error
+	var callErr error
 	err = raw.Control(func(fd uintptr) {
-		for failed = syscall.EINTR; failed == syscall.EINTR; {
-			failed = what(int(fd))
+		for callErr = syscall.EINTR; callErr == syscall.EINTR; {
+			callErr = fn(int(fd))
 		}
 	})
 	if err != nil {
 		return err
 	}
-	return os.NewSyscallError(name, failed)
+	return os.NewSyscallError(name, callErr)
 }
--- a/store/sync_other.go
+++ b/store/sync_other.go
@@ -4,8 +4,8 @@
 
 import "os"
 
-// datasync makes a file durable.
+// datasync makes a file's contents durable.
 func datasync(f *os.File) error { return f.Sync() }
 
-// allocate sets no room aside.
+// allocate does nothing: preallocation is implemented for Linux only.
 func allocate(*os.File, int64) error { return nil }
