--- a/internal/orders/clock_linux.go
+++ b/internal/orders/clock_linux.go
@@ -11,7 +11,7 @@
 	"quillfront/ledger"
 )
 
-// bootID names the present run of the machine; 0 where that cannot be told.
+// bootID identifies the current boot of the machine; 0 if it cannot be determined.
 var bootID = sync.OnceValue(func() uint64 {
 	text, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -22,7 +22,8 @@
 	return h.Sum64()
 })
 
-// Now reads both clocks. That of the machine's run goes on while it sleeps (CLOCK_BOOTTIME), and is the same for all its processes.
+// Now reads both clocks. The monotonic clock is CLOCK_BOOTTIME, which advances during suspend and
+// is the same for all processes of the machine.
 func Now() ledger.Instant {
 	i := ledger.Instant{Wall: time.Now().UnixNano()}
 	var ts unix.Timespec
--- a/internal/orders/clock_other.go
+++ b/internal/orders/clock_other.go
@@ -8,7 +8,8 @@
 	"quillfront/ledger"
 )
 
-// Now reads the wall clock. No other one is the same for all processes here, so that after a restart no age is known.
+// Now reads the wall clock and the time since the process started. On these platforms no monotonic
+// clock is shared by all processes, so that no age is known after a restart of the process.
 func Now() ledger.Instant {
 	return ledger.Instant{Wall: time.Now().UnixNano(), Boot: process, Up: int64(time.Since(began))}
 }
--- a/internal/orders/config.go
+++ b/internal/orders/config.go
@@ -10,34 +10,40 @@
 	"quillfront/store"
 )
 
-// Durability says when an intent counts as noted, which is before its attempt is sent.
+// Durability determines when the intent of an attempt counts as recorded. An attempt is sent only
+// once its intent is recorded.
 type Durability string
 
-// The levels.
+// Durability levels.
 const (
-	Sync     Durability = "sync"     // once it is on the disk: it survives a power cut
-	Batched  Durability = "batched"  // once the system has it: it survives the process, and a power cut after Config.SyncEvery
-	Buffered Durability = "buffered" // once the system has it, which writes it when it likes
+	// Sync: once it is synced to disk. It survives a power loss.
+	Sync Durability = "sync"
+	// Batched: once it is written to the file system. It survives a crash of the process, and a
+	// power loss once Config.SyncEvery has passed.
+	Batched Durability = "batched"
+	// Buffered: once it is written to the file system, which syncs it to disk at any later time.
+	Buffered Durability = "buffered"
 )
 
-// compactRate is how many bytes a second compaction may copy beside writes.
+// compactRate is the number of bytes per second that background compaction may copy.
 const compactRate = 8 << 20
 
-// Config says where and how orders are noted. Zero values take the defaults.
+// Config determines where and how orders are recorded. Zero values select the defaults.
 type Config struct {
-	Dir        string        // a directory that outlasts the process; empty: in memory, for the process's life
-	Durability Durability    // sync
-	SyncEvery  time.Duration // batched: 10 ms, 1 ms to 1 min
-	Retention  time.Duration // how long an order is known: 24 h, 1 s to a year
-	ByClass    map[string]time.Duration
-	MostBytes  int64 // of the directory: 256 MiB; in memory 16 MiB. At least 1 MiB
-	MostOrders int   // with Dir: 1,000,000
+	Dir        string                   // directory that outlives the process; empty: in memory
+	Durability Durability               // default sync
+	SyncEvery  time.Duration            // interval of syncs with Batched: 1 ms to 1 min, default 10 ms
+	Retention  time.Duration            // how long an order is kept: 1 s to a year, default 24 h
+	ByClass    map[string]time.Duration // retention of single classes: 1 s to Retention
+	MostBytes  int64                    // of Dir: default 256 MiB; in memory 16 MiB. At least 1 MiB
+	MostOrders int                      // limit on the number of orders with Dir: default 1,000,000
 }
 
-// ErrConfig is matched by what is wrong with a Config.
-var ErrConfig = errors.New("orders: the configuration cannot be used")
+// ErrConfig is wrapped by all errors about an invalid Config.
+var ErrConfig = errors.New("orders: invalid configuration")
 
-// withDefaults returns c with its defaults, or what is wrong with it, by the name that the operator's file has for it.
+// withDefaults returns c with the defaults filled in, or an error that names the invalid key as it
+// is spelled in the operator's configuration file.
 func (c Config) withDefaults() (Config, error) {
 	if c.Durability == "" {
 		c.Durability = Sync
@@ -56,37 +62,38 @@
 	if c.MostOrders == 0 {
 		c.MostOrders = 1_000_000
 	}
-	wrong := func(key, format string, args ...any) (Config, error) {
+	invalid := func(key, format string, args ...any) (Config, error) {
 		return c, fmt.Errorf("%w: %s: %s", ErrConfig, key, fmt.Sprintf(format, args...))
 	}
 	const year = 366 * 24 * time.Hour
 	switch {
 	case c.Durability != Sync && c.Durability != Batched && c.Durability != Buffered:
-		return wrong("durability", "%q is none of sync, batched and buffered", c.Durability)
+		return invalid("durability", "%q is none of sync, batched and buffered", c.Durability)
 	case c.SyncEvery < time.Millisecond || c.SyncEvery > time.Minute:
-		return wrong("sync_every", "%v is outside 1ms to 1m", c.SyncEvery)
+		return invalid("sync_every", "%v is outside 1ms to 1m", c.SyncEvery)
 	case c.Retention < time.Second || c.Retention > year:
-		return wrong("retention", "%v is outside 1s to %v", c.Retention, year)
+		return invalid("retention", "%v is outside 1s to %v", c.Retention, year)
 	case c.MostBytes < 1<<20 || c.MostBytes > math.MaxInt64/2:
-		return wrong("most_bytes", "%d is below 1 MiB", c.MostBytes)
+		return invalid("most_bytes", "%d is below 1 MiB", c.MostBytes)
 	case c.MostOrders < 1 || c.MostOrders > 1<<30:
-		return wrong("most_orders", "%d is below 1", c.MostOrders)
+		return invalid("most_orders", "%d is below 1", c.MostOrders)
 	}
 	for class, d := range c.ByClass {
 		if d < time.Second || d > c.Retention {
-			return wrong("retention_by_class."+class, "%v is outside 1s to retention, which is %v", d, c.Retention)
+			return invalid("retention_by_class."+class, "%v is outside 1s to retention, which is %v", d, c.Retention)
 		}
 	}
 	return c, nil
 }
 
-// Check returns what is wrong with c, or nil. It opens nothing.
+// Check returns an error if c is invalid. It opens no files.
 func (c Config) Check() error {
 	_, err := c.withDefaults()
 	return err
 }
 
-// Open opens the book of c, and returns how long it keeps the orders of a class.
+// Open opens the entry store that c describes. It also returns the function that gives the
+// retention of a class.
 func (c Config) Open() (EntryStore, func(class string) time.Duration, error) {
 	c, err := c.withDefaults()
 	if err != nil {
@@ -106,7 +113,7 @@
 	}
 	o := store.Options{
 		SegmentBytes: min(4<<20, c.MostBytes/4), MaxBytes: c.MostBytes, MaxKeys: c.MostOrders, Retention: c.Retention,
-		CompactRate: compactRate, Grace: grace, Hints: true,
+		CompactRate: compactRate, Grace: expiryGrace, Hints: true,
 	}
 	if c.Durability == Batched {
 		o.SyncEvery = c.SyncEvery
@@ -115,9 +122,9 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("path %s: %w", c.Dir, err)
 	}
-	firm := store.Buffered
+	durability := store.Buffered
 	if c.Durability == Sync {
-		firm = store.Synced
+		durability = store.Synced
 	}
-	return DiskStore{s, firm}, retention, nil
+	return DiskStore{s, durability}, retention, nil
 }
--- a/internal/orders/coordinator.go
+++ b/internal/orders/coordinator.go
@@ -1,6 +1,7 @@
-// Package orders hosts the ledger: it notes what becomes of each order before and after every attempt, in a book that may
-// outlast the process, and lets a request that names an order through to the engine, answers it or has it wait as the ledger
-// judges. It stands between the fronts and the engine on one side, and the engine and its transport on the other.
+// Package orders applies the ledger to requests. It records each order before and after every
+// attempt in an entry store, which may survive the process. A request that names an order is passed
+// to the engine, answered or made to wait as the ledger decides. The package sits between the
+// server fronts and the engine, and between the engine and its transport.
 package orders
 
 import (
@@ -18,204 +19,212 @@
 )
 
 const (
-	// margin is taken off the time for which servers drop repeats: what may pass between an intent and its first byte.
+	// margin is subtracted from the time for which servers drop repeats. It covers the time between
+	// the recording of an intent and the first byte of its attempt.
 	margin = 250 * time.Millisecond
-	// tryEvery is how often a book that cannot write is tried.
-	tryEvery = 500 * time.Millisecond
-	// mostWaiting bounds the requests that wait for another's answer under one key.
-	mostWaiting = 64
-	// grace is how long after a start nothing is forgotten for its age. It guards against a wall clock that is set far ahead when
-	// the machine starts, and mended soon after: by it everything would be past its retention.
-	grace = time.Hour
-	// comeBack is when a request that found the book unable to write should be tried again.
-	comeBack = time.Second
+	// writeCheckInterval is how often a store whose writes fail is checked.
+	writeCheckInterval = 500 * time.Millisecond
+	// maxWaiters limits the requests with one key that wait for the result of another one.
+	maxWaiters = 64
+	// expiryGrace is the time after a start during which no order expires. It protects against a
+	// wall clock that is far ahead when the machine boots and is corrected soon after: by such a
+	// clock every order would be past its retention.
+	expiryGrace = time.Hour
+	// retryAfter is the delay after which a client should retry a request that was refused.
+	retryAfter = time.Second
 )
 
-// ErrMismatch tells that the key of an order was used for something else.
+// ErrMismatch reports that the key of an order was used for a different request.
 var ErrMismatch = errors.New("this Idempotency-Key was used for another request")
 
-// Codec turns a transport's replies into bytes and back.
+// Codec encodes and decodes the replies of a transport.
 type Codec interface {
-	Encode(reply any) []byte // nil: it cannot be kept
+	// Encode returns the encoded reply, or nil if it cannot be stored.
+	Encode(reply any) []byte
+	// Decode decodes a reply that Encode has encoded.
 	Decode([]byte) (any, error)
 }
 
-// Options is what a Desk is made of.
+// Options configures a Coordinator.
 type Options struct {
 	Engine    *engine.Engine
 	Store     EntryStore
 	Codec     Codec
-	Clock     func() ledger.Instant // Now if nil
+	Clock     func() ledger.Instant // default Now
 	Retention func(class string) time.Duration
 	Log       *slog.Logger
 }
 
-// Coordinator takes requests for an engine. Its methods may be called from many goroutines at once.
+// Coordinator accepts requests for an engine and applies the ledger to those that name an order.
+// Its methods are safe for concurrent use.
 type Coordinator struct {
-	o    Options
-	ctx  context.Context // ends with Close
-	stop context.CancelFunc
-	work sync.WaitGroup
-
-	began time.Time
-
-	mu      sync.Mutex
-	orders  map[string]*order // that a request or an attempt holds
-	failing error             // why the book cannot write; nil: it can
-	stats   Stats
-	closed  bool
+	options Options
+	ctx     context.Context // ends with Close
+	stop    context.CancelFunc
+	workers sync.WaitGroup
+
+	started time.Time
+
+	mu       sync.Mutex
+	orders   map[string]*order // by key; those that a request or an attempt references
+	storeErr error             // why the store fails; nil: it works
+	stats    Stats
+	closed   bool
 }
 
-// Stats counts what a desk has judged.
+// Stats counts requests by their handling, and describes the present state.
 type Stats struct {
 	Replayed, Joined, Resent, Mismatched, Unknown, Unwritable int64
-	Open                                                      int   // orders that are held
-	StoreError                                                error // why the book cannot write
+	Open                                                      int   // orders in use by requests or attempts
+	StoreError                                                error // nil: the store works
 }
 
-// order is one that a request or an attempt holds.
+// order is an order that a request or an attempt references.
 type order struct {
-	d     *Coordinator
-	key   string
-	class policy.Class
-	refs  int // under d.mu
+	coordinator *Coordinator
+	key         string
+	class       policy.Class
+	refs        int // guarded by coordinator.mu
 
-	waiters atomic.Int64 // how many have begun to wait for the leader
+	waiterCount atomic.Int64 // length of waiters, readable without mu
 
 	mu      sync.Mutex
-	read    bool          // entry has been looked up
-	entry   *ledger.Entry // nil: nothing is known
-	leader  *leader       // nil, or over: nobody's answer is waited for
-	waiting []*waiter
+	loaded  bool          // entry was read from the store
+	entry   *ledger.Entry // nil: the order is unknown
+	leader  *leader       // nil or ended: there is no result to wait for
+	waiters []*waiter
 }
 
-// leader is the request of an order that was handed to the engine.
+// leader is the request of an order that was passed to the engine, for whose result others wait.
 type leader struct {
-	over atomic.Pointer[ending] // nil: it is open
+	outcome atomic.Pointer[leaderOutcome] // nil: still open
 }
 
-// ending is how a leader has ended.
-type ending struct {
+// leaderOutcome is the result of a leader.
+type leaderOutcome struct {
 	result    engine.Result
 	withdrawn bool
 }
 
-// waiter is a request that waits for another one's answer.
+// waiter is a request that waits for the result of the leader.
 type waiter struct {
-	r    *engine.Request
-	from policy.Time
-	end  *time.Timer
+	r        *engine.Request
+	received policy.Time
+	expiry   *time.Timer
 }
 
-// New returns a desk that runs until Close.
+// New returns a Coordinator that runs until Close.
 func New(o Options) *Coordinator {
 	if o.Clock == nil {
 		o.Clock = Now
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	return &Coordinator{o: o, ctx: ctx, stop: stop, began: time.Now(), orders: map[string]*order{}}
+	return &Coordinator{options: o, ctx: ctx, stop: stop, started: time.Now(), orders: map[string]*order{}}
 }
 
-// Identity is what a request asks for under a key.
+// Identity identifies the order of a request and the contents of the request.
 type Identity struct {
 	Key         string   // its Idempotency-Key
-	Fingerprint [32]byte // tells it from any other
+	Fingerprint [32]byte // of the request's contents
 }
 
-// Submit hands r to the engine, or answers it, as what is known of its order says. Its time has run since read. With an error
-// nothing was taken.
-func (d *Coordinator) Submit(r *engine.Request, a Identity, read policy.Time) error {
-	c, known := d.o.Engine.Class(r.Class)
-	if !known || c.Effect == policy.Safe || a.Key == "" {
-		return d.o.Engine.Submit(r, read)
+// Submit passes r to the engine, answers it or makes it wait, depending on its order. Its timeout
+// runs from received. If it returns an error, r was not accepted.
+func (c *Coordinator) Submit(r *engine.Request, id Identity, received policy.Time) error {
+	class, known := c.options.Engine.Class(r.Class)
+	if !known || class.Effect == policy.Safe || id.Key == "" {
+		return c.options.Engine.Submit(r, received)
 	}
-	o := d.hold(r.Class+"\x00"+a.Key, c)
+	o := c.acquire(r.Class+"\x00"+id.Key, class)
 	release := r.Release
-	r.Release = func() { // no attempt is out any more
+	r.Release = func() { // all attempts have ended
 		if release != nil {
 			release()
 		}
-		d.let(o)
+		c.release(o)
 	}
-	err := o.take(r, a, read)
+	err := o.submit(r, id, received)
 	if err != nil {
 		r.Release, r.OnEnd = release, nil
-		d.let(o)
+		c.release(o)
 	}
 	return err
 }
 
-// hold returns the order of a key, with one more reference.
-func (d *Coordinator) hold(key string, c policy.Class) *order {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	o := d.orders[key]
+// acquire returns the order of a key and adds a reference to it.
+func (c *Coordinator) acquire(key string, class policy.Class) *order {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	o := c.orders[key]
 	if o == nil {
-		o = &order{d: d, key: key, class: c}
-		d.orders[key] = o
+		o = &order{coordinator: c, key: key, class: class}
+		c.orders[key] = o
 	}
 	o.refs++
 	return o
 }
 
-// let gives a reference back.
-func (d *Coordinator) let(o *order) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// release drops a reference to an order.
+func (c *Coordinator) release(o *order) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if o.refs--; o.refs == 0 {
-		delete(d.orders, o.key)
+		delete(c.orders, o.key)
 	}
 }
 
-func (d *Coordinator) count(n *int64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// count increments a counter of the statistics.
+func (c *Coordinator) count(n *int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	*n++
 }
 
-// take judges r and does what follows. Each request that it takes holds a reference until it has ended.
-func (o *order) take(r *engine.Request, a Identity, read policy.Time) error {
+// submit makes r wait for the leader if there is an open one, and otherwise processes it. Each
+// accepted request holds a reference to the order until it has ended.
+func (o *order) submit(r *engine.Request, id Identity, received policy.Time) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if err := o.look(); err != nil {
-		return o.unwritable(r, err)
-	}
-	e := o.d.o.Engine
-	o.answerWaiting() // if the leader is over, and nobody has yet
-	if o.leader != nil && o.leader.over.Load() == nil {
-		if o.entry.Fingerprint != a.Fingerprint {
-			o.d.count(&o.d.stats.Mismatched)
+	if err := o.load(); err != nil {
+		return o.rejectUnreadable(r, err)
+	}
+	e := o.coordinator.options.Engine
+	o.answerWaiters() // if the leader has ended and they are not answered yet
+	if o.leader != nil && o.leader.outcome.Load() == nil {
+		if o.entry.Fingerprint != id.Fingerprint {
+			o.coordinator.count(&o.coordinator.stats.Mismatched)
 			return ErrMismatch
 		}
 		if err := e.SubmitDeferred(r); err != nil {
 			return err
 		}
-		if len(o.waiting) >= mostWaiting {
-			e.ResolveDeferred(r, engine.Result{Kind: engine.Refused, RetryAfter: comeBack})
+		if len(o.waiters) >= maxWaiters {
+			e.ResolveDeferred(r, engine.Result{Kind: engine.Refused, RetryAfter: retryAfter})
 			return nil
 		}
-		o.d.count(&o.d.stats.Joined)
-		w := &waiter{r: r, from: read}
-		left := e.Expires(r, read) - e.Now()
-		w.end = time.AfterFunc(max(left-ownEnd, 0), func() { e.ResolveDeferred(r, engine.Result{Kind: engine.Failed, MayHaveRun: true}) })
-		o.waiting = append(o.waiting, w)
-		o.waiters.Add(1)
-		o.answerWaiting() // the leader may have ended before it could know of this one
+		o.coordinator.count(&o.coordinator.stats.Joined)
+		w := &waiter{r: r, received: received}
+		left := e.Expires(r, received) - e.Now()
+		w.expiry = time.AfterFunc(max(left-waiterMargin, 0), func() { e.ResolveDeferred(r, engine.Result{Kind: engine.Failed, MayHaveRun: true}) })
+		o.waiters = append(o.waiters, w)
+		o.waiterCount.Add(1)
+		o.answerWaiters() // the leader may have ended before this waiter was counted
 		return nil
 	}
-	return o.judge(r, a.Fingerprint, read, false)
+	return o.process(r, id.Fingerprint, received, false)
 }
 
-// ownEnd is how much before its time is up a request that waits for another is answered.
-const ownEnd = 20 * time.Millisecond
-
-// judge does with r, which nobody else's answer is waited for, what the ledger says. An adopted one is known to the engine.
-func (o *order) judge(r *engine.Request, print [32]byte, read policy.Time, adopted bool) error {
-	d, e := o.d, o.d.o.Engine
-	now := d.o.Clock()
-	v := ledger.Decide(o.class, o.entry, print, now, margin, d.retention(o.class.Name))
-	settle := func(result engine.Result) error {
-		if !adopted {
+// waiterMargin is how long before its deadline a waiting request is answered.
+const waiterMargin = 20 * time.Millisecond
+
+// process handles r as the ledger decides, when there is no open leader to wait for. deferred tells
+// that r was already submitted to the engine as a deferred request.
+func (o *order) process(r *engine.Request, fingerprint [32]byte, received policy.Time, deferred bool) error {
+	c, e := o.coordinator, o.coordinator.options.Engine
+	now := c.options.Clock()
+	v := ledger.Decide(o.class, o.entry, fingerprint, now, margin, c.retention(o.class.Name))
+	resolve := func(result engine.Result) error {
+		if !deferred {
 			if err := e.SubmitDeferred(r); err != nil {
 				return err
 			}
@@ -225,132 +234,136 @@
 	}
 	switch v.Action {
 	case ledger.Mismatch:
-		d.count(&d.stats.Mismatched)
+		c.count(&c.stats.Mismatched)
 		return ErrMismatch
 	case ledger.Replay:
-		reply, err := d.o.Codec.Decode(o.entry.Reply)
+		reply, err := c.options.Codec.Decode(o.entry.Reply)
 		if err != nil {
-			d.o.Log.Error("an answer that was kept cannot be read", "err", err)
-			return settle(engine.Result{Kind: engine.Failed, MayHaveRun: true})
+			c.options.Log.Error("cannot decode the stored reply of an order", "err", err)
+			return resolve(engine.Result{Kind: engine.Failed, MayHaveRun: true})
 		}
-		d.count(&d.stats.Replayed)
-		return settle(engine.Result{Kind: engine.Served, Reply: reply, Replayed: true})
+		c.count(&c.stats.Replayed)
+		return resolve(engine.Result{Kind: engine.Served, Reply: reply, Replayed: true})
 	case ledger.Unknown, ledger.Done:
-		d.count(&d.stats.Unknown)
-		return settle(engine.Result{Kind: engine.Failed, MayHaveRun: true})
+		c.count(&c.stats.Unknown)
+		return resolve(engine.Result{Kind: engine.Failed, MayHaveRun: true})
 	case ledger.Resend:
-		d.count(&d.stats.Resent)
+		c.count(&c.stats.Resent)
 	}
-	if err := d.unable(); err != nil {
-		d.count(&d.stats.Unwritable)
-		return settle(engine.Result{Kind: refusal(v), RetryAfter: comeBack, MayHaveRun: v.Action == ledger.Resend})
+	if err := c.writeError(); err != nil {
+		c.count(&c.stats.Unwritable)
+		return resolve(engine.Result{Kind: unwritableResult(v), RetryAfter: retryAfter, MayHaveRun: v.Action == ledger.Resend})
 	}
-	if v.Action == ledger.Fresh && (o.entry == nil || o.entry.Fingerprint != print || len(o.entry.Attempts) > 0 || o.entry.Served) {
-		o.entry = &ledger.Entry{Fingerprint: print, FirstSeen: now}
+	if v.Action == ledger.Fresh && (o.entry == nil || o.entry.Fingerprint != fingerprint || len(o.entry.Attempts) > 0 || o.entry.Served) {
+		o.entry = &ledger.Entry{Fingerprint: fingerprint, FirstSeen: now}
 	}
-	lead := func() {
+	becomeLeader := func() {
 		l := &leader{}
 		o.leader = l
 		r.KeyHistory, r.Order = v.PriorAttempts, o
-		r.OnEnd = func(result engine.Result, withdrawn bool) { o.over(l, result, withdrawn) }
+		r.OnEnd = func(result engine.Result, withdrawn bool) { o.leaderEnded(l, result, withdrawn) }
 	}
-	if adopted {
-		e.DispatchDeferred(r, read, lead) // if its client is still there
+	if deferred {
+		e.DispatchDeferred(r, received, becomeLeader) // unless its client has disconnected
 		return nil
 	}
-	lead()
-	if err := e.Submit(r, read); err != nil {
+	becomeLeader()
+	if err := e.Submit(r, received); err != nil {
 		o.leader, r.OnEnd, r.Order, r.KeyHistory = nil, nil, nil, nil
 		return err
 	}
 	return nil
 }
 
-// refusal is how a request ends that cannot be noted: refused, unless one before it may have run.
-func refusal(v ledger.Decision) engine.ResultKind {
+// unwritableResult returns the result of a request that cannot be recorded: refused, or failed if
+// an earlier attempt may have run.
+func unwritableResult(v ledger.Decision) engine.ResultKind {
 	if v.Action == ledger.Resend {
 		return engine.Failed
 	}
 	return engine.Refused
 }
 
-// unwritable refuses r because nothing can be learnt of its order.
-func (o *order) unwritable(r *engine.Request, err error) error {
-	o.d.fail(err)
-	o.d.count(&o.d.stats.Unwritable)
-	if err := o.d.o.Engine.SubmitDeferred(r); err != nil {
+// rejectUnreadable refuses r because its order cannot be read from the store.
+func (o *order) rejectUnreadable(r *engine.Request, err error) error {
+	o.coordinator.storeFailed(err)
+	o.coordinator.count(&o.coordinator.stats.Unwritable)
+	if err := o.coordinator.options.Engine.SubmitDeferred(r); err != nil {
 		return err
 	}
-	// It may have run before: that a retry is harmless holds all the same, as it will be judged by what can then be read.
-	o.d.o.Engine.ResolveDeferred(r, engine.Result{Kind: engine.Refused, RetryAfter: comeBack})
+	// The order may have run before. Asking the client to retry is still safe, because the retry is
+	// handled by the entry that can be read by then.
+	o.coordinator.options.Engine.ResolveDeferred(r, engine.Result{Kind: engine.Refused, RetryAfter: retryAfter})
 	return nil
 }
 
-// look reads what the book has of the order, once.
-func (o *order) look() error {
-	if o.read {
+// load reads the order's entry from the store, unless it was read before.
+func (o *order) load() error {
+	if o.loaded {
 		return nil
 	}
-	b, ok, err := o.d.o.Store.Get(o.key)
+	b, ok, err := o.coordinator.options.Store.Get(o.key)
 	if err != nil {
 		return fmt.Errorf("reading an order: %w", err)
 	}
 	if ok {
 		e, err := ledger.Unmarshal(b)
 		if err != nil {
-			return fmt.Errorf("reading an order: %w", err)
+			return fmt.Errorf("decoding an order: %w", err)
 		}
 		o.entry = e
 	}
-	o.read = true
+	o.loaded = true
 	return nil
 }
 
-// over is told, under the engine's lock, that a leader has its result or was withdrawn. Those that wait are answered elsewhere; mostly
-// there are none.
-func (o *order) over(l *leader, result engine.Result, withdrawn bool) {
-	l.over.Store(&ending{result, withdrawn})
-	if o.waiters.Load() > 0 {
-		o.d.work.Go(func() {
+// leaderEnded records that a leader has its result or was withdrawn. It is called under the
+// engine's lock, so it leaves the waiters, of which there are usually none, to another goroutine.
+func (o *order) leaderEnded(l *leader, result engine.Result, withdrawn bool) {
+	l.outcome.Store(&leaderOutcome{result, withdrawn})
+	if o.waiterCount.Load() > 0 {
+		o.coordinator.workers.Go(func() {
 			o.mu.Lock()
 			defer o.mu.Unlock()
-			o.answerWaiting()
+			o.answerWaiters()
 		})
 	}
 }
 
-// answerWaiting gives those that wait the answer of a leader that is over. Where it was withdrawn the first of them takes its place.
-func (o *order) answerWaiting() {
-	e := o.d.o.Engine
-	for len(o.waiting) > 0 && o.leader != nil {
-		end := o.leader.over.Load()
-		if end == nil {
+// answerWaiters gives the waiters the result of a leader that has ended. If the leader was
+// withdrawn or dropped, the first waiter is processed in its place.
+func (o *order) answerWaiters() {
+	e := o.coordinator.options.Engine
+	for len(o.waiters) > 0 && o.leader != nil {
+		outcome := o.leader.outcome.Load()
+		if outcome == nil {
 			return
 		}
-		w := o.waiting[0]
-		o.waiting = o.waiting[1:]
-		o.waiters.Add(-1)
-		if !w.end.Stop() {
-			continue // its own end came first
+		w := o.waiters[0]
+		o.waiters = o.waiters[1:]
+		o.waiterCount.Add(-1)
+		if !w.expiry.Stop() {
+			continue // it has timed out
 		}
-		if !end.withdrawn && end.result.Kind != engine.Dropped {
-			result := end.result
+		if !outcome.withdrawn && outcome.result.Kind != engine.Dropped {
+			result := outcome.result
 			result.Replayed = result.Kind == engine.Served
 			e.ResolveDeferred(w.r, result)
 			continue
 		}
-		if err := o.judge(w.r, o.entry.Fingerprint, w.from, true); err != nil {
+		if err := o.process(w.r, o.entry.Fingerprint, w.received, true); err != nil {
 			e.ResolveDeferred(w.r, engine.Result{Kind: engine.Failed, MayHaveRun: true})
 		}
 	}
 }
 
-// begin notes an intent, before the first byte of an attempt, and returns the entry that it stands in.
-func (o *order) begin(to engine.Endpoint) (e *ledger.Entry, number int, err error) {
+// beginAttempt records the intent of an attempt before its first byte is sent. It returns the entry
+// that holds it and the number of the attempt.
+func (o *order) beginAttempt(to engine.Endpoint) (e *ledger.Entry, number int, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	e = o.entry
-	number = e.RecordAttempt(ledger.Attempt{Server: string(to.ID), Zone: to.Zone, Cell: to.Cell, At: o.d.o.Clock()})
+	number = e.RecordAttempt(ledger.Attempt{Server: string(to.ID), Zone: to.Zone, Cell: to.Cell, At: o.coordinator.options.Clock()})
 	if err := o.write(true); err != nil {
 		e.RecordNotRun(number)
 		return nil, 0, err
@@ -358,126 +371,127 @@
 	return e, number, nil
 }
 
-// end notes how an attempt has ended. What cannot be written counts as may have run after a restart, which is safe. One whose entry
-// was forgotten for its age while it was out, says nothing of the order that has the key now.
-func (o *order) end(e *ledger.Entry, number int, end engine.AttemptResult) {
+// endAttempt records the result of an attempt. If that fails, the attempt counts as one that may
+// have run after a restart, which is safe. If the attempt's entry has expired meanwhile, its result
+// is ignored: it does not concern the order that has the key now.
+func (o *order) endAttempt(e *ledger.Entry, number int, end engine.AttemptResult) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
 	case o.entry != e:
 		return
 	case end.Status == policy.OK:
-		e.RecordReply(o.d.o.Codec.Encode(end.Reply))
+		e.RecordReply(o.coordinator.options.Codec.Encode(end.Reply))
 	case end.Status.NotRun():
 		e.RecordNotRun(number)
 	default:
-		return // as it stands
+		return // it may have run, as the intent says
 	}
 	if err := o.write(false); err != nil {
-		o.d.o.Log.Warn("an order's end was not noted", "err", err)
+		o.coordinator.options.Log.Warn("the end of an attempt was not recorded", "err", err)
 	}
 }
 
-// write writes the entry.
-func (o *order) write(firm bool) error {
+// write writes the entry to the store.
+func (o *order) write(durable bool) error {
 	b, err := o.entry.Marshal()
 	if err == nil {
-		err = o.d.o.Store.Put(o.key, b, firm)
+		err = o.coordinator.options.Store.Put(o.key, b, durable)
 	}
 	if err != nil {
-		o.d.fail(err)
+		o.coordinator.storeFailed(err)
 		return err
 	}
 	return nil
 }
 
-// fail notes that the book cannot write, and tries it until it can.
-func (d *Coordinator) fail(err error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	first := d.failing == nil
-	d.failing = err
-	if !first || d.closed {
+// storeFailed records that the store fails, and checks it periodically until writes succeed.
+func (c *Coordinator) storeFailed(err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	first := c.storeErr == nil
+	c.storeErr = err
+	if !first || c.closed {
 		return
 	}
-	d.o.Log.Error("orders cannot be noted: those that need it are refused", "err", err)
-	d.work.Go(func() {
-		tick := time.NewTicker(tryEvery)
+	c.options.Log.Error("orders cannot be noted: those that need it are refused", "err", err)
+	c.workers.Go(func() {
+		tick := time.NewTicker(writeCheckInterval)
 		defer tick.Stop()
 		for {
 			select {
-			case <-d.ctx.Done():
+			case <-c.ctx.Done():
 				return
 			case <-tick.C:
 			}
-			if err := d.o.Store.CheckWritable(); err == nil {
-				d.mu.Lock()
-				d.failing = nil
-				d.mu.Unlock()
-				d.o.Log.Info("orders can be noted again")
+			if err := c.options.Store.CheckWritable(); err == nil {
+				c.mu.Lock()
+				c.storeErr = nil
+				c.mu.Unlock()
+				c.options.Log.Info("orders can be noted again")
 				return
 			}
 		}
 	})
 }
 
-// retention is how long an order of a class is known. At first it is no bound: see grace.
-func (d *Coordinator) retention(class string) time.Duration {
-	if time.Since(d.began) < grace {
+// retention returns how long an order of a class is kept; 0, no limit, during expiryGrace.
+func (c *Coordinator) retention(class string) time.Duration {
+	if time.Since(c.started) < expiryGrace {
 		return 0
 	}
-	return d.o.Retention(class)
+	return c.options.Retention(class)
 }
 
-// unable returns why the book cannot write, or nil.
-func (d *Coordinator) unable() error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.failing
+// writeError returns why the store fails, or nil.
+func (c *Coordinator) writeError() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.storeErr
 }
 
-// Stats returns the present counts.
-func (d *Coordinator) Stats() Stats {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	s := d.stats
-	s.Open, s.StoreError = len(d.orders), d.failing
+// Stats returns the current statistics.
+func (c *Coordinator) Stats() Stats {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.stats
+	s.Open, s.StoreError = len(c.orders), c.storeErr
 	return s
 }
 
-// Close ends the desk and its book, once the engine has ended.
-func (d *Coordinator) Close() error {
-	d.mu.Lock()
-	closed := d.closed
-	d.closed = true
-	d.mu.Unlock()
+// Close stops the coordinator and closes its store. The engine must be closed first.
+func (c *Coordinator) Close() error {
+	c.mu.Lock()
+	closed := c.closed
+	c.closed = true
+	c.mu.Unlock()
 	if closed {
 		return nil
 	}
-	d.stop()
-	d.work.Wait()
-	return d.o.Store.Close()
+	c.stop()
+	c.workers.Wait()
+	return c.options.Store.Close()
 }
 
-// Transport returns inner with an intent before each attempt on an order, and its end behind it. Where the intent cannot be
-// noted nothing is sent.
+// Transport wraps inner so that the intent of each attempt of an order is recorded before it and
+// its result after it. If the intent cannot be recorded, nothing is sent.
 func Transport(inner engine.Transport) engine.Transport {
-	return noting{inner}
+	return recordingTransport{inner}
 }
 
-type noting struct{ engine.Transport }
+type recordingTransport struct{ engine.Transport }
 
-// Do is a method of engine.Transport.
-func (t noting) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
+// Do implements engine.Transport.
+func (t recordingTransport) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	o, ok := a.Order().(*order)
 	if !ok {
 		return t.Transport.Do(a, to)
 	}
-	e, number, err := o.begin(to)
+	e, number, err := o.beginAttempt(to)
 	if err != nil {
 		return engine.AttemptResult{Status: policy.NotSent}
 	}
 	end := t.Transport.Do(a, to)
-	o.end(e, number, end)
+	o.endAttempt(e, number, end)
 	return end
 }
--- a/internal/orders/coordinator_test.go
+++ b/internal/orders/coordinator_test.go
@@ -87,13 +87,13 @@
 
 // end ends the process, as far as its book can tell.
 func (w *world) end() {
-	w.o.Engine.Close()
+	w.options.Engine.Close()
 	w.Close()
 }
 
 func (w *world) take(class, key string, print byte) (*engine.Request, error) {
 	r := &engine.Request{Class: class, Timeout: 8 * time.Second}
-	return r, w.Submit(r, Identity{Key: key, Fingerprint: [32]byte{print}}, w.o.Engine.Now())
+	return r, w.Submit(r, Identity{Key: key, Fingerprint: [32]byte{print}}, w.options.Engine.Now())
 }
 
 func (w *world) ask(class, key string, print byte) engine.Result {
@@ -235,7 +235,7 @@
 		return first, second
 	}
 	first, second := start("order", "left")
-	w.o.Engine.Withdraw(first)
+	w.options.Engine.Withdraw(first)
 	<-begun // the second one, within the window
 	third, err := w.take("order", "left", 1)
 	if err != nil {
@@ -245,9 +245,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.o.Engine.Withdraw(gone)
+	w.options.Engine.Withdraw(gone)
 	pay, other := start("pay", "left")
-	w.o.Engine.Withdraw(pay)
+	w.options.Engine.Withdraw(pay)
 	if got := w.result(other); got.Kind != engine.Failed || !got.MayHaveRun {
 		t.Errorf("behind an unsafe one that was left: %+v", got)
 	}
@@ -315,19 +315,19 @@
 // the key by then.
 func TestEndOfAnotherEntry(t *testing.T) {
 	w := build(t, NewMemoryStore(1<<20))
-	o := w.hold("order\x00k", classes[1])
-	defer w.let(o)
+	o := w.acquire("order\x00k", classes[1])
+	defer w.release(o)
 	for _, status := range []policy.Status{policy.OK, policy.ConnectFailed} {
 		o.entry = &ledger.Entry{Fingerprint: [32]byte{1}}
-		old, number, err := o.begin(engine.Endpoint{ID: "a"})
+		old, number, err := o.beginAttempt(engine.Endpoint{ID: "a"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		o.entry = &ledger.Entry{Fingerprint: [32]byte{2}}
-		if _, _, err := o.begin(engine.Endpoint{ID: "b"}); err != nil {
+		if _, _, err := o.beginAttempt(engine.Endpoint{ID: "b"}); err != nil {
 			t.Fatal(err)
 		}
-		o.end(old, number, engine.AttemptResult{Status: status, Reply: "another's"})
+		o.endAttempt(old, number, engine.AttemptResult{Status: status, Reply: "another's"})
 		if o.entry.Served || len(o.entry.Attempts) != 1 {
 			t.Errorf("%v: %+v", status, o.entry)
 		}
--- a/internal/orders/entry_store.go
+++ b/internal/orders/entry_store.go
@@ -7,112 +7,116 @@
 	"quillfront/store"
 )
 
-// EntryStore keeps entries by their keys. Its methods may be called from many goroutines at once.
+// EntryStore stores encoded ledger entries by key. Its methods are safe for concurrent use.
 type EntryStore interface {
-	// Get returns what is kept under a key.
+	// Get returns the value of a key.
 	Get(key string) (value []byte, ok bool, err error)
-	// Put keeps a value. A firm one is as durable as the book can make it when Put returns; others may be lost by a cut.
-	Put(key string, value []byte, firm bool) error
-	// CheckWritable writes something of no meaning, to find out whether writing works again.
+	// Put stores a value. If durable is set, the value is as durable as the store can make it when
+	// Put returns. Otherwise a power loss may lose it.
+	Put(key string, value []byte, durable bool) error
+	// CheckWritable writes a placeholder to find out whether the store accepts writes.
 	CheckWritable() error
+	// Close closes the store.
 	Close() error
 }
 
-// MemoryStore is a book that lasts as long as the process and has a bound: what was written first goes first.
+// MemoryStore is an EntryStore in memory, which is lost when the process ends. When it exceeds its
+// size limit it drops the least recently written entries.
 type MemoryStore struct {
-	most int
+	maxBytes int
 
 	mu      sync.Mutex
 	bytes   int
 	entries map[string]*list.Element
-	order   *list.List // of *page, by their latest writing
+	byWrite *list.List // of *memoryEntry, least recently written first
 }
 
-type page struct {
+type memoryEntry struct {
 	key   string
 	value []byte
 }
 
-// perPage is what a page costs beside its key and value, about.
-const perPage = 200
+// entryOverhead is the approximate memory use of an entry in addition to its key and value.
+const entryOverhead = 200
 
-// NewMemoryStore returns a book of at most that many bytes.
-func NewMemoryStore(most int) *MemoryStore {
-	return &MemoryStore{most: most, entries: map[string]*list.Element{}, order: list.New()}
+// NewMemoryStore returns an empty MemoryStore that uses at most about maxBytes bytes.
+func NewMemoryStore(maxBytes int) *MemoryStore {
+	return &MemoryStore{maxBytes: maxBytes, entries: map[string]*list.Element{}, byWrite: list.New()}
 }
 
-// Get is a method of Book.
+// Get implements EntryStore.
 func (m *MemoryStore) Get(key string) ([]byte, bool, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if e := m.entries[key]; e != nil {
-		return e.Value.(*page).value, true, nil
+		return e.Value.(*memoryEntry).value, true, nil
 	}
 	return nil, false, nil
 }
 
-// Put is a method of Book. It never fails: the oldest entries make room.
+// Put implements EntryStore. It never fails: the oldest entries are dropped instead.
 func (m *MemoryStore) Put(key string, value []byte, _ bool) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if e := m.entries[key]; e != nil {
-		p := e.Value.(*page)
+		p := e.Value.(*memoryEntry)
 		m.bytes += len(value) - len(p.value)
 		p.value = value
-		m.order.MoveToBack(e)
+		m.byWrite.MoveToBack(e)
 	} else {
-		m.entries[key] = m.order.PushBack(&page{key, value})
-		m.bytes += len(key) + len(value) + perPage
+		m.entries[key] = m.byWrite.PushBack(&memoryEntry{key, value})
+		m.bytes += len(key) + len(value) + entryOverhead
 	}
-	for m.bytes > m.most && m.order.Len() > 1 {
-		e := m.order.Front()
-		p := e.Value.(*page)
-		m.order.Remove(e)
+	for m.bytes > m.maxBytes && m.byWrite.Len() > 1 {
+		e := m.byWrite.Front()
+		p := e.Value.(*memoryEntry)
+		m.byWrite.Remove(e)
 		delete(m.entries, p.key)
-		m.bytes -= len(p.key) + len(p.value) + perPage
+		m.bytes -= len(p.key) + len(p.value) + entryOverhead
 	}
 	return nil
 }
 
-// Len returns how many entries there are.
+// Len returns the number of entries.
 func (m *MemoryStore) Len() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.order.Len()
+	return m.byWrite.Len()
 }
 
-// CheckWritable is a method of Book.
+// CheckWritable implements EntryStore.
 func (m *MemoryStore) CheckWritable() error { return nil }
 
-// Close is a method of Book.
+// Close implements EntryStore.
 func (m *MemoryStore) Close() error { return nil }
 
-// DiskStore is a book in a store.
+// DiskStore is an EntryStore in a store.Store.
 type DiskStore struct {
 	Store      *store.Store
-	Durability store.Durability // of firm entries
+	Durability store.Durability // of entries that are put as durable
 }
 
-// tryKey is no order's: those begin with the name of a class.
-const tryKey = "\x00try"
+// probeKey is the key that CheckWritable writes. It cannot be an order's key, which begins with the
+// name of a class.
+const probeKey = "\x00try"
 
-// Get is a method of Book.
+// Get implements EntryStore.
 func (s DiskStore) Get(key string) ([]byte, bool, error) {
 	value, _, ok, err := s.Store.Get([]byte(key))
 	return value, ok, err
 }
 
-// Put is a method of Book.
-func (s DiskStore) Put(key string, value []byte, firm bool) error {
+// Put implements EntryStore.
+func (s DiskStore) Put(key string, value []byte, durable bool) error {
 	d := store.Buffered
-	if firm {
+	if durable {
 		d = s.Durability
 	}
 	return s.Store.Put([]byte(key), value, d)
 }
 
-// CheckWritable is a method of Book.
-func (s DiskStore) CheckWritable() error { return s.Store.Put([]byte(tryKey), nil, store.Synced) }
+// CheckWritable implements EntryStore.
+func (s DiskStore) CheckWritable() error { return s.Store.Put([]byte(probeKey), nil, store.Synced) }
 
-// Close is a method of Book.
+// Close implements EntryStore.
 func (s DiskStore) Close() error { return s.Store.Close() }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,6 +1,7 @@
-// Package ledger decides what follows from what is known of an order: a keyed or unsafe request, by its class and its
-// Idempotency-Key. It has no clock and does no I/O. Which server gets a request and whether to try again stays with policy;
-// the ledger only adds what happened before, under the same rules.
+// Package ledger records the attempts of orders and decides how to handle a request that repeats
+// one. An order is a keyed or unsafe request, identified by its class and its Idempotency-Key. The
+// package has no clock and does no I/O. Package policy still selects the server and decides on
+// retries; the ledger supplies the earlier attempts, to which policy applies the same rules.
 package ledger
 
 import (
@@ -14,17 +15,20 @@
 	"quillfront/policy"
 )
 
-// MaxAttempts bounds the attempts that an entry holds. One that has more that may have run is not sent again.
+// MaxAttempts limits the attempts of an order that may have run. An order that has reached the
+// limit is not sent again.
 const MaxAttempts = 16
 
-// Instant is a moment by two clocks. The wall clock may be set back and forth; the other cannot, and ends with the machine's run.
+// Instant is a point in time by two clocks: the wall clock, which may be adjusted in either
+// direction, and a monotonic clock, which is valid within one boot of the machine.
 type Instant struct {
 	Wall int64  `cbor:"1,keyasint"` // Unix nanoseconds
-	Boot uint64 `cbor:"2,keyasint"` // names the run of the machine; 0: not known
-	Up   int64  `cbor:"3,keyasint"` // nanoseconds since it began, sleep counted
+	Boot uint64 `cbor:"2,keyasint"` // identifies the boot of the machine; 0: unknown
+	Up   int64  `cbor:"3,keyasint"` // nanoseconds since boot, including suspend
 }
 
-// Since returns how long ago then was, and whether that can be known: only within one run of the machine.
+// Since returns the time elapsed since then, and whether it is known, which it is only if both
+// instants are from the same boot of the machine.
 func (i Instant) Since(then Instant) (age time.Duration, known bool) {
 	if i.Boot == 0 || i.Boot != then.Boot || i.Up < then.Up {
 		return 0, false
@@ -32,26 +36,27 @@
 	return time.Duration(i.Up - then.Up), true
 }
 
-// Attempt is a send of an order that may have run.
+// Attempt is an attempt of an order that may have run on a server.
 type Attempt struct {
 	Server string  `cbor:"1,keyasint"`
 	Zone   string  `cbor:"2,keyasint,omitempty"`
 	Cell   int     `cbor:"3,keyasint,omitempty"`
 	At     Instant `cbor:"4,keyasint"` // just before its first byte was sent
-	Number int     `cbor:"5,keyasint"` // of the entry's, from 1
+	Number int     `cbor:"5,keyasint"` // counts the attempts of the entry, from 1
 }
 
-// Entry is what is known of one order. Its zero value is one of which nothing is.
+// Entry is the record of one order. The zero value is the entry of an unknown order.
 type Entry struct {
-	Fingerprint  [32]byte  `cbor:"1,keyasint"` // tells what was asked for from anything else
-	FirstSeen    Instant   `cbor:"2,keyasint"` // when it was first taken
-	Attempts     []Attempt `cbor:"3,keyasint,omitempty"`
-	AttemptCount int       `cbor:"4,keyasint,omitempty"` // attempts ever begun
+	Fingerprint  [32]byte  `cbor:"1,keyasint"`           // of the request's contents
+	FirstSeen    Instant   `cbor:"2,keyasint"`           // when the order was first accepted
+	Attempts     []Attempt `cbor:"3,keyasint,omitempty"` // those that may have run
+	AttemptCount int       `cbor:"4,keyasint,omitempty"` // attempts started so far
 	Served       bool      `cbor:"5,keyasint,omitempty"`
-	Reply        []byte    `cbor:"6,keyasint,omitempty"` // as a front wrote it; nil: none is kept
+	Reply        []byte    `cbor:"6,keyasint,omitempty"` // as encoded by the caller; nil: not kept
 }
 
-// RecordAttempt notes that an attempt begins and returns its number. It must be kept before the attempt's first byte is sent.
+// RecordAttempt records the start of an attempt and returns its number. The entry must be stored
+// before the first byte of the attempt is sent.
 func (e *Entry) RecordAttempt(a Attempt) int {
 	e.AttemptCount++
 	a.Number = e.AttemptCount
@@ -59,56 +64,60 @@
 	return a.Number
 }
 
-// RecordNotRun notes that an attempt is proven never to have run.
+// RecordNotRun records that an attempt provably did not run.
 func (e *Entry) RecordNotRun(number int) {
 	e.Attempts = slices.DeleteFunc(e.Attempts, func(a Attempt) bool { return a.Number == number })
 }
 
-// RecordReply notes that an attempt was served, and the answer, unless there is one: whoever asks again gets one and the same.
-func (e *Entry) RecordReply(answer []byte) {
+// RecordReply records that an attempt was served, and its encoded reply. Later replies are ignored,
+// so that all repeats of a request get the same one.
+func (e *Entry) RecordReply(reply []byte) {
 	if !e.Served {
-		e.Served, e.Reply = true, answer
+		e.Served, e.Reply = true, reply
 	}
 }
 
-// Action is what to do with a request that names an order.
+// Action is the way to handle a request that names an order.
 type Action int
 
-// The kinds.
+// The actions.
 const (
-	Fresh    Action = iota // send it: nothing was, or nothing that ran
-	Resend                 // send it where and while repeats of Past are dropped
-	Replay                 // give the answer that is kept
-	Mismatch               // the key was used for something else: send nothing
-	Unknown                // it may have run, and must not be sent: neither promise nor refuse
-	Done                   // it was served, and the answer is no longer kept
+	Fresh    Action = iota // send it: no earlier attempt may have run
+	Resend                 // send it only where and while servers drop repeats of PriorAttempts
+	Replay                 // answer with the stored reply
+	Mismatch               // reject it: the key was used for a different request
+	Unknown                // do not send it: it may have run, and the client is told so
+	Done                   // do not send it: it was served, and the reply is not kept
 )
 
-// String names the kind.
+// String returns the name of the action.
 func (k Action) String() string {
 	return [...]string{"fresh", "again", "replay", "mismatch", "unknown", "done"}[k]
 }
 
-// Decision is a judgement.
+// Decision is the result of Decide.
 type Decision struct {
 	Action        Action
-	PriorAttempts []policy.PriorAttempt // Again: for the decision module
+	PriorAttempts []policy.PriorAttempt // with Resend: for policy
 }
 
-// Decide says what follows for a request of class c, with the print of what it asks for, that names the order of which e is
-// known; nil is nothing. Margin is taken off the time for which servers drop repeats: what may pass between a send and its
-// arrival. Entries older than retention count for nothing; 0 is no bound.
+// Decide returns how to handle a request of class c with the given fingerprint that names the order
+// with entry e; nil is an unknown order. margin is subtracted from the time for which servers drop
+// repeats: it covers the time between a send and its arrival. Entries older than retention are
+// ignored; 0 is no limit.
 //
-// It guards against an effect that takes place twice by two requests, as policy does by two attempts of one. An unsafe order
-// that may have run is never sent again. A keyed one is, within the window that began with the first such attempt and in the
-// group that got it; policy keeps to both by Past. An age that cannot be known, after the machine's restart or by clocks that
-// disagree, is as good as one past the window. It does harm where a server had in truth never begun: the client is told that
-// nobody knows.
-func Decide(c policy.Class, e *Entry, print [32]byte, now Instant, margin, retention time.Duration) Decision {
+// It prevents an effect from taking place twice because of two requests, as policy does for two
+// attempts of one request. An unsafe order that may have run is never sent again. A keyed one is
+// sent again only within the window that starts with the first attempt that may have run, and only
+// in the group that received it; policy enforces both from PriorAttempts. If the age of an attempt
+// is unknown, after a restart of the machine or because the clocks disagree, the window counts as
+// over. The cost is that a client is told that its order may have run although no server has ever
+// started it.
+func Decide(c policy.Class, e *Entry, fingerprint [32]byte, now Instant, margin, retention time.Duration) Decision {
 	switch {
-	case e == nil || e.FirstSeen == (Instant{}) || retention > 0 && old(now, e.FirstSeen) > retention:
+	case e == nil || e.FirstSeen == (Instant{}) || retention > 0 && approximateAge(now, e.FirstSeen) > retention:
 		return Decision{Action: Fresh}
-	case e.Fingerprint != print:
+	case e.Fingerprint != fingerprint:
 		return Decision{Action: Mismatch}
 	case e.Served && e.Reply != nil:
 		return Decision{Action: Replay}
@@ -130,32 +139,33 @@
 	return v
 }
 
-// old is how long ago then was, for what is not exact: by the wall clock where no other is the same.
-func old(now, then Instant) time.Duration {
+// approximateAge returns the time elapsed since then, for uses that need not be exact. It uses the
+// wall clock if the monotonic clocks cannot be compared.
+func approximateAge(now, then Instant) time.Duration {
 	if age, known := now.Since(then); known {
 		return age
 	}
 	return time.Duration(now.Wall - then.Wall)
 }
 
-// version begins each entry as it is kept.
-const version = 1
+// entryVersion is the first byte of each encoded entry.
+const entryVersion = 1
 
-// ErrInvalidEntry tells that bytes are no entry of a version that this program knows.
-var ErrInvalidEntry = errors.New("ledger: no entry of a known version")
+// ErrInvalidEntry reports that bytes are not an entry of a version that this program supports.
+var ErrInvalidEntry = errors.New("ledger: not an entry of a supported version")
 
-// Marshal returns e as bytes: a version, and CBOR (RFC 8949) with numbers for names.
+// Marshal encodes e as a version byte followed by CBOR (RFC 8949) with integer map keys.
 func (e *Entry) Marshal() ([]byte, error) {
 	b, err := cbor.Marshal(e)
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
-	return append([]byte{version}, b...), nil
+	return append([]byte{entryVersion}, b...), nil
 }
 
-// Unmarshal reads an entry from bytes.
+// Unmarshal decodes an entry that Marshal has encoded.
 func Unmarshal(b []byte) (*Entry, error) {
-	if len(b) == 0 || b[0] != version {
+	if len(b) == 0 || b[0] != entryVersion {
 		return nil, ErrInvalidEntry
 	}
 	e := &Entry{}
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -130,7 +130,7 @@
 
 // TestUnmarshalErrors: what is no entry is an error.
 func TestUnmarshalErrors(t *testing.T) {
-	for _, b := range [][]byte{nil, {}, {2}, {version}, {version, 0xff}, []byte("nonsense")} {
+	for _, b := range [][]byte{nil, {}, {2}, {entryVersion}, {entryVersion, 0xff}, []byte("nonsense")} {
 		if e, err := Unmarshal(b); !errors.Is(err, ErrInvalidEntry) {
 			t.Errorf("%x is %+v, %v", b, e, err)
 		}
