--- a/internal/engine/availability.go
+++ b/internal/engine/availability.go
@@ -5,44 +5,45 @@
 	"slices"
 	"time"
 
+	"quillfront/exclusion"
 	"quillfront/policy"
-	"quillfront/roster"
 )
 
-// ListEntry returns what the list says of a server, whether operators have it out or not.
-func (e *Engine) ListEntry(id policy.ServerID) (roster.Entry, bool) {
+// ListEntry returns a server's entry in the list, without regard to removals by operators.
+func (e *Engine) ListEntry(id policy.ServerID) (exclusion.Entry, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.listed[id]
-	return roster.Entry{ID: s.ID, State: s.State, BornMs: s.StartedMs}, ok
+	return exclusion.Entry{ID: s.ID, State: s.State, StartedMs: s.StartedMs}, ok
 }
 
-// ServerUsable reports whether a server is listed and may get anything new, as far as the list and operators tell.
+// ServerUsable reports whether a server is listed and may get new requests according to the list,
+// to operators and to the server itself.
 func (e *Engine) ServerUsable(id policy.ServerID) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.listed[id]
-	return ok && e.asCounts(e.absences, s).State == policy.Ready
+	return ok && e.effective(e.absences, s).State == policy.Ready
 }
 
-// HasUsableServer reports whether any server is listed that may get something new.
+// HasUsableServer reports whether any listed server may get new requests.
 func (e *Engine) HasUsableServer() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.usable()
+	return e.hasUsableServer()
 }
 
-func (e *Engine) usable() bool {
+func (e *Engine) hasUsableServer() bool {
 	for _, s := range e.listed {
-		if e.asCounts(e.absences, s).State == policy.Ready {
+		if e.effective(e.absences, s).State == policy.Ready {
 			return true
 		}
 	}
 	return false
 }
 
-// Retire has every listed server count as draining, and heeds no list from now on: nothing new goes to any, and what waits for one is
-// answered at once.
+// Retire marks every listed server as draining and ignores list updates from now on: no server gets
+// new requests, and requests that wait for a server are answered at once.
 func (e *Engine) Retire() {
 	e.event(func(now policy.Time) {
 		if e.stopWatch != nil {
@@ -55,101 +56,104 @@
 			s := e.listed[id]
 			s.State = policy.Draining
 			e.listed[id] = s
-			all = append(all, e.asCounts(e.absences, s))
+			all = append(all, e.effective(e.absences, s))
 		}
-		e.tell(now, policy.ListEnded, all)
+		e.applyEntries(now, policy.ListEnded, all)
 	})
 }
 
-// UnservedSinceRetire returns how many requests have been refused or have failed since Retire.
+// UnservedSinceRetire returns how many requests were refused or failed since Retire.
 func (e *Engine) UnservedSinceRetire() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.cut
+	return e.unserved
 }
 
-// OpenRequests returns how many requests have no result yet.
+// OpenRequests returns the number of requests without a result.
 func (e *Engine) OpenRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.open
+	return e.openCount
 }
 
-// RetainedRequests returns how many requests are kept: open ones, and ended ones with attempts that are still out.
+// RetainedRequests returns the number of requests that the engine retains: open ones, and ended
+// ones with attempts still in flight.
 func (e *Engine) RetainedRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.requests)
 }
 
-// SetAbsences makes a what operators have taken out and put back. The module is told of each server that counts as
-// something else from now on. a must not be changed afterwards.
-func (e *Engine) SetAbsences(a roster.Absences) {
+// SetAbsences sets which servers operators have removed and restored. The module is informed of
+// every server whose effective entry changes. The caller must not modify a afterwards.
+func (e *Engine) SetAbsences(a exclusion.State) {
 	e.event(func(now policy.Time) {
 		before := e.absences
 		e.absences = a
 		var changed []Server
 		for _, id := range slices.Sorted(maps.Keys(e.listed)) {
 			s := e.listed[id]
-			if is := e.asCounts(a, s); is != e.asCounts(before, s) {
-				changed = append(changed, is)
+			if current := e.effective(a, s); current != e.effective(before, s) {
+				changed = append(changed, current)
 			}
 		}
 		if len(changed) > 0 {
-			e.tell(now, policy.ListDelta, changed)
+			e.applyEntries(now, policy.ListDelta, changed)
 		}
 	})
 }
 
-// asCounts is s as it counts under a, and as it has asked itself.
-func (e *Engine) asCounts(a roster.Absences, s Server) Server {
-	c := a.Counts(roster.Entry{ID: s.ID, State: s.State, BornMs: s.StartedMs})
-	s.State, s.StartedMs = c.State, c.BornMs
+// effective returns s with the operators' removals in a and the current avoidances applied.
+func (e *Engine) effective(a exclusion.State, s Server) Server {
+	c := a.Effective(exclusion.Entry{ID: s.ID, State: s.State, StartedMs: s.StartedMs})
+	s.State, s.StartedMs = c.State, c.StartedMs
 	if s.State == policy.Ready && e.avoided.Has(s.ID) {
 		s.State = policy.Draining
 	}
 	return s
 }
 
-// mostHint is how long a server counts as draining on another's word.
-const mostHint = 10 * time.Second
+// hintDuration is how long a server is treated as draining after a hint from another process.
+const hintDuration = 10 * time.Second
 
-// HintDraining takes another process's word that a server drains or is gone. It counts as draining for a while, as if it had asked to be left alone:
-// that makes this process more careful, and is over soon if its own list does not say so too. At most half of those that could be used are
-// left alone.
+// HintDraining handles a hint from another process that a server is draining or gone. The server is
+// treated as draining for hintDuration, as if it had asked for it. A wrong hint does little harm:
+// it only makes this process more cautious, and it expires soon if the process's own list does not
+// confirm it. At most half of the usable servers are avoided.
 func (e *Engine) HintDraining(id policy.ServerID) {
-	e.event(func(now policy.Time) { e.avoid(now, id, mostHint) })
+	e.event(func(now policy.Time) { e.avoid(now, id, hintDuration) })
 }
 
-// OnLeaving has f told of each server that the list has had and that drains or is gone from now on. f must not block, nor call e.
+// OnLeaving registers f to be called for every listed server that starts draining or disappears
+// from the list. f must not block or call e.
 func (e *Engine) OnLeaving(f func(policy.ServerID)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaving = f
+	e.onLeaving = f
 }
 
-// leaves tells whoever is to know of servers that have left.
-func (e *Engine) leaves(kind policy.ListKind, l []Server) {
-	if e.leaving == nil {
+// reportLeaving calls onLeaving for the servers that leave with this list.
+func (e *Engine) reportLeaving(kind policy.ListKind, l []Server) {
+	if e.onLeaving == nil {
 		return
 	}
-	said := make(map[policy.ServerID]bool, len(l))
+	present := make(map[policy.ServerID]bool, len(l))
 	for _, s := range l {
-		said[s.ID] = true
-		if was, listed := e.listed[s.ID]; listed && was.State == policy.Ready && s.State != policy.Ready {
-			e.leaving(s.ID)
+		present[s.ID] = true
+		if old, listed := e.listed[s.ID]; listed && old.State == policy.Ready && s.State != policy.Ready {
+			e.onLeaving(s.ID)
 		}
 	}
 	if kind.Complete() && kind != policy.ListCached {
 		for _, id := range slices.Sorted(maps.Keys(e.listed)) {
-			if !said[id] && e.listed[id].State == policy.Ready {
-				e.leaving(id)
+			if !present[id] && e.listed[id].State == policy.Ready {
+				e.onLeaving(id)
 			}
 		}
 	}
 }
 
-// avoid leaves a server alone for a while, as it has asked. The module is told that it drains, and at the end that it does not.
+// avoid treats a server as draining for the duration d, and as ready again afterwards.
 func (e *Engine) avoid(now policy.Time, id policy.ServerID, d time.Duration) {
 	s, listed := e.listed[id]
 	if !listed || e.closed {
@@ -157,49 +161,49 @@
 	}
 	usable := 0
 	for _, o := range e.listed {
-		if c := e.absences.Counts(roster.Entry{ID: o.ID, State: o.State, BornMs: o.StartedMs}); c.State == policy.Ready {
+		if c := e.absences.Effective(exclusion.Entry{ID: o.ID, State: o.State, StartedMs: o.StartedMs}); c.State == policy.Ready {
 			usable++
 		}
 	}
-	before := e.asCounts(e.absences, s)
-	if !e.avoided.Avoid(id, now.Milliseconds(), max(d.Milliseconds(), 1), usable) {
+	before := e.effective(e.absences, s)
+	if !e.avoided.Add(id, now.Milliseconds(), max(d.Milliseconds(), 1), usable) {
 		return
 	}
-	if is := e.asCounts(e.absences, s); is != before {
-		e.tell(now, policy.ListDelta, []Server{is})
+	if current := e.effective(e.absences, s); current != before {
+		e.applyEntries(now, policy.ListDelta, []Server{current})
 	}
-	e.unavoid(now)
+	e.endAvoidance(now)
 }
 
-// unavoid ends what is over of avoid, and comes again when the next is.
-func (e *Engine) unavoid(now policy.Time) {
-	back, next := e.avoided.End(now.Milliseconds(), func(id policy.ServerID) bool { _, listed := e.listed[id]; return !listed })
+// endAvoidance ends the avoidances that have expired, and schedules itself for the next one.
+func (e *Engine) endAvoidance(now policy.Time) {
+	expired, next := e.avoided.Expire(now.Milliseconds(), func(id policy.ServerID) bool { _, listed := e.listed[id]; return !listed })
 	var changed []Server
-	slices.Sort(back)
-	for _, id := range back {
+	slices.Sort(expired)
+	for _, id := range expired {
 		if s, listed := e.listed[id]; listed {
-			changed = append(changed, e.asCounts(e.absences, s))
+			changed = append(changed, e.effective(e.absences, s))
 		}
 	}
 	if len(changed) > 0 {
-		e.tell(now, policy.ListDelta, changed)
+		e.applyEntries(now, policy.ListDelta, changed)
 	}
 	if next > 0 && !e.closed {
-		if e.unavoids != nil {
-			e.unavoids.Stop()
+		if e.avoidTimer != nil {
+			e.avoidTimer.Stop()
 		}
-		e.unavoids = time.AfterFunc(time.Duration(next)*time.Millisecond, func() {
+		e.avoidTimer = time.AfterFunc(time.Duration(next)*time.Millisecond, func() {
 			e.event(func(now policy.Time) {
 				if !e.closed {
-					e.unavoid(now)
+					e.endAvoidance(now)
 				}
 			})
 		})
 	}
 }
 
-// note notes a message about the list, and returns its entries as they count.
-func (e *Engine) note(kind policy.ListKind, l []Server) []Server {
+// recordEntries stores the entries of a list or list change, and returns the effective entries.
+func (e *Engine) recordEntries(kind policy.ListKind, l []Server) []Server {
 	if kind.Complete() {
 		clear(e.listed)
 	}
@@ -210,7 +214,7 @@
 		} else {
 			e.listed[s.ID] = s
 		}
-		entries[i] = e.asCounts(e.absences, s)
+		entries[i] = e.effective(e.absences, s)
 	}
 	return entries
 }
--- a/internal/orders/coordinator.go
+++ b/internal/orders/coordinator.go
@@ -260,7 +260,7 @@
 	becomeLeader := func() {
 		l := &leader{}
 		o.leader = l
-		r.KeyHistory, r.Order = v.PriorAttempts, o
+		r.PriorAttempts, r.Order = v.PriorAttempts, o
 		r.OnEnd = func(result engine.Result, withdrawn bool) { o.leaderEnded(l, result, withdrawn) }
 	}
 	if deferred {
@@ -269,7 +269,7 @@
 	}
 	becomeLeader()
 	if err := e.Submit(r, received); err != nil {
-		o.leader, r.OnEnd, r.Order, r.KeyHistory = nil, nil, nil, nil
+		o.leader, r.OnEnd, r.Order, r.PriorAttempts = nil, nil, nil, nil
 		return err
 	}
 	return nil
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -23,7 +23,7 @@
 func (nobody) Probe(context.Context, engine.Endpoint) (policy.Status, *policy.Load) {
 	return policy.ConnectFailed, nil
 }
-func (nobody) HangUp(engine.Endpoint) {}
+func (nobody) CloseIdle(engine.Endpoint) {}
 
 func config() Config {
 	return Config{
@@ -45,7 +45,7 @@
 	if c, ok := p.Class("sql"); !ok || c.Effect != policy.Unsafe {
 		t.Errorf("class %+v", c)
 	}
-	if c, ok := p.Class(ReadOf("sql")); !ok || c.Effect != policy.Safe {
+	if c, ok := p.Class(SafeClass("sql")); !ok || c.Effect != policy.Safe {
 		t.Errorf("class %+v of what may be repeated", c)
 	}
 	next := config()
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -173,18 +173,18 @@
 	for _, v := range s.Engine.Sites {
 		gauge(siteShare, v.Share, v.Site)
 		gauge(siteState, float64(v.State), v.Site)
-		gauge(siteBad, v.Bad, v.Site)
+		gauge(siteBad, v.FailureRatio, v.Site)
 		total(siteSpilled, v.Spilled, v.Site)
 		total(siteAway, v.TurnedAway, v.Site)
 	}
 	gauge(active, float64(s.Engine.Open))
-	gauge(held, float64(s.Engine.Beliefs.Held))
+	gauge(held, float64(s.Engine.Module.Held))
 	gauge(poolSize, float64(len(s.Engine.Servers)))
 	gauge(poolEjected, float64(ejected))
 	gauge(poolOut, float64(s.Out))
 	gauge(poolDraining, float64(draining))
-	gauge(readySet, float64(s.Engine.Beliefs.ReadySet))
-	gauge(threshold, s.Engine.Beliefs.Threshold)
+	gauge(readySet, float64(s.Engine.Module.ReadySet))
+	gauge(threshold, s.Engine.Module.Threshold)
 	gauge(evacuated, truth(s.Evacuated))
 	total(applied, uint64(s.Applied))
 	total(rejected, uint64(s.Rejected))
@@ -276,8 +276,8 @@
 		total(poolsCut, st.Ends.Cut, f.Name)
 		for route, n := range st.Routes {
 			total(routeRequests, n.Requests, f.Name, route)
-			gauge(routeKeys, float64(n.Held), f.Name, route)
-			total(routeEarly, uint64(n.Early), f.Name, route)
+			gauge(routeKeys, float64(n.PinnedKeys), f.Name, route)
+			total(routeEarly, uint64(n.EarlyEvictions), f.Name, route)
 		}
 	}
 	gauge(serviceGuests, float64(g.Current), f.Name)
