--- a/internal/orders/coordinator.go
+++ b/internal/orders/coordinator.go
@@ -219,10 +219,10 @@
 
 // process handles r as the ledger decides, when there is no open leader to wait for. deferred tells
 // that r was already submitted to the engine as a deferred request.
-func (o *order) process(r *engine.Request, fingerprint [32]byte, received policy.Time, deferred bool) error {
+func (o *order) process(r *engine.Request, print [32]byte, received policy.Time, deferred bool) error {
 	c, e := o.coordinator, o.coordinator.options.Engine
 	now := c.options.Clock()
-	v := ledger.Decide(o.class, o.entry, fingerprint, now, margin, c.retention(o.class.Name))
+	v := ledger.Decide(o.class, o.entry, print, now, margin, c.retention(o.class.Name))
 	resolve := func(result engine.Result) error {
 		if !deferred {
 			if err := e.SubmitDeferred(r); err != nil {
@@ -254,8 +254,8 @@
 		c.count(&c.stats.Unwritable)
 		return resolve(engine.Result{Kind: unwritableResult(v), RetryAfter: retryAfter, MayHaveRun: v.Action == ledger.Resend})
 	}
-	if v.Action == ledger.Fresh && (o.entry == nil || o.entry.Fingerprint != fingerprint || len(o.entry.Attempts) > 0 || o.entry.Served) {
-		o.entry = &ledger.Entry{Fingerprint: fingerprint, FirstSeen: now}
+	if v.Action == ledger.Fresh && (o.entry == nil || o.entry.Fingerprint != print || len(o.entry.Attempts) > 0 || o.entry.Served) {
+		o.entry = &ledger.Entry{Fingerprint: print, FirstSeen: now}
 	}
 	becomeLeader := func() {
 		l := &leader{}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -101,7 +101,7 @@
 	PriorAttempts []policy.PriorAttempt // with Resend: for policy
 }
 
-// Decide returns how to handle a request of class c with the given fingerprint that names the order
+// Decide returns how to handle a request of class c with the fingerprint print that names the order
 // with entry e; nil is an unknown order. margin is subtracted from the time for which servers drop
 // repeats: it covers the time between a send and its arrival. Entries older than retention are
 // ignored; 0 is no limit.
@@ -113,11 +113,11 @@
 // is unknown, after a restart of the machine or because the clocks disagree, the window counts as
 // over. The cost is that a client is told that its order may have run although no server has ever
 // started it.
-func Decide(c policy.Class, e *Entry, fingerprint [32]byte, now Instant, margin, retention time.Duration) Decision {
+func Decide(c policy.Class, e *Entry, print [32]byte, now Instant, margin, retention time.Duration) Decision {
 	switch {
 	case e == nil || e.FirstSeen == (Instant{}) || retention > 0 && approximateAge(now, e.FirstSeen) > retention:
 		return Decision{Action: Fresh}
-	case e.Fingerprint != fingerprint:
+	case e.Fingerprint != print:
 		return Decision{Action: Mismatch}
 	case e.Served && e.Reply != nil:
 		return Decision{Action: Replay}
--- a/store/bench_test.go
+++ b/store/bench_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// The work of the order ledger: records of some 250 bytes under keys of some 50.
+// benchValue is the size of a value as the order ledger writes it: about 250 bytes, with keys of
+// about 50.
 const benchValue = 250
 
 func benchKey(i int) []byte {
@@ -21,13 +22,13 @@
 
 func benchRecord(i int) []byte {
 	v := make([]byte, benchValue)
-	for at := 0; at+8 <= len(v); at += 8 {
-		binary.LittleEndian.PutUint64(v[at:], uint64(i+at)*0xbf58476d1ce4e5b9)
+	for offset := 0; offset+8 <= len(v); offset += 8 {
+		binary.LittleEndian.PutUint64(v[offset:], uint64(i+offset)*0xbf58476d1ce4e5b9)
 	}
 	return v
 }
 
-// plainFile is the baseline: records are appended to one file, and each durable one is synced by whoever wrote it.
+// plainFile is the baseline: it appends records to one file, and syncs after each durable one.
 type plainFile struct {
 	mu sync.Mutex
 	f  *os.File
@@ -42,7 +43,8 @@
 	return p.f.Sync()
 }
 
-// BenchmarkPut puts records from 16 goroutines, durable and buffered, beside the plain file.
+// BenchmarkPut writes durable and buffered records from 16 goroutines to a store, and to a plain
+// file for comparison.
 func BenchmarkPut(b *testing.B) {
 	for _, durable := range []bool{true, false} {
 		level := Buffered
@@ -69,24 +71,24 @@
 					put = func(k, v []byte) error { return p.put(k, v, durable) }
 				}
 				const writers = 16
-				took := make([][]time.Duration, writers)
+				latencies := make([][]time.Duration, writers)
 				b.ResetTimer()
-				var work sync.WaitGroup
+				var wg sync.WaitGroup
 				for w := range writers {
-					work.Go(func() {
+					wg.Go(func() {
 						for i := w; i < b.N; i += writers {
-							began := time.Now()
+							started := time.Now()
 							if err := put(benchKey(i), benchRecord(i)); err != nil {
 								b.Error(err)
 								return
 							}
-							took[w] = append(took[w], time.Since(began))
+							latencies[w] = append(latencies[w], time.Since(started))
 						}
 					})
 				}
-				work.Wait()
+				wg.Wait()
 				b.StopTimer()
-				all := slices.Concat(took...)
+				all := slices.Concat(latencies...)
 				slices.Sort(all)
 				b.ReportMetric(float64(all[len(all)*99/100].Nanoseconds())/1e3, "p99-us")
 			})
@@ -94,7 +96,8 @@
 	}
 }
 
-// BenchmarkOpen opens what holds 100,000 keys, with hints and without, and tells what of memory it then takes for each.
+// BenchmarkOpen opens a store of 100,000 keys with and without hints, and reports its heap use per
+// key.
 func BenchmarkOpen(b *testing.B) {
 	const keys = 100_000
 	heap := func() float64 {
@@ -117,18 +120,18 @@
 				}
 			}
 			s.Close()
-			least := 0.0
+			minHeap := 0.0
 			for b.Loop() {
 				before := heap()
 				if s, err = Open(dir, o); err != nil {
 					b.Fatal(err)
 				}
-				if n := (heap() - before) / keys; least == 0 || n < least {
-					least = n
+				if n := (heap() - before) / keys; minHeap == 0 || n < minHeap {
+					minHeap = n
 				}
 				s.Close()
 			}
-			b.ReportMetric(least, "heap-B/key")
+			b.ReportMetric(minHeap, "heap-B/key")
 		})
 	}
 }
--- a/store/memfs_test.go
+++ b/store/memfs_test.go
@@ -9,17 +9,17 @@
 	"sync"
 )
 
-// memFS is a file system in memory that can lose its power: what was not synced may then be there in part, in whole, as
-// zeros, or not at all, and names that were not synced may be as they were before.
+// memFS is an in-memory file system that simulates power loss: afterwards unsynced data may be
+// present in whole, in part, as zeros or not at all, and unsynced directory changes may be lost.
 type memFS struct {
-	mu     sync.Mutex
-	files  map[string]*memFile // as the process sees them
-	names  map[string]*memFile // as the directory has them durably
-	steps  int                 // bytes and calls that still go through; below 0: no end
-	cut    bool                // the power is gone
-	full   bool                // writes fail for want of room
-	noSync bool                // syncs fail
-	locked bool
+	mu        sync.Mutex
+	files     map[string]*memFile // as the process sees them
+	names     map[string]*memFile // as durable in the directory
+	steps     int                 // bytes and calls until the power is lost; negative: unlimited
+	powerLost bool                // all further changes fail
+	full      bool                // writes fail for lack of space
+	failSync  bool                // syncs fail
+	locked    bool
 }
 
 type memFile struct {
@@ -32,39 +32,40 @@
 }
 
 var (
-	errCut  = errors.New("the power is gone")
-	errRoom = errors.New("no room on the disk")
-	errSync = errors.New("the sync failed")
+	errPowerLost = errors.New("power lost")
+	errNoSpace   = errors.New("no space on the disk")
+	errSync      = errors.New("sync failed")
 )
 
-// step spends n steps and returns how many went through.
-func (m *memFS) step(n int) int {
-	if m.cut {
+// spend uses up n of the remaining steps and returns how many of them succeed.
+func (m *memFS) spend(n int) int {
+	if m.powerLost {
 		return 0
 	}
 	if m.steps < 0 {
 		return n
 	}
 	if n > m.steps {
-		n, m.cut = m.steps, true
+		n, m.powerLost = m.steps, true
 	}
 	m.steps -= n
 	return n
 }
 
-// after returns the file system that is found when the power is back. how says what became of what was not synced: the
-// part of each file's unsynced bytes that is there, whether what is missing is zeros, and whether unsynced names are kept.
-func (m *memFS) after(part float64, zeros, names bool) *memFS {
+// afterPowerLoss returns the file system as it is found after a power loss. part is the share of
+// each file's unsynced bytes that is kept, zeros whether the remaining ones are zeros or missing,
+// and names whether unsynced directory changes are kept.
+func (m *memFS) afterPowerLoss(part float64, zeros, names bool) *memFS {
 	n := newMemFS()
 	from := m.names
 	if names {
 		from = m.files
 	}
 	for name, f := range from {
-		there := f.synced + int(part*float64(len(f.data)-f.synced))
-		data := slices.Clone(f.data[:there])
+		kept := f.synced + int(part*float64(len(f.data)-f.synced))
+		data := slices.Clone(f.data[:kept])
 		if zeros {
-			data = append(data, make([]byte, len(f.data)-there)...)
+			data = append(data, make([]byte, len(f.data)-kept)...)
 		}
 		g := &memFile{data, len(data)}
 		n.files[name], n.names[name] = g, g
@@ -73,27 +74,28 @@
 }
 
 type memWriter struct {
-	m  *memFS
-	f  *memFile
-	at int
+	m      *memFS
+	f      *memFile
+	offset int
 }
 
-// put writes behind what was written before, over the zeros that were allocated. What it overwrites is not durable any more.
-func (w *memWriter) put(p []byte) {
-	w.f.synced = min(w.f.synced, w.at)
-	n := copy(w.f.data[w.at:], p)
+// write appends to the data written so far, over any allocated zeros. Overwritten bytes are no
+// longer durable.
+func (w *memWriter) write(p []byte) {
+	w.f.synced = min(w.f.synced, w.offset)
+	n := copy(w.f.data[w.offset:], p)
 	w.f.data = append(w.f.data, p[n:]...)
-	w.at += len(p)
+	w.offset += len(p)
 }
 
 func (w *memWriter) Allocate(size int64) error {
 	w.m.mu.Lock()
 	defer w.m.mu.Unlock()
-	if w.m.step(1) < 1 {
-		return errCut
+	if w.m.spend(1) < 1 {
+		return errPowerLost
 	}
 	if w.m.full {
-		return errRoom
+		return errNoSpace
 	}
 	if n := int(size) - len(w.f.data); n > 0 {
 		w.f.data = append(w.f.data, make([]byte, n)...)
@@ -104,8 +106,8 @@
 func (w *memWriter) Truncate(size int64) error {
 	w.m.mu.Lock()
 	defer w.m.mu.Unlock()
-	if w.m.step(1) < 1 {
-		return errCut
+	if w.m.spend(1) < 1 {
+		return errPowerLost
 	}
 	w.f.data = w.f.data[:size]
 	w.f.synced = min(w.f.synced, len(w.f.data))
@@ -115,11 +117,11 @@
 func (m *memFS) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.step(1) < 1 {
-		return nil, errCut
+	if m.spend(1) < 1 {
+		return nil, errPowerLost
 	}
 	if m.full {
-		return nil, errRoom
+		return nil, errNoSpace
 	}
 	if m.files[name] != nil {
 		return nil, fs.ErrExist
@@ -132,8 +134,8 @@
 func (m *memFS) Append(name string, size int64) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.step(1) < 1 {
-		return nil, errCut
+	if m.spend(1) < 1 {
+		return nil, errPowerLost
 	}
 	f := m.files[name]
 	if f == nil {
@@ -149,13 +151,13 @@
 	defer w.m.mu.Unlock()
 	if w.m.full {
 		half := len(p) / 2
-		w.put(p[:half])
-		return half, errRoom
+		w.write(p[:half])
+		return half, errNoSpace
 	}
-	n := w.m.step(len(p))
-	w.put(p[:n])
+	n := w.m.spend(len(p))
+	w.write(p[:n])
 	if n < len(p) {
-		return n, errCut
+		return n, errPowerLost
 	}
 	return n, nil
 }
@@ -163,10 +165,10 @@
 func (w *memWriter) Sync() error {
 	w.m.mu.Lock()
 	defer w.m.mu.Unlock()
-	if w.m.step(1) < 1 {
-		return errCut
+	if w.m.spend(1) < 1 {
+		return errPowerLost
 	}
-	if w.m.noSync {
+	if w.m.failSync {
 		return errSync
 	}
 	w.f.synced = len(w.f.data)
@@ -198,8 +200,8 @@
 	if m.files[name] == nil {
 		return fs.ErrNotExist
 	}
-	if m.step(1) < 1 {
-		return errCut
+	if m.spend(1) < 1 {
+		return errPowerLost
 	}
 	delete(m.files, name)
 	return nil
@@ -219,10 +221,10 @@
 func (m *memFS) SyncDir() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.step(1) < 1 {
-		return errCut
+	if m.spend(1) < 1 {
+		return errPowerLost
 	}
-	if m.noSync {
+	if m.failSync {
 		return errSync
 	}
 	clear(m.names)
--- a/store/model_test.go
+++ b/store/model_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestModel plays a store against a map: calls, closings, and cuts of the power after which the disk is found in some way. The store
-// is then at a state that the map has had, not before the last that was durable, and goes on from it.
+// TestModel compares a store with a map over random calls, restarts and power losses with varying
+// outcomes for unsynced data. After each restart the store must be in a state that the map has had,
+// no older than the last durable one, and must continue from it.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		disk, clk := newMemFS(), newClock()
@@ -19,12 +20,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		states, durable := []map[string]string{{}}, 0 // since the last opening
-		note := func(firm bool, change func(map[string]string)) {
+		states, durable := []map[string]string{{}}, 0 // since the store was last opened
+		addState := func(isDurable bool, change func(map[string]string)) {
 			state := maps.Clone(states[len(states)-1])
 			change(state)
 			states = append(states, state)
-			if firm {
+			if isDurable {
 				durable = len(states) - 1
 			}
 		}
@@ -35,13 +36,13 @@
 					return
 				}
 			}
-			t.Fatalf("the state is none from %d to %d: %v", from, len(states)-1, got)
+			t.Fatalf("the contents match no state from %d to %d: %v", from, len(states)-1, got)
 		}
 		reopen := func() map[string]string {
 			if s, err = openWithoutWorkers(disk, options); err != nil {
 				t.Fatal(err)
 			}
-			return contentsOf(t, s)
+			return rapidContents(t, s)
 		}
 		key := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"})
 		t.Repeat(map[string]func(*rapid.T){
@@ -51,14 +52,14 @@
 				if err := s.Put([]byte(k), []byte(v), d); err != nil {
 					t.Fatal(err)
 				}
-				note(d == Synced, func(m map[string]string) { m[k] = v })
+				addState(d == Synced, func(m map[string]string) { m[k] = v })
 			},
 			"delete": func(t *rapid.T) {
 				k := key.Draw(t, "key")
 				if err := s.Delete([]byte(k), Buffered); err != nil {
 					t.Fatal(err)
 				}
-				note(false, func(m map[string]string) { delete(m, k) })
+				addState(false, func(m map[string]string) { delete(m, k) })
 			},
 			"compact": func(t *rapid.T) {
 				if err := s.Compact(context.Background()); err != nil {
@@ -79,22 +80,22 @@
 				}
 				check(reopen(), len(states)-1)
 			},
-			"cut": func(t *rapid.T) {
+			"power loss": func(t *rapid.T) {
 				part := rapid.Float64Range(0, 1).Draw(t, "part")
-				disk = disk.after(part, rapid.Bool().Draw(t, "zeros"), rapid.Bool().Draw(t, "names"))
+				disk = disk.afterPowerLoss(part, rapid.Bool().Draw(t, "zeros"), rapid.Bool().Draw(t, "names"))
 				check(reopen(), durable)
 			},
 			"": func(t *rapid.T) {
-				if got := contentsOf(t, s); !maps.Equal(got, states[len(states)-1]) {
-					t.Fatalf("%v, want %v", got, states[len(states)-1])
+				if got := rapidContents(t, s); !maps.Equal(got, states[len(states)-1]) {
+					t.Fatalf("contents %v, want %v", got, states[len(states)-1])
 				}
 			},
 		})
 	})
 }
 
-// contentsOf is what a store holds.
-func contentsOf(t *rapid.T, s *Store) map[string]string {
+// rapidContents returns the contents of a store in a rapid test.
+func rapidContents(t *rapid.T, s *Store) map[string]string {
 	got := map[string]string{}
 	err := s.Range(time.Unix(0, 0), time.Unix(1<<32, 0), func(key, value []byte, _ time.Time) bool {
 		got[string(key)] = string(value)
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// clock is a clock that a test sets.
+// clock is a settable clock that advances by a millisecond with each reading.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -37,7 +37,7 @@
 
 func newClock() *clock { return &clock{now: time.Unix(1_700_000_000, 0)} }
 
-func open(t testing.TB, fs FS, change ...func(*Options)) *Store {
+func openStore(t testing.TB, fs FS, change ...func(*Options)) *Store {
 	t.Helper()
 	o := Options{SegmentBytes: 1 << 10, Now: newClock().Now}
 	for _, f := range change {
@@ -50,7 +50,7 @@
 	return s
 }
 
-// contents is all that a store holds.
+// contents returns all keys and values of a store.
 func contents(t testing.TB, s *Store) map[string]string {
 	t.Helper()
 	m := map[string]string{}
@@ -63,8 +63,8 @@
 	return m
 }
 
-// step is one call of a workload.
-type step struct {
+// operation is one call of a workload.
+type operation struct {
 	remove     bool
 	key, value string
 	d          Durability
@@ -73,12 +73,12 @@
 	hint       bool // only a WriteHints
 }
 
-// workload draws calls over some keys, which fill several segments.
-func workload(seed uint64, n int) []step {
+// workload returns n random operations on a few keys. They fill several segments.
+func workload(seed uint64, n int) []operation {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	steps := make([]step, n)
+	steps := make([]operation, n)
 	for i := range steps {
-		s := step{key: fmt.Sprintf("key-%d", rng.IntN(8)), value: strings.Repeat(fmt.Sprint(i, " "), 1+rng.IntN(20)), d: Buffered}
+		s := operation{key: fmt.Sprintf("key-%d", rng.IntN(8)), value: strings.Repeat(fmt.Sprint(i, " "), 1+rng.IntN(20)), d: Buffered}
 		switch rng.IntN(14) {
 		case 10:
 			s.compact = true
@@ -96,9 +96,9 @@
 	return steps
 }
 
-// play makes the calls until one fails. It returns the states that the store had after each call, from the empty one on,
-// and the number of the last state that was acknowledged as durable.
-func play(s *Store, steps []step) (states []map[string]string, durable int) {
+// runWorkload executes the operations until one fails. It returns the state of the store before the
+// first and after each operation, and the index of the last state acknowledged as durable.
+func runWorkload(s *Store, steps []operation) (states []map[string]string, durable int) {
 	state := map[string]string{}
 	states = append(states, maps.Clone(state))
 	for _, c := range steps {
@@ -109,7 +109,7 @@
 		case c.compact:
 			err = s.Compact(context.Background())
 		case c.hint:
-			s.WriteHints() // beside writes nobody hears of its errors either
+			s.WriteHints() // the background hint writer ignores errors as well
 		case c.remove:
 			delete(state, c.key)
 			err = s.Delete([]byte(c.key), c.d)
@@ -117,7 +117,7 @@
 			state[c.key] = c.value
 			err = s.Put([]byte(c.key), []byte(c.value), c.d)
 		}
-		states = append(states, maps.Clone(state)) // the call that fails may have taken place
+		states = append(states, maps.Clone(state)) // a failed operation may have taken effect
 		if err != nil {
 			return states, durable
 		}
@@ -128,18 +128,19 @@
 	return states, durable
 }
 
-// byHints opens by hints, and leaves the writing of them to the workload.
-func byHints(t testing.TB, fs FS) (*Store, error) {
+// openWithHints opens a store from hints, without the workers that write them: the workload does.
+func openWithHints(t testing.TB, fs FS) (*Store, error) {
 	t.Helper()
 	return openWithoutWorkers(fs, Options{SegmentBytes: 1 << 10, Now: newClock().Now, Hints: true})
 }
 
-// TestPowerCut cuts the power after every byte written and every call made, for a workload over several segments, and
-// with each cut finds the disk in several ways. The store opens to a state that it has had, not before the last that was
-// durable, and can be written to; cut once more at once it is still there.
-func TestPowerCut(t *testing.T) {
+// TestPowerLoss simulates a power loss after every byte written and every call made by a workload
+// over several segments, with several outcomes for unsynced data. The store must open to a state
+// that it has had, no older than the last durable one, must accept writes, and must have the same
+// contents after another power loss.
+func TestPowerLoss(t *testing.T) {
 	steps := workload(1, 60)
-	ways := []struct {
+	outcomes := []struct {
 		part         float64
 		zeros, names bool
 	}{{0, false, false}, {1, false, true}, {0.5, false, true}, {0.5, true, true}, {0, true, true}, {0.9, true, false}}
@@ -147,64 +148,64 @@
 	for n := 0; ; n++ {
 		m := newMemFS()
 		m.steps = n
-		s, err := byHints(t, m)
+		s, err := openWithHints(t, m)
 		states, durable := []map[string]string{{}}, 0
 		if err == nil {
-			states, durable = play(s, steps)
+			states, durable = runWorkload(s, steps)
 		}
-		if !m.cut {
+		if !m.powerLost {
 			total = n
 			break
 		}
-		for _, w := range ways {
-			disk := m.after(w.part, w.zeros, w.names)
-			s, err := byHints(t, disk)
+		for _, w := range outcomes {
+			disk := m.afterPowerLoss(w.part, w.zeros, w.names)
+			s, err := openWithHints(t, disk)
 			if err != nil {
-				t.Fatalf("cut after %d, %+v: %v", n, w, err)
+				t.Fatalf("power loss after %d, %+v: %v", n, w, err)
 			}
 			got := contents(t, s)
-			at := -1
-			for i := len(states) - 1; i >= durable && at < 0; i-- {
+			match := -1
+			for i := len(states) - 1; i >= durable && match < 0; i-- {
 				if maps.Equal(states[i], got) {
-					at = i
+					match = i
 				}
 			}
-			if at < 0 {
-				t.Fatalf("cut after %d, %+v: the state is none from %d to %d:\n%v", n, w, durable, len(states)-1, got)
+			if match < 0 {
+				t.Fatalf("power loss after %d, %+v: the contents match no state from %d to %d:\n%v", n, w, durable, len(states)-1, got)
 			}
-			if err := s.Put([]byte("after"), []byte("the cut"), Synced); err != nil {
-				t.Fatalf("cut after %d, %+v: %v", n, w, err)
+			if err := s.Put([]byte("after"), []byte("power loss"), Synced); err != nil {
+				t.Fatalf("power loss after %d, %+v: %v", n, w, err)
 			}
-			got["after"] = "the cut"
-			once, err := byHints(t, disk.after(0, false, false))
+			got["after"] = "power loss"
+			reopened, err := openWithHints(t, disk.afterPowerLoss(0, false, false))
 			if err != nil {
-				t.Fatalf("cut after %d, %+v, and again: %v", n, w, err)
+				t.Fatalf("power loss after %d, %+v, and again: %v", n, w, err)
 			}
-			if again := contents(t, once); !maps.Equal(got, again) {
-				t.Fatalf("cut after %d, %+v, and again: %v, want %v", n, w, again, got)
+			if again := contents(t, reopened); !maps.Equal(got, again) {
+				t.Fatalf("power loss after %d, %+v, and again: contents %v, want %v", n, w, again, got)
 			}
 		}
 	}
 	if total < 3000 {
-		t.Errorf("only %d cuts", total)
+		t.Errorf("only %d power losses were simulated, want at least 3000", total)
 	}
 }
 
-// TestFlippedBits flips each bit of what is durable, and then cuts what follows: the store reports file and offset, or
-// opens to what it had; it never shows what was not written.
+// TestFlippedBits flips a bit in each durable byte. The store must report the file and offset, or
+// open to an earlier state. It must never return data that was not written.
 func TestFlippedBits(t *testing.T) {
 	m := newMemFS()
-	s := open(t, m)
+	s := openStore(t, m)
 	steps := workload(3, 25)
-	states, _ := play(s, steps)
+	states, _ := runWorkload(s, steps)
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	last := states[len(states)-1]
-	reported, cut := 0, 0
+	reported, truncations := 0, 0
 	for name, f := range m.files {
 		for i := range f.data {
-			disk := m.after(1, false, true)
+			disk := m.afterPowerLoss(1, false, true)
 			disk.files[name].data[i] ^= 1 << (i % 8)
 			s, err := Open(disk, Options{SegmentBytes: 1 << 10, Now: newClock().Now})
 			var corrupt *CorruptError
@@ -218,30 +219,31 @@
 				if !errors.Is(err, ErrVersion) {
 					t.Errorf("%s at %d: %v", name, i, err)
 				}
-			default: // behind the last record that tells that it was durable, a flip cannot be told from a cut
-				cut++
+			default: // in records that no later one states to be durable, a flip looks like truncation
+				truncations++
 				got := contents(t, s)
 				found := false
 				for _, state := range states {
 					found = found || maps.Equal(state, got)
 				}
 				if !found || maps.Equal(got, last) {
-					t.Errorf("%s at %d: %v", name, i, got)
+					t.Errorf("%s at %d: the contents match no earlier state: %v", name, i, got)
 				}
 			}
 		}
 	}
-	if reported == 0 || cut > reported {
-		t.Errorf("%d reported, %d taken for cuts", reported, cut)
+	if reported == 0 || truncations > reported {
+		t.Errorf("%d flips reported, %d taken for truncation", reported, truncations)
 	}
 }
 
-// TestHints: a store that is opened by hints is what it is without, whatever has become of the hints; a flip in a segment that
-// was not read is found when its record is, and those of segments that are gone go too.
+// TestHints: a store opened from hints has the same contents as without them, even if hints are
+// corrupt or truncated. A flipped bit in a segment that Open did not read is detected when the
+// record is read. Hints of removed segments are removed.
 func TestHints(t *testing.T) {
 	m := newMemFS()
-	s := open(t, m)
-	states, _ := play(s, slices.DeleteFunc(workload(7, 120), func(c step) bool { return c.compact }))
+	s := openStore(t, m)
+	states, _ := runWorkload(s, slices.DeleteFunc(workload(7, 120), func(c operation) bool { return c.compact }))
 	if err := s.WriteHints(); err != nil {
 		t.Fatal(err)
 	}
@@ -260,50 +262,50 @@
 	}
 	hints, segments := names(m, hintSuffix), names(m, segmentSuffix)
 	if len(hints) < 2 || len(hints) != len(segments)-1 {
-		t.Fatalf("hints %v of %v", hints, segments)
+		t.Fatalf("hints %v of segments %v", hints, segments)
 	}
 	for _, name := range hints {
 		for i := range m.files[name].data {
-			for _, cut := range []bool{false, true} {
-				disk := m.after(1, false, true)
-				if f := disk.files[name]; cut {
+			for _, truncate := range []bool{false, true} {
+				disk := m.afterPowerLoss(1, false, true)
+				if f := disk.files[name]; truncate {
 					f.data = f.data[:i]
 				} else {
 					f.data[i] ^= 1 << (i % 8)
 				}
-				s, err := byHints(t, disk)
+				s, err := openWithHints(t, disk)
 				if err != nil {
-					t.Fatalf("%s changed at %d, cut %v: %v", name, i, cut, err)
+					t.Fatalf("%s changed at %d, truncated %v: %v", name, i, truncate, err)
 				}
 				if got := contents(t, s); !maps.Equal(got, want) {
-					t.Fatalf("%s changed at %d, cut %v: %v, want %v", name, i, cut, got, want)
+					t.Fatalf("%s changed at %d, truncated %v: contents %v, want %v", name, i, truncate, got, want)
 				}
 			}
 		}
 	}
-	found, sealed := 0, segments[len(segments)-2]
-	for i := range m.files[sealed].data {
-		disk := m.after(1, false, true)
-		disk.files[sealed].data[i] ^= 1 << (i % 8)
-		s, err := byHints(t, disk)
+	detected, closed := 0, segments[len(segments)-2]
+	for i := range m.files[closed].data {
+		disk := m.afterPowerLoss(1, false, true)
+		disk.files[closed].data[i] ^= 1 << (i % 8)
+		s, err := openWithHints(t, disk)
 		if err != nil {
 			t.Fatalf("flip at %d: %v", i, err)
 		}
 		for key := range want {
 			value, _, ok, err := s.Get([]byte(key))
 			var corrupt *CorruptError
-			if errors.As(err, &corrupt) && corrupt.File == sealed {
-				found++
+			if errors.As(err, &corrupt) && corrupt.File == closed {
+				detected++
 			} else if err != nil || !ok || string(value) != want[key] {
 				t.Errorf("flip at %d: %s is %q, %v, %v", i, key, value, ok, err)
 			}
 		}
 	}
-	if found == 0 {
-		t.Error("no flip was found")
+	if detected == 0 {
+		t.Error("no flipped bit was detected")
 	}
-	disk := m.after(1, false, true)
-	s, err := byHints(t, disk)
+	disk := m.afterPowerLoss(1, false, true)
+	s, err := openWithHints(t, disk)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -314,80 +316,82 @@
 		t.Fatal(err)
 	}
 	if left := names(disk, hintSuffix); len(left) > 0 {
-		t.Errorf("%v are left", left)
+		t.Errorf("hints %v remain after compaction", left)
 	}
-	orphan := m.after(1, false, true)
+	orphan := m.afterPowerLoss(1, false, true)
 	orphan.files["00000000000000099999.hint"] = &memFile{}
-	if _, err := byHints(t, orphan); err != nil || len(names(orphan, "99999.hint")) > 0 {
-		t.Errorf("a hint without a segment stays, or %v", err)
+	if _, err := openWithHints(t, orphan); err != nil || len(names(orphan, "99999.hint")) > 0 {
+		t.Errorf("a hint without a segment is not removed, or Open failed: %v", err)
 	}
 }
 
-// TestFailedSync: what a failed sync left unsure is not claimed durable, and is so once writing works again.
+// TestFailedSync: after a failed sync the store must not report unsynced writes as durable. Once
+// syncs succeed again they become durable.
 func TestFailedSync(t *testing.T) {
 	m := newMemFS()
-	s := open(t, m)
+	s := openStore(t, m)
 	if err := s.Put([]byte("a"), []byte("1"), Synced); err != nil {
 		t.Fatal(err)
 	}
-	m.noSync = true
+	m.failSync = true
 	for range 3 {
 		if err := s.Put([]byte("b"), []byte("2"), Synced); !errors.Is(err, errSync) {
-			t.Fatalf("error %v", err)
+			t.Fatalf("Put during failing syncs: %v, want errSync", err)
 		}
 		if s.Err() == nil {
-			t.Error("the state tells of no failure")
+			t.Error("Err reports no failure")
 		}
 	}
-	if got := contents(t, open(t, m.after(0, false, false))); len(got) != 1 || got["a"] != "1" {
-		t.Errorf("after a cut: %v", got)
+	if got := contents(t, openStore(t, m.afterPowerLoss(0, false, false))); len(got) != 1 || got["a"] != "1" {
+		t.Errorf("contents after a power loss: %v", got)
 	}
-	m.noSync = false
+	m.failSync = false
 	if err := s.Put([]byte("c"), []byte("3"), Synced); err != nil {
 		t.Fatal(err)
 	}
 	if s.Err() != nil {
-		t.Errorf("the state still tells of %v", s.Err())
+		t.Errorf("Err still reports %v", s.Err())
 	}
 	for _, part := range []float64{0, 0.5, 1} {
-		if got := contents(t, open(t, m.after(part, false, false))); len(got) != 3 || got["b"] != "2" || got["c"] != "3" {
-			t.Errorf("after it works again and a cut: %v", got)
+		if got := contents(t, openStore(t, m.afterPowerLoss(part, false, false))); len(got) != 3 || got["b"] != "2" || got["c"] != "3" {
+			t.Errorf("contents after recovery and a power loss: %v", got)
 		}
 	}
 }
 
-// TestDiskFull: a write that finds no room fails and leaves nothing behind; the store goes on by itself once there is some.
+// TestDiskFull: a write without enough disk space fails and leaves nothing behind. The store
+// accepts writes again once there is space.
 func TestDiskFull(t *testing.T) {
 	m := newMemFS()
-	s := open(t, m)
+	s := openStore(t, m)
 	if err := s.Put([]byte("a"), []byte("1"), Synced); err != nil {
 		t.Fatal(err)
 	}
 	m.full = true
 	for range 5 {
-		if err := s.Put([]byte("b"), []byte(strings.Repeat("x", 300)), Synced); !errors.Is(err, errRoom) {
-			t.Fatalf("error %v", err)
+		if err := s.Put([]byte("b"), []byte(strings.Repeat("x", 300)), Synced); !errors.Is(err, errNoSpace) {
+			t.Fatalf("Put on a full disk: %v, want errNoSpace", err)
 		}
 	}
 	if v, _, ok, err := s.Get([]byte("a")); !ok || string(v) != "1" || err != nil {
-		t.Errorf("what was there: %q, %v, %v", v, ok, err)
+		t.Errorf("Get of an earlier key: %q, %v, %v", v, ok, err)
 	}
 	m.full = false
 	if err := s.Put([]byte("c"), []byte("3"), Synced); err != nil {
 		t.Fatal(err)
 	}
 	for _, part := range []float64{0, 1} {
-		if got := contents(t, open(t, m.after(part, false, true))); len(got) != 2 || got["a"] != "1" || got["c"] != "3" {
-			t.Errorf("after it works again: %v", got)
+		if got := contents(t, openStore(t, m.afterPowerLoss(part, false, true))); len(got) != 2 || got["a"] != "1" || got["c"] != "3" {
+			t.Errorf("contents once there is space: %v", got)
 		}
 	}
 }
 
-// TestDiskFullElsewhere: a disk that is full while the store compacts or opens costs nothing that was written, and compaction
-// goes on once there is room.
-func TestDiskFullElsewhere(t *testing.T) {
+// TestDiskFullWhileCompactingOrOpening: no data is lost if the disk is full during compaction or
+// Open, and compaction succeeds once there is space.
+func TestDiskFullWhileCompactingOrOpening(t *testing.T) {
 	m := newMemFS()
-	s := open(t, m)
+	s := openStore(t, m)
 	for i := range 60 {
 		if err := s.Put(fmt.Appendf(nil, "k%d", i%20), []byte(strings.Repeat(fmt.Sprint(i), 30)), Synced); err != nil {
 			t.Fatal(err)
@@ -396,38 +400,39 @@
 	want := contents(t, s)
 	before := s.Stats()
 	m.full = true
-	if err := s.Compact(t.Context()); !errors.Is(err, errRoom) {
+	if err := s.Compact(t.Context()); !errors.Is(err, errNoSpace) {
 		t.Errorf("compacting on a full disk: %v", err)
 	}
 	if got := contents(t, s); !maps.Equal(got, want) {
-		t.Errorf("after that: %v", got)
+		t.Errorf("contents after the failed compaction: %v", got)
 	}
-	disk := m.after(0.5, false, true)
+	disk := m.afterPowerLoss(0.5, false, true)
 	disk.full = true
-	found := open(t, disk)
+	found := openStore(t, disk)
 	if got := contents(t, found); !maps.Equal(got, want) {
-		t.Errorf("opened on a full disk: %v", got)
+		t.Errorf("contents when opened on a full disk: %v", got)
 	}
 	disk.full = false
 	if err := found.Compact(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	after := found.Stats()
-	if got := contents(t, open(t, disk.after(0, false, false))); !maps.Equal(got, want) || after.Bytes >= before.Bytes || after.Live > after.Bytes {
-		t.Errorf("compacted: %v, %+v, and %+v before", got, after, before)
+	if got := contents(t, openStore(t, disk.afterPowerLoss(0, false, false))); !maps.Equal(got, want) || after.Bytes >= before.Bytes || after.Live > after.Bytes {
+		t.Errorf("after compaction: contents %v, stats %+v, and %+v before", got, after, before)
 	}
 }
 
-// TestBounds: of keys, bytes and sizes.
-func TestBounds(t *testing.T) {
-	s := open(t, newMemFS(), func(o *Options) { o.MaxBytes, o.MaxKeys = 4<<10, 3 })
+// TestLimits tests the limits on the number of keys, the total size and the sizes of keys, values
+// and segments.
+func TestLimits(t *testing.T) {
+	s := openStore(t, newMemFS(), func(o *Options) { o.MaxBytes, o.MaxKeys = 4<<10, 3 })
 	for i := range 3 {
 		if err := s.Put(fmt.Appendf(nil, "k%d", i), nil, Buffered); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if err := s.Put([]byte("k3"), nil, Buffered); !errors.Is(err, ErrFull) {
-		t.Errorf("a key too many: %v", err)
+		t.Errorf("one key beyond MaxKeys: %v", err)
 	}
 	var err error
 	for range 100 {
@@ -436,7 +441,7 @@
 		}
 	}
 	if !errors.Is(err, ErrFull) {
-		t.Errorf("bytes without end: %v", err)
+		t.Errorf("writes beyond MaxBytes: %v", err)
 	}
 	for _, kv := range [][2]int{{0, 1}, {MaxKeySize + 1, 1}, {1, MaxValueSize + 1}} {
 		if err := s.Put(make([]byte, kv[0]), make([]byte, kv[1]), Buffered); !errors.Is(err, ErrSize) {
@@ -444,60 +449,61 @@
 		}
 	}
 	if _, err := Open(newMemFS(), Options{SegmentBytes: 1}); err == nil {
-		t.Error("segments of a byte are taken")
+		t.Error("SegmentBytes of 1 is accepted")
 	}
 }
 
-// TestRetention: records end with their time, segments with all of their records; a clock that is set back across a
-// restart makes nothing older than it is.
+// TestRetention: records expire after the retention, and segments are removed once all of their
+// records have expired. Setting the clock back across a restart changes no record's age.
 func TestRetention(t *testing.T) {
 	m, c := newMemFS(), newClock()
 	hour := func(o *Options) { o.Retention, o.Now = time.Hour, c.Now }
-	s := open(t, m, hour)
-	began := c.Now()
+	s := openStore(t, m, hour)
+	start := c.Now()
 	for i := range 20 {
 		if err := s.Put(fmt.Appendf(nil, "old-%d", i), make([]byte, 100), Synced); err != nil {
 			t.Fatal(err)
 		}
 	}
 	files := len(m.files)
-	c.set(began.Add(59 * time.Minute))
+	c.set(start.Add(59 * time.Minute))
 	s.Put([]byte("new"), []byte("1"), Synced)
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	c.set(began.Add(-24 * time.Hour)) // set back
-	s = open(t, m, hour)
+	c.set(start.Add(-24 * time.Hour)) // set back
+	s = openStore(t, m, hour)
 	if got := contents(t, s); len(got) != 21 {
 		t.Errorf("%d records after the clock was set back, want 21", len(got))
 	}
 	s.Put([]byte("newer"), []byte("2"), Synced)
-	if _, at, ok, _ := s.Get([]byte("newer")); !ok || at.Before(began.Add(59*time.Minute)) {
-		t.Errorf("a record of %v: time has run backwards", at)
+	if _, at, ok, _ := s.Get([]byte("newer")); !ok || at.Before(start.Add(59*time.Minute)) {
+		t.Errorf("record time %v is earlier than that of a previous record", at)
 	}
-	c.set(began.Add(90 * time.Minute))
+	c.set(start.Add(90 * time.Minute))
 	if _, _, ok, _ := s.Get([]byte("old-3")); ok {
-		t.Error("a record outlives its retention")
+		t.Error("a record is returned after its retention")
 	}
 	s.Put([]byte("newest"), []byte("3"), Synced)
 	if got := contents(t, s); len(got) != 3 || len(m.files) >= files {
-		t.Errorf("%v, %d files of %d", got, len(m.files), files)
+		t.Errorf("contents %v, %d files, %d before", got, len(m.files), files)
 	}
 }
 
-// TestOpenErrors: a second process, a newer version and files of other names are told, and nothing is changed.
+// TestOpenErrors: Open reports a second process, a newer version and an invalid file name, and the
+// methods of a closed store return ErrClosed.
 func TestOpenErrors(t *testing.T) {
 	m := newMemFS()
-	s := open(t, m)
+	s := openStore(t, m)
 	s.Put([]byte("a"), []byte("1"), Synced)
 	if _, err := Open(m, Options{}); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second process: %v", err)
+		t.Errorf("Open by a second process: %v", err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); !errors.Is(err, ErrClosed) {
-		t.Errorf("closed twice: %v", err)
+		t.Errorf("second Close: %v", err)
 	}
 	if err := s.Put([]byte("a"), nil, Buffered); !errors.Is(err, ErrClosed) {
 		t.Errorf("Put on a closed store: %v", err)
@@ -508,50 +514,51 @@
 	newer = newer[:segmentHeaderSize-4]
 	m.files[name].data = append(binary.LittleEndian.AppendUint32(newer, crc32.Checksum(newer, castagnoli)), m.files[name].data[segmentHeaderSize:]...)
 	if _, err := Open(m, Options{}); !errors.Is(err, ErrVersion) || !strings.Contains(err.Error(), name) {
-		t.Errorf("a newer version: %v", err)
+		t.Errorf("Open of a newer version: %v", err)
 	}
 	other := newMemFS()
 	other.files["7.seg"] = &memFile{}
 	var corrupt *CorruptError
 	if _, err := Open(other, Options{}); !errors.As(err, &corrupt) {
-		t.Errorf("a name of another kind: %v", err)
+		t.Errorf("Open with an invalid file name: %v", err)
 	}
 }
 
-// TestDir: the same on the machine's files, by many at once, with a second process kept out.
+// TestDir tests a store on the local file system with concurrent writers, and that the directory
+// cannot be opened twice.
 func TestDir(t *testing.T) {
 	d := Dir(t.TempDir())
-	s := open(t, d, func(o *Options) { o.SegmentBytes = 16 << 10 })
+	s := openStore(t, d, func(o *Options) { o.SegmentBytes = 16 << 10 })
 	if _, err := Open(d, Options{}); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second one: %v", err)
+		t.Errorf("second Open: %v", err)
 	}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range 8 {
-		all.Go(func() {
+		wg.Go(func() {
 			for j := range 50 {
 				if err := s.Put(fmt.Appendf(nil, "%d-%d", i, j), make([]byte, 100), Durability(j%2)); err != nil {
 					t.Error(err)
 				}
 				if v, _, ok, err := s.Get(fmt.Appendf(nil, "%d-%d", i, j)); !ok || len(v) != 100 || err != nil {
-					t.Errorf("%d bytes, %v, %v", len(v), ok, err)
+					t.Errorf("Get: %d bytes, %v, %v", len(v), ok, err)
 				}
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	s = open(t, d)
+	s = openStore(t, d)
 	if n := s.Len(); n != 400 {
-		t.Errorf("%d keys after opening again", n)
+		t.Errorf("%d keys after reopening, want 400", n)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// FuzzParse: no bytes make the decoder panic, and what it takes it would write just so.
+// FuzzParse: no input makes the decoder panic, and a decoded record is encoded to the same bytes.
 func FuzzParse(f *testing.F) {
 	r := record{seq: 7, durableSeq: 3, time: 5, kind: kindPut, key: []byte("key"), value: []byte("value")}
 	f.Add(r.appendTo(nil))
@@ -563,50 +570,50 @@
 			return
 		}
 		if again := r.appendTo(nil); string(again) != string(b[:r.size()]) {
-			t.Errorf("%q is written as %q", b[:r.size()], again)
+			t.Errorf("%q is encoded as %q", b[:r.size()], again)
 		}
 	})
 }
 
-// TestRoomAhead: a segment's length stays while it is written, ends behind its last record when the store closes, and a disk
-// without room for it is full at once.
-func TestRoomAhead(t *testing.T) {
+// TestPreallocation: a segment keeps its length while it is written and is truncated after its last
+// record when the store closes. A new segment fails at once if the disk has no space for all of it.
+func TestPreallocation(t *testing.T) {
 	m := newMemFS()
-	s := open(t, m)
+	s := openStore(t, m)
 	for i := range 3 {
 		if err := s.Put([]byte{'a' + byte(i)}, []byte("value"), Synced); err != nil {
 			t.Fatal(err)
 		}
 		if n := len(m.files[segmentName(1)].data); n != 1<<10 {
-			t.Errorf("%d bytes after %d writes", n, i+1)
+			t.Errorf("file of %d bytes after %d writes, want 1024", n, i+1)
 		}
 	}
-	if got := contents(t, open(t, m.after(0, true, false))); len(got) != 3 {
-		t.Errorf("after a cut: %v", got)
+	if got := contents(t, openStore(t, m.afterPowerLoss(0, true, false))); len(got) != 3 {
+		t.Errorf("contents after a power loss: %v", got)
 	}
 	size := s.Stats().Bytes
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if n := len(m.files[segmentName(1)].data); int64(n) != size {
-		t.Errorf("%d bytes once it is closed, want %d", n, size)
+		t.Errorf("file of %d bytes after Close, want %d", n, size)
 	}
-	s = open(t, m)
+	s = openStore(t, m)
 	m.full = true
-	if err := s.Put([]byte("d"), []byte(strings.Repeat("x", 1<<10)), Buffered); !errors.Is(err, errRoom) {
-		t.Errorf("no room for a segment: %v", err)
+	if err := s.Put([]byte("d"), []byte(strings.Repeat("x", 1<<10)), Buffered); !errors.Is(err, errNoSpace) {
+		t.Errorf("Put without space for a segment: %v", err)
 	}
 	m.full = false
 	if err := s.Put([]byte("d"), []byte("value"), Synced); err != nil {
-		t.Errorf("once there is: %v", err)
+		t.Errorf("Put once there is space: %v", err)
 	}
 }
 
-// FuzzHint: whatever stands in a hint is passed over, or tells of records that fill its segment.
+// FuzzHint: any hint is either rejected or describes consecutive records within its segment.
 func FuzzHint(f *testing.F) {
 	m := newMemFS()
-	s := open(f, m)
-	play(s, workload(7, 60))
+	s := openStore(f, m)
+	runWorkload(s, workload(7, 60))
 	s.WriteHints()
 	for name, file := range m.files {
 		if strings.HasSuffix(name, hintSuffix) {
@@ -614,27 +621,28 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) >= 4 { // past the checksum, which would stop nearly all
+		if len(b) >= 4 { // fix the checksum, which would reject nearly all inputs
 			binary.LittleEndian.PutUint32(b[len(b)-4:], crc32.Checksum(b[:len(b)-4], castagnoli))
 		}
 		next := segmentHeaderSize
 		end, err := parseHint(b, 1, 9, 1<<20, func(h hintEntry, offset int) {
 			if offset != next || len(h.key) == 0 {
-				t.Errorf("a record of %q at %d, want %d", h.key, offset, next)
+				t.Errorf("record with key %q at offset %d, want %d", h.key, offset, next)
 			}
 			next += h.size
 		})
 		if err == nil && (end != int64(next) || end > 1<<20) {
-			t.Errorf("end %d, and the records end at %d", end, next)
+			t.Errorf("end is %d, but the records end at %d", end, next)
 		}
 	})
 }
 
-// FuzzRecover: whatever stands in a segment, the store opens or says what is wrong, and does not change its mind.
+// FuzzRecover: a store with an arbitrary segment either fails to open or has the same contents when
+// it is closed and reopened.
 func FuzzRecover(f *testing.F) {
 	m := newMemFS()
-	s := open(f, m)
-	play(s, workload(5, 5))
+	s := openStore(f, m)
+	runWorkload(s, workload(5, 5))
 	f.Add(m.files[segmentName(1)].data)
 	f.Add(appendSegmentHeader(nil, 1))
 	f.Add([]byte("QFSTORE"))
@@ -649,17 +657,18 @@
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if after := contents(t, open(t, m, func(o *Options) { o.Retention = math.MaxInt64 })); !maps.Equal(before, after) {
-			t.Errorf("%v, and then %v", before, after)
+		if after := contents(t, openStore(t, m, func(o *Options) { o.Retention = math.MaxInt64 })); !maps.Equal(before, after) {
+			t.Errorf("contents %v, after reopening %v", before, after)
 		}
 	})
 }
 
-// TestFlipBeforeDurable: a record that a later one shows to have been durable is corrupt, and never taken for a cut; the
-// last one of all cannot be told from one.
-func TestFlipBeforeDurable(t *testing.T) {
+// TestFlippedBitInDurableRecord: a flipped bit in a record that a later one states to be durable is
+// reported as corruption, not taken for truncation. In the last record of all they cannot be
+// distinguished.
+func TestFlippedBitInDurableRecord(t *testing.T) {
 	m := newMemFS()
-	s := open(t, m)
+	s := openStore(t, m)
 	var ends []int
 	for _, k := range []string{"a", "b", "c"} {
 		if err := s.Put([]byte(k), []byte("value"), Synced); err != nil {
@@ -668,38 +677,38 @@
 		ends = append(ends, int(s.Stats().Bytes))
 	}
 	flipped := func(at int) (*Store, error) {
-		disk := m.after(1, false, true)
+		disk := m.afterPowerLoss(1, false, true)
 		disk.files[segmentName(1)].data[at] ^= 1
 		return Open(disk, Options{Now: newClock().Now})
 	}
 	var corrupt *CorruptError
 	if _, err := flipped(ends[1] - 1); !errors.As(err, &corrupt) || corrupt.Offset != int64(ends[0]) {
-		t.Errorf("a flip in the second: %v, want offset %d", err, ends[0])
+		t.Errorf("flipped bit in the second record: %v, want offset %d", err, ends[0])
 	}
 	s, err := flipped(ends[2] - 1)
 	if err != nil {
-		t.Fatalf("a flip in the last: %v", err)
+		t.Fatalf("flipped bit in the last record: %v", err)
 	}
 	if got := contents(t, s); len(got) != 2 {
-		t.Errorf("a flip in the last leaves %v", got)
+		t.Errorf("contents with a flipped bit in the last record: %v", got)
 	}
 }
 
-// TestDeathOfTheProcess: what was buffered is found after the process has died, and is durable once Sync has said so.
-func TestDeathOfTheProcess(t *testing.T) {
+// TestProcessCrash: buffered writes survive a crash of the process, and are durable after Sync.
+func TestProcessCrash(t *testing.T) {
 	m := newMemFS()
-	s := open(t, m)
+	s := openStore(t, m)
 	s.Put([]byte("a"), []byte("1"), Synced)
 	s.Put([]byte("b"), []byte("2"), Buffered)
-	m.locked = false // as the system does for a process that has died
-	s = open(t, m)
+	m.locked = false // as the system releases the lock of a crashed process
+	s = openStore(t, m)
 	if got := contents(t, s); len(got) != 2 {
-		t.Errorf("after the death: %v", got)
+		t.Errorf("contents after the crash: %v", got)
 	}
 	if err := s.Sync(); err != nil {
 		t.Fatal(err)
 	}
-	if got := contents(t, open(t, m.after(0, false, false))); len(got) != 2 {
-		t.Errorf("after Sync and a cut: %v", got)
+	if got := contents(t, openStore(t, m.afterPowerLoss(0, false, false))); len(got) != 2 {
+		t.Errorf("contents after Sync and a power loss: %v", got)
 	}
 }
