--- a/internal/orders/coordinator_test.go
+++ b/internal/orders/coordinator_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 var classes = []policy.Class{
 	{Name: "read", Effect: policy.Safe, Aim: 9 * time.Second, Deadline: 10 * time.Second, Worth: 1},
@@ -27,221 +27,225 @@
 	{Name: "pay", Effect: policy.Unsafe, Aim: 9 * time.Second, Deadline: 10 * time.Second, Worth: 1},
 }
 
-// lost is the ending of an attempt that may have run.
-func lost(int, *engine.Attempt, engine.Endpoint) engine.AttemptResult {
+// endWithReset ends an attempt with a connection reset, after which it may have run.
+func endWithReset(int, *engine.Attempt, engine.Endpoint) engine.AttemptResult {
 	return engine.AttemptResult{Status: policy.Reset}
 }
 
-// texts is a codec of strings.
-type texts struct{}
+// textCodec is a Codec for strings.
+type textCodec struct{}
 
-func (texts) Encode(reply any) []byte      { return fmt.Append(nil, reply) }
-func (texts) Decode(b []byte) (any, error) { return string(b), nil }
+func (textCodec) Encode(reply any) []byte      { return fmt.Append(nil, reply) }
+func (textCodec) Decode(b []byte) (any, error) { return string(b), nil }
 
-// world is a desk before an engine with the real module.
-type world struct {
+// fixture is a coordinator with an engine that uses the real policy and simulated servers.
+type fixture struct {
 	*Coordinator
-	t       testing.TB
-	servers *standin.Attempts
-	mu      sync.Mutex
-	up      time.Duration // beyond the true clock
+	t           testing.TB
+	servers     *standin.Attempts
+	mu          sync.Mutex
+	clockOffset time.Duration // added to the real clock
 }
 
-func (w *world) now() ledger.Instant {
+func (w *fixture) now() ledger.Instant {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	i := Now()
-	i.Up += int64(w.up)
+	i.Up += int64(w.clockOffset)
 	return i
 }
 
-func (w *world) pass(d time.Duration) {
+func (w *fixture) advance(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.up += d
+	w.clockOffset += d
 }
 
-// keep hides the end of a book, which another process opens.
-type keep struct{ EntryStore }
+// noClose ignores Close, so that the store can be used again after a simulated restart.
+type noClose struct{ EntryStore }
 
-func (keep) Close() error { return nil }
+func (noClose) Close() error { return nil }
 
-func build(t testing.TB, book EntryStore) *world {
+func newFixture(t testing.TB, store EntryStore) *fixture {
 	cfg := policy.Config{GroupSize: 1, Classes: classes, MaxAttempts: 1, MayCancel: true, ListPushed: true, ClientsHonorRetryAfter: true, MaxRetryAfter: time.Second, DialTimeout: 50 * time.Millisecond, ColdCapacity: 1, RefreshInterval: time.Hour}
 	m, err := policy.New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, servers: &standin.Attempts{}}
+	w := &fixture{t: t, servers: &standin.Attempts{}}
 	log := slog.New(slog.DiscardHandler)
-	var known engine.List
+	var list engine.List
 	for i, id := range []policy.ServerID{"a", "b", "c"} {
-		known.Servers = append(known.Servers, engine.Server{ID: id, Addr: string(id), State: policy.Ready, Cell: i, Weight: 1})
+		list.Servers = append(list.Servers, engine.Server{ID: id, Addr: string(id), State: policy.Ready, Cell: i, Weight: 1})
 	}
-	known.Full = true
-	e := engine.New(engine.Options{Config: cfg, Module: m, Transport: Transport(w.servers), CachedList: &known, Log: log})
-	w.Coordinator = New(Options{Engine: e, Store: book, Codec: texts{}, Clock: w.now, Retention: func(string) time.Duration { return time.Hour }, Log: log})
-	t.Cleanup(w.end)
+	list.Full = true
+	e := engine.New(engine.Options{Config: cfg, Module: m, Transport: Transport(w.servers), CachedList: &list, Log: log})
+	w.Coordinator = New(Options{Engine: e, Store: store, Codec: textCodec{}, Clock: w.now, Retention: func(string) time.Duration { return time.Hour }, Log: log})
+	t.Cleanup(w.close)
 	return w
 }
 
-// end ends the process, as far as its book can tell.
-func (w *world) end() {
+// close closes the engine and the coordinator, as at the end of the process.
+func (w *fixture) close() {
 	w.options.Engine.Close()
 	w.Close()
 }
 
-func (w *world) take(class, key string, print byte) (*engine.Request, error) {
+func (w *fixture) submit(class, key string, print byte) (*engine.Request, error) {
 	r := &engine.Request{Class: class, Timeout: 8 * time.Second}
 	return r, w.Submit(r, Identity{Key: key, Fingerprint: [32]byte{print}}, w.options.Engine.Now())
 }
 
-func (w *world) ask(class, key string, print byte) engine.Result {
+func (w *fixture) do(class, key string, print byte) engine.Result {
 	w.t.Helper()
-	r, err := w.take(class, key, print)
+	r, err := w.submit(class, key, print)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	return w.result(r)
 }
 
-func (w *world) result(r *engine.Request) engine.Result {
+func (w *fixture) result(r *engine.Request) engine.Result {
 	w.t.Helper()
 	select {
 	case result := <-r.Result():
 		return result
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		w.t.Fatal("no result")
 		panic("unreachable")
 	}
 }
 
-func (w *world) eventually(what string, ok func() bool) {
+func (w *fixture) eventually(condition string, ok func() bool) {
 	w.t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			w.t.Fatalf("never: %s", what)
+			w.t.Fatalf("timeout waiting until %s", condition)
 		}
 	}
 }
 
-func (w *world) sent(n int) {
+func (w *fixture) checkSent(n int) {
 	w.t.Helper()
 	if got := len(w.servers.Sent()); got != n {
 		w.t.Errorf("%d attempts were sent, want %d", got, n)
 	}
 }
 
-// TestReplay: who asks again for what was served gets the same answer, and no server is asked, also after a restart.
+// TestReplay: a repeat of a served order gets the stored reply, and no attempt is sent, even after a
+// restart. Safe requests and requests without a key are not orders.
 func TestReplay(t *testing.T) {
-	book := NewMemoryStore(1 << 20)
-	w := build(t, keep{book})
+	store := NewMemoryStore(1 << 20)
+	w := newFixture(t, noClose{store})
 	for _, class := range []string{"order", "pay"} {
-		first := w.ask(class, "k", 1)
+		first := w.do(class, "k", 1)
 		if first.Kind != engine.Served || first.Replayed {
 			t.Errorf("%s: %+v", class, first)
 		}
-		if got := w.ask(class, "k", 1); got.Kind != engine.Served || !got.Replayed || fmt.Sprint(got.Reply) != fmt.Sprint(first.Reply) { // who asks before the end is noted waits for it, and has the answer as it came
-			t.Errorf("%s again: %+v", class, got)
+		// A repeat that arrives before the result is recorded waits for it and gets the original reply.
+		if got := w.do(class, "k", 1); got.Kind != engine.Served || !got.Replayed || fmt.Sprint(got.Reply) != fmt.Sprint(first.Reply) {
+			t.Errorf("repeat of %s: %+v", class, got)
 		}
 	}
-	w.sent(2)
-	if _, err := w.take("order", "k", 2); !errors.Is(err, ErrMismatch) {
-		t.Errorf("for something else: %v", err)
+	w.checkSent(2)
+	if _, err := w.submit("order", "k", 2); !errors.Is(err, ErrMismatch) {
+		t.Errorf("key used for a different request: %v", err)
 	}
-	w.end()
-	after := build(t, keep{book})
-	if got := after.ask("order", "k", 1); !got.Replayed {
+	w.close()
+	after := newFixture(t, noClose{store})
+	if got := after.do("order", "k", 1); !got.Replayed {
 		t.Errorf("after a restart: %+v", got)
 	}
-	after.sent(0)
-	after.ask("read", "k", 1)
-	after.ask("read", "k", 2) // a safe one is no order
-	after.ask("order", "", 1)
-	after.ask("order", "", 2) // nor is one without a key
-	after.sent(4)
-	after.eventually("nothing is held", func() bool { return after.Stats().Open == 0 })
+	after.checkSent(0)
+	after.do("read", "k", 1)
+	after.do("read", "k", 2) // a safe request is not an order
+	after.do("order", "", 1)
+	after.do("order", "", 2) // nor is a request without a key
+	after.checkSent(4)
+	after.eventually("no order is open", func() bool { return after.Stats().Open == 0 })
 }
 
-// TestMayHaveRun: what may have run is sent again only if it is keyed, within the window, and in the group that has it; after a
-// restart too, and whatever the wall clock says.
-func TestMayHaveRun(t *testing.T) {
+// TestOrderThatMayHaveRun: an order that may have run is sent again only if it is keyed, within the
+// window, and in the group that received it. This holds after a restart as well, and the window is
+// measured by the monotonic clock, which alone the test advances.
+func TestOrderThatMayHaveRun(t *testing.T) {
 	for _, restart := range []bool{false, true} {
-		book := NewMemoryStore(1 << 20)
-		w := build(t, keep{book})
-		w.servers.SetEnd(lost)
+		store := NewMemoryStore(1 << 20)
+		w := newFixture(t, noClose{store})
+		w.servers.SetEnd(endWithReset)
 		for _, class := range []string{"order", "cell", "pay"} {
-			if got := w.ask(class, "k", 1); got.Kind == engine.Served {
+			if got := w.do(class, "k", 1); got.Kind == engine.Served {
 				t.Errorf("%s: %+v", class, got)
 			}
 		}
-		w.sent(3)
+		w.checkSent(3)
 		first := w.servers.Sent()[1]
 		if restart {
-			w.end()
-			w = build(t, keep{book})
+			w.close()
+			w = newFixture(t, noClose{store})
 		} else {
 			w.servers.SetEnd(nil)
 		}
 		before := len(w.servers.Sent())
-		if got := w.ask("pay", "k", 1); got.Kind != engine.Failed || !got.MayHaveRun {
-			t.Errorf("unsafe: %+v", got)
+		if got := w.do("pay", "k", 1); got.Kind != engine.Failed || !got.MayHaveRun {
+			t.Errorf("unsafe order that may have run: %+v", got)
 		}
-		w.sent(before)
+		w.checkSent(before)
 		for _, class := range []string{"order", "cell"} {
-			if got := w.ask(class, "k", 1); got.Kind != engine.Served || got.Replayed {
+			if got := w.do(class, "k", 1); got.Kind != engine.Served || got.Replayed {
 				t.Errorf("%s within the window: %+v", class, got)
 			}
 		}
-		w.sent(before + 2)
+		w.checkSent(before + 2)
 		if again := w.servers.Sent()[before+1]; again != first {
-			t.Errorf("sent to %s, and again to %s of another cell", first, again)
+			t.Errorf("sent to %s, and again to %s in another cell", first, again)
 		}
-		w.servers.SetEnd(lost)
-		w.ask("order", "late", 1)
-		w.pass(6 * time.Second)
+		w.servers.SetEnd(endWithReset)
+		w.do("order", "late", 1)
+		w.advance(6 * time.Second)
 		before = len(w.servers.Sent())
-		if got := w.ask("order", "late", 1); got.Kind != engine.Failed || !got.MayHaveRun {
-			t.Errorf("past the window: %+v", got)
+		if got := w.do("order", "late", 1); got.Kind != engine.Failed || !got.MayHaveRun {
+			t.Errorf("after the window: %+v", got)
 		}
-		w.sent(before)
+		w.checkSent(before)
 	}
 }
 
-// TestAtOnce: of two requests with one key at once one runs, and the other gets its answer; if the first one's client leaves,
-// the other takes its place only as the ledger allows.
-func TestAtOnce(t *testing.T) {
-	w := build(t, NewMemoryStore(1<<20))
-	begun, answer := make(chan struct{}, 10), make(chan struct{})
+// TestConcurrentRequests: of two concurrent requests with the same key one is sent, and the other
+// gets its result. If the client of the first one disconnects, the other is sent in its place only if
+// the ledger allows it.
+func TestConcurrentRequests(t *testing.T) {
+	w := newFixture(t, NewMemoryStore(1<<20))
+	started, release := make(chan struct{}, 10), make(chan struct{})
 	w.servers.SetEnd(func(n int, a *engine.Attempt, _ engine.Endpoint) engine.AttemptResult {
-		begun <- struct{}{}
-		if !standin.Hold(a, 0, answer) {
+		started <- struct{}{}
+		if !standin.Hold(a, 0, release) {
 			return engine.AttemptResult{Status: policy.Canceled}
 		}
 		return engine.AttemptResult{Status: policy.OK, Reply: "reply"}
 	})
 	start := func(class, key string) (first, second *engine.Request) {
-		first, err := w.take(class, key, 1)
+		first, err := w.submit(class, key, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		<-begun
-		if second, err = w.take(class, key, 1); err != nil {
+		<-started
+		if second, err = w.submit(class, key, 1); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := w.take(class, key, 2); !errors.Is(err, ErrMismatch) {
-			t.Errorf("for something else: %v", err)
+		if _, err := w.submit(class, key, 2); !errors.Is(err, ErrMismatch) {
+			t.Errorf("key used for a different request: %v", err)
 		}
 		return first, second
 	}
 	first, second := start("order", "left")
 	w.options.Engine.Withdraw(first)
-	<-begun // the second one, within the window
-	third, err := w.take("order", "left", 1)
+	<-started // the second request, within the window
+	third, err := w.submit("order", "left", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone, err := w.take("order", "left", 1)
+	gone, err := w.submit("order", "left", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -249,72 +253,73 @@
 	pay, other := start("pay", "left")
 	w.options.Engine.Withdraw(pay)
 	if got := w.result(other); got.Kind != engine.Failed || !got.MayHaveRun {
-		t.Errorf("behind an unsafe one that was left: %+v", got)
+		t.Errorf("waiter on an unsafe request whose client disconnected: %+v", got)
 	}
-	close(answer)
+	close(release)
 	if got := w.result(second); got.Kind != engine.Served || got.Replayed {
-		t.Errorf("the one in its place: %+v", got)
+		t.Errorf("request sent in place of the withdrawn one: %+v", got)
 	}
 	if got := w.result(third); got.Kind != engine.Served || !got.Replayed {
-		t.Errorf("the one that waits: %+v", got)
+		t.Errorf("waiting request: %+v", got)
 	}
-	w.sent(3)
-	w.eventually("nothing is held", func() bool { return w.Stats().Open == 0 })
+	w.checkSent(3)
+	w.eventually("no order is open", func() bool { return w.Stats().Open == 0 })
 }
 
-// broken is a book that cannot be written while it is told so.
-type broken struct {
+// failingStore is an EntryStore whose writes fail with a settable error.
+type failingStore struct {
 	EntryStore
 	mu  sync.Mutex
 	err error
 }
 
-func (b *broken) set(err error) { b.mu.Lock(); b.err = err; b.mu.Unlock() }
+func (b *failingStore) set(err error) { b.mu.Lock(); b.err = err; b.mu.Unlock() }
 
-func (b *broken) fault() error { b.mu.Lock(); defer b.mu.Unlock(); return b.err }
+func (b *failingStore) failure() error { b.mu.Lock(); defer b.mu.Unlock(); return b.err }
 
-func (b *broken) Put(key string, value []byte, firm bool) error {
-	if err := b.fault(); err != nil {
+func (b *failingStore) Put(key string, value []byte, durable bool) error {
+	if err := b.failure(); err != nil {
 		return err
 	}
-	return b.EntryStore.Put(key, value, firm)
+	return b.EntryStore.Put(key, value, durable)
 }
 
-func (b *broken) CheckWritable() error { return b.fault() }
-
-// TestBookThatCannotWrite: orders are refused and nothing is sent for them, safe requests go on, what is known stays known, and it
-// mends by itself.
-func TestBookThatCannotWrite(t *testing.T) {
-	book := &broken{EntryStore: NewMemoryStore(1 << 20)}
-	w := build(t, book)
-	w.ask("order", "before", 1)
-	book.set(errors.New("no room on the disk"))
-	for i := range 3 { // the first one finds out, the others are told at once
-		if got := w.ask("order", "during", 1); got.Kind != engine.Refused || i > 0 && got.RetryAfter <= 0 {
-			t.Errorf("an order: %+v", got)
+func (b *failingStore) CheckWritable() error { return b.failure() }
+
+// TestFailingStore: while the store cannot be written, orders are refused and not sent, safe
+// requests are served, and served orders are answered from the store. Orders are accepted again once
+// writes succeed.
+func TestFailingStore(t *testing.T) {
+	store := &failingStore{EntryStore: NewMemoryStore(1 << 20)}
+	w := newFixture(t, store)
+	w.do("order", "before", 1)
+	store.set(errors.New("no space on the disk"))
+	for i := range 3 { // the first one discovers the failure, the others are refused at once
+		if got := w.do("order", "during", 1); got.Kind != engine.Refused || i > 0 && got.RetryAfter <= 0 {
+			t.Errorf("order during the failure: %+v", got)
 		}
 	}
 	if w.Stats().StoreError == nil {
-		t.Error("nothing shows it")
+		t.Error("Stats does not report the failure")
 	}
-	w.sent(1)
-	if got := w.ask("order", "before", 1); !got.Replayed {
-		t.Errorf("one that was served: %+v", got)
+	w.checkSent(1)
+	if got := w.do("order", "before", 1); !got.Replayed {
+		t.Errorf("order served before the failure: %+v", got)
 	}
-	if got := w.ask("read", "", 1); got.Kind != engine.Served {
-		t.Errorf("a safe one: %+v", got)
+	if got := w.do("read", "", 1); got.Kind != engine.Served {
+		t.Errorf("safe request: %+v", got)
 	}
-	book.set(nil)
-	w.eventually("it writes again", func() bool { return w.Stats().StoreError == nil })
-	if got := w.ask("order", "during", 1); got.Kind != engine.Served {
-		t.Errorf("afterwards: %+v", got)
+	store.set(nil)
+	w.eventually("the store accepts writes", func() bool { return w.Stats().StoreError == nil })
+	if got := w.do("order", "during", 1); got.Kind != engine.Served {
+		t.Errorf("order after the failure: %+v", got)
 	}
 }
 
-// TestEndOfAnotherEntry: an attempt that is out while its order is forgotten for its age neither answers nor clears the order that has
-// the key by then.
-func TestEndOfAnotherEntry(t *testing.T) {
-	w := build(t, NewMemoryStore(1<<20))
+// TestLateResultOfExpiredEntry: if an entry expires while an attempt is in flight, the attempt's
+// result must not change the new entry of the same key.
+func TestLateResultOfExpiredEntry(t *testing.T) {
+	w := newFixture(t, NewMemoryStore(1<<20))
 	o := w.acquire("order\x00k", classes[1])
 	defer w.release(o)
 	for _, status := range []policy.Status{policy.OK, policy.ConnectFailed} {
@@ -327,15 +332,15 @@
 		if _, _, err := o.beginAttempt(engine.Endpoint{ID: "b"}); err != nil {
 			t.Fatal(err)
 		}
-		o.endAttempt(old, number, engine.AttemptResult{Status: status, Reply: "another's"})
+		o.endAttempt(old, number, engine.AttemptResult{Status: status, Reply: "reply of the expired entry"})
 		if o.entry.Served || len(o.entry.Attempts) != 1 {
 			t.Errorf("%v: %+v", status, o.entry)
 		}
 	}
 }
 
-// TestMemoryIsBounded: the oldest entries make room.
-func TestMemoryIsBounded(t *testing.T) {
+// TestMemoryStoreLimit: a full MemoryStore drops its oldest entries.
+func TestMemoryStoreLimit(t *testing.T) {
 	m := NewMemoryStore(10_000)
 	for i := range 1000 {
 		m.Put(string(rune('a'+i%26))+string(rune(i)), make([]byte, 100), true)
@@ -344,6 +349,6 @@
 		t.Errorf("%d entries of %d bytes", n, m.bytes)
 	}
 	if _, ok, _ := m.Get(string(rune('a'+999%26)) + string(rune(999))); !ok {
-		t.Error("the latest one is gone")
+		t.Error("the latest entry is gone")
 	}
 }
