--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,5 +1,6 @@
-// Package pool is a set of servers of one kind that an operator has named, with an engine of its own: its classes of requests,
-// its list, its beliefs. What reaches the servers is a transport of their protocol's.
+// Package pool implements the server pools that an operator configures. A pool is a named set of
+// servers of one protocol with an engine of its own, and so with its own request classes, server
+// list and server state. A transport of the pool's protocol reaches the servers.
 package pool
 
 import (
@@ -23,107 +24,112 @@
 	"quillfront/policy"
 )
 
-// Config is a pool as an operator describes it.
+// Config is the configuration of a pool. Zero values take the defaults that the fields name.
 type Config struct {
 	Name      string
 	Servers   []Server
-	Discovery string // address of a discovery; in place of Servers, as File and DNS are
-	File      string // the path of a file that is watched; see filelist.Source
+	Discovery string // address of a discovery service; excludes Servers, File and DNS
+	File      string // path of a watched list file; see filelist.Source
 	DNS       *DNS
 	Classes   []Class
 	Zone      string // where this process is
 
-	Attempts   int           // sends for one request in all; 3
-	Dial       time.Duration // 250 ms
-	Idle       time.Duration // after which servers close an idle connection; 15 s
-	RetryAfter time.Duration // the longest time to come back that a refusal names; 1 s
-	Ramp       time.Duration // until a server that has just started is warm; 9 s
-	NoHedging  bool          // never a second attempt while one is out
+	Attempts   int           // maximum attempts of a request; default 3
+	Dial       time.Duration // connect timeout; default 250 ms
+	Idle       time.Duration // time after which servers close an idle connection; default 15 s
+	RetryAfter time.Duration // maximum Retry-After of a refusal; default 1 s
+	Ramp       time.Duration // time that a server needs to warm up after its start; default 9 s
+	NoHedging  bool          // no second attempt of a request while one is in flight
 
-	// LoadPort is a port at each server's host that answers GET /load as the platform's servers do; 0: none.
+	// LoadPort is a port on each server's host that answers GET /load with a load report, as the
+	// platform's servers do; 0 if there is none.
 	LoadPort   int
-	LoadFields []string // names of the figures in such an answer; queue and eps
+	LoadFields []string // names of the fields in such a report; default queue and eps
 
-	// Descriptors and Memory are what a pool of HTTP servers has of its process's however much others want, in connections and in bytes of
-	// bodies; 0: an equal part of half of all.
+	// Descriptors and Memory are the connections and the bytes of request bodies that are
+	// guaranteed to a pool of HTTP servers, whatever the other pools of the process use. 0 means
+	// an equal share of half of the total.
 	Descriptors int
 	Memory      int64
 
-	Seed uint64 // of its module's chances; 0: drawn
+	Seed uint64 // seed of the module's random numbers; 0 selects a random one
 }
 
-// Server is an entry of a list that the operator gives.
+// Server is an entry of the static server list.
 type Server = filelist.Server
 
-// DNS says how a list is taken from DNS. Zero values take the defaults of quillfront.DNSOptions.
+// DNS configures a server list from DNS. Zero values take the defaults of quillfront.DNSOptions.
 type DNS struct {
 	Name        string
 	Resolvers   []string // host:port
-	Port        int      // of all addresses of the name; 0: it is a service (SRV)
+	Port        int      // port of all addresses (A, AAAA) of the name; 0 to look up SRV records
 	Min, Max    time.Duration
 	KeepFor     time.Duration
 	EmptyCounts int
 }
 
-// Class is a class of requests.
+// Class configures a class of requests.
 type Class struct {
 	Name      string
-	Safe      bool // may be repeated freely
-	ByRequest bool // whether it may hangs on the request: those that may are of the class SafeClass(Name)
-	// KeyWindow is for how long every server drops a repeat of a request by its key; with it, and with ByRequest, those that have a key are
-	// of the class KeyedClass(Name). 0: none does.
+	Safe      bool // requests may be repeated freely
+	ByRequest bool // the effect depends on the request; safe requests use class SafeClass(Name)
+	// KeyWindow is how long every server drops a repeat of a request under the same key; 0 if
+	// servers don't drop repeats. With KeyWindow and ByRequest set, requests that have a key use
+	// class KeyedClass(Name).
 	KeyWindow time.Duration
-	Aim       time.Duration
+	Aim       time.Duration // answers within it have the full worth
 	Deadline  time.Duration // at least Aim
-	Worth     float64       // beside those of other classes; 1
-	LateShare float64       // of it that is left after Aim, 0 to 1
+	Worth     float64       // worth of an answer relative to other classes; default 1
+	LateShare float64       // share of Worth that an answer after Aim keeps, 0 to 1
 }
 
-// SafeClass is the class of those requests of a class by request that may be repeated.
+// SafeClass returns the name of the class for the safe requests of a by-request class.
 func SafeClass(class string) string { return class + "+read" }
 
-// KeyedClass is the class of those whose repeats servers drop by their key.
+// KeyedClass returns the name of the class for the requests of a by-request class whose repeats the
+// servers drop by key.
 func KeyedClass(class string) string { return class + "+keyed" }
 
-// MaxClasses bounds the classes of a pool.
+// MaxClasses is the maximum number of configured classes of a pool.
 const MaxClasses = 100
 
 const (
-	mostAttempts = 16
-	askEvery     = 10 * time.Second
-	probeTariff  = 0.05 // prices a probe so that a request pays for one at most
-	coldFrom     = 0.3
+	maxAttempts     = 16
+	refreshInterval = 10 * time.Second
+	probeTariff     = 0.05 // makes a request pay for one probe at most
+	coldCapacity    = 0.3
 )
 
-// Check tells the first key that cannot be used.
+// Check returns an error for the first invalid key of c, or nil.
 func (c *Config) Check() error {
-	_, err := c.policy()
+	_, err := c.policyConfig()
 	if err == nil {
-		_, err = c.list()
+		_, err = c.staticList()
 	}
 	return err
 }
 
-// WithDefaults fills in what is not set.
+// WithDefaults returns c with the defaults of Attempts, RetryAfter, Ramp, Dial and Idle filled in.
 func (c Config) WithDefaults() Config {
 	c.Attempts, c.RetryAfter, c.Ramp = cmp.Or(c.Attempts, 3), cmp.Or(c.RetryAfter, time.Second), cmp.Or(c.Ramp, 9*time.Second)
 	c.Dial, c.Idle = c.DialTimeout(), c.IdleTimeout()
 	return c
 }
 
-// policy returns what the module is told.
-func (c *Config) policy() (policy.Config, error) {
+// policyConfig checks c, except for its server list, and returns the decision module's
+// configuration.
+func (c *Config) policyConfig() (policy.Config, error) {
 	d := c.WithDefaults()
 	p := policy.Config{
 		GroupSize: 1, Zone: c.Zone, MayProbe: true, MayCancel: true, MayDuplicate: !c.NoHedging, ClientsHonorRetryAfter: true,
 		MaxAttempts: d.Attempts, MaxRetryAfter: d.RetryAfter, DialTimeout: d.Dial, ConnIdleTimeout: d.Idle,
-		Tick: time.Millisecond, RefreshInterval: askEvery, ColdCapacity: coldFrom, Ramp: d.Ramp, ProbeTariff: probeTariff,
+		Tick: time.Millisecond, RefreshInterval: refreshInterval, ColdCapacity: coldCapacity, Ramp: d.Ramp, ProbeTariff: probeTariff,
 	}
 	switch {
 	case c.Name == "":
 		return p, errors.New("name: not set")
-	case p.MaxAttempts < 1 || p.MaxAttempts > mostAttempts:
-		return p, fmt.Errorf("attempts: %d is outside 1 to %d", c.Attempts, mostAttempts)
+	case p.MaxAttempts < 1 || p.MaxAttempts > maxAttempts:
+		return p, fmt.Errorf("attempts: %d is outside 1 to %d", c.Attempts, maxAttempts)
 	case p.DialTimeout < 0:
 		return p, fmt.Errorf("dial: %v is negative", c.Dial)
 	case p.ConnIdleTimeout < 0:
@@ -141,58 +147,58 @@
 	case len(c.Classes) == 0 || len(c.Classes) > MaxClasses:
 		return p, fmt.Errorf("classes: %d of them, want 1 to %d", len(c.Classes), MaxClasses)
 	}
-	for i, k := range c.Classes {
+	for i, class := range c.Classes {
 		effect := policy.Unsafe
-		if k.Safe {
+		if class.Safe {
 			effect = policy.Safe
 		}
-		key := fmt.Sprintf("classes %q", k.Name)
+		key := fmt.Sprintf("classes %q", class.Name)
 		switch {
-		case k.Name == "":
+		case class.Name == "":
 			return p, fmt.Errorf("classes: number %d has no name", i+1)
-		case slices.ContainsFunc(c.Classes[:i], func(o Class) bool { return o.Name == k.Name }):
+		case slices.ContainsFunc(c.Classes[:i], func(o Class) bool { return o.Name == class.Name }):
 			return p, fmt.Errorf("%s: is there twice", key)
-		case k.Safe && k.ByRequest:
-			return p, fmt.Errorf("%s: safe and by request", key)
-		case k.Aim <= 0:
-			return p, fmt.Errorf("%s: aim: %v is not above 0", key, k.Aim)
-		case k.Deadline < k.Aim || k.Deadline > time.Hour:
-			return p, fmt.Errorf("%s: deadline: %v is outside aim, which is %v, to an hour", key, k.Deadline, k.Aim)
-		case k.KeyWindow < 0 || k.KeyWindow > time.Hour:
-			return p, fmt.Errorf("%s: window: %v is outside 0 to an hour", key, k.KeyWindow)
-		case !(k.Worth >= 0):
-			return p, fmt.Errorf("%s: worth: %v is below 0", key, k.Worth)
-		case !(k.LateShare >= 0 && k.LateShare <= 1):
-			return p, fmt.Errorf("%s: late_share: %v is outside 0 to 1", key, k.LateShare)
+		case class.Safe && class.ByRequest:
+			return p, fmt.Errorf("%s: cannot be both safe and by request", key)
+		case class.Aim <= 0:
+			return p, fmt.Errorf("%s: aim: %v is not above 0", key, class.Aim)
+		case class.Deadline < class.Aim || class.Deadline > time.Hour:
+			return p, fmt.Errorf("%s: deadline: %v is outside %v (aim) to 1h", key, class.Deadline, class.Aim)
+		case class.KeyWindow < 0 || class.KeyWindow > time.Hour:
+			return p, fmt.Errorf("%s: window: %v is outside 0 to 1h", key, class.KeyWindow)
+		case !(class.Worth >= 0):
+			return p, fmt.Errorf("%s: worth: %v is below 0", key, class.Worth)
+		case !(class.LateShare >= 0 && class.LateShare <= 1):
+			return p, fmt.Errorf("%s: late_share: %v is outside 0 to 1", key, class.LateShare)
 		}
-		class := policy.Class{
-			Name: k.Name, Effect: effect, Aim: k.Aim, Deadline: k.Deadline, Worth: cmp.Or(k.Worth, 1), LateShare: k.LateShare,
+		converted := policy.Class{
+			Name: class.Name, Effect: effect, Aim: class.Aim, Deadline: class.Deadline, Worth: cmp.Or(class.Worth, 1), LateShare: class.LateShare,
 		}
-		p.Classes = append(p.Classes, class)
-		if k.ByRequest {
-			class.Name, class.Effect = SafeClass(k.Name), policy.Safe
-			p.Classes = append(p.Classes, class)
-			if k.KeyWindow > 0 {
-				class.Name, class.Effect, class.Group, class.KeyTTL = KeyedClass(k.Name), policy.Keyed, policy.GroupAll, k.KeyWindow
-				p.Classes = append(p.Classes, class)
+		p.Classes = append(p.Classes, converted)
+		if class.ByRequest {
+			converted.Name, converted.Effect = SafeClass(class.Name), policy.Safe
+			p.Classes = append(p.Classes, converted)
+			if class.KeyWindow > 0 {
+				converted.Name, converted.Effect, converted.Group, converted.KeyTTL = KeyedClass(class.Name), policy.Keyed, policy.GroupAll, class.KeyWindow
+				p.Classes = append(p.Classes, converted)
 			}
 		}
 	}
 	return p, nil
 }
 
-// list returns the list that the operator gives, whole.
-func (c *Config) list() (engine.List, error) {
+// staticList returns the staticList that the operator gives, whole.
+func (c *Config) staticList() (engine.List, error) {
 	l := engine.List{Full: true}
-	told := 0
-	for _, is := range []bool{len(c.Servers) > 0, c.Discovery != "", c.File != "", c.DNS != nil} {
-		if is {
-			told++
+	sources := 0
+	for _, set := range []bool{len(c.Servers) > 0, c.Discovery != "", c.File != "", c.DNS != nil} {
+		if set {
+			sources++
 		}
 	}
 	switch {
-	case told != 1:
-		return l, fmt.Errorf("servers: %d of servers, discovery, file and dns are set, want one", told)
+	case sources != 1:
+		return l, fmt.Errorf("servers: %d of servers, discovery, file and dns are set, want exactly one", sources)
 	case c.File != "":
 		return l, nil
 	case c.DNS != nil:
@@ -202,7 +208,7 @@
 			}
 		}
 		if len(c.DNS.Resolvers) == 0 {
-			return l, errors.New("dns.resolvers: none are there")
+			return l, errors.New("dns.resolvers: not set")
 		}
 		if err := c.source(nil).(dnslist.Source).Check(); err != nil {
 			return l, fmt.Errorf("dns: %w", err)
@@ -218,7 +224,7 @@
 	return filelist.List(c.Servers)
 }
 
-// source returns where the list comes from; nil: it is c's own.
+// source returns the source of the server list, or nil if the list is static.
 func (c *Config) source(log *slog.Logger) engine.Source {
 	switch {
 	case c.Discovery != "":
@@ -238,10 +244,10 @@
 	return nil
 }
 
-// HasStaticList reports whether the list is c's own, and is not told by a source.
+// HasStaticList reports whether c itself holds the server list, rather than a source.
 func (c *Config) HasStaticList() bool { return c.source(nil) == nil }
 
-// Class returns the class of that name.
+// Class returns the configured class with the given name.
 func (c *Config) Class(name string) (Class, bool) {
 	i := slices.IndexFunc(c.Classes, func(k Class) bool { return k.Name == name })
 	if i < 0 {
@@ -250,7 +256,7 @@
 	return c.Classes[i], true
 }
 
-// LoadAddr returns where a server tells its load, empty if it does not.
+// LoadAddr returns the address at which a server reports its load, or "" if it doesn't report.
 func (c *Config) LoadAddr(to engine.Endpoint) string {
 	host, _, err := net.SplitHostPort(to.Addr)
 	if c.LoadPort == 0 || err != nil {
@@ -259,7 +265,7 @@
 	return net.JoinHostPort(host, strconv.Itoa(c.LoadPort))
 }
 
-// ReportFields returns the names of the figures in load reports.
+// ReportFields returns the names of the fields in load reports.
 func (c *Config) ReportFields() []string {
 	if c.LoadFields == nil {
 		return []string{"queue", "eps"}
@@ -267,78 +273,80 @@
 	return c.LoadFields
 }
 
-// DialTimeout is how long a connect may take.
+// DialTimeout returns the connect timeout.
 func (c *Config) DialTimeout() time.Duration { return cmp.Or(c.Dial, 250*time.Millisecond) }
 
-// IdleTimeout is after how long servers close an idle connection.
+// IdleTimeout returns the time after which servers close an idle connection.
 func (c *Config) IdleTimeout() time.Duration { return cmp.Or(c.Idle, 15*time.Second) }
 
-// InFlight counts what this process has at each server, which is its load where it is not asked. It may be used from many goroutines at once.
+// InFlight counts the requests, streams or connections that this process has open at each server.
+// The count stands in for the load report of a server that is not probed. It is safe for concurrent
+// use.
 type InFlight struct {
-	mu sync.Mutex
-	n  map[policy.ServerID]int // only of those that have any
+	mu     sync.Mutex
+	counts map[policy.ServerID]int // only servers with a count other than 0
 }
 
-// Add adds to what a server has.
-func (o *InFlight) Add(id policy.ServerID, n int) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.n == nil {
-		o.n = map[policy.ServerID]int{}
+// Add adds n to the count of a server.
+func (f *InFlight) Add(id policy.ServerID, n int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.counts == nil {
+		f.counts = map[policy.ServerID]int{}
 	}
-	if o.n[id] += n; o.n[id] == 0 {
-		delete(o.n, id)
+	if f.counts[id] += n; f.counts[id] == 0 {
+		delete(f.counts, id)
 	}
 }
 
-// Count returns what a server has.
-func (o *InFlight) Count(id policy.ServerID) int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.n[id]
+// Count returns the count of a server.
+func (f *InFlight) Count(id policy.ServerID) int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.counts[id]
 }
 
-// Load returns what a server has as a report of its queue.
-func (o *InFlight) Load(id policy.ServerID) *policy.Load {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return QueueReport(float64(o.n[id]))
+// Load returns the count of a server as a load report.
+func (f *InFlight) Load(id policy.ServerID) *policy.Load {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return QueueReport(float64(f.counts[id]))
 }
 
-// ServerCount returns how many servers have something.
-func (o *InFlight) ServerCount() int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return len(o.n)
+// ServerCount returns the number of servers with a count other than 0.
+func (f *InFlight) ServerCount() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.counts)
 }
 
-// QueueReport is a report that tells a queue and nothing else.
+// QueueReport returns a load report with a queue length and no other field.
 func QueueReport(n float64) *policy.Load {
 	return &policy.Load{Queue: n, Inflight: -1, Latency: -1, ErrorRate: -1}
 }
 
-// Prober asks a server for its load at another address than that of the requests.
+// Prober requests a server's load report from an address other than that of its requests.
 type Prober interface {
 	Probe(ctx context.Context, to engine.Endpoint) (policy.Status, *policy.Load)
 }
 
-// Pool is a pool at work.
+// Pool is a running pool.
 type Pool struct {
 	*engine.Engine
-	source *pushedSource // nil: another one tells
+	source *pushedSource // provides the static list; nil if the list comes from another source
 	log    *slog.Logger
 
 	mu  sync.Mutex
 	cfg Config
 }
 
-// Open starts a pool, whose servers t reaches. c must have been checked.
+// Open starts a pool that reaches its servers through t. It returns an error if c is invalid.
 func (c Config) Open(t engine.Transport, log *slog.Logger) (*Pool, error) {
-	p, err := c.policy()
+	p, err := c.policyConfig()
 	if err != nil {
 		return nil, err
 	}
-	l, err := c.list()
+	l, err := c.staticList()
 	if err != nil {
 		return nil, err
 	}
@@ -358,21 +366,22 @@
 	return pool, nil
 }
 
-// Reload takes over another description of the same pool, or none of it: its list, its classes, its times. What a transport was
-// made with is for the next start, and so is where the list comes from.
+// Reload applies a new configuration of the same pool: its server list, classes and timing. On an
+// error nothing changes. The settings of the transport need a restart, and so does a change between
+// a static list and a source.
 func (p *Pool) Reload(c Config) error {
-	cfg, err := c.policy()
+	cfg, err := c.policyConfig()
 	if err != nil {
 		return err
 	}
-	l, err := c.list()
+	l, err := c.staticList()
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.HasStaticList() != (p.source != nil) {
-		return errors.New("discovery, file, dns: whether there is one takes a restart")
+		return errors.New("discovery, file, dns: a change between a static list and a source requires a restart")
 	}
 	if err := p.Engine.Reconfigure(cfg); err != nil {
 		return err
@@ -387,7 +396,7 @@
 	return nil
 }
 
-// pushedSource is a source of the lists that it is given.
+// pushedSource is a Source that provides the lists passed to set.
 type pushedSource struct {
 	mu      sync.Mutex
 	list    engine.List
@@ -404,13 +413,13 @@
 	}
 }
 
-// Watch is the method of engine.Source.
-func (s *pushedSource) Watch(ctx context.Context, _ int64, tell func(engine.List)) error {
+// Watch implements engine.Source.
+func (s *pushedSource) Watch(ctx context.Context, _ int64, update func(engine.List)) error {
 	for {
 		s.mu.Lock()
 		l := s.list
 		s.mu.Unlock()
-		tell(l)
+		update(l)
 		select {
 		case <-s.changed:
 		case <-ctx.Done():
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -14,16 +14,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// nobody is a transport that reaches nobody.
-type nobody struct{}
+// unreachableTransport is a transport that reaches no server.
+type unreachableTransport struct{}
 
-func (nobody) Do(*engine.Attempt, engine.Endpoint) engine.AttemptResult {
+func (unreachableTransport) Do(*engine.Attempt, engine.Endpoint) engine.AttemptResult {
 	return engine.AttemptResult{Status: policy.ConnectFailed}
 }
-func (nobody) Probe(context.Context, engine.Endpoint) (policy.Status, *policy.Load) {
+func (unreachableTransport) Probe(context.Context, engine.Endpoint) (policy.Status, *policy.Load) {
 	return policy.ConnectFailed, nil
 }
-func (nobody) CloseIdle(engine.Endpoint) {}
+func (unreachableTransport) CloseIdle(engine.Endpoint) {}
 
 func config() Config {
 	return Config{
@@ -32,21 +32,22 @@
 	}
 }
 
-// TestPool: the list is known from the start on, a reload changes it and the classes, and one that cannot be used changes nothing.
+// TestPool checks that the static list is known from the start, that Reload replaces the list and
+// the classes, and that an invalid configuration changes nothing.
 func TestPool(t *testing.T) {
-	p, err := config().Open(nobody{}, slog.New(slog.DiscardHandler))
+	p, err := config().Open(unreachableTransport{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Close()
 	if !p.ServerUsable("a") || p.ServerUsable("127.0.0.1:2") || p.ServerUsable("c") {
-		t.Error("the list is not that of the configuration")
+		t.Error("the server list differs from the configuration")
 	}
 	if c, ok := p.Class("sql"); !ok || c.Effect != policy.Unsafe {
 		t.Errorf("class %+v", c)
 	}
 	if c, ok := p.Class(SafeClass("sql")); !ok || c.Effect != policy.Safe {
-		t.Errorf("class %+v of what may be repeated", c)
+		t.Errorf("class %+v of the safe requests", c)
 	}
 	next := config()
 	next.Servers[0].Drain, next.Servers[1].Drain, next.Classes[0].Name = true, false, "other"
@@ -55,35 +56,36 @@
 	}
 	for end := time.Now().Add(20 * time.Second); p.ServerUsable("a") || !p.ServerUsable("127.0.0.1:2"); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the list is not taken over")
+			t.Fatal("Reload did not replace the server list")
 		}
 	}
 	if _, ok := p.Class("other"); !ok {
-		t.Error("the classes are not taken over")
+		t.Error("Reload did not replace the classes")
 	}
-	bad := config()
-	bad.Servers[0].Addr = "nowhere"
-	if err := p.Reload(bad); err == nil {
-		t.Error("a list with a wrong address is taken")
+	invalid := config()
+	invalid.Servers[0].Addr = "nowhere"
+	if err := p.Reload(invalid); err == nil {
+		t.Error("Reload accepted a list with an invalid address")
 	}
-	far := config()
-	far.Servers, far.Discovery = nil, "127.0.0.1:9"
-	if err := p.Reload(far); err == nil {
-		t.Error("a discovery in place of a list is taken without a restart")
+	discovered := config()
+	discovered.Servers, discovered.Discovery = nil, "127.0.0.1:9"
+	if err := p.Reload(discovered); err == nil {
+		t.Error("Reload accepted discovery in place of a static list")
 	}
 	if p.ServerUsable("a") || !p.ServerUsable("127.0.0.1:2") {
-		t.Error("what cannot be used has changed something")
+		t.Error("an invalid configuration changed the server list")
 	}
 }
 
+// TestLoadAddr checks that a server has a load address only if a load port is configured.
 func TestLoadAddr(t *testing.T) {
 	c := config()
 	to := engine.Endpoint{Addr: "127.0.0.1:3306"}
 	if got := c.LoadAddr(to); got != "" {
-		t.Errorf("without a port: %q", got)
+		t.Errorf("without a load port: %q", got)
 	}
 	c.LoadPort = 9100
 	if got := c.LoadAddr(to); got != "127.0.0.1:9100" {
-		t.Errorf("%q", got)
+		t.Errorf("with a load port: %q", got)
 	}
 }
