--- a/balancer.go
+++ b/balancer.go
@@ -139,7 +139,7 @@
 // Balancer distributes requests over a set of servers. Its methods are safe for concurrent use.
 type Balancer struct {
 	engine       *engine.Engine
-	desk         *orders.Desk // nil without WithOrders
+	desk         *orders.Coordinator // nil without WithOrders
 	transport    *upstream.Transport
 	sockets      *sockets.Budget
 	bodyBudget   *semaphore.Weighted // limits the memory for bodies, in bytes
@@ -197,7 +197,7 @@
 	b.transport = upstream.New(p.settings, b.sockets, o.log)
 	b.sockets.OnShortage(b.transport.EvictIdle, nil)
 	var transport engine.Transport = b.transport
-	var book orders.Book
+	var book orders.EntryStore
 	var retention func(string) time.Duration
 	if o.orders != nil {
 		var err error
@@ -219,7 +219,7 @@
 	}
 	b.engine = engine.New(engineOptions)
 	if book != nil {
-		b.desk = orders.New(orders.Options{Engine: b.engine, Book: book, Codec: httpmsg.Codec{}, Retention: retention, Log: o.log})
+		b.desk = orders.New(orders.Options{Engine: b.engine, Store: book, Codec: httpmsg.Codec{}, Retention: retention, Log: o.log})
 	}
 	if p.watchAtStart {
 		b.engine.SetSource(p.source)
--- a/config.go
+++ b/config.go
@@ -144,7 +144,7 @@
 // withDefaults returns l with the defaults filled in, or an error for each limit out of range.
 func (l Limits) withDefaults() (Limits, error) {
 	err := errors.Join(
-		applyLimit("BodyBytes", &l.BodyBytes, 16<<20, httpmsg.MaxWhole, math.MaxInt64),
+		applyLimit("BodyBytes", &l.BodyBytes, 16<<20, httpmsg.MaxFullBody, math.MaxInt64),
 		applyLimit("DialTimeout", &l.DialTimeout, 250*time.Millisecond, 1, time.Minute),
 		applyLimit("IdleTimeout", &l.IdleTimeout, 15*time.Second, 1, time.Hour),
 		applyLimit("RetryAfter", &l.RetryAfter, time.Second, 1, time.Hour),
--- a/http.go
+++ b/http.go
@@ -27,7 +27,7 @@
 // do executes one request until ctx ends. body is nil if the request has none. unblockRead makes a
 // pending Read of body return. If it is nil, do doesn't wait for such a Read, which may then
 // outlast the call.
-func (b *Balancer) do(ctx context.Context, call *httpcall.Call, header http.Header, body io.Reader, unblockRead func()) (*httpmsg.Answer, error) {
+func (b *Balancer) do(ctx context.Context, call *httpcall.Call, header http.Header, body io.Reader, unblockRead func()) (*httpmsg.Response, error) {
 	if !b.requestSlots.TryAcquire(1) {
 		return nil, &RefusedError{}
 	}
@@ -40,8 +40,8 @@
 		return nil, requestError(err)
 	}
 	m := &httpmsg.Message{Method: call.Method, Target: call.Target, Host: call.Host}
-	m.Lines = httpmsg.Field{Name: []byte("X-Request-ID"), Value: []byte(call.ID)}.Append(nil)
-	m.Lines = httpmsg.AppendHeader(m.Lines, header, omitHeader)
+	m.HeaderLines = httpmsg.Field{Name: []byte("X-Request-ID"), Value: []byte(call.ID)}.Append(nil)
+	m.HeaderLines = httpmsg.AppendHeader(m.HeaderLines, header, omitHeader)
 	r.Payload = m
 	release, more, err := b.readBody(ctx, call, m, body)
 	if err != nil {
@@ -75,8 +75,8 @@
 	}
 	if up != nil {
 		select {
-		case <-m.Rest.Done():
-			if err := m.Rest.Broken(); err != nil {
+		case <-m.Upload.Done():
+			if err := m.Upload.SourceErr(); err != nil {
 				if b.engine.Withdraw(r) {
 					return nil, err
 				}
@@ -86,7 +86,7 @@
 				return nil, err
 			}
 		case result := <-r.Result():
-			if err := m.Rest.Broken(); err != nil && result.Kind != engine.Served {
+			if err := m.Upload.SourceErr(); err != nil && result.Kind != engine.Served {
 				return nil, err
 			}
 			return b.convertResult(result)
@@ -118,16 +118,16 @@
 		return b.engine.Submit(r, b.engine.Now())
 	}
 	now := b.engine.Now()
-	return b.desk.Take(r, orders.Ask{Key: call.IdempotencyKey, Print: call.Fingerprint(m.Body)}, now)
+	return b.desk.Submit(r, orders.Identity{Key: call.IdempotencyKey, Fingerprint: call.Fingerprint(m.Body)}, now)
 }
 
 // convertResult converts an engine's result to the answer or error that the caller gets.
-func (b *Balancer) convertResult(r engine.Result) (*httpmsg.Answer, error) {
+func (b *Balancer) convertResult(r engine.Result) (*httpmsg.Response, error) {
 	switch r.Kind {
 	case engine.Served:
-		if a, ok := r.Reply.(*httpmsg.Answer); ok {
+		if a, ok := r.Reply.(*httpmsg.Response); ok {
 			if r.Replayed { // stored answers are complete
-				a = &httpmsg.Answer{Lines: append([]byte(httpmsg.ReplayedLine), a.Lines...), Body: a.Body}
+				a = &httpmsg.Response{HeaderLines: append([]byte(httpmsg.ReplayedLine), a.HeaderLines...), Body: a.Body}
 			}
 			return a, nil
 		}
@@ -169,8 +169,8 @@
 		return func() {}, nil, nil
 	}
 	n := call.Length
-	if n < 0 || n > httpmsg.MaxWhole {
-		n = httpmsg.MaxWhole
+	if n < 0 || n > httpmsg.MaxFullBody {
+		n = httpmsg.MaxFullBody
 	}
 	if err := b.bodyBudget.Acquire(ctx, n); err != nil {
 		return nil, nil, context.Cause(ctx)
@@ -250,7 +250,7 @@
 // startUpload makes body the rest of m's body, of the given total length, and starts to read it.
 func startUpload(m *httpmsg.Message, body io.Reader, length int64) *upload {
 	r, w := io.Pipe()
-	m.Rest, m.Length = httpmsg.NewUpload(r), length
+	m.Upload, m.Length = httpmsg.NewUpload(r), length
 	u := &upload{pipe: w, done: make(chan struct{})}
 	go func() {
 		defer close(u.done)
@@ -321,25 +321,25 @@
 	}
 	return &http.Response{
 		Status: "200 OK", StatusCode: http.StatusOK, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: httpmsg.ParseHeader(a.Lines), Body: bodyReader(q.Context(), a), ContentLength: contentLength(a), Request: q,
+		Header: httpmsg.ParseHeader(a.HeaderLines), Body: bodyReader(q.Context(), a), ContentLength: contentLength(a), Request: q,
 	}, nil
 }
 
 // contentLength returns the length of a's complete body, or -1 if it is unknown.
-func contentLength(a *httpmsg.Answer) int64 {
-	if a.Rest == nil {
+func contentLength(a *httpmsg.Response) int64 {
+	if a.BodyRest == nil {
 		return int64(len(a.Body))
 	}
 	return max(a.Length, -1)
 }
 
 // bodyReader returns a's body. A body that is still being received is closed when ctx ends.
-func bodyReader(ctx context.Context, a *httpmsg.Answer) io.ReadCloser {
-	if a.Rest == nil {
+func bodyReader(ctx context.Context, a *httpmsg.Response) io.ReadCloser {
+	if a.BodyRest == nil {
 		return io.NopCloser(bytes.NewReader(a.Body))
 	}
-	stop := context.AfterFunc(ctx, func() { a.Rest.Close() })
-	return &streamedBody{io.MultiReader(bytes.NewReader(a.Body), a.Rest), a.Rest, stop}
+	stop := context.AfterFunc(ctx, func() { a.BodyRest.Close() })
+	return &streamedBody{io.MultiReader(bytes.NewReader(a.Body), a.BodyRest), a.BodyRest, stop}
 }
 
 // streamedBody is a body that is still being received.
@@ -382,7 +382,7 @@
 	}
 	err := requestError(call.AddHeader(q.Header))
 	call.Host, call.HostOptional = q.Host, !q.ProtoAtLeast(1, 1)
-	var a *httpmsg.Answer
+	var a *httpmsg.Response
 	body := &clientBody{ReadCloser: q.Body}
 	if err == nil {
 		a, err = b.do(q.Context(), &call, q.Header, body, func() { http.NewResponseController(w).SetReadDeadline(time.Now()) })
@@ -397,7 +397,7 @@
 		writeError(w, err)
 		return
 	}
-	for name, values := range httpmsg.ParseHeader(a.Lines) {
+	for name, values := range httpmsg.ParseHeader(a.HeaderLines) {
 		header[name] = values
 	}
 	if n := contentLength(a); n >= 0 {
@@ -406,7 +406,7 @@
 	answer := bodyReader(q.Context(), a)
 	defer answer.Close()
 	w.WriteHeader(http.StatusOK)
-	if _, err := io.Copy(w, answer); err != nil && a.Rest != nil {
+	if _, err := io.Copy(w, answer); err != nil && a.BodyRest != nil {
 		panic(http.ErrAbortHandler) // lets the client detect that the answer is incomplete
 	}
 }
--- a/internal/daemon/own.go
+++ b/internal/daemon/standalone.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"quillfront/exclusion"
 	"quillfront/internal/config"
 	"quillfront/internal/engine"
 	"quillfront/internal/management"
@@ -16,11 +17,10 @@
 	"quillfront/internal/sockets"
 	"quillfront/internal/telemetry"
 	"quillfront/policy"
-	"quillfront/roster"
 )
 
-// Own is a process that runs by the operator's file alone: the services there, and no front of the platform's.
-type Own struct {
+// Standalone is a process that runs by the operator's file alone: the services there, and no front of the platform's.
+type Standalone struct {
 	cfg      config.Config
 	log      *slog.Logger
 	sockets  *sockets.Budget
@@ -29,14 +29,14 @@
 	serving  atomic.Bool
 
 	mu                sync.Mutex
-	absences          roster.Absences // what operators have taken out of the lists
+	absences          exclusion.State // what operators have taken out of the lists
 	away              bool            // they have it drained
 	applied, rejected int             // files
 }
 
-// NewOwn makes a process of op's services. It opens no socket.
-func NewOwn(cfg config.Config, op config.Operator, log *slog.Logger) (*Own, error) {
-	o := &Own{cfg: cfg, log: log, sockets: sockets.New(cfg.Sockets)}
+// NewStandalone makes a process of op's services. It opens no socket.
+func NewStandalone(cfg config.Config, op config.Operator, log *slog.Logger) (*Standalone, error) {
+	o := &Standalone{cfg: cfg, log: log, sockets: sockets.New(cfg.Sockets)}
 	setMemory(cfg.MemoryMB, 1)
 	var err error
 	if o.services, err = services.New(op.Services, op.Routes, int64(cfg.MemoryMB)<<20/8, o.sockets, log); err != nil {
@@ -51,7 +51,7 @@
 }
 
 // Run serves until ctx ends, and then has each service end as it is to.
-func (o *Own) Run(ctx context.Context) error {
+func (o *Standalone) Run(ctx context.Context) error {
 	defer o.services.Close()
 	beside, stop := context.WithCancel(context.Background()) // operators may ask while it ends
 	var helpers sync.WaitGroup
@@ -95,10 +95,10 @@
 }
 
 // Addr returns where a service listens; see services.Services.
-func (o *Own) Addr(name string) string { return o.services.Addr(name) }
+func (o *Standalone) Addr(name string) string { return o.services.Addr(name) }
 
 // Reload takes over what of op can change while the process runs; the log tells what takes a restart. With an error all stays as it was.
-func (o *Own) Reload(op config.Operator) error {
+func (o *Standalone) Reload(op config.Operator) error {
 	if err := o.services.Check(op.Services, op.Routes); err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 }
 
 // ReloadFailed tells that a new file cannot be used, and that the old one stays.
-func (o *Own) ReloadFailed(err error) {
+func (o *Standalone) ReloadFailed(err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.rejected++
@@ -123,7 +123,7 @@
 }
 
 // spread makes what operators have taken out count in all pools. Called with the lock held.
-func (o *Own) spread() {
+func (o *Standalone) spread() {
 	for _, e := range o.services.Engines() {
 		e.SetAbsences(o.absences.Clone())
 	}
@@ -131,7 +131,7 @@
 }
 
 // ownOperated is what operators may do to an Own.
-type ownOperated struct{ *Own }
+type ownOperated struct{ *Standalone }
 
 // Ready is a method of management.Operated.
 func (o ownOperated) Ready() error {
@@ -145,15 +145,15 @@
 
 // Exclude is a method of management.Operated. A server is out of all pools that list it.
 func (o ownOperated) Exclude(id policy.ServerID) error {
-	return o.change(func(a *roster.Absences) error { return a.Exclude(id, o.listed, time.Now().UnixMilli()) })
+	return o.change(func(a *exclusion.State) error { return a.Exclude(id, o.listed, time.Now().UnixMilli()) })
 }
 
 // Include is a method of management.Operated.
 func (o ownOperated) Include(id policy.ServerID) error {
-	return o.change(func(a *roster.Absences) error { return a.Include(id, o.listed, time.Now().UnixMilli()) })
+	return o.change(func(a *exclusion.State) error { return a.Include(id, o.listed, time.Now().UnixMilli()) })
 }
 
-func (o ownOperated) change(f func(*roster.Absences) error) error {
+func (o ownOperated) change(f func(*exclusion.State) error) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	a := o.absences.Clone()
@@ -165,13 +165,13 @@
 	return nil
 }
 
-func (o ownOperated) listed(id policy.ServerID) (roster.Entry, bool) {
+func (o ownOperated) listed(id policy.ServerID) (exclusion.Entry, bool) {
 	for _, e := range o.services.Engines() {
 		if entry, ok := e.ListEntry(id); ok {
 			return entry, true
 		}
 	}
-	return roster.Entry{}, false
+	return exclusion.Entry{}, false
 }
 
 // Evacuate is a method of management.Operated.
@@ -207,6 +207,6 @@
 	s.Places[0], s.Places[1] = o.sockets.Limits()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	s.Out, s.Evacuated, s.Applied, s.Rejected = len(o.absences.Out), o.away, o.applied, o.rejected
+	s.Out, s.Evacuated, s.Applied, s.Rejected = len(o.absences.Excluded), o.away, o.applied, o.rejected
 	return s
 }
--- a/internal/engine/classes.go
+++ b/internal/engine/classes.go
@@ -6,7 +6,7 @@
 
 	"quillfront/members"
 	"quillfront/policy"
-	"quillfront/retune"
+	"quillfront/reconfig"
 )
 
 // classSet holds the configured request classes. It is immutable; a new configuration replaces it.
@@ -19,7 +19,7 @@
 func newClassSet(cfg policy.Config) *classSet {
 	r := &classSet{byName: map[string][]policy.Class{}}
 	for _, c := range cfg.Classes {
-		name, before := strings.CutSuffix(c.Name, retune.Before)
+		name, before := strings.CutSuffix(c.Name, reconfig.PreviousSuffix)
 		if before {
 			r.byName[name] = append(r.byName[name], c)
 		} else {
@@ -35,7 +35,7 @@
 
 // known reports whether name is the module's name of a configured class.
 func (r *classSet) known(name string) bool {
-	public, _ := strings.CutSuffix(name, retune.Before)
+	public, _ := strings.CutSuffix(name, reconfig.PreviousSuffix)
 	for _, c := range r.byName[public] {
 		if c.Name == name {
 			return true
@@ -93,7 +93,7 @@
 	e.config, e.baseConfig, e.groupOverride = cfg, base, group
 	e.ensurePushedWatch()
 	if regrouped && e.siteConfig != nil {
-		return e.sites.Watch(now, e.siteConfig, cfg)
+		return e.sites.Configure(now, e.siteConfig, cfg)
 	}
 	return nil
 }
--- a/internal/engine/counts.go
+++ b/internal/engine/counts.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	"quillfront/policy"
-	"quillfront/retune"
+	"quillfront/reconfig"
 )
 
 // Counts holds the number of requests and attempts of a class since the engine's start, by outcome.
@@ -19,7 +19,7 @@
 // countsOf returns the counts of r's class. Every class that ever was in the configuration has its
 // own counts, up to maxCountedClasses; further classes share the name "other".
 func (e *Engine) countsOf(r *Request) *Counts {
-	name, _ := strings.CutSuffix(r.Class, retune.Before)
+	name, _ := strings.CutSuffix(r.Class, reconfig.PreviousSuffix)
 	c := e.counts[name]
 	if c == nil {
 		if len(e.counts) >= maxCountedClasses {
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -22,7 +22,7 @@
 	Watching bool
 	Servers  []ServerState // sorted by ID
 	Module   policy.Snapshot
-	Sites    []sites.View // in order of preference; empty if sites are not monitored
+	Sites    []sites.SiteSnapshot // in order of preference; empty if sites are not monitored
 }
 
 // ServerState is a listed server with the module's state of it.
@@ -51,7 +51,7 @@
 	if m, ok := e.module.(snapshotter); ok {
 		s.Module = m.Snapshot(e.Now())
 	}
-	s.Sites = e.sites.Views(e.Now())
+	s.Sites = e.sites.Snapshot(e.Now())
 	states := map[policy.ServerID]policy.ServerSnapshot{}
 	for _, b := range s.Module.Servers {
 		states[b.ID] = b
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -173,7 +173,7 @@
 	for _, v := range s.Engine.Sites {
 		gauge(siteShare, v.Share, v.Site)
 		gauge(siteState, float64(v.State), v.Site)
-		gauge(siteBad, v.Bad, v.Site)
+		gauge(siteBad, v.FailureRatio, v.Site)
 		total(siteSpilled, v.Spilled, v.Site)
 		total(siteAway, v.TurnedAway, v.Site)
 	}
@@ -197,12 +197,12 @@
 			result string
 			n      int64
 		}{
-			{"replayed", o.Replayed}, {"joined", o.Joined}, {"again", o.Again}, {"mismatched", o.Mismatched}, {"unknown", o.Unknown},
+			{"replayed", o.Replayed}, {"joined", o.Joined}, {"again", o.Resent}, {"mismatched", o.Mismatched}, {"unknown", o.Unknown},
 			{"unwritable", o.Unwritable},
 		} {
 			total(ordersTotal, uint64(r.n), r.result)
 		}
-		gauge(ordersFailing, truth(o.Failing != nil))
+		gauge(ordersFailing, truth(o.StoreError != nil))
 	}
 	for _, f := range s.Services {
 		tellService(f, total, gauge)
@@ -276,8 +276,8 @@
 		total(poolsCut, st.Ends.Cut, f.Name)
 		for route, n := range st.Routes {
 			total(routeRequests, n.Requests, f.Name, route)
-			gauge(routeKeys, float64(n.Held), f.Name, route)
-			total(routeEarly, uint64(n.Early), f.Name, route)
+			gauge(routeKeys, float64(n.PinnedKeys), f.Name, route)
+			total(routeEarly, uint64(n.EarlyEvictions), f.Name, route)
 		}
 	}
 	gauge(serviceGuests, float64(g.Current), f.Name)
--- a/pools.go
+++ b/pools.go
@@ -139,9 +139,9 @@
 	status := cmp.Or(a.Status, http.StatusOK)
 	resp := &http.Response{
 		Status: fmt.Sprintf("%d %s", status, http.StatusText(status)), StatusCode: status, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: httpmsg.ParseHeader(a.Lines), Request: q, ContentLength: contentLength(a), Body: http.NoBody,
+		Header: httpmsg.ParseHeader(a.HeaderLines), Request: q, ContentLength: contentLength(a), Body: http.NoBody,
 	}
-	if a.Bare {
+	if a.NoBody {
 		finish()
 		resp.ContentLength = a.Length
 		return resp, nil
@@ -156,7 +156,7 @@
 	}
 	resp.Header.Del("Trailer")
 	resp.Body = &trailerBody{ReadCloser: bodyReader(ctx, a), a: a, resp: resp, finish: sync.OnceFunc(finish)}
-	if a.Rest == nil {
+	if a.BodyRest == nil {
 		finish()
 	}
 	return resp, nil
@@ -165,7 +165,7 @@
 // trailerBody is a body that may be followed by trailers.
 type trailerBody struct {
 	io.ReadCloser
-	a      *httpmsg.Answer
+	a      *httpmsg.Response
 	resp   *http.Response
 	finish func() // stops the upload of the request's body
 }
@@ -198,7 +198,7 @@
 // there is an answer, the caller calls finish once to end the transfer. extra holds additional
 // lines of the request's head. unblockRead makes a pending Read of the body return; it is nil if
 // the body belongs to a caller of RoundTrip.
-func (p *Pools) do(q *http.Request, target, host string, extra []byte, interim func(int, []byte), unblockRead func()) (a *httpmsg.Answer, finish func(), err error) {
+func (p *Pools) do(q *http.Request, target, host string, extra []byte, interim func(int, []byte), unblockRead func()) (a *httpmsg.Response, finish func(), err error) {
 	ctx, body, length := q.Context(), q.Body, q.ContentLength
 	var up *upload
 	finish = func() {
@@ -220,7 +220,7 @@
 
 // submitAndWait routes the request, submits it to an engine and waits for its result. It leaves the
 // end of the upload, which it stores in *up, to do.
-func (p *Pools) submitAndWait(ctx context.Context, q *http.Request, target, host string, body io.Reader, length int64, extra []byte, interim func(int, []byte), up **upload) (*httpmsg.Answer, error) {
+func (p *Pools) submitAndWait(ctx context.Context, q *http.Request, target, host string, body io.Reader, length int64, extra []byte, interim func(int, []byte), up **upload) (*httpmsg.Response, error) {
 	switch {
 	case q.Body == nil || q.Body == http.NoBody:
 		length = 0
@@ -238,23 +238,23 @@
 		return nil, &RequestError{http.StatusBadRequest, "no host, or not one that can be read"}
 	}
 	method := cmp.Or(q.Method, http.MethodGet)
-	asked := &router.Asked{Method: method, Host: host, Target: target, Header: q.Header.Values}
+	asked := &router.Request{Method: method, Host: host, Target: target, Header: q.Header.Values}
 	call, err := p.web.Router().Route(asked)
 	if err != nil {
 		return nil, requestError(err)
 	}
-	defer func() { call.Taken() }()
+	defer func() { call.Release() }()
 	r := call.Request
-	m := &httpmsg.Message{Method: method, Target: target, Host: host, Lines: slices.Clone(extra)}
-	m.Lines = httpmsg.AppendHeader(m.Lines, q.Header, func(name string) bool { return strings.EqualFold(name, "Host") })
+	m := &httpmsg.Message{Method: method, Target: target, Host: host, HeaderLines: slices.Clone(extra)}
+	m.HeaderLines = httpmsg.AppendHeader(m.HeaderLines, q.Header, func(name string) bool { return strings.EqualFold(name, "Host") })
 	if check.ID == "" {
-		m.Lines = httpmsg.Field{Name: []byte("X-Request-ID"), Value: []byte(newRequestID())}.Append(m.Lines)
+		m.HeaderLines = httpmsg.Field{Name: []byte("X-Request-ID"), Value: []byte(newRequestID())}.Append(m.HeaderLines)
 	}
-	m.Terms = &httpmsg.Terms{Judge: call.Judge, Stall: answerStallTimeout, Interim: interim}
+	m.Exchange = &httpmsg.Exchange{Evaluate: call.Evaluate, StallTimeout: answerStallTimeout, OnInterim: interim}
 	r.Payload, r.Retry = m, check.Retried
 	switch {
-	case length > 0 && length <= maxBufferedBody && q.Trailer == nil && call.Room.TryAcquire(length):
-		release := sync.OnceFunc(func() { call.Room.Release(length) })
+	case length > 0 && length <= maxBufferedBody && q.Trailer == nil && call.BodyBudget.TryAcquire(length):
+		release := sync.OnceFunc(func() { call.BodyBudget.Release(length) })
 		m.Body = make([]byte, length)
 		done := false
 		defer func() { // also runs if the body's Read panics
@@ -267,8 +267,8 @@
 		} else if err != nil {
 			return nil, err
 		}
-		call = p.web.Router().Again(call, length, func() *router.Asked { return asked })
-		r, m.Terms.Judge = call.Request, call.Judge
+		call = p.web.Router().Reroute(call, length, func() *router.Request { return asked })
+		r, m.Exchange.Evaluate = call.Request, call.Evaluate
 		r.Release, done = release, true
 		if err := context.Cause(ctx); err != nil { // ctx ended while the body was read
 			done = false
@@ -285,7 +285,7 @@
 			m.Length, m.Trailer = -1, func() []byte { return httpmsg.AppendHeader(nil, q.Trailer, nil) }
 		}
 		if strings.EqualFold(q.Header.Get("Expect"), "100-continue") {
-			m.Terms.Expect = expectTimeout
+			m.Exchange.ExpectTimeout = expectTimeout
 		}
 		fallthrough
 	default:
@@ -294,21 +294,21 @@
 		}
 	}
 	var sent <-chan struct{}
-	if m.Rest != nil {
-		sent = m.Rest.Done()
+	if m.Upload != nil {
+		sent = m.Upload.Done()
 	}
 	for {
 		select {
 		case result := <-r.Result():
-			if m.Rest != nil && result.Kind != engine.Served {
-				if err := m.Rest.Broken(); err != nil {
+			if m.Upload != nil && result.Kind != engine.Served {
+				if err := m.Upload.SourceErr(); err != nil {
 					return nil, err
 				}
 			}
 			return convertPoolsResult(result, m)
 		case <-sent:
 			sent = nil
-			if err := m.Rest.Broken(); err != nil && call.Engine.Withdraw(r) {
+			if err := m.Upload.SourceErr(); err != nil && call.Engine.Withdraw(r) {
 				return nil, err
 			}
 		case <-ctx.Done():
@@ -330,14 +330,14 @@
 
 // convertPoolsResult converts an engine's result to the answer or error that the caller gets. If
 // the last server failed with an answer, the caller gets that answer.
-func convertPoolsResult(r engine.Result, m *httpmsg.Message) (*httpmsg.Answer, error) {
-	if a, ok := r.Reply.(*httpmsg.Answer); ok && r.Kind == engine.Served {
+func convertPoolsResult(r engine.Result, m *httpmsg.Message) (*httpmsg.Response, error) {
+	if a, ok := r.Reply.(*httpmsg.Response); ok && r.Kind == engine.Served {
 		return a, nil
 	}
 	if r.Kind == engine.Dropped {
 		return nil, fmt.Errorf("%w, and the request may have run", ErrClosed)
 	}
-	if a := m.Terms.Last(r.Kind == engine.Refused || r.NotRun); a != nil {
+	if a := m.Exchange.LastResponse(r.Kind == engine.Refused || r.NotRun); a != nil {
 		return a, nil
 	}
 	if r.Kind == engine.Refused || r.NotRun {
@@ -404,26 +404,26 @@
 		return
 	}
 	defer finish()
-	for name, values := range httpmsg.ParseHeader(a.Lines) {
+	for name, values := range httpmsg.ParseHeader(a.HeaderLines) {
 		header[name] = values
 	}
 	header.Add("Via", strings.TrimSpace(strings.TrimPrefix(string(router.AppendVia(nil, 1, viaPseudonym)), "Via:")))
 	n := contentLength(a)
-	if a.Bare {
+	if a.NoBody {
 		n = a.Length
-	} else if a.Rest == nil && a.Trailer != nil && len(a.Trailer()) > 0 {
+	} else if a.BodyRest == nil && a.Trailer != nil && len(a.Trailer()) > 0 {
 		n = -1 // trailers require a chunked body
 	}
 	if n >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(n, 10))
 	}
 	w.WriteHeader(cmp.Or(a.Status, http.StatusOK))
-	if a.Bare {
+	if a.NoBody {
 		return
 	}
 	answer := bodyReader(q.Context(), a)
 	defer answer.Close()
-	if err := copyAndFlush(w, answer, a.Rest != nil); err != nil {
+	if err := copyAndFlush(w, answer, a.BodyRest != nil); err != nil {
 		panic(http.ErrAbortHandler) // lets the client detect that the answer is incomplete
 	}
 	if a.Trailer != nil {
@@ -439,7 +439,7 @@
 		_, err := io.Copy(w, from)
 		return err
 	}
-	buf, release := httpmsg.Buffer()
+	buf, release := httpmsg.CopyBuffer()
 	defer release()
 	flush := http.NewResponseController(w)
 	flush.Flush() // the body may take long to start
@@ -508,5 +508,5 @@
 
 // Matches reports whether a route matches q.
 func (p *Pools) Matches(q *http.Request) bool {
-	return p.web.Router().Matches(&router.Asked{Method: q.Method, Host: q.Host, Target: requestTarget(q), Header: q.Header.Values})
+	return p.web.Router().Matches(&router.Request{Method: q.Method, Host: q.Host, Target: requestTarget(q), Header: q.Header.Values})
 }
