--- a/balancer.go
+++ b/balancer.go
@@ -139,7 +139,7 @@
 // Balancer distributes requests over a set of servers. Its methods are safe for concurrent use.
 type Balancer struct {
 	engine       *engine.Engine
-	desk         *orders.Coordinator // nil without WithOrders
+	coordinator  *orders.Coordinator // nil without WithOrders
 	transport    *upstream.Transport
 	sockets      *sockets.Budget
 	bodyBudget   *semaphore.Weighted // limits the memory for bodies, in bytes
@@ -197,11 +197,11 @@
 	b.transport = upstream.New(p.settings, b.sockets, o.log)
 	b.sockets.OnShortage(b.transport.EvictIdle, nil)
 	var transport engine.Transport = b.transport
-	var book orders.EntryStore
+	var store orders.EntryStore
 	var retention func(string) time.Duration
 	if o.orders != nil {
 		var err error
-		if book, retention, err = o.orders.Open(); err != nil {
+		if store, retention, err = o.orders.Open(); err != nil {
 			b.transport.Close()
 			return nil, fmt.Errorf("quillfront: Orders: %w", err)
 		}
@@ -212,14 +212,14 @@
 	}
 	if err := o.watchSites(&engineOptions); err != nil {
 		b.transport.Close()
-		if book != nil {
-			book.Close()
+		if store != nil {
+			store.Close()
 		}
 		return nil, err
 	}
 	b.engine = engine.New(engineOptions)
-	if book != nil {
-		b.desk = orders.New(orders.Options{Engine: b.engine, Store: book, Codec: httpmsg.Codec{}, Retention: retention, Log: o.log})
+	if store != nil {
+		b.coordinator = orders.New(orders.Options{Engine: b.engine, Store: store, Codec: httpmsg.Codec{}, Retention: retention, Log: o.log})
 	}
 	if p.watchAtStart {
 		b.engine.SetSource(p.source)
@@ -242,8 +242,8 @@
 func (b *Balancer) Close() {
 	b.engine.Close()
 	b.transport.Close()
-	if b.desk != nil {
-		if err := b.desk.Close(); err != nil {
+	if b.coordinator != nil {
+		if err := b.coordinator.Close(); err != nil {
 			b.log.Error("closing the order store", "err", err)
 		}
 	}
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -24,19 +24,21 @@
 	"quillfront/policy"
 )
 
-// testTimeout is how long a test waits for what must happen. It bounds a failure; no verdict hangs on it.
+// testTimeout limits how long a test waits for an expected event. It only ends tests that fail
+// anyway.
 const testTimeout = 20 * time.Second
 
+// eventually waits until ok returns true, and fails the test if it takes longer than testTimeout.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// recordingModule is the real module, and notes the outcomes and withdrawals that reach it.
+// recordingModule is the real module and records the outcomes and withdrawals passed to it.
 type recordingModule struct {
 	*policy.Balancer
 	mu        sync.Mutex
@@ -44,6 +46,7 @@
 	withdrawn int
 }
 
+// Outcome implements engine.Module.
 func (s *recordingModule) Outcome(now policy.Time, o policy.Outcome, act policy.Actions) {
 	s.mu.Lock()
 	s.outcomes = append(s.outcomes, o)
@@ -51,6 +54,7 @@
 	s.Balancer.Outcome(now, o, act)
 }
 
+// ClientDisconnected implements engine.Module.
 func (s *recordingModule) ClientDisconnected(now policy.Time, id policy.RequestID, act policy.Actions) {
 	s.mu.Lock()
 	s.withdrawn++
@@ -58,6 +62,7 @@
 	s.Balancer.ClientDisconnected(now, id, act)
 }
 
+// seen returns the recorded outcomes and the number of withdrawals.
 func (s *recordingModule) seen() (outcomes []policy.Outcome, withdrawn int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +75,7 @@
 	{Name: "pay", Effect: Unsafe, Aim: 9 * time.Second, Deadline: 10 * time.Second},
 }
 
-// startFleet starts boxes that remember keys as testClasses has it.
+// startFleet starts stand-in servers that drop repeats of a key as testClasses says.
 func startFleet(t testing.TB, boxes ...standin.BoxConfig) (*standin.Fleet, []Server) {
 	t.Helper()
 	var classes []policy.Class
@@ -100,7 +105,8 @@
 	return f, servers
 }
 
-// newTestBalancer starts one that ends with the test, and notes what its module is told.
+// newTestBalancer starts a Balancer that is closed at the end of the test. It returns the module
+// that records the events.
 func newTestBalancer(t testing.TB, source Source, change ...func(*Config)) (*Balancer, *recordingModule) {
 	t.Helper()
 	c := Config{Classes: testClasses, Servers: source}
@@ -126,6 +132,7 @@
 
 var lastID atomic.Int64
 
+// post returns a POST request with a fresh request ID and, unless key is empty, an Idempotency-Key.
 func post(ctx context.Context, class, key string, body io.Reader) *http.Request {
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://fleet/"+class+"/k", body)
 	if err != nil {
@@ -138,6 +145,7 @@
 	return q
 }
 
+// get returns a GET request without a request ID.
 func get(path string) *http.Request {
 	q, err := http.NewRequest(http.MethodGet, "http://fleet"+path, nil)
 	if err != nil {
@@ -146,7 +154,7 @@
 	return q
 }
 
-// readAll reads an answer.
+// readAll reads and closes the body of resp.
 func readAll(t testing.TB, resp *http.Response, err error) string {
 	t.Helper()
 	if err != nil {
@@ -162,7 +170,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestConfigErrors: each wrong field is named.
+// TestConfigErrors checks that the error for an invalid configuration names the field.
 func TestConfigErrors(t *testing.T) {
 	good := Config{Classes: testClasses, Servers: Static(Server{Addr: "127.0.0.1:1"})}
 	class := func(change func(*Class)) func(*Config) {
@@ -235,37 +243,38 @@
 	}
 }
 
-// TestBadRequests: what cannot be served gives a typed error, and nothing is sent.
+// TestBadRequests checks that an invalid request ends with a typed error and is not sent, in
+// particular one whose header, query, host or method would inject lines into the message.
 func TestBadRequests(t *testing.T) {
 	f, servers := startFleet(t, standin.BoxConfig{})
 	b, _ := newTestBalancer(t, Static(servers...))
 	rt := b.RoundTripper()
-	evil, named := get("/read/k"), get("/read/k")
-	evil.Header["X-Evil"] = []string{"a\r\nX-Request-Id: other"}
-	named.Header["X-Evil: 1\r\nX-A"] = []string{"a"}
-	unwritable := post(t.Context(), "order", "k\n", nil)
-	twice := post(t.Context(), "order", "k", nil)
-	twice.Header["idempotency-key"] = []string{"other"}
-	injected := get("/read/k")
-	injected.URL.RawQuery = "a HTTP/1.1\r\nX-Evil: 1"
-	nominating := post(t.Context(), "order", "k", nil)
-	nominating.Header.Set("Connection", "close, idempotency-key")
+	valueInjection, nameInjection := get("/read/k"), get("/read/k")
+	valueInjection.Header["X-Evil"] = []string{"a\r\nX-Request-Id: other"}
+	nameInjection.Header["X-Evil: 1\r\nX-A"] = []string{"a"}
+	invalidKey := post(t.Context(), "order", "k\n", nil)
+	duplicateKey := post(t.Context(), "order", "k", nil)
+	duplicateKey.Header["idempotency-key"] = []string{"other"}
+	queryInjection := get("/read/k")
+	queryInjection.URL.RawQuery = "a HTTP/1.1\r\nX-Evil: 1"
+	keyInConnection := post(t.Context(), "order", "k", nil)
+	keyInConnection.Header.Set("Connection", "close, idempotency-key")
 	_, err := rt.RoundTrip(get("/novel/k"))
 	if !errors.Is(err, ErrUnknownClass) {
 		t.Errorf("unknown class: %v", err)
 	}
 	for name, q := range map[string]*http.Request{
-		"no URL":                  {Method: http.MethodGet},
-		"no key":                  post(t.Context(), "order", "", nil),
-		"a line in a value":       evil,
-		"a line in a name":        named,
-		"a key taken out":         nominating,
-		"a key not to be written": unwritable,
-		"a key in two cases":      twice,
-		"lines in the query":      injected,
-		"dots out of the class":   get("/read/%2e%2e/order/k"),
-		"a host that cannot be":   {Method: http.MethodGet, URL: get("/read").URL, Host: "a\r\nX: y"},
-		"a method of a sentence":  {Method: "GET / HTTP/1.1\r\n", URL: get("/read").URL},
+		"no URL":                          {Method: http.MethodGet},
+		"no key":                          post(t.Context(), "order", "", nil),
+		"line break in a header value":    valueInjection,
+		"line break in a header name":     nameInjection,
+		"key named in Connection":         keyInConnection,
+		"key with a line break":           invalidKey,
+		"key in two spellings":            duplicateKey,
+		"line break in the query":         queryInjection,
+		"dot segments that leave a class": get("/read/%2e%2e/order/k"),
+		"line break in the host":          {Method: http.MethodGet, URL: get("/read").URL, Host: "a\r\nX: y"},
+		"line break in the method":        {Method: "GET / HTTP/1.1\r\n", URL: get("/read").URL},
 	} {
 		var request *RequestError
 		if _, err := rt.RoundTrip(q); !errors.As(err, &request) {
@@ -279,26 +288,26 @@
 	for _, q := range []*http.Request{short, long} {
 		var request *RequestError
 		if _, err := rt.RoundTrip(q); !errors.As(err, &request) {
-			t.Errorf("a body of another length: %v", err)
+			t.Errorf("a body that differs from its Content-Length: %v", err)
 		}
 	}
-	broken := errors.New("the disk is gone")
+	broken := errors.New("disk failure")
 	q := post(t.Context(), "pay", "", io.MultiReader(strings.NewReader("half"), errReader{broken}))
 	if _, err := rt.RoundTrip(q); !errors.Is(err, broken) {
-		t.Errorf("a body that breaks: %v", err)
+		t.Errorf("a body whose Read fails: %v", err)
 	}
 	if n := f.Boxes()[0].Counts().Requests; n > 0 {
 		t.Errorf("%d requests were sent", n)
 	}
-	// No body where one may be is none.
+	// A nil body is an empty body.
 	if got := mustRoundTrip(t, rt, post(t.Context(), "pay", "", nil)); got != "POST /pay/k 0" {
 		t.Errorf("a nil body: %q", got)
 	}
-	// An id that is there and empty is made up, and written once.
+	// An empty request ID is replaced by a generated one, which is written once.
 	q = get("/read/k")
 	q.Header["X-Request-Id"] = []string{""}
 	if got := mustRoundTrip(t, rt, q); got != "GET /read/k 0" {
-		t.Errorf("an empty id: %q", got)
+		t.Errorf("an empty request ID: %q", got)
 	}
 	b.Close()
 	if _, err := rt.RoundTrip(get("/read/k")); !errors.Is(err, ErrClosed) {
@@ -306,21 +315,23 @@
 	}
 }
 
+// mustRoundTrip sends q and returns the body of the answer.
 func mustRoundTrip(t testing.TB, rt http.RoundTripper, q *http.Request) string {
 	t.Helper()
 	resp, err := rt.RoundTrip(q)
 	return readAll(t, resp, err)
 }
 
+// errReader is a reader that fails with its error.
 type errReader struct{ error }
 
 func (e errReader) Read([]byte) (int, error) { return 0, e.error }
 
-// TestOwnTimeouts: the application's own end cuts across ours before the first send, while an attempt is out, and while
-// the answer is being read. There is one end and no further send, the attempt's outcome reaches the module, and nothing of
-// the request is left.
-func TestOwnTimeouts(t *testing.T) {
-	stall := func(t *testing.T, text string) (Server, *atomic.Int64) {
+// TestCallerContextEnds checks that the caller's context ends a request before the first attempt,
+// during an attempt, and while the answer is being read. The caller gets the context's error, there
+// is no further attempt, the module learns the outcome, and the engine retains nothing.
+func TestCallerContextEnds(t *testing.T) {
+	stalledServer := func(t *testing.T, text string) (Server, *atomic.Int64) {
 		var sent atomic.Int64
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -340,7 +351,7 @@
 						sent.Add(1)
 						io.WriteString(c, text)
 					}
-					io.Copy(io.Discard, c) // until the attempt is given up
+					io.Copy(io.Discard, c) // until the attempt is canceled
 				})
 			}
 		})
@@ -353,20 +364,20 @@
 		listed bool
 		sent   int64
 	}{
-		{"before the first send", "", false, 0},
-		{"while the attempt is out", "", true, 1},
+		{"before the first attempt", "", false, 0},
+		{"during the attempt", "", true, 1},
 		{"while the answer is being read", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", true, 1},
 	} {
 		for _, class := range []string{"read", "order", "pay"} {
 			for _, how := range []string{"cancelled", "timed out"} {
 				t.Run(tt.name+", "+class+", "+how, func(t *testing.T) {
-					s, sent := stall(t, tt.answer)
+					s, sent := stalledServer(t, tt.answer)
 					source := Static(s)
 					if !tt.listed {
 						source = Push(nil)
 					}
 					b, m := newTestBalancer(t, source, func(c *Config) { c.Reports = Never })
-					cause := errors.New("the app has had enough")
+					cause := errors.New("canceled by the application")
 					ctx, cancel := context.WithCancelCause(t.Context())
 					defer cancel(nil)
 					want := cause
@@ -386,16 +397,16 @@
 						over <- err
 					}()
 					if how == "cancelled" {
-						eventually(t, "it is on its way", func() bool { return b.Snapshot().Taken == 1 && sent.Load() == tt.sent })
+						eventually(t, "the request is accepted and sent", func() bool { return b.Snapshot().Taken == 1 && sent.Load() == tt.sent })
 						cancel(cause)
 					}
 					if err := <-over; !errors.Is(err, want) {
-						t.Errorf("it ends with %v, want %v", err, want)
+						t.Errorf("the request ends with %v, want %v", err, want)
 					}
-					eventually(t, "nothing is left of it", func() bool { return b.engine.Snapshot().Retained == 0 })
+					eventually(t, "the engine retains no request", func() bool { return b.engine.Snapshot().Retained == 0 })
 					outcomes, withdrawn := m.seen()
 					if int64(len(outcomes)) != sent.Load() || sent.Load() > tt.sent || how == "cancelled" && withdrawn != 1 {
-						t.Errorf("%d sends, %d outcomes, %d withdrawals; want %d sends", sent.Load(), len(outcomes), withdrawn, tt.sent)
+						t.Errorf("%d attempts, %d outcomes, %d withdrawals; want %d attempts", sent.Load(), len(outcomes), withdrawn, tt.sent)
 					}
 				})
 			}
@@ -403,9 +414,10 @@
 	}
 }
 
-// TestClientsRetries: what http.Client does by itself makes no second effect: it follows no redirect, and a kept
-// connection that breaks is not tried again for a request that may have run, though its body could be had again.
-func TestClientsRetries(t *testing.T) {
+// TestHTTPClientSendsOnce checks that http.Client doesn't repeat a request that may have run. It
+// must follow no redirect, and must not retry after a reused connection broke, although GetBody
+// would allow it.
+func TestHTTPClientSendsOnce(t *testing.T) {
 	var sent atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path == "/load" {
@@ -415,7 +427,7 @@
 		case 1:
 			http.Redirect(w, q, "/pay/elsewhere", http.StatusTemporaryRedirect)
 		case 2:
-			io.WriteString(w, "ok") // so that the connection is kept
+			io.WriteString(w, "ok") // keeps the connection open
 		default:
 			panic(http.ErrAbortHandler)
 		}
@@ -439,13 +451,13 @@
 		if n := sent.Load(); n != int64(i+1) {
 			t.Errorf("request %d: sent %d times", i, n-int64(i))
 		}
-		time.Sleep(600 * time.Millisecond) // an error leaves the one server out for half a second
+		time.Sleep(600 * time.Millisecond) // an error ejects the only server for half a second
 	}
 }
 
-// TestRestartForgets shows what the documentation says of a restart: nothing is known of the requests before, so that
-// the servers' own memory decides whether an effect takes place again.
-func TestRestartForgets(t *testing.T) {
+// TestRestartLosesState checks the documented behavior of a restart: a new Balancer knows no
+// earlier requests, so only the servers' memory of keys prevents a second execution.
+func TestRestartLosesState(t *testing.T) {
 	f, servers := startFleet(t, standin.BoxConfig{})
 	order := func() {
 		b, _ := newTestBalancer(t, Static(servers...))
@@ -462,11 +474,12 @@
 	time.Sleep(testClasses[1].KeyWindow + 100*time.Millisecond)
 	order()
 	if n := f.Executions("order", "the-key"); n != 2 {
-		t.Errorf("executed %d times beyond the servers' memory; if 1, the documentation claims too little", n)
+		t.Errorf("executed %d times beyond the servers' memory, want the 2 that are documented", n)
 	}
 }
 
-// TestOrders: with WithOrders a balancer remembers what was served and what may have run, over its restart, on both fronts.
+// TestOrders checks that a Balancer with WithOrders remembers, across a restart, which orders were
+// served and which may have run, both in the RoundTripper and in the Handler.
 func TestOrders(t *testing.T) {
 	var fail atomic.Bool
 	f, servers := startFleet(t, standin.BoxConfig{Script: func(int, *http.Request) standin.Fault {
@@ -493,30 +506,30 @@
 		t.Errorf("%q", got)
 	}
 	if _, err := New(config, WithOrders(orders)); err == nil {
-		t.Error("two balancers have one directory")
+		t.Error("two balancers share one directory")
 	}
 	fail.Store(true)
 	if _, err := order(b, "pay", "k", "one"); err == nil {
-		t.Error("an answer that was broken off is served")
+		t.Error("an incomplete answer is served")
 	}
 	b.Close()
 	b = start()
 	resp, err := order(b, "order", "k", "one")
 	if err != nil || resp.Header.Get("Idempotency-Replayed") != "true" {
-		t.Errorf("asked again: %v, %v", resp, err)
+		t.Errorf("repeat of a served order: %v, %v", resp, err)
 	}
 	var request *RequestError
 	if _, err := order(b, "order", "k", "two"); !errors.As(err, &request) || request.Status != http.StatusUnprocessableEntity {
-		t.Errorf("with another body: %v", err)
+		t.Errorf("same key with another body: %v", err)
 	}
 	var failed *FailedError
 	if _, err := order(b, "pay", "k", "one"); !errors.As(err, &failed) || !failed.Unknown {
-		t.Errorf("what may have run: %v", err)
+		t.Errorf("repeat of an order that may have run: %v", err)
 	}
 	w := httptest.NewRecorder()
 	b.Handler().ServeHTTP(w, post(t.Context(), "pay", "k", strings.NewReader("one")))
 	if w.Code != http.StatusBadGateway || w.Header().Get("Idempotency-State") != "unknown" {
-		t.Errorf("by the handler: %d, %v", w.Code, w.Header())
+		t.Errorf("Handler: %d, %v", w.Code, w.Header())
 	}
 	if n := f.Boxes()[0].Counts().Requests; n != 2 {
 		t.Errorf("%d requests were sent, want 2", n)
@@ -526,8 +539,8 @@
 	}
 }
 
-// TestTwoBalancers: two in one process share nothing.
-func TestTwoBalancers(t *testing.T) {
+// TestIndependentBalancers checks that two Balancers in one process share no state.
+func TestIndependentBalancers(t *testing.T) {
 	fa, a := startFleet(t, standin.BoxConfig{ID: "a"})
 	fb, b := startFleet(t, standin.BoxConfig{ID: "b"})
 	ba, _ := newTestBalancer(t, Static(a...))
@@ -542,7 +555,8 @@
 	}
 }
 
-// TestShutdown: what was taken is answered, what comes later is turned away, and nothing is left.
+// TestShutdown checks that Shutdown waits for the open request, that later requests fail with
+// ErrClosed, and that no descriptor is left.
 func TestShutdown(t *testing.T) {
 	gate := make(chan struct{})
 	f, servers := startFleet(t, standin.BoxConfig{Script: func(int, *http.Request) standin.Fault { <-gate; return standin.None }})
@@ -555,10 +569,10 @@
 		}
 		over <- err
 	}()
-	eventually(t, "it is out", func() bool { return f.Boxes()[0].Counts().Requests == 1 })
+	eventually(t, "the request is sent", func() bool { return f.Boxes()[0].Counts().Requests == 1 })
 	down := make(chan error, 1)
 	go func() { down <- b.Shutdown(t.Context()) }()
-	eventually(t, "no more is taken", func() bool {
+	eventually(t, "new requests are rejected", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
 		_, err := b.RoundTripper().RoundTrip(get("/read/k").WithContext(ctx))
@@ -572,12 +586,12 @@
 	}
 	select {
 	case err := <-down:
-		t.Fatalf("it ended with a request open: %v", err)
+		t.Fatalf("Shutdown returned while a request was open: %v", err)
 	default:
 	}
 	close(gate)
 	if err := <-over; err != nil {
-		t.Errorf("the request that was taken: %v", err)
+		t.Errorf("the open request: %v", err)
 	}
 	if err := <-down; err != nil {
 		t.Errorf("Shutdown: %v", err)
@@ -587,7 +601,8 @@
 	}
 }
 
-// TestCloseDuringRequests: they end at once, each once, and say that nothing is promised.
+// TestCloseDuringRequests checks that Close ends each open request once, with ErrClosed, and leaves
+// no descriptor and no retained request.
 func TestCloseDuringRequests(t *testing.T) {
 	f, servers := startFleet(t, standin.BoxConfig{Cores: 50, Script: func(int, *http.Request) standin.Fault { return standin.Lose }})
 	b, m := newTestBalancer(t, Static(servers...))
@@ -599,15 +614,15 @@
 			over <- err
 		}()
 	}
-	eventually(t, "all are out", func() bool { return f.Boxes()[0].Counts().Requests == many })
+	eventually(t, "all requests are sent", func() bool { return f.Boxes()[0].Counts().Requests == many })
 	b.Close()
 	for range many {
 		if err := <-over; !errors.Is(err, ErrClosed) {
-			t.Errorf("it ends with %v", err)
+			t.Errorf("a request ends with %v", err)
 		}
 	}
 	if outcomes, _ := m.seen(); len(outcomes) != many || f.Boxes()[0].Counts().Requests != many {
-		t.Errorf("%d outcomes of %d sends", len(outcomes), f.Boxes()[0].Counts().Requests)
+		t.Errorf("%d outcomes of %d attempts", len(outcomes), f.Boxes()[0].Counts().Requests)
 	}
 	if used, _ := b.sockets.InUse(); used != 0 || b.engine.Snapshot().Retained != 0 {
 		t.Errorf("%d descriptors and %d requests are left", used, b.engine.Snapshot().Retained)
@@ -619,8 +634,9 @@
 	}
 }
 
-// TestLists: a pushed list becomes empty and full again, a wrong one is dropped whole, and what drains gets nothing.
-func TestLists(t *testing.T) {
+// TestServerListUpdates checks that a pushed list can become empty and non-empty again, that a list
+// with an invalid entry is dropped as a whole, and that a draining server gets no requests.
+func TestServerListUpdates(t *testing.T) {
 	f, servers := startFleet(t, standin.BoxConfig{}, standin.BoxConfig{})
 	errs := make(chan error, 10)
 	lists := make(chan []Server)
@@ -637,7 +653,7 @@
 	tell := func(l ...Server) error { lists <- l; return <-errs }
 	first := make(chan string, 1)
 	go func() { first <- mustRoundTrip(t, b.RoundTripper(), get("/read/k")) }()
-	eventually(t, "it waits for a list", func() bool { return b.Snapshot().Open == 1 })
+	eventually(t, "the request waits for a list", func() bool { return b.Snapshot().Open == 1 })
 	if err := tell(servers[:1]...); err != nil {
 		t.Error(err)
 	}
@@ -645,17 +661,17 @@
 		t.Errorf("%q", got)
 	}
 	if err := tell(servers[1], Server{ID: "no address"}); err == nil || !strings.Contains(err.Error(), "Servers[1].Addr") {
-		t.Errorf("a list with a wrong entry: %v", err)
+		t.Errorf("a list with an invalid entry: %v", err)
 	}
 	if s := b.Snapshot().Servers; len(s) != 1 || s[0].ID != "box-0" {
-		t.Errorf("servers %+v after a wrong list", s)
+		t.Errorf("servers %+v after an invalid list", s)
 	}
 	tell()
 	if n := len(b.Snapshot().Servers); n != 0 {
 		t.Errorf("%d servers on an empty list", n)
 	}
 	go func() { first <- mustRoundTrip(t, b.RoundTripper(), get("/read/k")) }()
-	eventually(t, "it waits", func() bool { return b.Snapshot().Open == 1 })
+	eventually(t, "the request waits", func() bool { return b.Snapshot().Open == 1 })
 	servers[0].State = Draining
 	tell(servers...)
 	<-first
@@ -674,8 +690,9 @@
 	}
 }
 
-// TestPushEnds: a channel that is closed leaves the list as it is.
-func TestPushEnds(t *testing.T) {
+// TestPushChannelClosed checks that the list stays and the watch doesn't restart when the channel
+// of Push is closed.
+func TestPushChannelClosed(t *testing.T) {
 	_, servers := startFleet(t, standin.BoxConfig{})
 	lists := make(chan []Server, 1)
 	lists <- servers
@@ -685,12 +702,12 @@
 		mustRoundTrip(t, b.RoundTripper(), get("/read/k"))
 	}
 	if !b.Snapshot().Watching {
-		t.Error("it asks again and again")
+		t.Error("the watch has ended")
 	}
 }
 
-// TestLimits: one request over the limit is refused at once.
-func TestLimits(t *testing.T) {
+// TestRequestLimit checks that a request above Limits.Requests is refused at once.
+func TestRequestLimit(t *testing.T) {
 	f, servers := startFleet(t, standin.BoxConfig{Script: func(int, *http.Request) standin.Fault { return standin.Lose }})
 	b, _ := newTestBalancer(t, Static(servers...), func(c *Config) { c.Limits.Requests = 1 })
 	ctx, cancel := context.WithCancel(t.Context())
@@ -699,7 +716,7 @@
 		_, err := b.RoundTripper().RoundTrip(get("/read/k").WithContext(ctx))
 		over <- err
 	}()
-	eventually(t, "the one place is taken", func() bool { return f.Boxes()[0].Counts().Requests == 1 })
+	eventually(t, "the limit is reached", func() bool { return f.Boxes()[0].Counts().Requests == 1 })
 	var refused *RefusedError
 	if _, err := b.RoundTripper().RoundTrip(get("/read/k")); !errors.As(err, &refused) {
 		t.Errorf("%v, want a refusal", err)
@@ -708,7 +725,8 @@
 	<-over
 }
 
-// TestMiddleware: routes of the fleet go there, all others are untouched, and panics on either side leave nothing behind.
+// TestMiddleware checks that requests of known classes go to the servers and all others reach the
+// wrapped handler, and that a panic in the handler or in a body's Read leaks no resources.
 func TestMiddleware(t *testing.T) {
 	_, servers := startFleet(t, standin.BoxConfig{})
 	b, _ := newTestBalancer(t, Static(servers...), func(c *Config) { c.Limits.BodyBytes = 64 << 10 })
@@ -725,40 +743,42 @@
 		return w, nil
 	}
 	if w, _ := ask("GET", "/read/a%2Fb?x=1", nil); w.Code != 200 || w.Body.String() != "GET /read/a/b 0" {
-		t.Errorf("the fleet: %d %q", w.Code, w.Body)
+		t.Errorf("a known class: %d %q", w.Code, w.Body)
 	}
 	if w, _ := ask("GET", "/own/x", nil); w.Code != 200 || w.Body.String() != "own /own/x" {
-		t.Errorf("the app: %d %q", w.Code, w.Body)
+		t.Errorf("another path: %d %q", w.Code, w.Body)
 	}
 	if _, p := ask("GET", "/panics", nil); p != "the app's" {
-		t.Errorf("the app's panic came out as %v", p)
+		t.Errorf("the handler's panic arrived as %v", p)
 	}
-	for range 3 { // the room for bodies is that of one: a second would wait for ever were it not given back
+	for range 3 { // BodyBytes allows one body: a second would wait forever if the memory leaked
 		if _, p := ask("POST", "/pay/k", panickingReader{}); p != "the body's" {
-			t.Errorf("the body's panic came out as %v", p)
+			t.Errorf("the body's panic arrived as %v", p)
 		}
 	}
 	if w, _ := ask("POST", "/pay/k", strings.NewReader(strings.Repeat("x", 64<<10))); w.Code != 200 {
 		t.Errorf("after the panics: %d %s", w.Code, w.Body)
 	}
 	if s := b.Snapshot(); s.Open != 0 {
-		t.Errorf("%d requests are left open", s.Open)
+		t.Errorf("%d requests are still open", s.Open)
 	}
 	stripped := http.StripPrefix("/fleet", b.Handler())
 	w := httptest.NewRecorder()
 	q := httptest.NewRequest("GET", "/fleet/read/k?y=2", nil)
 	q.Header.Set("X-Request-ID", "stripped")
 	if stripped.ServeHTTP(w, q); w.Body.String() != "GET /read/k 0" {
-		t.Errorf("behind a prefix: %d %q", w.Code, w.Body)
+		t.Errorf("with StripPrefix: %d %q", w.Code, w.Body)
 	}
 }
 
+// panickingReader is a body whose Read panics.
 type panickingReader struct{}
 
 func (panickingReader) Read([]byte) (int, error) { panic("the body's") }
 
-// TestDescriptors: connections that come and go give their descriptors back, counted by the system.
-func TestDescriptors(t *testing.T) {
+// TestDescriptorsReleased checks, by the system's count, that the descriptors of connections are
+// closed when the Balancer closes.
+func TestDescriptorsReleased(t *testing.T) {
 	open := func() int {
 		list, err := os.ReadDir("/proc/self/fd")
 		if err != nil {
@@ -774,7 +794,7 @@
 	}
 	b.Close()
 	f.Close()
-	eventually(t, "all are given back", func() bool { return open() <= before })
+	eventually(t, "all descriptors are closed", func() bool { return open() <= before })
 }
 
 var _ engine.Module = (*recordingModule)(nil)
--- a/cancel_test.go
+++ b/cancel_test.go
@@ -11,20 +11,21 @@
 	"testing"
 )
 
-// cancelingReader reads as a body at whose end its caller's context ends.
+// cancelingReader is a body whose Read cancels the caller's context.
 type cancelingReader struct {
 	io.Reader
-	leave context.CancelFunc
+	cancel context.CancelFunc
 }
 
 func (l cancelingReader) Read(p []byte) (int, error) {
 	n, err := l.Reader.Read(p)
-	l.leave()
+	l.cancel()
 	return n, err
 }
 
-// TestCallerLeavesWhileItsBodyIsRead: a request whose caller has left before its body was read is sent to nobody.
-func TestCallerLeavesWhileItsBodyIsRead(t *testing.T) {
+// TestContextCanceledWhileBodyIsRead checks that a request is not sent if the caller's context ends
+// while the body is read.
+func TestContextCanceledWhileBodyIsRead(t *testing.T) {
 	var hits atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { hits.Add(1) }))
 	defer srv.Close()
@@ -51,14 +52,14 @@
 			resp.Body.Close()
 		}
 		if !errors.Is(err, context.Canceled) {
-			t.Errorf("%s: %v, want the context's end", name, err)
+			t.Errorf("%s: %v, want context.Canceled", name, err)
 		}
 	}
-	taken := b.engine.Snapshot().Accepted
+	accepted := b.engine.Snapshot().Accepted
 	for _, e := range p.web.Engines() {
-		taken += e.Snapshot().Accepted
+		accepted += e.Snapshot().Accepted
 	}
-	if n := hits.Load(); n > 0 || taken > 0 {
-		t.Errorf("%d requests were taken, %d sent on", taken, n)
+	if n := hits.Load(); n > 0 || accepted > 0 {
+		t.Errorf("%d requests were accepted, %d were sent", accepted, n)
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -13,20 +13,22 @@
 	"quillfront"
 )
 
-// box is a server of the fleet.
-func box(answer func(w http.ResponseWriter, q *http.Request)) (s quillfront.Server, stop func()) {
+// startServer starts one of the servers behind the Balancer.
+func startServer(answer func(w http.ResponseWriter, q *http.Request)) (s quillfront.Server, stop func()) {
 	srv := httptest.NewServer(http.HandlerFunc(answer))
 	return quillfront.Server{Addr: srv.Listener.Addr().String()}, srv.Close
 }
 
+// classes are the request classes of the examples.
 var classes = []quillfront.Class{
 	{Name: "allocation-check", Effect: quillfront.Safe, Aim: 600 * time.Millisecond, Deadline: 3 * time.Second, Worth: 2},
 	{Name: "delivery-order", Effect: quillfront.Keyed, KeyWindow: 1500 * time.Millisecond, Aim: 600 * time.Millisecond,
 		Deadline: 2500 * time.Millisecond, Worth: 10, LateShare: 0.5},
 }
 
+// A Balancer is used as the transport of an http.Client.
 func Example() {
-	server, stop := box(func(w http.ResponseWriter, q *http.Request) { fmt.Fprintf(w, "12 ML left at %s", q.URL.Path) })
+	server, stop := startServer(func(w http.ResponseWriter, q *http.Request) { fmt.Fprintf(w, "12 ML left at %s", q.URL.Path) })
 	defer stop()
 	b, err := quillfront.New(quillfront.Config{
 		Classes: classes, Servers: quillfront.Static(server), Reports: quillfront.Never,
@@ -48,10 +50,11 @@
 	// Output: 12 ML left at /allocation-check/farm-7
 }
 
-// A refusal says that asking again is harmless, and when; a failure promises nothing.
+// After a refusal it is safe to retry, after the delay that the error holds. A failed request may
+// have run.
 func ExampleRefusedError() {
-	server, stop := box(func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("X-Not-Processed", "1") // full
+	server, stop := startServer(func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("X-Not-Processed", "1") // overloaded: the request was not processed
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 	defer stop()
@@ -73,8 +76,10 @@
 	// Output: refused; come back later: true
 }
 
+// The middleware sends the requests of known classes to the servers, and all others to the
+// application's own handler.
 func ExampleBalancer_Middleware() {
-	server, stop := box(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "from the fleet") })
+	server, stop := startServer(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "from the fleet") })
 	defer stop()
 	b, err := quillfront.New(quillfront.Config{
 		Classes: classes, Servers: quillfront.Static(server), Reports: quillfront.Never,
@@ -98,8 +103,9 @@
 	// from the app
 }
 
+// The application provides the server list through a channel.
 func ExamplePush() {
-	server, stop := box(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
+	server, stop := startServer(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
 	defer stop()
 	lists := make(chan []quillfront.Server, 1)
 	b, err := quillfront.New(quillfront.Config{
@@ -110,7 +116,7 @@
 		return
 	}
 	defer b.Close()
-	lists <- []quillfront.Server{server} // a request that comes before waits for it
+	lists <- []quillfront.Server{server} // requests sent earlier wait for the first list
 	resp, err := (&http.Client{Transport: b.RoundTripper()}).Get("http://fleet/allocation-check/farm-7")
 	if err != nil {
 		fmt.Println(err)
--- a/http.go
+++ b/http.go
@@ -114,11 +114,11 @@
 // submit passes a request to the order store if it has an Idempotency-Key and the Balancer stores
 // orders, and to the engine otherwise.
 func (b *Balancer) submit(r *engine.Request, call *httpcall.Call, m *httpmsg.Message) error {
-	if b.desk == nil || call.IdempotencyKey == "" {
+	if b.coordinator == nil || call.IdempotencyKey == "" {
 		return b.engine.Submit(r, b.engine.Now())
 	}
 	now := b.engine.Now()
-	return b.desk.Submit(r, orders.Identity{Key: call.IdempotencyKey, Fingerprint: call.Fingerprint(m.Body)}, now)
+	return b.coordinator.Submit(r, orders.Identity{Key: call.IdempotencyKey, Fingerprint: call.Fingerprint(m.Body)}, now)
 }
 
 // convertResult converts an engine's result to the answer or error that the caller gets.
--- a/middleware/gin/gin_test.go
+++ b/middleware/gin/gin_test.go
@@ -24,17 +24,18 @@
 	goleak.VerifyTestMain(m)
 }
 
-// app starts a server of the fleet, a balancer before it, and a Gin application with routes of its own.
-func app(t *testing.T, box http.HandlerFunc, mount func(r *gin.Engine, b *quillfront.Balancer)) (url string, b *quillfront.Balancer) {
+// startApp starts a server, a Balancer for it, and a Gin application with routes of its own. mount
+// adds the Balancer to the application.
+func startApp(t *testing.T, server http.HandlerFunc, mount func(r *gin.Engine, b *quillfront.Balancer)) (url string, b *quillfront.Balancer) {
 	t.Helper()
-	fleet := httptest.NewServer(box)
-	t.Cleanup(fleet.Close)
+	backend := httptest.NewServer(server)
+	t.Cleanup(backend.Close)
 	b, err := quillfront.New(quillfront.Config{
 		Classes: []quillfront.Class{
 			{Name: "read", Effect: quillfront.Safe, Aim: 9 * time.Second, Deadline: 10 * time.Second},
 			{Name: "pay", Effect: quillfront.Unsafe, Aim: 9 * time.Second, Deadline: 10 * time.Second},
 		},
-		Servers: quillfront.Static(quillfront.Server{Addr: fleet.Listener.Addr().String()}),
+		Servers: quillfront.Static(quillfront.Server{Addr: backend.Listener.Addr().String()}),
 		Reports: quillfront.Never,
 	})
 	if err != nil {
@@ -53,7 +54,8 @@
 
 var lastID atomic.Int64
 
-func ask(t *testing.T, ctx context.Context, method, url, body string) (status int, text string) {
+// send sends a request with a fresh request ID and returns its answer. The status is 0 on an error.
+func send(t *testing.T, ctx context.Context, method, url, body string) (status int, text string) {
 	t.Helper()
 	q, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
@@ -73,12 +75,14 @@
 	return resp.StatusCode, string(got)
 }
 
+// echo answers with the method, the target and the body of the request.
 func echo(w http.ResponseWriter, q *http.Request) {
 	body, _ := io.ReadAll(q.Body)
 	fmt.Fprintf(w, "%s %s %s", q.Method, q.RequestURI, body)
 }
 
-// TestRoutes: routes of the fleet go there, by either way of mounting, and all others are untouched, panics included.
+// TestRoutes checks that requests of known classes go to the servers, with Middleware as with
+// Fleet, and that the application handles all others as before, including panics.
 func TestRoutes(t *testing.T) {
 	for name, mount := range map[string]func(*gin.Engine, *quillfront.Balancer){
 		"Middleware": func(r *gin.Engine, b *quillfront.Balancer) { r.Use(fleetgin.Middleware(b, nil)) },
@@ -88,7 +92,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			url, _ := app(t, echo, mount)
+			url, _ := startApp(t, echo, mount)
 			for _, tt := range []struct {
 				method, path, body string
 				status             int
@@ -101,7 +105,7 @@
 				{"GET", "/nowhere", "", 404, "404 page not found"},
 				{"POST", "/read/k", "x", 405, "the method is not that of the class\n"},
 			} {
-				if status, text := ask(t, t.Context(), tt.method, url+tt.path, tt.body); status != tt.status || text != tt.want {
+				if status, text := send(t, t.Context(), tt.method, url+tt.path, tt.body); status != tt.status || text != tt.want {
 					t.Errorf("%s %s: %d %q, want %d %q", tt.method, tt.path, status, text, tt.status, tt.want)
 				}
 			}
@@ -109,11 +113,11 @@
 	}
 }
 
-// TestOneAnswer: what the fleet refuses or fails is answered by the balancer alone, and an unsafe request that may have
-// run is not sent again.
+// TestOneAnswer checks that only the Balancer answers a request that was refused or has failed, and
+// that an unsafe request that may have run is not sent again.
 func TestOneAnswer(t *testing.T) {
 	var sent atomic.Int64
-	url, _ := app(t, func(w http.ResponseWriter, q *http.Request) {
+	url, _ := startApp(t, func(w http.ResponseWriter, q *http.Request) {
 		sent.Add(1)
 		if strings.HasPrefix(q.URL.Path, "/pay") {
 			panic(http.ErrAbortHandler)
@@ -124,34 +128,34 @@
 		r.Use(fleetgin.Middleware(b, nil))
 		r.GET("/read/k", func(c *gin.Context) { c.String(http.StatusOK, "the app must not answer") })
 	})
-	if status, text := ask(t, t.Context(), "POST", url+"/pay/k", "x"); status != http.StatusBadGateway || text != "" {
+	if status, text := send(t, t.Context(), "POST", url+"/pay/k", "x"); status != http.StatusBadGateway || text != "" {
 		t.Errorf("failed: %d %q", status, text)
 	}
 	if n := sent.Load(); n != 1 {
 		t.Errorf("sent %d times", n)
 	}
-	if status, text := ask(t, t.Context(), "GET", url+"/read/k", ""); status != http.StatusServiceUnavailable || text != "" {
+	if status, text := send(t, t.Context(), "GET", url+"/read/k", ""); status != http.StatusServiceUnavailable || text != "" {
 		t.Errorf("refused: %d %q", status, text)
 	}
 }
 
-// TestClientLeaves: a client of the app that leaves withdraws its request.
-func TestClientLeaves(t *testing.T) {
-	arrived, left := make(chan struct{}), make(chan struct{})
-	url, b := app(t, func(_ http.ResponseWriter, q *http.Request) {
+// TestClientDisconnects checks that a client that disconnects cancels its attempt and its request.
+func TestClientDisconnects(t *testing.T) {
+	arrived, canceled := make(chan struct{}), make(chan struct{})
+	url, b := startApp(t, func(_ http.ResponseWriter, q *http.Request) {
 		close(arrived)
 		<-q.Context().Done()
-		close(left)
+		close(canceled)
 	}, func(r *gin.Engine, b *quillfront.Balancer) { r.Use(fleetgin.Middleware(b, nil)) })
 	ctx, leave := context.WithCancel(t.Context())
 	go func() { <-arrived; leave() }()
-	if status, _ := ask(t, ctx, "GET", url+"/read/k", ""); status != 0 {
-		t.Errorf("answer %d to a client that has left", status)
+	if status, _ := send(t, ctx, "GET", url+"/read/k", ""); status != 0 {
+		t.Errorf("answer %d to a client that has disconnected", status)
 	}
 	select {
-	case <-left:
+	case <-canceled:
 	case <-time.After(20 * time.Second):
-		t.Error("the attempt goes on")
+		t.Error("the attempt was not canceled")
 	}
 	for end := time.Now().Add(20 * time.Second); b.Snapshot().Open > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -160,16 +164,17 @@
 	}
 }
 
-// TestPools: what a route takes goes to its pool with every answer as it is, and all else to the application.
+// TestPools checks that a request that matches a route goes to its pool, that the answer's status
+// is passed on, and that all other requests go to the application.
 func TestPools(t *testing.T) {
-	fleet := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		w.WriteHeader(http.StatusCreated)
 		io.WriteString(w, q.Method)
 	}))
-	defer fleet.Close()
+	defer backend.Close()
 	path := t.TempDir() + "/pools.toml"
 	text := fmt.Sprintf("[[pools]]\nname = \"web\"\nservers = [{addr = %q}]\n[[pools.classes]]\nname = \"any\"\neffect = \"by-request\"\naim = \"8s\"\ndeadline = \"9s\"\n"+
-		"[[routes]]\nname = \"shop\"\npath = \"/shop/{rest...}\"\nclass = \"any\"\npool = \"web\"\n", fleet.Listener.Addr().String())
+		"[[routes]]\nname = \"shop\"\npath = \"/shop/{rest...}\"\nclass = \"any\"\npool = \"web\"\n", backend.Listener.Addr().String())
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -188,7 +193,7 @@
 		method, path, want string
 		status             int
 	}{{"PUT", "/shop/a", "PUT", 201}, {"GET", "/own/x", "own x", 200}, {"GET", "/none", "404 page not found", 404}} {
-		if status, text := ask(t, context.Background(), tt.method, srv.URL+tt.path, ""); status != tt.status || text != tt.want {
+		if status, text := send(t, context.Background(), tt.method, srv.URL+tt.path, ""); status != tt.status || text != tt.want {
 			t.Errorf("%s: %d %q, want %d %q", tt.path, status, text, tt.status, tt.want)
 		}
 	}
--- a/path_bench_test.go
+++ b/path_bench_test.go
@@ -29,10 +29,11 @@
 	"quillfront/policy"
 )
 
-// BenchmarkPath is one request, 200 bytes up and 1,000 down, by each form and by what one would use without: a bare
-// http.Transport straight to the server, and net/http/httputil.ReverseProxy with a pool that holds all connections.
-// Client, form and server run in one process and are counted together. The clients of all but the round tripper, which
-// is a client itself, are the same http.Transport.
+// BenchmarkPath measures one request, with 200 bytes in the request body and 1,000 in the answer,
+// through each form of the balancer. For comparison it measures a plain http.Transport and an
+// httputil.ReverseProxy whose connection pool holds all connections. Client, balancer and server
+// run in one process and are measured together. The client is an http.Transport with the same
+// settings in all cases but the round tripper, which is a client itself.
 func BenchmarkPath(b *testing.B) {
 	answer := []byte(strings.Repeat("x", 1000))
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -100,7 +101,7 @@
 	}
 }
 
-// servicesPath starts what serves any HTTP by an operator's file.
+// servicesPath returns a function that starts an HTTP service of an operator's file.
 func servicesPath(server string) func(b *testing.B) (http.RoundTripper, string) {
 	return func(b *testing.B) (http.RoundTripper, string) {
 		path := filepath.Join(b.TempDir(), "quillfront.toml")
@@ -120,7 +121,8 @@
 	}
 }
 
-// sidecarPath starts a daemon that notes orders as store says, in a directory of its own unless that is in memory.
+// sidecarPath returns a function that starts a sidecar. It stores orders as store says, on disk in
+// a temporary directory or in memory.
 func sidecarPath(text []byte, store *orders.Config) func(b *testing.B) (http.RoundTripper, string) {
 	return func(b *testing.B) (http.RoundTripper, string) {
 		cfg, err := config.Parse(text)
@@ -152,7 +154,8 @@
 	}
 }
 
-// runLoad has clients ask until b.N requests are answered, and reports the 99th percentile beside the mean.
+// runLoad sends requests from the given number of concurrent clients until b.N are answered, and
+// reports the 99th percentile in addition to the mean.
 func runLoad(b *testing.B, rt http.RoundTripper, base string, clients int) {
 	body := bytes.Repeat([]byte("y"), 200)
 	var n, id atomic.Int64
@@ -173,7 +176,7 @@
 		}
 		return nil
 	}
-	for range 4 * clients { // connections are opened, and the module has learnt
+	for range 4 * clients { // warm up: open connections and let the module learn
 		if err := ask(); err != nil {
 			b.Fatal(err)
 		}
--- a/pools.go
+++ b/pools.go
@@ -230,31 +230,31 @@
 	if err := context.Cause(ctx); err != nil {
 		return nil, err
 	}
-	var check httpcall.Call
-	if err := check.AddHeader(q.Header); err != nil {
+	var headers httpcall.Call
+	if err := headers.AddHeader(q.Header); err != nil {
 		return nil, requestError(err)
 	}
 	if !httpcall.ValidHost(host) {
 		return nil, &RequestError{http.StatusBadRequest, "no host, or not one that can be read"}
 	}
 	method := cmp.Or(q.Method, http.MethodGet)
-	asked := &router.Request{Method: method, Host: host, Target: target, Header: q.Header.Values}
-	call, err := p.web.Router().Route(asked)
+	routeRequest := &router.Request{Method: method, Host: host, Target: target, Header: q.Header.Values}
+	decision, err := p.web.Router().Route(routeRequest)
 	if err != nil {
 		return nil, requestError(err)
 	}
-	defer func() { call.Release() }()
-	r := call.Request
+	defer func() { decision.Release() }()
+	r := decision.Request
 	m := &httpmsg.Message{Method: method, Target: target, Host: host, HeaderLines: slices.Clone(extra)}
 	m.HeaderLines = httpmsg.AppendHeader(m.HeaderLines, q.Header, func(name string) bool { return strings.EqualFold(name, "Host") })
-	if check.ID == "" {
+	if headers.ID == "" {
 		m.HeaderLines = httpmsg.Field{Name: []byte("X-Request-ID"), Value: []byte(newRequestID())}.Append(m.HeaderLines)
 	}
-	m.Exchange = &httpmsg.Exchange{Evaluate: call.Evaluate, StallTimeout: answerStallTimeout, OnInterim: interim}
-	r.Payload, r.Retry = m, check.Retried
+	m.Exchange = &httpmsg.Exchange{Evaluate: decision.Evaluate, StallTimeout: answerStallTimeout, OnInterim: interim}
+	r.Payload, r.Retry = m, headers.Retried
 	switch {
-	case length > 0 && length <= maxBufferedBody && q.Trailer == nil && call.BodyBudget.TryAcquire(length):
-		release := sync.OnceFunc(func() { call.BodyBudget.Release(length) })
+	case length > 0 && length <= maxBufferedBody && q.Trailer == nil && decision.BodyBudget.TryAcquire(length):
+		release := sync.OnceFunc(func() { decision.BodyBudget.Release(length) })
 		m.Body = make([]byte, length)
 		done := false
 		defer func() { // also runs if the body's Read panics
@@ -267,14 +267,14 @@
 		} else if err != nil {
 			return nil, err
 		}
-		call = p.web.Router().Reroute(call, length, func() *router.Request { return asked })
-		r, m.Exchange.Evaluate = call.Request, call.Evaluate
+		decision = p.web.Router().Reroute(decision, length, func() *router.Request { return routeRequest })
+		r, m.Exchange.Evaluate = decision.Request, decision.Evaluate
 		r.Release, done = release, true
 		if err := context.Cause(ctx); err != nil { // ctx ended while the body was read
 			done = false
 			return nil, err
 		}
-		if err := call.Engine.Submit(r, call.Engine.Now()); err != nil {
+		if err := decision.Engine.Submit(r, decision.Engine.Now()); err != nil {
 			done = false
 			return nil, submitError(err)
 		}
@@ -289,7 +289,7 @@
 		}
 		fallthrough
 	default:
-		if err := call.Engine.Submit(r, call.Engine.Now()); err != nil {
+		if err := decision.Engine.Submit(r, decision.Engine.Now()); err != nil {
 			return nil, submitError(err)
 		}
 	}
@@ -308,11 +308,11 @@
 			return convertPoolsResult(result, m)
 		case <-sent:
 			sent = nil
-			if err := m.Upload.SourceErr(); err != nil && call.Engine.Withdraw(r) {
+			if err := m.Upload.SourceErr(); err != nil && decision.Engine.Withdraw(r) {
 				return nil, err
 			}
 		case <-ctx.Done():
-			if call.Engine.Withdraw(r) {
+			if decision.Engine.Withdraw(r) {
 				return nil, context.Cause(ctx)
 			}
 			return convertPoolsResult(<-r.Result(), m)
@@ -388,11 +388,11 @@
 		http.NewResponseController(w).EnableFullDuplex()
 	}
 	body := &clientBody{ReadCloser: q.Body}
-	inner := *q
-	if inner.Body = body; q.ContentLength == 0 {
-		inner.Body = http.NoBody // in a received request, a length of 0 means no body
+	received := *q
+	if received.Body = body; q.ContentLength == 0 {
+		received.Body = http.NoBody // in a received request, a length of 0 means no body
 	}
-	a, finish, err := p.do(&inner, requestTarget(q), q.Host, via, interim, func() { http.NewResponseController(w).SetReadDeadline(time.Now()) })
+	a, finish, err := p.do(&received, requestTarget(q), q.Host, via, interim, func() { http.NewResponseController(w).SetReadDeadline(time.Now()) })
 	mu.Lock()
 	finalStarted = true
 	mu.Unlock()
--- a/pools_test.go
+++ b/pools_test.go
@@ -15,7 +15,8 @@
 	"time"
 )
 
-// newTestServer answers with the status that the path tells, a trailer, and what it was sent.
+// newTestServer starts a server that answers with an early hint, the status named in the path, a
+// description of the request, and a trailer.
 func newTestServer(name string) *httptest.Server {
 	return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		status := http.StatusOK
@@ -46,6 +47,8 @@
 	}))
 }
 
+// writePoolsFile writes an operator's file with pools a and b. Route all sends weight percent of
+// the requests to b.
 func writePoolsFile(t *testing.T, path, a, b string, weight int) {
 	t.Helper()
 	text := ""
@@ -54,14 +57,14 @@
 			name, strings.TrimPrefix(addr, "http://"))
 	}
 	text += fmt.Sprintf("[[routes]]\nname = \"all\"\nhosts = [\"shop.example\"]\nclass = \"any\"\nsplit = {a = %d, b = %d}\noverride_header = \"X-Pool\"\n", 100-weight, weight)
-	text += "[[routes]]\nname = \"hasty\"\nhosts = [\"hasty.example\"]\nclass = \"any\"\npool = \"a\"\ntimeout = \"200ms\"\n"
+	text += "[[routes]]\nname = \"short\"\nhosts = [\"short.example\"]\nclass = \"any\"\npool = \"a\"\ntimeout = \"200ms\"\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestPools: a round tripper, a handler and a middleware by routes give every final answer as it is, stream both ways, and go by the file as it
-// is when it is read again.
+// TestPools checks that the RoundTripper, the Handler and the Middleware of Pools pass on every
+// final answer with its status and trailers, stream in both directions, and use the reloaded file.
 func TestPools(t *testing.T) {
 	a, b := newTestServer("a"), newTestServer("b")
 	defer a.Close()
@@ -82,10 +85,10 @@
 		client := &http.Client{Transport: form, Timeout: 20 * time.Second, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 		for _, status := range []int{200, 201, 204, 301, 304, 400, 404, 409, 422, 500} {
 			for _, method := range []string{"GET", "HEAD", "PUT", "POST", "DELETE", "OPTIONS"} {
-				var hints []int
+				var hintCodes []int
 				ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{Got1xxResponse: func(code int, h textproto.MIMEHeader) error {
 					if h.Get("Link") == "</a>" {
-						hints = append(hints, code)
+						hintCodes = append(hintCodes, code)
 					}
 					return nil
 				}})
@@ -105,12 +108,12 @@
 				if bare {
 					want = ""
 				}
-				if resp.StatusCode != status || string(text) != want || err != nil || resp.Header.Get("X-Id") == "" || len(hints) == 0 || !bare && resp.Trailer.Get("X-Sum") != "7" {
-					t.Errorf("%s: %s: %d %q %v, hints %v, trailer %v; want %d %q", name, method, resp.StatusCode, text, err, hints, resp.Trailer, status, want)
+				if resp.StatusCode != status || string(text) != want || err != nil || resp.Header.Get("X-Id") == "" || len(hintCodes) == 0 || !bare && resp.Trailer.Get("X-Sum") != "7" {
+					t.Errorf("%s: %s: %d %q %v, hints %v, trailer %v; want %d %q", name, method, resp.StatusCode, text, err, hintCodes, resp.Trailer, status, want)
 				}
 			}
 		}
-		r, w := io.Pipe() // what is echoed comes back while more is sent
+		r, w := io.Pipe() // parts of the body are echoed while more are sent
 		q, _ := http.NewRequest("POST", "http://shop.example/echo", r)
 		resp, err := client.Do(q)
 		if err != nil {
@@ -132,7 +135,7 @@
 		q, _ = http.NewRequestWithContext(ctx, "GET", "http://shop.example/silent", nil)
 		time.AfterFunc(50*time.Millisecond, cancel)
 		if _, err := client.Do(q); !errors.Is(err, context.Canceled) {
-			t.Errorf("%s: a request that was called off: %v", name, err)
+			t.Errorf("%s: a canceled request: %v", name, err)
 		}
 	}
 	get := func(pool string) string {
@@ -148,32 +151,32 @@
 		return resp.Header.Get("X-Server")
 	}
 	if get("") != "a" || get("b") != "b" {
-		t.Error("the split or its override does not hold")
+		t.Error("the split or its override is not applied")
 	}
 	writePoolsFile(t, path, a.URL, b.URL, 100)
 	if err := p.Reload(); err != nil || get("") != "b" {
-		t.Errorf("after the weights have moved: %v", err)
+		t.Errorf("after the weights have changed: %v", err)
 	}
 	os.WriteFile(path, []byte("[[routes]]\n"), 0o600)
 	if err := p.Reload(); err == nil || get("") != "b" {
-		t.Errorf("a file that cannot be used: %v", err)
+		t.Errorf("an invalid file: %v", err)
 	}
 	var refused *RequestError
 	q, _ := http.NewRequest("GET", "http://nobody.example/", nil)
 	if _, err := p.RoundTripper().RoundTrip(q); !errors.As(err, &refused) || refused.Status != 404 {
 		t.Errorf("no route: %v", err)
 	}
-	q, _ = http.NewRequest("POST", "http://hasty.example/silent", nil)
+	q, _ = http.NewRequest("POST", "http://short.example/silent", nil)
 	var failed *FailedError
 	if _, err := p.RoundTripper().RoundTrip(q); !errors.As(err, &failed) {
-		t.Errorf("a server that says nothing: %v", err)
+		t.Errorf("a server that does not answer: %v", err)
 	}
 	resp, err := http.Get(front.URL + "/x")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if text, _ := io.ReadAll(resp.Body); string(text) != "other" {
-		t.Errorf("what no route takes went to %q", text)
+		t.Errorf("a request without a route was answered with %q", text)
 	}
 	resp.Body.Close()
 	if err := p.Shutdown(context.Background()); err != nil {
@@ -181,11 +184,11 @@
 	}
 	q, _ = http.NewRequest("GET", "http://shop.example/", nil)
 	if _, err := p.RoundTripper().RoundTrip(q); !errors.Is(err, ErrClosed) {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("after Shutdown: %v", err)
 	}
 }
 
-// fixedAddrTransport sends requests for any host to one address.
+// fixedAddrTransport sends all requests to one address, whatever their host.
 type fixedAddrTransport struct {
 	*http.Transport
 	addr string
@@ -197,8 +200,9 @@
 	return o.Transport.RoundTrip(r)
 }
 
-// TestPoolsReloadUnderBody: a request whose body is still coming when a reload takes its pool out goes by the new file.
-func TestPoolsReloadUnderBody(t *testing.T) {
+// TestPoolsReloadDuringUpload checks that a request whose pool is removed by a reload, while the
+// body is still being received, is routed by the new file.
+func TestPoolsReloadDuringUpload(t *testing.T) {
 	old, fresh := newTestServer("old"), newTestServer("new")
 	defer old.Close()
 	defer fresh.Close()
@@ -220,7 +224,7 @@
 	q, _ := http.NewRequest("POST", "http://shop.example/", body)
 	q.ContentLength = 6
 	go func() {
-		io.WriteString(more, "abc") // returns once it has been read: the request is on its way
+		io.WriteString(more, "abc") // returns when it has been read: the request has been routed
 		file("new", fresh.URL)
 		if err := p.Reload(); err != nil {
 			t.Error(err)
--- a/snapshot.go
+++ b/snapshot.go
@@ -58,8 +58,8 @@
 		Watching: e.Watching, Threshold: e.Module.Threshold, ReadySet: e.Module.ReadySet,
 		Servers: make([]ServerSnapshot, len(e.Servers)), Sites: siteSnapshots(e),
 	}
-	if b.desk != nil {
-		d := b.desk.Stats()
+	if b.coordinator != nil {
+		d := b.coordinator.Stats()
 		s.Orders = &OrdersSnapshot{
 			Open: d.Open, Replayed: d.Replayed, Joined: d.Joined, Again: d.Resent, Mismatched: d.Mismatched, Unknown: d.Unknown,
 			Unwritable: d.Unwritable,
--- a/sources_test.go
+++ b/sources_test.go
@@ -18,7 +18,8 @@
 	"quillfront/internal/standin"
 )
 
-// TestFile: a list in a file is taken when it is replaced or written in place; one that is torn, empty, gone or wrong changes nothing.
+// TestFile checks that a list file is read after it is replaced or written in place, and that a
+// file that is incomplete, empty, missing or invalid changes nothing.
 func TestFile(t *testing.T) {
 	_, servers := startFleet(t, standin.BoxConfig{}, standin.BoxConfig{})
 	entry := func(s Server) string { return fmt.Sprintf("[[servers]]\nid = %q\naddr = %q\n", s.ID, s.Addr) }
@@ -31,7 +32,7 @@
 	write(entry(servers[0]))
 	b, _ := newTestBalancer(t, File(path, FileOptions{Every: 10 * time.Millisecond}))
 	listed := func(n int) func() bool { return func() bool { return len(b.Snapshot().Servers) == n } }
-	eventually(t, "the list is taken", listed(1))
+	eventually(t, "the list is read", listed(1))
 	both := entry(servers[0]) + entry(servers[1])
 	next := path + ".new"
 	if err := os.WriteFile(next, []byte(both), 0o600); err != nil {
@@ -40,13 +41,13 @@
 	if err := os.Rename(next, path); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the list is taken", listed(2))
+	eventually(t, "the replaced file is read", listed(2))
 	for _, bad := range []string{
 		"", both[:len(both)-3], both + entry(servers[1]), "[[servers]]\nid = \"x\"\n", both + "[[servers]]\naddr = \"a:1\"\nstate = \"asleep\"\n",
 		both + "[other]\nkey = 1\n", strings.Repeat("# nothing\n", filelist.MostFile/10+1),
 	} {
 		write(bad)
-		time.Sleep(60 * time.Millisecond) // some looks
+		time.Sleep(60 * time.Millisecond) // several polls
 		if n := len(b.Snapshot().Servers); n != 2 {
 			t.Errorf("%.40q: %d servers are listed", bad, n)
 		}
@@ -54,16 +55,17 @@
 	os.Remove(path)
 	time.Sleep(40 * time.Millisecond)
 	if got := mustRoundTrip(t, b.RoundTripper(), get("/read/k")); got != "GET /read/k 0" || !listed(2)() {
-		t.Errorf("without the file: %q", got)
+		t.Errorf("after the file was removed: %q", got)
 	}
 	write(entry(servers[1]))
-	eventually(t, "the list is taken", listed(1))
+	eventually(t, "the new file is read", listed(1))
 	if resp, err := b.RoundTripper().RoundTrip(get("/read/k")); err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("after it came back: %v, %v", resp, err)
+		t.Errorf("after the file was written again: %v, %v", resp, err)
 	}
 }
 
-// TestDNS: services from DNS are the servers, and what cannot be asked for is an error that names it.
+// TestDNS checks that the targets of SRV records become the servers, and that the error for invalid
+// options names the field.
 func TestDNS(t *testing.T) {
 	_, servers := startFleet(t, standin.BoxConfig{}, standin.BoxConfig{})
 	d, err := standin.NewDNS()
@@ -87,7 +89,7 @@
 		t.Errorf("%q", got)
 	}
 	set(servers...)
-	eventually(t, "both are listed", func() bool { return len(b.Snapshot().Servers) == 2 })
+	eventually(t, "both servers are listed", func() bool { return len(b.Snapshot().Servers) == 2 })
 	var field *FieldError
 	for _, source := range []Source{DNS("x", DNSOptions{}), DNS("x", DNSOptions{Resolvers: []string{"x"}}), DNS("", DNSOptions{Resolvers: []string{"x:53"}}),
 		DNS("x", DNSOptions{Resolvers: []string{"x:53"}, Port: 70_000}), DNS("x", DNSOptions{Resolvers: []string{"x:53"}, Min: time.Hour})} {
@@ -97,7 +99,8 @@
 	}
 }
 
-// TestSites: a Balancer that watches sites tells how they are held to be, and what cannot be is named.
+// TestSites checks that the snapshot of a Balancer with WithSites holds the state of its sites, and
+// that the error for an invalid Sites names the field.
 func TestSites(t *testing.T) {
 	classes := []Class{{Name: "read", Effect: Safe, Aim: time.Second, Deadline: time.Second}}
 	servers := Static(Server{ID: "a", Addr: "127.0.0.1:1", Zone: "x"}, Server{ID: "b", Addr: "127.0.0.1:1", Zone: "y"})
@@ -112,7 +115,7 @@
 	defer b.Close()
 	for end := time.Now().Add(20 * time.Second); len(b.Snapshot().Sites) < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the sites are not known")
+			t.Fatal("the snapshot has no sites")
 		}
 	}
 	if s := b.Snapshot().Sites; s[0].Site != "y" || s[0].State != "healthy" || s[0].Share != 1 || s[0].Servers != 1 || s[1].Site != "x" {
