--- a/balancer.go
+++ b/balancer.go
@@ -20,7 +20,7 @@
 //   - X-Retried
 //
 // Request bodies and answers of up to 64 KiB are read completely before they are passed on; longer
-// ones are streamed.
+// ones are streamed. A request body has at most 32 MiB.
 //
 // # Restarts
 //
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -76,7 +76,7 @@
 }
 
 // startFleet starts stand-in servers that drop repeats of a key as testClasses says.
-func startFleet(t testing.TB, boxes ...standin.BoxConfig) (*standin.Fleet, []Server) {
+func startFleet(t testing.TB, configs ...standin.BoxConfig) (*standin.Fleet, []Server) {
 	t.Helper()
 	var classes []policy.Class
 	for i, c := range testClasses {
@@ -92,7 +92,7 @@
 	}
 	t.Cleanup(f.Close)
 	var servers []Server
-	for i, cfg := range boxes {
+	for i, cfg := range configs {
 		if cfg.ID == "" {
 			cfg.ID = fmt.Sprintf("box-%d", i)
 		}
@@ -387,20 +387,20 @@
 						defer stop()
 						want = context.DeadlineExceeded
 					}
-					over := make(chan error, 1)
+					done := make(chan error, 1)
 					go func() {
 						q := post(ctx, class, "key", strings.NewReader("x"))
 						if class == "read" {
 							q = get("/read/k").WithContext(ctx)
 						}
 						_, err := b.RoundTripper().RoundTrip(q)
-						over <- err
+						done <- err
 					}()
 					if how == "cancelled" {
 						eventually(t, "the request is accepted and sent", func() bool { return b.Snapshot().Taken == 1 && sent.Load() == tt.sent })
 						cancel(cause)
 					}
-					if err := <-over; !errors.Is(err, want) {
+					if err := <-done; !errors.Is(err, want) {
 						t.Errorf("the request ends with %v, want %v", err, want)
 					}
 					eventually(t, "the engine retains no request", func() bool { return b.engine.Snapshot().Retained == 0 })
@@ -561,13 +561,13 @@
 	gate := make(chan struct{})
 	f, servers := startFleet(t, standin.BoxConfig{Script: func(int, *http.Request) standin.Fault { <-gate; return standin.None }})
 	b, _ := newTestBalancer(t, Static(servers...))
-	over := make(chan error, 1)
+	done := make(chan error, 1)
 	go func() {
 		resp, err := b.RoundTripper().RoundTrip(get("/read/k"))
 		if err == nil {
 			resp.Body.Close()
 		}
-		over <- err
+		done <- err
 	}()
 	eventually(t, "the request is sent", func() bool { return f.Boxes()[0].Counts().Requests == 1 })
 	down := make(chan error, 1)
@@ -590,7 +590,7 @@
 	default:
 	}
 	close(gate)
-	if err := <-over; err != nil {
+	if err := <-done; err != nil {
 		t.Errorf("the open request: %v", err)
 	}
 	if err := <-down; err != nil {
@@ -607,17 +607,17 @@
 	f, servers := startFleet(t, standin.BoxConfig{Cores: 50, Script: func(int, *http.Request) standin.Fault { return standin.Lose }})
 	b, m := newTestBalancer(t, Static(servers...))
 	const many = 20
-	over := make(chan error, 2*many)
+	done := make(chan error, 2*many)
 	for range many {
 		go func() {
 			_, err := b.RoundTripper().RoundTrip(post(context.Background(), "pay", "", strings.NewReader("x")))
-			over <- err
+			done <- err
 		}()
 	}
 	eventually(t, "all requests are sent", func() bool { return f.Boxes()[0].Counts().Requests == many })
 	b.Close()
 	for range many {
-		if err := <-over; !errors.Is(err, ErrClosed) {
+		if err := <-done; !errors.Is(err, ErrClosed) {
 			t.Errorf("a request ends with %v", err)
 		}
 	}
@@ -650,30 +650,30 @@
 			}
 		}
 	}))
-	tell := func(l ...Server) error { lists <- l; return <-errs }
+	update := func(l ...Server) error { lists <- l; return <-errs }
 	first := make(chan string, 1)
 	go func() { first <- mustRoundTrip(t, b.RoundTripper(), get("/read/k")) }()
 	eventually(t, "the request waits for a list", func() bool { return b.Snapshot().Open == 1 })
-	if err := tell(servers[:1]...); err != nil {
+	if err := update(servers[:1]...); err != nil {
 		t.Error(err)
 	}
 	if got := <-first; got != "GET /read/k 0" {
 		t.Errorf("%q", got)
 	}
-	if err := tell(servers[1], Server{ID: "no address"}); err == nil || !strings.Contains(err.Error(), "Servers[1].Addr") {
+	if err := update(servers[1], Server{ID: "no address"}); err == nil || !strings.Contains(err.Error(), "Servers[1].Addr") {
 		t.Errorf("a list with an invalid entry: %v", err)
 	}
 	if s := b.Snapshot().Servers; len(s) != 1 || s[0].ID != "box-0" {
 		t.Errorf("servers %+v after an invalid list", s)
 	}
-	tell()
+	update()
 	if n := len(b.Snapshot().Servers); n != 0 {
 		t.Errorf("%d servers on an empty list", n)
 	}
 	go func() { first <- mustRoundTrip(t, b.RoundTripper(), get("/read/k")) }()
 	eventually(t, "the request waits", func() bool { return b.Snapshot().Open == 1 })
 	servers[0].State = Draining
-	tell(servers...)
+	update(servers...)
 	<-first
 	for range 20 {
 		mustRoundTrip(t, b.RoundTripper(), get("/read/k"))
@@ -711,10 +711,10 @@
 	f, servers := startFleet(t, standin.BoxConfig{Script: func(int, *http.Request) standin.Fault { return standin.Lose }})
 	b, _ := newTestBalancer(t, Static(servers...), func(c *Config) { c.Limits.Requests = 1 })
 	ctx, cancel := context.WithCancel(t.Context())
-	over := make(chan error, 1)
+	done := make(chan error, 1)
 	go func() {
 		_, err := b.RoundTripper().RoundTrip(get("/read/k").WithContext(ctx))
-		over <- err
+		done <- err
 	}()
 	eventually(t, "the limit is reached", func() bool { return f.Boxes()[0].Counts().Requests == 1 })
 	var refused *RefusedError
@@ -722,7 +722,7 @@
 		t.Errorf("%v, want a refusal", err)
 	}
 	cancel()
-	<-over
+	<-done
 }
 
 // TestMiddleware checks that requests of known classes go to the servers and all others reach the
@@ -734,7 +734,7 @@
 	mux.HandleFunc("/own/", func(w http.ResponseWriter, q *http.Request) { io.WriteString(w, "own "+q.URL.Path) })
 	mux.HandleFunc("/panics", func(http.ResponseWriter, *http.Request) { panic("the app's") })
 	h := b.Middleware(nil)(mux)
-	ask := func(method, path string, body io.Reader) (w *httptest.ResponseRecorder, panicked any) {
+	serve := func(method, path string, body io.Reader) (w *httptest.ResponseRecorder, panicked any) {
 		w = httptest.NewRecorder()
 		defer func() { panicked = recover() }()
 		q := httptest.NewRequest(method, path, body)
@@ -742,21 +742,21 @@
 		h.ServeHTTP(w, q)
 		return w, nil
 	}
-	if w, _ := ask("GET", "/read/a%2Fb?x=1", nil); w.Code != 200 || w.Body.String() != "GET /read/a/b 0" {
+	if w, _ := serve("GET", "/read/a%2Fb?x=1", nil); w.Code != 200 || w.Body.String() != "GET /read/a/b 0" {
 		t.Errorf("a known class: %d %q", w.Code, w.Body)
 	}
-	if w, _ := ask("GET", "/own/x", nil); w.Code != 200 || w.Body.String() != "own /own/x" {
+	if w, _ := serve("GET", "/own/x", nil); w.Code != 200 || w.Body.String() != "own /own/x" {
 		t.Errorf("another path: %d %q", w.Code, w.Body)
 	}
-	if _, p := ask("GET", "/panics", nil); p != "the app's" {
+	if _, p := serve("GET", "/panics", nil); p != "the app's" {
 		t.Errorf("the handler's panic arrived as %v", p)
 	}
 	for range 3 { // BodyBytes allows one body: a second would wait forever if the memory leaked
-		if _, p := ask("POST", "/pay/k", panickingReader{}); p != "the body's" {
+		if _, p := serve("POST", "/pay/k", panickingReader{}); p != "the body's" {
 			t.Errorf("the body's panic arrived as %v", p)
 		}
 	}
-	if w, _ := ask("POST", "/pay/k", strings.NewReader(strings.Repeat("x", 64<<10))); w.Code != 200 {
+	if w, _ := serve("POST", "/pay/k", strings.NewReader(strings.Repeat("x", 64<<10))); w.Code != 200 {
 		t.Errorf("after the panics: %d %s", w.Code, w.Body)
 	}
 	if s := b.Snapshot(); s.Open != 0 {
--- a/http.go
+++ b/http.go
@@ -175,9 +175,9 @@
 	if err := b.bodyBudget.Acquire(ctx, n); err != nil {
 		return nil, nil, context.Cause(ctx)
 	}
-	taken := false
+	succeeded := false
 	defer func() { // also runs if the body's Read panics
-		if !taken {
+		if !succeeded {
 			b.bodyBudget.Release(n)
 		}
 	}()
@@ -204,7 +204,7 @@
 			return nil, nil, err
 		}
 	}
-	taken = true
+	succeeded = true
 	return func() { b.bodyBudget.Release(n) }, more, nil
 }
 
@@ -295,33 +295,33 @@
 type roundTripper struct{ *Balancer }
 
 // RoundTrip implements http.RoundTripper.
-func (b roundTripper) RoundTrip(q *http.Request) (*http.Response, error) {
-	if q.Body != nil {
-		defer q.Body.Close()
+func (b roundTripper) RoundTrip(req *http.Request) (*http.Response, error) {
+	if req.Body != nil {
+		defer req.Body.Close()
 	}
-	if q.URL == nil {
+	if req.URL == nil {
 		return nil, &RequestError{http.StatusBadRequest, "the request has no URL"}
 	}
-	call := httpcall.Call{Method: cmp.Or(q.Method, http.MethodGet), Target: q.URL.RequestURI(), Length: q.ContentLength}
-	if q.Body == nil || q.Body == http.NoBody {
+	call := httpcall.Call{Method: cmp.Or(req.Method, http.MethodGet), Target: req.URL.RequestURI(), Length: req.ContentLength}
+	if req.Body == nil || req.Body == http.NoBody {
 		call.Length = 0
-	} else if q.ContentLength == 0 {
+	} else if req.ContentLength == 0 {
 		call.Length = -1 // net/http: a length of 0 with a body means unknown
 	}
-	if err := call.AddHeader(q.Header); err != nil {
+	if err := call.AddHeader(req.Header); err != nil {
 		return nil, requestError(err)
 	}
-	call.Host = cmp.Or(q.Host, q.URL.Host)
+	call.Host = cmp.Or(req.Host, req.URL.Host)
 	if call.ID == "" {
 		call.ID = newRequestID()
 	}
-	a, err := b.do(q.Context(), &call, q.Header, q.Body, nil)
+	a, err := b.do(req.Context(), &call, req.Header, req.Body, nil)
 	if err != nil {
 		return nil, err
 	}
 	return &http.Response{
 		Status: "200 OK", StatusCode: http.StatusOK, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: httpmsg.ParseHeader(a.HeaderLines), Body: bodyReader(q.Context(), a), ContentLength: contentLength(a), Request: q,
+		Header: httpmsg.ParseHeader(a.HeaderLines), Body: bodyReader(req.Context(), a), ContentLength: contentLength(a), Request: req,
 	}, nil
 }
 
@@ -374,23 +374,23 @@
 type handler struct{ *Balancer }
 
 // ServeHTTP implements http.Handler.
-func (b handler) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	call := httpcall.Call{Method: q.Method, Target: requestTarget(q), Length: q.ContentLength}
-	if call.Target == "/healthz" && q.Method == http.MethodGet && q.ContentLength == 0 {
+func (b handler) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	call := httpcall.Call{Method: req.Method, Target: requestTarget(req), Length: req.ContentLength}
+	if call.Target == "/healthz" && req.Method == http.MethodGet && req.ContentLength == 0 {
 		w.WriteHeader(http.StatusOK)
 		return
 	}
-	err := requestError(call.AddHeader(q.Header))
-	call.Host, call.HostOptional = q.Host, !q.ProtoAtLeast(1, 1)
+	err := requestError(call.AddHeader(req.Header))
+	call.Host, call.HostOptional = req.Host, !req.ProtoAtLeast(1, 1)
 	var a *httpmsg.Response
-	body := &clientBody{ReadCloser: q.Body}
+	body := &clientBody{ReadCloser: req.Body}
 	if err == nil {
-		a, err = b.do(q.Context(), &call, q.Header, body, func() { http.NewResponseController(w).SetReadDeadline(time.Now()) })
+		a, err = b.do(req.Context(), &call, req.Header, body, func() { http.NewResponseController(w).SetReadDeadline(time.Now()) })
 	}
 	header := w.Header()
 	if err != nil {
 		var request *RequestError
-		if q.ProtoMajor == 1 && (call.Length != 0 && !body.atEOF || errors.As(err, &request)) {
+		if req.ProtoMajor == 1 && (call.Length != 0 && !body.atEOF || errors.As(err, &request)) {
 			// Otherwise net/http's server would wait for an unneeded body before it answers.
 			header.Set("Connection", "close")
 		}
@@ -403,7 +403,7 @@
 	if n := contentLength(a); n >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(n, 10))
 	}
-	answer := bodyReader(q.Context(), a)
+	answer := bodyReader(req.Context(), a)
 	defer answer.Close()
 	w.WriteHeader(http.StatusOK)
 	if _, err := io.Copy(w, answer); err != nil && a.BodyRest != nil {
@@ -427,14 +427,14 @@
 	return n, err
 }
 
-// requestTarget returns the request target of q as received, unless a handler before has changed
+// requestTarget returns the request target of req as received, unless a handler before has changed
 // the path.
-func requestTarget(q *http.Request) string {
-	rawPath, _, _ := strings.Cut(q.RequestURI, "?")
-	if unescaped, err := url.PathUnescape(rawPath); err == nil && unescaped == q.URL.Path {
-		return q.RequestURI
+func requestTarget(req *http.Request) string {
+	rawPath, _, _ := strings.Cut(req.RequestURI, "?")
+	if unescaped, err := url.PathUnescape(rawPath); err == nil && unescaped == req.URL.Path {
+		return req.RequestURI
 	}
-	return q.URL.RequestURI()
+	return req.URL.RequestURI()
 }
 
 // writeError answers a request that failed with err.
@@ -466,21 +466,21 @@
 	if match == nil {
 		match = b.Matches
 	}
-	fleet := b.Handler()
+	servers := b.Handler()
 	return func(next http.Handler) http.Handler {
-		return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-			if match(q) {
-				fleet.ServeHTTP(w, q)
+		return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+			if match(req) {
+				servers.ServeHTTP(w, req)
 				return
 			}
-			next.ServeHTTP(w, q)
+			next.ServeHTTP(w, req)
 		})
 	}
 }
 
-// Matches reports whether the first path segment of q is the name of a class of b.
-func (b *Balancer) Matches(q *http.Request) bool {
-	name, _, _ := strings.Cut(strings.TrimPrefix(q.URL.Path, "/"), "/")
+// Matches reports whether the first path segment of req is the name of a class of b.
+func (b *Balancer) Matches(req *http.Request) bool {
+	name, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
 	_, known := b.engine.Class(name)
 	return known
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -32,7 +32,7 @@
 	File      string // path of a watched list file; see filelist.Source
 	DNS       *DNS
 	Classes   []Class
-	Zone      string // where this process is
+	Zone      string // zone of this process
 
 	Attempts   int           // maximum attempts of a request; default 3
 	Dial       time.Duration // connect timeout; default 250 ms
--- a/path_bench_test.go
+++ b/path_bench_test.go
@@ -61,7 +61,7 @@
 		b.Cleanup(l.Close)
 		return l
 	}
-	behind := func(b *testing.B, h http.Handler) (http.RoundTripper, string) {
+	through := func(b *testing.B, h http.Handler) (http.RoundTripper, string) {
 		front := httptest.NewServer(h)
 		b.Cleanup(front.Close)
 		tr := transport()
@@ -82,9 +82,9 @@
 			to, _ := url.Parse(srv.URL)
 			proxy := httputil.NewSingleHostReverseProxy(to)
 			proxy.Transport = transport()
-			return behind(b, proxy)
+			return through(b, proxy)
 		}},
-		{"handler", func(b *testing.B) (http.RoundTripper, string) { return behind(b, library(b).Handler()) }},
+		{"handler", func(b *testing.B) (http.RoundTripper, string) { return through(b, library(b).Handler()) }},
 		{"daemon", sidecarPath(text, nil)},
 		{"routes", servicesPath(addr)},
 		{"daemon-memory", sidecarPath(text, &orders.Config{})},
@@ -146,10 +146,10 @@
 			b.Fatal(err)
 		}
 		ctx, stop := context.WithCancel(context.Background())
-		over := make(chan error, 1)
-		go func() { over <- s.Serve(ctx, ln.(*net.TCPListener)) }()
+		done := make(chan error, 1)
+		go func() { done <- s.Serve(ctx, ln.(*net.TCPListener)) }()
 		tr := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
-		b.Cleanup(func() { tr.CloseIdleConnections(); stop(); <-over })
+		b.Cleanup(func() { tr.CloseIdleConnections(); stop(); <-done })
 		return tr, "http://" + ln.Addr().String()
 	}
 }
@@ -159,7 +159,7 @@
 func runLoad(b *testing.B, rt http.RoundTripper, base string, clients int) {
 	body := bytes.Repeat([]byte("y"), 200)
 	var n, id atomic.Int64
-	ask := func() error {
+	send := func() error {
 		q, err := http.NewRequest(http.MethodPost, base+"/order/k", bytes.NewReader(body))
 		if err != nil {
 			return err
@@ -177,7 +177,7 @@
 		return nil
 	}
 	for range 4 * clients { // warm up: open connections and let the module learn
-		if err := ask(); err != nil {
+		if err := send(); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -190,7 +190,7 @@
 		all.Go(func() {
 			for n.Add(1) <= int64(b.N) {
 				began := time.Now()
-				if err := ask(); err != nil {
+				if err := send(); err != nil {
 					b.Error(err)
 					return
 				}
--- a/pools.go
+++ b/pools.go
@@ -123,23 +123,23 @@
 type poolsRoundTripper struct{ *Pools }
 
 // RoundTrip implements http.RoundTripper.
-func (p poolsRoundTripper) RoundTrip(q *http.Request) (*http.Response, error) {
-	if q.URL == nil {
+func (p poolsRoundTripper) RoundTrip(req *http.Request) (*http.Response, error) {
+	if req.URL == nil {
 		return nil, &RequestError{http.StatusBadRequest, "the request has no URL"}
 	}
-	ctx := q.Context()
+	ctx := req.Context()
 	var interim func(code int, lines []byte)
 	if t := httptrace.ContextClientTrace(ctx); t != nil && t.Got1xxResponse != nil {
 		interim = func(code int, lines []byte) { t.Got1xxResponse(code, map[string][]string(httpmsg.ParseHeader(lines))) }
 	}
-	a, finish, err := p.do(q, q.URL.RequestURI(), cmp.Or(q.Host, q.URL.Host), nil, interim, nil)
+	a, finish, err := p.do(req, req.URL.RequestURI(), cmp.Or(req.Host, req.URL.Host), nil, interim, nil)
 	if err != nil {
 		return nil, err
 	}
 	status := cmp.Or(a.Status, http.StatusOK)
 	resp := &http.Response{
 		Status: fmt.Sprintf("%d %s", status, http.StatusText(status)), StatusCode: status, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: httpmsg.ParseHeader(a.HeaderLines), Request: q, ContentLength: contentLength(a), Body: http.NoBody,
+		Header: httpmsg.ParseHeader(a.HeaderLines), Request: req, ContentLength: contentLength(a), Body: http.NoBody,
 	}
 	if a.NoBody {
 		finish()
@@ -198,8 +198,8 @@
 // there is an answer, the caller calls finish once to end the transfer. extra holds additional
 // lines of the request's head. unblockRead makes a pending Read of the body return; it is nil if
 // the body belongs to a caller of RoundTrip.
-func (p *Pools) do(q *http.Request, target, host string, extra []byte, interim func(int, []byte), unblockRead func()) (a *httpmsg.Response, finish func(), err error) {
-	ctx, body, length := q.Context(), q.Body, q.ContentLength
+func (p *Pools) do(req *http.Request, target, host string, extra []byte, interim func(int, []byte), unblockRead func()) (a *httpmsg.Response, finish func(), err error) {
+	ctx, body, length := req.Context(), req.Body, req.ContentLength
 	var up *upload
 	finish = func() {
 		if up != nil {
@@ -214,15 +214,15 @@
 			finish()
 		}
 	}()
-	a, err = p.submitAndWait(ctx, q, target, host, body, length, extra, interim, &up)
+	a, err = p.submitAndWait(ctx, req, target, host, body, length, extra, interim, &up)
 	return a, finish, err
 }
 
 // submitAndWait routes the request, submits it to an engine and waits for its result. It leaves the
 // end of the upload, which it stores in *up, to do.
-func (p *Pools) submitAndWait(ctx context.Context, q *http.Request, target, host string, body io.Reader, length int64, extra []byte, interim func(int, []byte), up **upload) (*httpmsg.Response, error) {
+func (p *Pools) submitAndWait(ctx context.Context, req *http.Request, target, host string, body io.Reader, length int64, extra []byte, interim func(int, []byte), up **upload) (*httpmsg.Response, error) {
 	switch {
-	case q.Body == nil || q.Body == http.NoBody:
+	case req.Body == nil || req.Body == http.NoBody:
 		length = 0
 	case length == 0:
 		length = -1 // net/http: a length of 0 with a body means unknown
@@ -231,14 +231,14 @@
 		return nil, err
 	}
 	var headers httpcall.Call
-	if err := headers.AddHeader(q.Header); err != nil {
+	if err := headers.AddHeader(req.Header); err != nil {
 		return nil, requestError(err)
 	}
 	if !httpcall.ValidHost(host) {
 		return nil, &RequestError{http.StatusBadRequest, "no host, or not one that can be read"}
 	}
-	method := cmp.Or(q.Method, http.MethodGet)
-	routeRequest := &router.Request{Method: method, Host: host, Target: target, Header: q.Header.Values}
+	method := cmp.Or(req.Method, http.MethodGet)
+	routeRequest := &router.Request{Method: method, Host: host, Target: target, Header: req.Header.Values}
 	decision, err := p.web.Router().Route(routeRequest)
 	if err != nil {
 		return nil, requestError(err)
@@ -246,19 +246,19 @@
 	defer func() { decision.Release() }()
 	r := decision.Request
 	m := &httpmsg.Message{Method: method, Target: target, Host: host, HeaderLines: slices.Clone(extra)}
-	m.HeaderLines = httpmsg.AppendHeader(m.HeaderLines, q.Header, func(name string) bool { return strings.EqualFold(name, "Host") })
+	m.HeaderLines = httpmsg.AppendHeader(m.HeaderLines, req.Header, func(name string) bool { return strings.EqualFold(name, "Host") })
 	if headers.ID == "" {
 		m.HeaderLines = httpmsg.Field{Name: []byte("X-Request-ID"), Value: []byte(newRequestID())}.Append(m.HeaderLines)
 	}
 	m.Exchange = &httpmsg.Exchange{Evaluate: decision.Evaluate, StallTimeout: answerStallTimeout, OnInterim: interim}
 	r.Payload, r.Retry = m, headers.Retried
 	switch {
-	case length > 0 && length <= maxBufferedBody && q.Trailer == nil && decision.BodyBudget.TryAcquire(length):
+	case length > 0 && length <= maxBufferedBody && req.Trailer == nil && decision.BodyBudget.TryAcquire(length):
 		release := sync.OnceFunc(func() { decision.BodyBudget.Release(length) })
 		m.Body = make([]byte, length)
-		done := false
+		submitted := false
 		defer func() { // also runs if the body's Read panics
-			if !done {
+			if !submitted {
 				release()
 			}
 		}()
@@ -269,22 +269,22 @@
 		}
 		decision = p.web.Router().Reroute(decision, length, func() *router.Request { return routeRequest })
 		r, m.Exchange.Evaluate = decision.Request, decision.Evaluate
-		r.Release, done = release, true
+		r.Release, submitted = release, true
 		if err := context.Cause(ctx); err != nil { // ctx ended while the body was read
-			done = false
+			submitted = false
 			return nil, err
 		}
 		if err := decision.Engine.Submit(r, decision.Engine.Now()); err != nil {
-			done = false
+			submitted = false
 			return nil, submitError(err)
 		}
 	case length != 0:
 		*up = startUpload(m, &boundedBody{r: body, length: length, limit: -1}, length)
 		r.Uploading = true
-		if q.Trailer != nil {
-			m.Length, m.Trailer = -1, func() []byte { return httpmsg.AppendHeader(nil, q.Trailer, nil) }
+		if req.Trailer != nil {
+			m.Length, m.Trailer = -1, func() []byte { return httpmsg.AppendHeader(nil, req.Trailer, nil) }
 		}
-		if strings.EqualFold(q.Header.Get("Expect"), "100-continue") {
+		if strings.EqualFold(req.Header.Get("Expect"), "100-continue") {
 			m.Exchange.ExpectTimeout = expectTimeout
 		}
 		fallthrough
@@ -293,9 +293,9 @@
 			return nil, submitError(err)
 		}
 	}
-	var sent <-chan struct{}
+	var uploadDone <-chan struct{}
 	if m.Upload != nil {
-		sent = m.Upload.Done()
+		uploadDone = m.Upload.Done()
 	}
 	for {
 		select {
@@ -306,8 +306,8 @@
 				}
 			}
 			return convertPoolsResult(result, m)
-		case <-sent:
-			sent = nil
+		case <-uploadDone:
+			uploadDone = nil
 			if err := m.Upload.SourceErr(); err != nil && decision.Engine.Withdraw(r) {
 				return nil, err
 			}
@@ -358,10 +358,10 @@
 type poolsHandler struct{ *Pools }
 
 // ServeHTTP implements http.Handler.
-func (p poolsHandler) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (p poolsHandler) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	header := w.Header()
-	via := router.AppendVia(nil, q.ProtoMinor, viaPseudonym)
-	if err := checkRequest(q); err != nil {
+	via := router.AppendVia(nil, req.ProtoMinor, viaPseudonym)
+	if err := checkRequest(req); err != nil {
 		header.Set("Connection", "close")
 		writeError(w, err)
 		return
@@ -383,21 +383,21 @@
 			delete(header, name)
 		}
 	}
-	if q.ProtoMajor == 1 && q.ContentLength != 0 {
+	if req.ProtoMajor == 1 && req.ContentLength != 0 {
 		// Otherwise the answer would wait for the rest of the body.
 		http.NewResponseController(w).EnableFullDuplex()
 	}
-	body := &clientBody{ReadCloser: q.Body}
-	received := *q
-	if received.Body = body; q.ContentLength == 0 {
+	body := &clientBody{ReadCloser: req.Body}
+	received := *req
+	if received.Body = body; req.ContentLength == 0 {
 		received.Body = http.NoBody // in a received request, a length of 0 means no body
 	}
-	a, finish, err := p.do(&received, requestTarget(q), q.Host, via, interim, func() { http.NewResponseController(w).SetReadDeadline(time.Now()) })
+	a, finish, err := p.do(&received, requestTarget(req), req.Host, via, interim, func() { http.NewResponseController(w).SetReadDeadline(time.Now()) })
 	mu.Lock()
 	finalStarted = true
 	mu.Unlock()
 	if err != nil {
-		if q.ProtoMajor == 1 && q.ContentLength != 0 && !body.atEOF {
+		if req.ProtoMajor == 1 && req.ContentLength != 0 && !body.atEOF {
 			header.Set("Connection", "close")
 		}
 		p.writeError(w, err)
@@ -421,7 +421,7 @@
 	if a.NoBody {
 		return
 	}
-	answer := bodyReader(q.Context(), a)
+	answer := bodyReader(req.Context(), a)
 	defer answer.Close()
 	if err := copyAndFlush(w, answer, a.BodyRest != nil); err != nil {
 		panic(http.ErrAbortHandler) // lets the client detect that the answer is incomplete
@@ -463,14 +463,14 @@
 }
 
 // checkRequest returns an error for a request that no route may pass on.
-func checkRequest(q *http.Request) error {
+func checkRequest(req *http.Request) error {
 	switch {
-	case q.Method == http.MethodConnect:
+	case req.Method == http.MethodConnect:
 		return &RequestError{http.StatusNotImplemented, "CONNECT is not served"}
-	case q.Header.Get("Upgrade") != "" && !strings.EqualFold(q.Header.Get("Upgrade"), "h2c"):
+	case req.Header.Get("Upgrade") != "" && !strings.EqualFold(req.Header.Get("Upgrade"), "h2c"):
 		return &RequestError{http.StatusNotImplemented, "Upgrade is not served"}
 	}
-	if err := router.CheckLoop(q.Header.Values("Via"), viaPseudonym); err != nil {
+	if err := router.CheckLoop(req.Header.Values("Via"), viaPseudonym); err != nil {
 		return requestError(err)
 	}
 	return nil
@@ -496,17 +496,17 @@
 func (p *Pools) Middleware() func(http.Handler) http.Handler {
 	pools := p.Handler()
 	return func(next http.Handler) http.Handler {
-		return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-			if p.Matches(q) {
-				pools.ServeHTTP(w, q)
+		return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+			if p.Matches(req) {
+				pools.ServeHTTP(w, req)
 				return
 			}
-			next.ServeHTTP(w, q)
+			next.ServeHTTP(w, req)
 		})
 	}
 }
 
-// Matches reports whether a route matches q.
-func (p *Pools) Matches(q *http.Request) bool {
-	return p.web.Router().Matches(&router.Request{Method: q.Method, Host: q.Host, Target: requestTarget(q), Header: q.Header.Values})
+// Matches reports whether a route matches req.
+func (p *Pools) Matches(req *http.Request) bool {
+	return p.web.Router().Matches(&router.Request{Method: req.Method, Host: req.Host, Target: requestTarget(req), Header: req.Header.Values})
 }
