--- a/source.go
+++ b/source.go
@@ -81,6 +81,7 @@
 // silentSource provides no list.
 type silentSource struct{}
 
+// Watch implements engine.Source.
 func (silentSource) Watch(ctx context.Context, _ int64, _ func(engine.List)) error {
 	<-ctx.Done()
 	return ctx.Err()
@@ -102,6 +103,7 @@
 // fixedSource provides one list and no changes.
 type fixedSource struct{ list engine.List }
 
+// Watch implements engine.Source.
 func (a fixedSource) Watch(ctx context.Context, since int64, update func(engine.List)) error {
 	update(a.list)
 	return silentSource{}.Watch(ctx, since, update)
