--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -80,16 +80,16 @@
 }
 
 type sitesTier struct {
-	Sites    []string `toml:"sites"`
-	MaxShare float64  `toml:"most"`
+	Sites []string `toml:"sites"`
+	Most  float64  `toml:"most"`
 }
 
 // config returns what the table says, not yet checked.
 func (t *sitesTable) config() *sites.Config {
 	c := sites.Config{
-		Prefer: t.Prefer, HealthyThreshold: t.Clear, DegradedThreshold: t.Doubt, DownThreshold: t.Dark, EvidenceHalfLife: time.Duration(t.Memory), HoldTime: time.Duration(t.Hold),
-		InitialShare: t.First, MaxSpill: t.Spill, LostSiteHalfLife: time.Duration(t.Fade), RecoveryTime: time.Duration(t.Climb), MaxRecoveryTime: time.Duration(t.MostClimb),
-		MaxImprovements: t.Changes,
+		Prefer: t.Prefer, Clear: t.Clear, Doubt: t.Doubt, Dark: t.Dark, Memory: time.Duration(t.Memory), Hold: time.Duration(t.Hold),
+		First: t.First, Spill: t.Spill, Fade: time.Duration(t.Fade), Climb: time.Duration(t.Climb), MostClimb: time.Duration(t.MostClimb),
+		Changes: t.Changes,
 	}
 	for _, r := range t.Rules {
 		rule := sites.Rule{Classes: r.Classes, Tenants: r.Tenants}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -17,8 +17,8 @@
 		o.Store.ByClass["meter-booking"] != 12*time.Hour || o.Store.SyncEvery != 10*time.Millisecond {
 		t.Errorf("%+v, %v", o.Store, err)
 	}
-	if o.Sites == nil || o.Sites.RecoveryTime != 20*time.Second || o.Sites.DownThreshold != 0.7 || o.Sites.LostSiteHalfLife != 2*time.Minute ||
-		len(o.Sites.Rules) != 2 || o.Sites.Rules[0].Tiers[1].MaxShare != 0.5 {
+	if o.Sites == nil || o.Sites.Climb != 20*time.Second || o.Sites.Dark != 0.7 || o.Sites.Fade != 2*time.Minute ||
+		len(o.Sites.Rules) != 2 || o.Sites.Rules[0].Tiers[1].Most != 0.5 {
 		t.Errorf("%+v", o.Sites)
 	}
 	if o, err := parseOperator("", ""); err != nil || o.Store != nil {
--- a/internal/daemon/site_reload_test.go
+++ b/internal/daemon/site_reload_test.go
@@ -46,16 +46,16 @@
 // TestReloadOfSites: SIGHUP takes over how sites are watched with what is known of them, turns the watch off and on, and changes
 // nothing where the new settings cannot be used.
 func TestReloadOfSites(t *testing.T) {
-	s := siteSidecar(t, &sites.Config{HoldTime: time.Hour})
+	s := siteSidecar(t, &sites.Config{Hold: time.Hour})
 	s.engine.RestoreSites(sites.Learned{Sites: []sites.LearnedSite{{Site: "a", State: sites.Down, RecoveryTime: time.Minute, EffectiveServers: 2}}})
 	if got := views(s); got != "a dark, b healthy" {
 		t.Fatal(got)
 	}
 	reload := func(c *sites.Config) error { return s.Reload(s.Config(), config.Operator{Sites: c}) }
-	if err := reload(&sites.Config{HoldTime: time.Hour, Prefer: []string{"b"}}); err != nil || views(s) != "b healthy, a dark" {
+	if err := reload(&sites.Config{Hold: time.Hour, Prefer: []string{"b"}}); err != nil || views(s) != "b healthy, a dark" {
 		t.Errorf("%v, %s", err, views(s))
 	}
-	if err := reload(&sites.Config{MaxSpill: -1}); err == nil || !strings.Contains(err.Error(), "[sites]: spill") || views(s) != "b healthy, a dark" {
+	if err := reload(&sites.Config{Spill: -1}); err == nil || !strings.Contains(err.Error(), "[sites]: spill") || views(s) != "b healthy, a dark" {
 		t.Errorf("%v, %s", err, views(s))
 	}
 	if err := reload(nil); err != nil || views(s) != "" {
@@ -99,7 +99,7 @@
 		t.Errorf("after an old note: %s", got)
 	}
 	siteSidecar(t, nil).engine.RestoreSites(sites.Learned{RequestRate: 1}) // where none are watched
-	if s, err := New(s.Config(), config.Operator{Sites: &sites.Config{MaxSpill: -1}}, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "[sites]: spill") {
+	if s, err := New(s.Config(), config.Operator{Sites: &sites.Config{Spill: -1}}, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "[sites]: spill") {
 		t.Errorf("settings that cannot be used: %v, %v", s, err)
 	}
 }
--- a/internal/daemon/site_return_test.go
+++ b/internal/daemon/site_return_test.go
@@ -76,7 +76,7 @@
 		}
 		var op config.Operator
 		if *siteWatch {
-			op.Sites = &sites.Config{MaxSpill: spill, HoldTime: time.Second, RecoveryTime: 6 * time.Second, MaxRecoveryTime: time.Minute, InitialShare: 0.1}
+			op.Sites = &sites.Config{Spill: spill, Hold: time.Second, Climb: 6 * time.Second, MostClimb: time.Minute, First: 0.1}
 		}
 		s, err := New(cfg, op, slog.New(slog.DiscardHandler))
 		if err != nil {
--- a/internal/daemon/sites_test.go
+++ b/internal/daemon/sites_test.go
@@ -70,7 +70,7 @@
 			}
 			cfg.Known = &known
 			s, err := New(cfg, config.Operator{Sites: &sites.Config{
-				EvidenceHalfLife: 300 * time.Millisecond, HoldTime: 200 * time.Millisecond, RecoveryTime: 2 * time.Second, MaxRecoveryTime: time.Minute, MaxSpill: spill,
+				Memory: 300 * time.Millisecond, Hold: 200 * time.Millisecond, Climb: 2 * time.Second, MostClimb: time.Minute, Spill: spill,
 			}}, slog.New(slog.DiscardHandler))
 			if err != nil {
 				t.Fatal(err)
--- a/internal/sitewatch/watcher_test.go
+++ b/internal/sitewatch/watcher_test.go
@@ -30,12 +30,12 @@
 
 // siteConfig returns the configuration of sites that most tests use.
 func siteConfig() *sites.Config {
-	return &sites.Config{MaxSpill: spill, HoldTime: 2 * time.Second, RecoveryTime: 10 * time.Second, MaxRecoveryTime: time.Minute}
+	return &sites.Config{Spill: spill, Hold: 2 * time.Second, Climb: 10 * time.Second, MostClimb: time.Minute}
 }
 
 // TestSiteFailure: all servers of a site fail at once, in each possible way, and later restart
 // cold. While the site is down, enough requests are served, most of all orders, and the other site
-// takes over no more than MaxSpill. On its return no cold server is overloaded.
+// takes over no more than Spill. On its return no cold server is overloaded.
 func TestSiteFailure(t *testing.T) {
 	for name, tt := range map[string]struct {
 		mode   int
--- a/sites/config.go
+++ b/sites/config.go
@@ -23,30 +23,30 @@
 	// Rules assign home sites to requests by class and tenant; the first match applies. The home of
 	// a request that no rule matches is every site. At most 64 rules.
 	Rules []Rule
-	// A site is degraded from DegradedThreshold (doubt; default 0.3) and down from DownThreshold
-	// (dark; default 0.7) on, each a fraction of its servers that fails. Below HealthyThreshold
-	// (clear; default 0.15) it is neither. HealthyThreshold is less than DegradedThreshold, so that
+	// A site is degraded from Doubt (doubt; default 0.3) and down from Dark
+	// (dark; default 0.7) on, each a fraction of its servers that fails. Below Clear
+	// (clear; default 0.15) it is neither. Clear is less than Doubt, so that
 	// a load around the limit doesn't make the site flap.
-	HealthyThreshold, DegradedThreshold, DownThreshold float64
-	// EvidenceHalfLife (memory; default 1 s) is the half-life of the weight of an outcome. HoldTime
+	Clear, Doubt, Dark float64
+	// Memory (memory; default 1 s) is the half-life of the weight of an outcome. Hold
 	// (hold; default 3 s) is how long a site keeps its state before it may change to a better one.
-	EvidenceHalfLife, HoldTime time.Duration
-	// InitialShare (first; default 0.05) is the share of its traffic with which a site that was
-	// down starts to recover. RecoveryTime (climb; default 20 s) is the time from there to its full
-	// share. Each relapse halves the former and doubles the latter, up to MaxRecoveryTime
+	Memory, Hold time.Duration
+	// First (first; default 0.05) is the share of its traffic with which a site that was
+	// down starts to recover. Climb (climb; default 20 s) is the time from there to its full
+	// share. Each relapse halves the former and doubles the latter, up to MostClimb
 	// (most_climb; default 5 min).
-	InitialShare                  float64
-	RecoveryTime, MaxRecoveryTime time.Duration
-	// MaxSpill (spill; default 0.5) limits the requests that a site takes over for others, as a
+	First            float64
+	Climb, MostClimb time.Duration
+	// Spill (spill; default 0.5) limits the requests that a site takes over for others, as a
 	// fraction of its normal load.
-	MaxSpill float64
-	// LostSiteHalfLife (fade; default 2 min) is the half-life of the load attributed to a site that
-	// is no longer listed. The other sites take over attributed load within MaxSpill only; the load
+	Spill float64
+	// Fade (fade; default 2 min) is the half-life of the load attributed to a site that
+	// is no longer listed. The other sites take over attributed load within Spill only; the load
 	// of a site that is closed for good becomes their normal load as the attribution decays.
-	LostSiteHalfLife time.Duration
-	// MaxImprovements (changes; default 6) limits how often per minute a site may change to a
+	Fade time.Duration
+	// Changes (changes; default 6) limits how often per minute a site may change to a
 	// better state.
-	MaxImprovements int
+	Changes int
 	// Ordinal and GroupSize are the number of this instance among its peers and their count. Peers
 	// change states at different times and share the trials of a site that is down.
 	Ordinal, GroupSize int
@@ -62,9 +62,9 @@
 // Tier is a set of sites with the same preference.
 type Tier struct {
 	Sites []string
-	// MaxShare (most; default 1) is the fraction of the rule's requests that may spill from earlier
+	// Most (most; default 1) is the fraction of the rule's requests that may spill from earlier
 	// tiers to this one. It must not be set for the first tier.
-	MaxShare float64
+	Most float64
 }
 
 const (
@@ -86,18 +86,18 @@
 			*v = d
 		}
 	}
-	setDefault(&c.HealthyThreshold, 0.15)
-	setDefault(&c.DegradedThreshold, 0.3)
-	setDefault(&c.DownThreshold, 0.7)
-	setDefault(&c.InitialShare, 0.05)
-	setDefault(&c.MaxSpill, 0.5)
-	setDefaultDuration(&c.EvidenceHalfLife, time.Second)
-	setDefaultDuration(&c.HoldTime, 3*time.Second)
-	setDefaultDuration(&c.RecoveryTime, 20*time.Second)
-	setDefaultDuration(&c.MaxRecoveryTime, 5*time.Minute)
-	setDefaultDuration(&c.LostSiteHalfLife, 2*time.Minute)
-	if c.MaxImprovements == 0 {
-		c.MaxImprovements = 6
+	setDefault(&c.Clear, 0.15)
+	setDefault(&c.Doubt, 0.3)
+	setDefault(&c.Dark, 0.7)
+	setDefault(&c.First, 0.05)
+	setDefault(&c.Spill, 0.5)
+	setDefaultDuration(&c.Memory, time.Second)
+	setDefaultDuration(&c.Hold, 3*time.Second)
+	setDefaultDuration(&c.Climb, 20*time.Second)
+	setDefaultDuration(&c.MostClimb, 5*time.Minute)
+	setDefaultDuration(&c.Fade, 2*time.Minute)
+	if c.Changes == 0 {
+		c.Changes = 6
 	}
 	if c.GroupSize == 0 {
 		c.GroupSize = 1
@@ -109,28 +109,28 @@
 		return fieldError(fmt.Sprintf("prefer[%d]", i), "%q is empty or there twice", s)
 	}
 	switch {
-	case !(c.HealthyThreshold > 0 && c.HealthyThreshold < c.DegradedThreshold):
-		return fieldError("clear", "%v is not between 0 and doubt (%v)", c.HealthyThreshold, c.DegradedThreshold)
-	case !(c.DegradedThreshold < c.DownThreshold):
-		return fieldError("doubt", "%v is not below dark (%v)", c.DegradedThreshold, c.DownThreshold)
-	case !(c.DownThreshold <= 1):
-		return fieldError("dark", "%v is above 1", c.DownThreshold)
-	case !(c.InitialShare > 0 && c.InitialShare <= 1):
-		return fieldError("first", "%v is outside 0 to 1", c.InitialShare)
-	case !(c.MaxSpill >= 0 && c.MaxSpill <= 10):
-		return fieldError("spill", "%v is outside 0 to 10", c.MaxSpill)
-	case c.EvidenceHalfLife < 100*time.Millisecond || c.EvidenceHalfLife > time.Minute:
-		return fieldError("memory", "%v is outside 100ms to 1m", c.EvidenceHalfLife)
-	case c.HoldTime < 0 || c.HoldTime > time.Hour:
-		return fieldError("hold", "%v is outside 0 to 1h", c.HoldTime)
-	case c.RecoveryTime < time.Second || c.RecoveryTime > c.MaxRecoveryTime:
-		return fieldError("climb", "%v is outside 1s to most_climb (%v)", c.RecoveryTime, c.MaxRecoveryTime)
-	case c.MaxRecoveryTime > 24*time.Hour:
-		return fieldError("most_climb", "%v is above 24h", c.MaxRecoveryTime)
-	case c.LostSiteHalfLife < time.Second || c.LostSiteHalfLife > 24*time.Hour:
-		return fieldError("fade", "%v is outside 1s to 24h", c.LostSiteHalfLife)
-	case c.MaxImprovements < 1:
-		return fieldError("changes", "%d is below 1", c.MaxImprovements)
+	case !(c.Clear > 0 && c.Clear < c.Doubt):
+		return fieldError("clear", "%v is not between 0 and doubt (%v)", c.Clear, c.Doubt)
+	case !(c.Doubt < c.Dark):
+		return fieldError("doubt", "%v is not below dark (%v)", c.Doubt, c.Dark)
+	case !(c.Dark <= 1):
+		return fieldError("dark", "%v is above 1", c.Dark)
+	case !(c.First > 0 && c.First <= 1):
+		return fieldError("first", "%v is outside 0 to 1", c.First)
+	case !(c.Spill >= 0 && c.Spill <= 10):
+		return fieldError("spill", "%v is outside 0 to 10", c.Spill)
+	case c.Memory < 100*time.Millisecond || c.Memory > time.Minute:
+		return fieldError("memory", "%v is outside 100ms to 1m", c.Memory)
+	case c.Hold < 0 || c.Hold > time.Hour:
+		return fieldError("hold", "%v is outside 0 to 1h", c.Hold)
+	case c.Climb < time.Second || c.Climb > c.MostClimb:
+		return fieldError("climb", "%v is outside 1s to most_climb (%v)", c.Climb, c.MostClimb)
+	case c.MostClimb > 24*time.Hour:
+		return fieldError("most_climb", "%v is above 24h", c.MostClimb)
+	case c.Fade < time.Second || c.Fade > 24*time.Hour:
+		return fieldError("fade", "%v is outside 1s to 24h", c.Fade)
+	case c.Changes < 1:
+		return fieldError("changes", "%d is below 1", c.Changes)
 	case c.GroupSize < 1 || c.Ordinal < 0 || c.Ordinal >= c.GroupSize:
 		return fieldError("ordinal", "%d is not an ordinal of %d instances", c.Ordinal, c.GroupSize)
 	case len(c.Rules) > maxRules:
@@ -148,7 +148,7 @@
 		}
 		rules[i] = Rule{Classes: r.Classes, Tenants: r.Tenants, Tiers: make([]Tier, len(r.Tiers))}
 		for j, t := range r.Tiers {
-			setDefault(&t.MaxShare, 1)
+			setDefault(&t.Most, 1)
 			rules[i].Tiers[j] = t
 		}
 	}
@@ -183,9 +183,9 @@
 		switch {
 		case len(t.Sites) == 0 || len(t.Sites) > maxNames:
 			return path + ".sites", fmt.Errorf("%d sites, outside 1 to %d", len(t.Sites), maxNames)
-		case !(t.MaxShare >= 0 && t.MaxShare <= 1):
-			return path + ".most", fmt.Errorf("%v is outside 0 to 1", t.MaxShare)
-		case i == 0 && t.MaxShare != 0:
+		case !(t.Most >= 0 && t.Most <= 1):
+			return path + ".most", fmt.Errorf("%v is outside 0 to 1", t.Most)
+		case i == 0 && t.Most != 0:
 			return path + ".most", fmt.Errorf("the first tier takes all its requests and cannot have a limit")
 		}
 		all = append(all, t.Sites...)
--- a/sites/learned.go
+++ b/sites/learned.go
@@ -46,7 +46,7 @@
 	for _, v := range from.Sites {
 		s := m.sites[v.Site]
 		if s == nil || v.State < Healthy || v.State > Recovering || v.StateAge < 0 || !(v.InitialShare >= 0 && v.InitialShare <= 1) ||
-			v.RecoveryTime < time.Second || v.RecoveryTime > m.cfg.MaxRecoveryTime || v.RecoveryProgress < 0 || v.Relapses < 0 || math.IsNaN(v.EffectiveServers) {
+			v.RecoveryTime < time.Second || v.RecoveryTime > m.cfg.MostClimb || v.RecoveryProgress < 0 || v.Relapses < 0 || math.IsNaN(v.EffectiveServers) {
 			continue
 		}
 		s.state, s.since = v.State, now-min(v.StateAge, 24*time.Hour)
--- a/sites/monitor.go
+++ b/sites/monitor.go
@@ -163,7 +163,7 @@
 		}
 		at := m.sites[s.Site]
 		if at == nil {
-			at = &site{name: s.Site, since: now, healthySince: now, recoveryTime: m.cfg.RecoveryTime, effectiveAt: now, bucket: bucket{updatedAt: now}}
+			at = &site{name: s.Site, since: now, healthySince: now, recoveryTime: m.cfg.Climb, effectiveAt: now, bucket: bucket{updatedAt: now}}
 			m.sites[s.Site] = at
 		}
 		at.servers++
@@ -174,13 +174,13 @@
 		m.sortedServers = append(m.sortedServers, m.servers[id])
 	}
 	for _, s := range m.sites {
-		s.updateEffectiveServers(now, m.cfg.LostSiteHalfLife)
+		s.updateEffectiveServers(now, m.cfg.Fade)
 	}
 	// A site without servers is dropped once its load has become the normal load of the others. If
-	// it isn't healthy, it is also kept for MaxRecoveryTime, after which a relapse would be
+	// it isn't healthy, it is also kept for MostClimb, after which a relapse would be
 	// forgiven.
 	maps.DeleteFunc(m.sites, func(_ string, s *site) bool {
-		return s.servers == 0 && s.effectiveServers < minEffectiveServers && (s.state == Healthy || now-s.since > m.cfg.MaxRecoveryTime)
+		return s.servers == 0 && s.effectiveServers < minEffectiveServers && (s.state == Healthy || now-s.since > m.cfg.MostClimb)
 	})
 	m.sortSites()
 	m.evaluate(now)
@@ -228,7 +228,7 @@
 	if v == nil {
 		return
 	}
-	v.decay(now, m.cfg.EvidenceHalfLife)
+	v.decay(now, m.cfg.Memory)
 	v.total++
 	s := m.sites[v.site]
 	s.streak.record(now, id, ok)
@@ -260,10 +260,10 @@
 	m.evaluatedAt = now
 	for _, s := range m.sites {
 		s.evidence = evidence{}
-		s.updateEffectiveServers(now, m.cfg.LostSiteHalfLife)
+		s.updateEffectiveServers(now, m.cfg.Fade)
 	}
 	for _, v := range m.sortedServers {
-		v.decay(now, m.cfg.EvidenceHalfLife)
+		v.decay(now, m.cfg.Memory)
 		if s := m.sites[v.site]; v.total >= minEvidence {
 			s.evidence.known++
 			s.evidence.failureRatio += v.failures / v.total
@@ -278,9 +278,9 @@
 		if s.evidence.known > 0 {
 			s.lastFailureRatio, s.lastEvidenceAt = s.evidence.failureRatio, now
 		}
-		if s.lastEvidenceAt != 0 && now-s.lastEvidenceAt <= m.cfg.HoldTime {
+		if s.lastEvidenceAt != 0 && now-s.lastEvidenceAt <= m.cfg.Hold {
 			known++
-			if s.lastFailureRatio >= m.cfg.DownThreshold {
+			if s.lastFailureRatio >= m.cfg.Dark {
 				down++
 			}
 		}
@@ -291,7 +291,7 @@
 	wasIsolated := m.isolated
 	if m.isolated = known > 1 && down == known; m.isolated && !wasIsolated {
 		for _, name := range m.siteNames {
-			if s := m.sites[name]; s.state == Down && s.previous == Healthy && now-s.since <= m.cfg.HoldTime && s.mayImprove(now, m.cfg.MaxImprovements) {
+			if s := m.sites[name]; s.state == Down && s.previous == Healthy && now-s.since <= m.cfg.Hold && s.mayImprove(now, m.cfg.Changes) {
 				m.transition(now, s, Healthy, "no site can be reached: this instance is cut off")
 			}
 		}
@@ -318,40 +318,40 @@
 // advance updates the state of s. elapsed is the time since the last evaluation.
 func (m *Monitor) advance(now Time, elapsed time.Duration, s *site) {
 	e := s.evidence
-	held := now-s.since >= m.cfg.HoldTime+m.jitter(s)
+	held := now-s.since >= m.cfg.Hold+m.jitter(s)
 	switch s.state {
 	case Healthy:
-		if s.relapses > 0 && now-s.healthySince >= m.cfg.MaxRecoveryTime { // a relapse is forgiven
+		if s.relapses > 0 && now-s.healthySince >= m.cfg.MostClimb { // a relapse is forgiven
 			s.relapses, s.healthySince = s.relapses-1, now
 		}
 		switch {
 		case m.isolated || !e.sufficient:
-		case e.failureRatio >= m.cfg.DownThreshold:
+		case e.failureRatio >= m.cfg.Dark:
 			m.transition(now, s, Down, "most requests fail")
-		case e.failureRatio >= m.cfg.DegradedThreshold:
+		case e.failureRatio >= m.cfg.Doubt:
 			m.transition(now, s, Degraded, "part of the requests fail")
 		}
 	case Degraded:
 		switch {
 		case m.isolated || e.known == 0:
-		case e.sufficient && e.failureRatio >= m.cfg.DownThreshold:
+		case e.sufficient && e.failureRatio >= m.cfg.Dark:
 			m.transition(now, s, Down, "most requests fail")
-		case e.failureRatio < m.cfg.HealthyThreshold && held && s.mayImprove(now, m.cfg.MaxImprovements):
+		case e.failureRatio < m.cfg.Clear && held && s.mayImprove(now, m.cfg.Changes):
 			m.transition(now, s, Healthy, "requests succeed")
 		}
 	case Down:
 		switch {
-		case e.known > 0 && e.failureRatio >= m.cfg.HealthyThreshold:
+		case e.known > 0 && e.failureRatio >= m.cfg.Clear:
 			s.succeedingSince = 0
 		case e.known > 0 && s.succeedingSince == 0:
 			s.succeedingSince = now
 		}
 		// With few requests there is no evidence for long times between trials. That counts neither
 		// for the site nor against it.
-		if s.succeedingSince != 0 && held && now-s.succeedingSince >= m.jitter(s) && s.mayImprove(now, m.cfg.MaxImprovements) {
-			s.recoveryTime = min(m.cfg.RecoveryTime<<min(s.relapses, 20), m.cfg.MaxRecoveryTime)
+		if s.succeedingSince != 0 && held && now-s.succeedingSince >= m.jitter(s) && s.mayImprove(now, m.cfg.Changes) {
+			s.recoveryTime = min(m.cfg.Climb<<min(s.relapses, 20), m.cfg.MostClimb)
 			s.succeedingSince, s.recoveryProgress, s.recoveryCredit = 0, 0, 0
-			s.initialShare = max(m.cfg.InitialShare/float64(uint64(1)<<min(s.relapses, 20)), minTrialShare)
+			s.initialShare = max(m.cfg.First/float64(uint64(1)<<min(s.relapses, 20)), minTrialShare)
 			m.transition(now, s, Recovering, "trials are answered")
 		}
 	case Recovering:
@@ -360,10 +360,10 @@
 		s.recoveryProgress, s.recoveryCredit = s.recoveryProgress+done, s.recoveryCredit-done
 		switch {
 		case m.isolated:
-		case e.known > 0 && e.failureRatio >= m.cfg.DegradedThreshold:
+		case e.known > 0 && e.failureRatio >= m.cfg.Doubt:
 			s.relapses++
 			m.transition(now, s, Down, "requests fail again")
-		case s.recoveryProgress >= s.recoveryTime && s.mayImprove(now, m.cfg.MaxImprovements):
+		case s.recoveryProgress >= s.recoveryTime && s.mayImprove(now, m.cfg.Changes):
 			s.healthySince = now
 			m.transition(now, s, Healthy, "it receives all its traffic")
 		}
@@ -380,7 +380,7 @@
 // transition changes the state of s and logs the change.
 func (m *Monitor) transition(now Time, s *site, to State, reason string) {
 	from := s.state
-	if s.previous = from; from == Degraded && now-s.since <= m.cfg.HoldTime { // passed through only
+	if s.previous = from; from == Degraded && now-s.since <= m.cfg.Hold { // passed through only
 		s.previous = Healthy
 	}
 	if to == Healthy || to == Recovering {
@@ -394,13 +394,13 @@
 }
 
 // jitter returns a delay that spreads the transitions of peers, and of the sites of one instance,
-// over half of HoldTime.
+// over half of Hold.
 func (m *Monitor) jitter(s *site) time.Duration {
 	h := uint64(m.cfg.Ordinal)*0x9e3779b97f4a7c15 + uint64(len(s.name))
 	for _, c := range []byte(s.name) {
 		h = (h ^ uint64(c)) * 0x100000001b3
 	}
-	return time.Duration(float64(m.cfg.HoldTime) / 2 * float64(h>>11) / (1 << 53))
+	return time.Duration(float64(m.cfg.Hold) / 2 * float64(h>>11) / (1 << 53))
 }
 
 // Share returns the share of its traffic that a site may receive now, from 0 to 1. It is 1 for an
@@ -438,7 +438,7 @@
 	}
 	switch s.state {
 	case Degraded:
-		return max(1-s.evidence.failureRatio, m.cfg.InitialShare)
+		return max(1-s.evidence.failureRatio, m.cfg.First)
 	case Down:
 		return m.trialShare(now, s)
 	case Recovering: // grows exponentially, since a queue that is too long is noticed late
--- a/sites/plan.go
+++ b/sites/plan.go
@@ -205,7 +205,7 @@
 // any, from 0 to 1. Requests of low weight are rejected while half of the spill capacity is still
 // free, so that it lasts for those of high weight.
 //
-// The capacity of a site is its normal load and the fraction MaxSpill of that, measured by this
+// The capacity of a site is its normal load and the fraction Spill of that, measured by this
 // instance's own load. So the sum over all instances stays within the same fraction of their total
 // load, however unequal they are. The exception is one request per ten seconds, which even an
 // instance with almost no load may always add.
@@ -244,7 +244,7 @@
 				tier = &r.buckets[i]
 			}
 			for _, name := range t.Sites {
-				if try(m.sites[name], tier, t.MaxShare*r.offered.normalRate(now)) {
+				if try(m.sites[name], tier, t.Most*r.offered.normalRate(now)) {
 					return to, 0
 				}
 			}
@@ -253,8 +253,8 @@
 	if s := m.sites[from]; s != nil {
 		s.turnedAway++
 	}
-	if wait == math.MaxInt64 { // no site accepts spill: one may after HoldTime
-		wait = m.cfg.HoldTime
+	if wait == math.MaxInt64 { // no site accepts spill: one may after Hold
+		wait = m.cfg.Hold
 	}
 	return "", wait
 }
@@ -270,7 +270,7 @@
 // spill at all to a degraded site, everything meant for a second site that is down would be
 // rejected.
 func (m *Monitor) maxRate(now Time, s *site) float64 {
-	return (1 + m.cfg.MaxSpill) * m.normalRate(now, s) * m.share(now, s)
+	return (1 + m.cfg.Spill) * m.normalRate(now, s) * m.share(now, s)
 }
 
 // HasSpareCapacity reports whether a further attempt of a request may go to a site now, which is
--- a/sites/plan_test.go
+++ b/sites/plan_test.go
@@ -78,10 +78,10 @@
 }
 
 // TestUnlistedSite: the load of a site that is no longer listed spills to the others within
-// MaxSpill only, and becomes their normal load over time. A site that loses some of its servers
+// Spill only, and becomes their normal load over time. A site that loses some of its servers
 // keeps its load.
 func TestUnlistedSite(t *testing.T) {
-	w := newSimulation(t, Config{LostSiteHalfLife: time.Minute, MaxSpill: 0.2})
+	w := newSimulation(t, Config{Fade: time.Minute, Spill: 0.2})
 	w.run(time.Minute)
 	w.UpdateServers(w.now, append(testServers(1, "a"), testServers(4, "b")...))
 	if _, lost := w.HomeSites("", ""); lost != 0 {
@@ -128,8 +128,8 @@
 // spill in the order of the tiers, within the limit of each, and never to a site that the rule
 // doesn't name.
 func TestTiers(t *testing.T) {
-	w := newSimulation(t, Config{MaxSpill: 10, Rules: []Rule{
-		{Classes: []string{"order"}, Tiers: []Tier{{Sites: []string{"a"}}, {Sites: []string{"b"}, MaxShare: 0.1}, {Sites: []string{"c"}}}},
+	w := newSimulation(t, Config{Spill: 10, Rules: []Rule{
+		{Classes: []string{"order"}, Tiers: []Tier{{Sites: []string{"a"}}, {Sites: []string{"b"}, Most: 0.1}, {Sites: []string{"c"}}}},
 		{Tenants: []string{"north*"}, Tiers: []Tier{{Sites: []string{"b"}}}},
 		{Tiers: []Tier{{Sites: []string{"gone", "c"}}, {Sites: []string{"a"}}}},
 	}})
@@ -170,7 +170,7 @@
 // TestHasSpareCapacity: further attempts at other sites count against the same limit as spill, and
 // never go to a site that is down.
 func TestHasSpareCapacity(t *testing.T) {
-	w := newSimulation(t, Config{MaxSpill: 0.1})
+	w := newSimulation(t, Config{Spill: 0.1})
 	w.run(time.Minute)
 	n := 0
 	for i := range 2000 {
@@ -232,14 +232,14 @@
 	w.run(30 * time.Second)
 	w.successRate["a"] = constant(0)
 	w.run(10 * time.Second)
-	if err := w.Reconfigure(Config{MaxSpill: 0.2, Prefer: []string{"b"}}); err != nil {
+	if err := w.Reconfigure(Config{Spill: 0.2, Prefer: []string{"b"}}); err != nil {
 		t.Fatal(err)
 	}
-	if w.state("a") != Down || w.Snapshot(w.now)[0].Site != "b" || w.cfg.MaxSpill != 0.2 {
+	if w.state("a") != Down || w.Snapshot(w.now)[0].Site != "b" || w.cfg.Spill != 0.2 {
 		t.Errorf("after Reconfigure: %v", w.Snapshot(w.now))
 	}
-	if err := w.Reconfigure(Config{MaxSpill: -1}); err == nil || w.cfg.MaxSpill != 0.2 {
-		t.Errorf("spill %v: %v", w.cfg.MaxSpill, err)
+	if err := w.Reconfigure(Config{Spill: -1}); err == nil || w.cfg.Spill != 0.2 {
+		t.Errorf("spill %v: %v", w.cfg.Spill, err)
 	}
 }
 
@@ -251,8 +251,8 @@
 		"rules[0].classes[1]:":        {{Classes: []string{"b", "b"}, Tiers: a}},
 		"rules[0].tenants[0]:":        {{Tenants: []string{"x*y"}, Tiers: a}},
 		"rules[0].tiers[0].sites:":    {{Tiers: []Tier{{}}}},
-		"rules[0].tiers[0].most:":     {{Tiers: []Tier{{Sites: b, MaxShare: 0.5}}}},
-		"rules[0].tiers[1].most:":     {{Tiers: []Tier{{Sites: b}, {Sites: []string{"a"}, MaxShare: 2}}}},
+		"rules[0].tiers[0].most:":     {{Tiers: []Tier{{Sites: b, Most: 0.5}}}},
+		"rules[0].tiers[1].most:":     {{Tiers: []Tier{{Sites: b}, {Sites: []string{"a"}, Most: 2}}}},
 		"rules[0].tiers[1].sites:":    {{Tiers: []Tier{{Sites: b}, {Sites: b}}}},
 		"rules[1]: it is never":       {{Tiers: a}, {Classes: b, Tiers: a}},
 		"rules[2]: it is never":       {{Classes: b, Tiers: a}, {Tenants: []string{"n*"}, Tiers: a}, {Classes: b, Tenants: []string{"no*", "nx"}, Tiers: a}},
--- a/sites/sites_test.go
+++ b/sites/sites_test.go
@@ -214,9 +214,9 @@
 }
 
 // TestRelapse: each relapse halves the initial share of the next recovery and doubles its duration,
-// up to MaxRecoveryTime. Relapses are forgiven after a long time without failures.
+// up to MostClimb. Relapses are forgiven after a long time without failures.
 func TestRelapse(t *testing.T) {
-	w := newSimulation(t, Config{MaxRecoveryTime: 40 * time.Second})
+	w := newSimulation(t, Config{MostClimb: 40 * time.Second})
 	w.run(5 * time.Second)
 	var initialShares []float64
 	var durations []time.Duration
@@ -244,14 +244,14 @@
 }
 
 // TestSpillOfManyInstances: the requests that many instances with very unequal traffic spill to a
-// site together stay within MaxSpill of its normal load, plus the minimum rate of each instance.
+// site together stay within Spill of its normal load, plus the minimum rate of each instance.
 func TestSpillOfManyInstances(t *testing.T) {
 	for _, n := range []int{100, 1500} {
 		rng := rand.New(rand.NewPCG(7, uint64(n)))
 		normal, spilled, refused := 0.0, 0, 0
 		const seconds = 60
 		for i := range n {
-			m, err := New(Config{Ordinal: i, GroupSize: n, MaxSpill: 0.5}, nil)
+			m, err := New(Config{Ordinal: i, GroupSize: n, Spill: 0.5}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -288,7 +288,7 @@
 // TestSpillByWorth: requests with a low worth are refused first, those with the highest only when
 // no capacity is left.
 func TestSpillByWorth(t *testing.T) {
-	m, err := New(Config{MaxSpill: 0.2}, nil)
+	m, err := New(Config{Spill: 0.2}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -348,9 +348,9 @@
 // TestConfigErrors: the error for a value out of range names the field.
 func TestConfigErrors(t *testing.T) {
 	for field, cfg := range map[string]Config{
-		"prefer[1]": {Prefer: []string{"a", "a"}}, "clear": {HealthyThreshold: 0.5}, "doubt": {DegradedThreshold: 0.9}, "dark": {DownThreshold: 1.5}, "first": {InitialShare: -1},
-		"spill": {MaxSpill: math.NaN()}, "memory": {EvidenceHalfLife: time.Hour}, "hold": {HoldTime: -1}, "climb": {RecoveryTime: time.Hour},
-		"most_climb": {MaxRecoveryTime: 48 * time.Hour}, "changes": {MaxImprovements: -1}, "ordinal": {Ordinal: 3},
+		"prefer[1]": {Prefer: []string{"a", "a"}}, "clear": {Clear: 0.5}, "doubt": {Doubt: 0.9}, "dark": {Dark: 1.5}, "first": {First: -1},
+		"spill": {Spill: math.NaN()}, "memory": {Memory: time.Hour}, "hold": {Hold: -1}, "climb": {Climb: time.Hour},
+		"most_climb": {MostClimb: 48 * time.Hour}, "changes": {Changes: -1}, "ordinal": {Ordinal: 3},
 	} {
 		if _, err := New(cfg, nil); err == nil || !strings.Contains(err.Error(), field+":") {
 			t.Errorf("%s: %v", field, err)
--- a/sources_test.go
+++ b/sources_test.go
@@ -102,7 +102,7 @@
 	classes := []Class{{Name: "read", Effect: Safe, Aim: time.Second, Deadline: time.Second}}
 	servers := Static(Server{ID: "a", Addr: "127.0.0.1:1", Zone: "x"}, Server{ID: "b", Addr: "127.0.0.1:1", Zone: "y"})
 	cfg := Config{Classes: classes, Servers: servers}
-	if _, err := New(cfg, WithSites(Sites{DegradedThreshold: 0.9})); err == nil || !strings.Contains(err.Error(), "Sites: doubt") {
+	if _, err := New(cfg, WithSites(Sites{Doubt: 0.9})); err == nil || !strings.Contains(err.Error(), "Sites: doubt") {
 		t.Errorf("doubt above dark: %v", err)
 	}
 	b, err := New(cfg, WithSites(Sites{Prefer: []string{"y"}}))
