--- a/balancer.go
+++ b/balancer.go
@@ -94,11 +94,11 @@
 // Timeout reports whether the last attempt timed out.
 func (e *FailedError) Timeout() bool { return e.Last == outcomeTexts[policy.Timeout] }
 
-// outcomeTexts holds the values of FailedError.Last.
+// outcomeTexts holds the values of FailedError.Last, which callers may compare.
 var outcomeTexts = map[policy.Status]string{
-	policy.OK: "served", policy.AppError: "answered with an error", policy.Overloaded: "was refused", policy.Timeout: "timed out",
-	policy.ConnectFailed: "could not connect", policy.Reset: "was reset or had an invalid answer",
-	policy.Canceled: "was called off", policy.NotSent: "was not sent", policy.Rejected: "was rejected as invalid",
+	policy.OK: "served", policy.AppError: "answered with an error", policy.Overloaded: "turned away", policy.Timeout: "timed out",
+	policy.ConnectFailed: "could not connect", policy.Reset: "was reset or answered with nonsense",
+	policy.Canceled: "was called off", policy.NotSent: "was never sent", policy.Rejected: "was rejected as unusable",
 }
 
 // RequestError reports that a request is invalid. Nothing was sent, and a retry will not succeed.
