--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon is the program that runs beside an application: it reads the platform's configuration, puts the engine,
-// its transport, the discovery and the front together, and owns their start, reload and planned end.
+// Package daemon implements the sidecar process that runs next to an application: it connects the
+// engine, its transport, discovery, the fronts and the management API, and controls their start,
+// their configuration reloads and their graceful shutdown.
 package daemon
 
 import (
@@ -33,68 +34,70 @@
 )
 
 const (
-	// changeTime is how long clients may go by the settings before a change: 1.2 s, and 2 s in which a request may come.
-	changeTime = 3200 * time.Millisecond
+	// settingsTransition is how long requests may still follow the settings before a change: clients
+	// apply those for up to 1.2 s, and a request may take 2 s to arrive.
+	settingsTransition = 3200 * time.Millisecond
 )
 
-// Sidecar is one real sidecar.
+// Sidecar is a sidecar process configured by the platform. It serves the platform's front and the
+// services of the operator's file.
 type Sidecar struct {
-	log       *slog.Logger
-	engine    *engine.Engine
-	transport *upstream.Transport
-	server    *httpfront.Server
-	desk      *orders.Desk // nil: nothing is noted of orders
-	services  *services.Services
-	peers     *peers // nil: there are no others
-	sockets   *sockets.Budget
-	room      *semaphore.Weighted // for bodies
+	log        *slog.Logger
+	engine     *engine.Engine
+	transport  *upstream.Transport
+	server     *httpfront.Server
+	orders     *orders.Desk // nil: orders are not recorded
+	services   *services.Services
+	peers      *membership // nil: there are no other processes
+	sockets    *sockets.Budget
+	bodyBudget *semaphore.Weighted // memory for request bodies
 
-	dir     *handover.Dir // nil: there is nobody to hand over to
-	serving atomic.Bool   // clients are accepted
-	began   time.Time     // when this process did
-	took    bool          // it takes over from an older one
-	newer   atomic.Int32  // processes of this sidecar that live and are newer
-	asking  sync.Mutex    // held while operators change something here
+	handoverDir    *handover.Dir // nil: there is no other process to hand over to
+	serving        atomic.Bool   // clients are accepted
+	startedAt      time.Time     // start of this process
+	takeover       bool          // this process takes over from an older one
+	newerProcesses atomic.Int32  // number of live newer processes of this sidecar
+	updateMu       sync.Mutex    // serializes changes by operators
 
-	deadlines deadlines
-	ending    sync.Mutex
-	told      time.Time // to end; zero: it was not; under ending
+	deadlines  deadlineHistory
+	shutdownMu sync.Mutex
+	signaledAt time.Time // time of the termination signal, zero before it; guarded by shutdownMu
 
-	mu      sync.Mutex
-	cfg     config.Config   // as it is applied; what takes a restart, as it was at the start
-	op      config.Operator // likewise
-	state   handover.State  // what operators have asked for, as it is applied
-	settle  *time.Timer     // ends a change of the settings; nil before the first
-	changes int             // of the settings
-	reloads struct{ applied, rejected int }
+	mu              sync.Mutex
+	cfg             config.Config   // in effect; what requires a restart keeps its initial value
+	op              config.Operator // likewise
+	operatorState   handover.State  // state set by operators, as applied
+	transitionTimer *time.Timer     // ends the transition to new settings; nil before the first change
+	settingsVersion int             // number of changes of the settings
+	reloads         struct{ applied, rejected int }
 }
 
-// New makes a sidecar. It opens no socket.
+// New creates a sidecar. It opens no socket.
 func New(cfg config.Config, op config.Operator, log *slog.Logger) (*Sidecar, error) {
-	b, err := policy.New(cfg.Settings.Config, cfg.Seed)
+	module, err := policy.New(cfg.Settings.Config, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
 	if op.Account {
 		var transport atomic.Pointer[upstream.Transport]
-		dials := int64(0) // told so far; seconds are told one after the other
-		tell := func(second account.Second) {
+		reported := int64(0) // dials reported so far; seconds are reported one after the other
+		report := func(second account.Second) {
 			if t := transport.Load(); t != nil {
 				n := t.Dials()
-				second.Dials, dials = n-dials, n
+				second.Dials, reported = n-reported, n
 			}
 			log.Info("account", "second", second.Text())
 		}
-		s, err := newSidecar(cfg, op, account.New(b, cfg.Settings.Config, engine.ClockOrigin().UnixMilli(), tell), log)
+		s, err := newSidecar(cfg, op, account.New(module, cfg.Settings.Config, engine.ClockOrigin().UnixMilli(), report), log)
 		if err == nil {
 			transport.Store(s.transport)
 		}
 		return s, err
 	}
-	return newSidecar(cfg, op, b, log)
+	return newSidecar(cfg, op, module, log)
 }
 
-func newSidecar(cfg config.Config, op config.Operator, b engine.Module, log *slog.Logger) (*Sidecar, error) {
+func newSidecar(cfg config.Config, op config.Operator, module engine.Module, log *slog.Logger) (*Sidecar, error) {
 	var book orders.Book
 	var retention func(string) time.Duration
 	var err error
@@ -108,68 +111,69 @@
 			return nil, fmt.Errorf("[store]: %w", err)
 		}
 	}
-	s := &Sidecar{cfg: cfg, op: op, log: log, sockets: sockets.New(cfg.Sockets), room: httpfront.NewBodyBudget(cfg.MemoryMB), began: time.Now()}
-	s.deadlines.set(cfg.Settings.Config, s.began)
-	setMemory(cfg.MemoryMB, 1)
+	s := &Sidecar{cfg: cfg, op: op, log: log, sockets: sockets.New(cfg.Sockets), bodyBudget: httpfront.NewBodyBudget(cfg.MemoryMB), startedAt: time.Now()}
+	s.deadlines.update(cfg.Settings.Config, s.startedAt)
+	setMemoryLimit(cfg.MemoryMB, 1)
 	s.transport = upstream.New(cfg.Settings, s.sockets, log)
 	var transport engine.Transport = s.transport
 	if book != nil {
 		transport = orders.Transport(transport)
 	}
 	options := engine.Options{
-		Config: cfg.Settings.Config, Module: b, Transport: transport, Source: source(cfg),
+		Config: cfg.Settings.Config, Module: module, Transport: transport, Source: discoveryClient(cfg),
 		CachedList: cfg.Known, Sites: op.Sites, Log: log,
 	}
 	s.engine = engine.New(options)
 	if book != nil {
-		s.desk = orders.New(orders.Options{Engine: s.engine, Book: book, Codec: httpmsg.Codec{}, Retention: retention, Log: log})
+		s.orders = orders.New(orders.Options{Engine: s.engine, Book: book, Codec: httpmsg.Codec{}, Retention: retention, Log: log})
 	}
-	s.server = httpfront.New(s.engine, s.desk, s.room, s.sockets, log)
+	s.server = httpfront.New(s.engine, s.orders, s.bodyBudget, s.sockets, log)
 	if s.services, err = services.New(op.Services, op.Routes, int64(cfg.MemoryMB)<<20/8, s.sockets, log); err != nil {
 		s.close()
 		return nil, err
 	}
 	s.sockets.OnShortage(func() bool { return s.transport.EvictIdle() || s.services.MakeRoom() }, func() bool { return s.server.Evict() || s.services.Evict() })
 	if cfg.Shared != "" {
-		if s.dir, err = handover.Open(cfg.Shared); err != nil {
+		if s.handoverDir, err = handover.Open(cfg.Shared); err != nil {
 			s.close()
 			return nil, err
 		}
-		s.apply(s.dir.State())
-		o, err := s.dir.Others()
+		s.applyOperatorState(s.handoverDir.State())
+		others, err := s.handoverDir.Others()
 		if err != nil {
 			s.close()
 			return nil, err
 		}
-		s.beside(o)
-		if s.took = o.Older > 0; s.took {
-			var l note
-			if s.dir.Noted(&l, noteAge) {
-				s.engine.Learn(l.Policy)
-				s.engine.RestoreSites(l.Sites)
+		s.divideLimits(others)
+		if s.takeover = others.Older > 0; s.takeover {
+			var learned learnedState
+			if s.handoverDir.Noted(&learned, learnedStateMaxAge) {
+				s.engine.Learn(learned.Policy)
+				s.engine.RestoreSites(learned.Sites)
 			}
-			s.engine.Refresh() // what the older one was told counts as told to this one
+			s.engine.Refresh() // the platform takes lists sent to the older process as known to this one
 		}
 	}
 	engines := func() []*engine.Engine { return append(s.services.Engines(), s.engine) }
-	among, err := op.Members.For(&cfg)
-	if err != nil { // the platform has the last word, and the sidecar serves without
-		log.Warn("members: off", "why", err)
+	members, err := op.Members.For(&cfg)
+	if err != nil { // the platform does not allow it: the sidecar serves without members
+		log.Warn("members: disabled", "why", err)
 	}
-	if s.peers, err = newPeers(among, cfg.Name, cfg.Settings.Config.GroupSize, s.took, engines, log); err != nil {
+	if s.peers, err = newMembership(members, cfg.Name, cfg.Settings.Config.GroupSize, s.takeover, engines, log); err != nil {
 		s.close()
 		return nil, err
 	}
 	return s, nil
 }
 
-// source is where cfg has the list of servers from.
-func source(cfg config.Config) discovery.Client {
+// discoveryClient returns a client for the discovery service configured in cfg.
+func discoveryClient(cfg config.Config) discovery.Client {
 	return discovery.Client{Addr: cfg.Discovery, LocalAgent: cfg.Settings.Config.ListPushed}
 }
 
-// Run serves until ctx ends, and then drains. It returns once all that was taken is answered. If ctx has ended
-// before, it opens no address; at a socket that the platform holds open there may be connections that nobody else takes.
+// Run serves until ctx ends and then drains. It returns once every accepted request has a response.
+// If ctx has already ended, Run returns without listening, unless the platform holds the socket
+// open: connections may wait there that no other process accepts.
 func (s *Sidecar) Run(ctx context.Context) error {
 	if ctx.Err() != nil && s.cfg.AcceptFD == 0 {
 		s.close()
@@ -182,7 +186,7 @@
 	return s.Serve(ctx, ln)
 }
 
-// listen opens the clients' address, or takes over the socket that the platform holds open for it.
+// listen opens the address for clients, or uses the listening socket passed by the platform.
 func (s *Sidecar) listen() (*net.TCPListener, error) {
 	if s.cfg.AcceptFD == 0 {
 		ln, err := net.Listen("tcp", s.cfg.Listen)
@@ -193,28 +197,29 @@
 	}
 	f := os.NewFile(uintptr(s.cfg.AcceptFD), "accept")
 	ln, err := net.FileListener(f)
-	f.Close() // the listener has a descriptor of its own
+	f.Close() // the listener uses a duplicate of the descriptor
 	if err != nil {
-		return nil, fmt.Errorf("GW_ACCEPT_FD: %d is no listening socket: %w", s.cfg.AcceptFD, err)
+		return nil, fmt.Errorf("GW_ACCEPT_FD: descriptor %d is not a listening socket: %w", s.cfg.AcceptFD, err)
 	}
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
 		ln.Close()
-		return nil, fmt.Errorf("GW_ACCEPT_FD: %d listens at %s, which is not TCP", s.cfg.AcceptFD, ln.Addr())
+		return nil, fmt.Errorf("GW_ACCEPT_FD: descriptor %d listens on %s, which is not a TCP address", s.cfg.AcceptFD, ln.Addr())
 	}
 	return tcp, nil
 }
 
-// Serve is Run on a listener that is open already, and closes it.
+// Serve is like Run, but serves on ln, which it closes.
 func (s *Sidecar) Serve(ctx context.Context, ln *net.TCPListener) error {
 	defer s.close()
-	beside, stop := context.WithCancel(context.Background()) // ends with Serve, not with ctx: operators may ask while it drains
-	var helpers sync.WaitGroup
-	defer helpers.Wait()
-	defer stop()
-	part, leave := context.WithCancel(ctx) // among the others
+	// Ends with Serve, not with ctx: operators may call during shutdown.
+	tasksCtx, stopTasks := context.WithCancel(context.Background())
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	defer stopTasks()
+	membershipCtx, leave := context.WithCancel(ctx)
 	defer leave()
-	if err := s.operate(beside, &helpers); err != nil {
+	if err := s.startManagement(tasksCtx, &tasks); err != nil {
 		ln.Close()
 		return err
 	}
@@ -222,19 +227,19 @@
 		ln.Close()
 		return err
 	}
-	if err := s.peers.run(part, &helpers); err != nil {
+	if err := s.peers.run(membershipCtx, &tasks); err != nil {
 		ln.Close()
 		return err
 	}
-	backlog := sockets.NewDrainableListener(ln)
+	listener := sockets.NewDrainableListener(ln)
 	served := make(chan error, 1)
-	go func() { served <- s.server.Serve(backlog) }()
-	helpers.Go(func() {
+	go func() { served <- s.server.Serve(listener) }()
+	tasks.Go(func() {
 		if err := s.services.Serve(); err != nil {
-			s.log.Error("services", "err", err)
+			s.log.Error("services: serving failed", "err", err)
 		}
 	})
-	defer s.services.Close() // before helpers are waited for
+	defer s.services.Close() // before tasks.Wait, as one of the tasks serves them
 	s.serving.Store(true)
 	s.log.Info("ready", "name", s.cfg.Name, "listen", ln.Addr().String(), "load", s.engine.String())
 	select {
@@ -245,76 +250,79 @@
 	s.serving.Store(false)
 	schedule := s.beginShutdown(shutdown.EndTime(ctx))
 	s.log.Info("draining", "load", s.engine.String(), "exit", time.Until(schedule.Exit).Round(time.Millisecond))
-	if s.succeeded() {
-		ln.Close() // what waits in the socket's queue is the other process's
+	if s.hasSuccessor() {
+		ln.Close() // the newer process accepts the connections that wait in the socket's backlog
 	} else {
-		backlog.Drain(schedule.Accept)
+		listener.Drain(schedule.Accept)
 	}
-	patience, cut := context.WithDeadline(context.Background(), schedule.Exit)
-	defer cut()
-	ended := make(chan struct{})
+	shutdownCtx, cancel := context.WithDeadline(context.Background(), schedule.Exit)
+	defer cancel()
+	servicesDone := make(chan struct{})
 	go func() {
-		defer close(ended)
-		s.services.Shutdown(patience)
+		defer close(servicesDone)
+		s.services.Shutdown(shutdownCtx)
 	}()
-	all := s.server.Wait()
+	allEnded := s.server.Wait()
 	select {
-	case <-ended:
+	case <-servicesDone:
 	case <-s.server.Exited():
-		cut()
-		<-ended
+		cancel()
+		<-servicesDone
 	}
-	s.log.Info("drained", "load", s.engine.String(), "all_ended", all)
+	s.log.Info("drained", "load", s.engine.String(), "all_ended", allEnded)
 	s.server.CloseAll()
 	return nil
 }
 
-// beginShutdown has the front end by the schedule of a process that was told to end at signal.
+// beginShutdown starts the shutdown of the front. signal is the time of the termination signal.
 func (s *Sidecar) beginShutdown(signal time.Time) shutdown.Schedule {
-	s.ending.Lock()
-	s.told = signal
-	s.ending.Unlock()
+	s.shutdownMu.Lock()
+	s.signaledAt = signal
+	s.shutdownMu.Unlock()
 	return s.reschedule()
 }
 
-// reschedule has the front end by the settings as they are now, if it is to end: deadlines that are longer than the ones
-// before change nothing. It waits for no reload that is under way, which comes here itself.
+// reschedule sets the front's shutdown schedule for the current settings, if a shutdown is in
+// progress. Deadlines that became longer do not postpone it. It does not lock s.mu, so a shutdown
+// can begin while a reload is in progress; the reload itself calls reschedule.
 func (s *Sidecar) reschedule() shutdown.Schedule {
-	s.ending.Lock()
-	defer s.ending.Unlock()
-	if s.told.IsZero() {
+	s.shutdownMu.Lock()
+	defer s.shutdownMu.Unlock()
+	if s.signaledAt.IsZero() {
 		return shutdown.Schedule{}
 	}
-	schedule := shutdown.ForTermination(s.told, s.deadlines.agreed(s.told))
+	schedule := shutdown.ForTermination(s.signaledAt, s.deadlines.effective(s.signaledAt))
 	s.server.Drain(schedule)
 	return schedule
 }
 
-// Config returns what the sidecar runs by.
+// Config returns the configuration in effect.
 func (s *Sidecar) Config() config.Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cfg
 }
 
-// Reload takes over what of cfg and op can change while the sidecar runs: the address of discovery, the settings, and how sites
-// are watched, without losing what is known of them. The rest is for the next start, which the log tells. For changeTime
-// clients may still go by the settings before. With an error the old configuration stays, whole.
+// Reload applies those parts of cfg and op that can change at run time: the discovery address, the
+// settings, the services, and the monitoring of sites, which keeps what it has learned. It logs
+// the other differences, which take effect with the next start. For settingsTransition, clients may
+// still follow the previous settings. If Reload returns an error, the old configuration stays in
+// effect.
 func (s *Sidecar) Reload(cfg config.Config, op config.Operator) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.cfg
 	if cfg.Name != old.Name || cfg.Listen != old.Listen || cfg.MemoryMB != old.MemoryMB || cfg.Sockets != old.Sockets ||
 		cfg.Management != old.Management {
-		s.log.Warn("reload: name, listen, management or limits differ, which takes a restart")
+		s.log.Warn("reload: name, listen, management or limits differ, which requires a restart")
 	}
 	if !reflect.DeepEqual(op.Store, s.op.Store) {
-		s.log.Warn("reload: [store] differs, which takes a restart")
+		s.log.Warn("reload: [store] differs, which requires a restart")
 	}
 	if err := s.services.Check(op.Services, op.Routes); err != nil {
 		return err
 	}
-	if op.Sites != nil { // before anything has changed
+	if op.Sites != nil { // before anything is changed
 		if err := op.Sites.Check(); err != nil {
 			return fmt.Errorf("[sites]: %w", err)
 		}
@@ -326,21 +334,21 @@
 			return err
 		}
 		s.transport.Reconfigure(cfg.Settings)
-		s.deadlines.set(cfg.Settings.Config, time.Now())
+		s.deadlines.update(cfg.Settings.Config, time.Now())
 		s.reschedule()
-		if s.settle != nil {
-			s.settle.Stop()
+		if s.transitionTimer != nil {
+			s.transitionTimer.Stop()
 		}
-		s.changes++
-		if n := s.changes; change.Moved {
-			s.settle = time.AfterFunc(changeTime, func() {
+		s.settingsVersion++
+		if version := s.settingsVersion; change.Moved {
+			s.transitionTimer = time.AfterFunc(settingsTransition, func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				if s.changes != n { // it fired as another change came: that one holds
+				if s.settingsVersion != version { // fired during a later change, which takes precedence
 					return
 				}
 				if err := s.engine.Reconfigure(change.Then); err != nil {
-					s.log.Error("reload", "err", err)
+					s.log.Error("reload: cannot end the transition to the new settings", "err", err)
 				}
 			})
 		}
@@ -356,16 +364,16 @@
 	if err != nil {
 		return err
 	}
-	s.peers.heed(s.services.Engines())
+	s.peers.attach(s.services.Engines())
 	if !reflect.DeepEqual(op.Members, s.op.Members) {
-		s.log.Warn("reload: [members] differs, which takes a restart")
+		s.log.Warn("reload: [members] differs, which requires a restart")
 	}
 	if restart {
-		s.log.Warn("reload: [[http]], [[streams]], [[mysql]] or what their pools are made with differ, which takes a restart")
+		s.log.Warn("reload: [[http]], [[streams]], [[mysql]] or the fixed settings of their pools differ, which requires a restart")
 	}
-	moved := source(cfg) != source(old)
+	moved := discoveryClient(cfg) != discoveryClient(old)
 	if moved {
-		s.engine.SetSource(source(cfg))
+		s.engine.SetSource(discoveryClient(cfg))
 	}
 	s.cfg.Settings, s.cfg.Discovery, s.cfg.Text = cfg.Settings, cfg.Discovery, cfg.Text
 	s.reloads.applied++
@@ -373,11 +381,11 @@
 	return nil
 }
 
-// close ends all that New has started.
+// close stops everything that New has started.
 func (s *Sidecar) close() {
 	s.mu.Lock()
-	if s.settle != nil {
-		s.settle.Stop()
+	if s.transitionTimer != nil {
+		s.transitionTimer.Stop()
 	}
 	s.mu.Unlock()
 	if s.services != nil {
@@ -385,26 +393,27 @@
 	}
 	s.engine.Close()
 	s.transport.Close()
-	if s.dir != nil {
-		s.dir.Close()
+	if s.handoverDir != nil {
+		s.handoverDir.Close()
 	}
-	if s.desk != nil {
-		if err := s.desk.Close(); err != nil {
-			s.log.Error("closing the store", "err", err)
+	if s.orders != nil {
+		if err := s.orders.Close(); err != nil {
+			s.log.Error("cannot close the store", "err", err)
 		}
 	}
 }
 
-// ReloadFailed tells that a new configuration cannot be used, and that the old one stays.
+// ReloadFailed records that a new configuration is invalid. The current one stays in effect.
 func (s *Sidecar) ReloadFailed(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reloads.rejected++
-	s.log.Error("reload: the old configuration stays", "err", err)
+	s.log.Error("reload failed: the current configuration stays in effect", "err", err)
 }
 
-// setMemory guards against being killed for memory: the rest is for stacks of the runtime, code and the kernel. parts is how
-// many processes share the limit.
-func setMemory(limitMB, parts int) {
-	debug.SetMemoryLimit(int64(limitMB) << 20 / 4 * 3 / int64(parts))
+// setMemoryLimit sets the soft memory limit of the Go runtime to three quarters of the process's
+// share, so that the process is not killed for exceeding its memory limit. The rest is for
+// goroutine stacks, code and the kernel. processes is the number of processes that share limitMB.
+func setMemoryLimit(limitMB, processes int) {
+	debug.SetMemoryLimit(int64(limitMB) << 20 / 4 * 3 / int64(processes))
 }
--- a/internal/daemon/deadlines.go
+++ b/internal/daemon/deadlines.go
@@ -9,47 +9,47 @@
 	"quillfront/policy"
 )
 
-// deadlines remembers the longest deadlines of the settings as they are and as they were before changes, as long as the
-// platform may still go by those. Its methods may be called from many goroutines at once.
-type deadlines struct {
-	mu     sync.Mutex
-	now    time.Duration
-	former []formerDeadline
+// deadlineHistory records the longest deadline of the current settings and of the settings replaced
+// so recently that the platform may still apply them. It is safe for concurrent use.
+type deadlineHistory struct {
+	mu       sync.Mutex
+	current  time.Duration
+	previous []previousDeadline
 }
 
-// formerDeadline is the longest deadline of settings that were replaced.
-type formerDeadline struct {
-	longest time.Duration
-	until   time.Time // when nobody goes by it any more
+// previousDeadline is the longest deadline of replaced settings.
+type previousDeadline struct {
+	longest    time.Duration
+	validUntil time.Time // after it, the platform no longer applies those settings
 }
 
-// set notes that cfg are the settings from at on.
-func (d *deadlines) set(cfg policy.Config, at time.Time) {
+// update records that cfg holds the settings in effect from at on.
+func (d *deadlineHistory) update(cfg policy.Config, at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.now > 0 {
-		d.former = append(d.former, formerDeadline{d.now, at.Add(changeTime)})
+	if d.current > 0 {
+		d.previous = append(d.previous, previousDeadline{d.current, at.Add(settingsTransition)})
 	}
-	d.now = 0
+	d.current = 0
 	for _, c := range cfg.Classes {
-		d.now = max(d.now, c.Deadline)
+		d.current = max(d.current, c.Deadline)
 	}
-	if d.now == 0 { // no class, so no bound
-		d.now = shutdown.MaxAwaitedDeadline
+	if d.current == 0 { // there are no classes, so no deadline limits the wait
+		d.current = shutdown.MaxAwaitedDeadline
 	}
-	d.former = slices.DeleteFunc(d.former, func(f formerDeadline) bool { return f.until.Before(at) })
+	d.previous = slices.DeleteFunc(d.previous, func(p previousDeadline) bool { return p.validUntil.Before(at) })
 }
 
-// agreed returns the longest deadline that holds at a time by whichever settings the platform goes: nobody can count on
-// more.
-func (d *deadlines) agreed(at time.Time) time.Duration {
+// effective returns the smallest of the longest deadlines that the platform may apply at a time.
+// The process cannot rely on more time than that.
+func (d *deadlineHistory) effective(at time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	least := d.now
-	for _, f := range d.former {
-		if !f.until.Before(at) {
-			least = min(least, f.longest)
+	shortest := d.current
+	for _, p := range d.previous {
+		if !p.validUntil.Before(at) {
+			shortest = min(shortest, p.longest)
 		}
 	}
-	return least
+	return shortest
 }
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -10,37 +10,39 @@
 	"quillfront/internal/config"
 )
 
-// logBurst is how many lines may come at once. The log is bounded: where there is no disk its lines are kept in memory, and a fleet in
-// trouble gives each sidecar something to say for every request.
+// logBurst is the number of lines that may be logged at once. The log's rate is limited because,
+// without a disk, its lines are kept in memory, and a fleet with problems makes every sidecar log
+// something for every request.
 const logBurst = 100
 
-// NewLog returns the process's log on w.
+// NewLog returns a logger that writes to w at the rate configured in c. Lines beyond the rate are
+// dropped.
 func NewLog(w io.Writer, c config.Log) *slog.Logger {
 	o := &slog.HandlerOptions{Level: c.Level}
 	var h slog.Handler = slog.NewTextHandler(w, o)
 	if c.JSON {
 		h = slog.NewJSONHandler(w, o)
 	}
-	return slog.New(limited{h, rate.NewLimiter(rate.Limit(c.Rate), logBurst)})
+	return slog.New(rateLimitedHandler{h, rate.NewLimiter(rate.Limit(c.Rate), logBurst)})
 }
 
-// limited is a handler that drops the lines over the rate.
-type limited struct {
+// rateLimitedHandler is a slog.Handler that drops lines beyond the rate limit.
+type rateLimitedHandler struct {
 	slog.Handler
 	limiter *rate.Limiter
 }
 
-func (l limited) Handle(ctx context.Context, r slog.Record) error {
-	if !l.limiter.Allow() {
+func (h rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
+	if !h.limiter.Allow() {
 		return nil
 	}
-	return l.Handler.Handle(ctx, r)
+	return h.Handler.Handle(ctx, r)
 }
 
-func (l limited) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return limited{l.Handler.WithAttrs(attrs), l.limiter}
+func (h rateLimitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return rateLimitedHandler{h.Handler.WithAttrs(attrs), h.limiter}
 }
 
-func (l limited) WithGroup(name string) slog.Handler {
-	return limited{l.Handler.WithGroup(name), l.limiter}
+func (h rateLimitedHandler) WithGroup(name string) slog.Handler {
+	return rateLimitedHandler{h.Handler.WithGroup(name), h.limiter}
 }
--- a/internal/daemon/management.go
+++ b/internal/daemon/management.go
@@ -17,23 +17,25 @@
 	"quillfront/sites"
 )
 
-// takeoverWait is how long a process that takes over may wait for the list of servers before it says that it is ready: the
-// platform gives it 6 s in all.
-const takeoverWait = 3 * time.Second
+// takeoverListTimeout is how long a process that takes over waits for the server list before it
+// reports ready without it. The platform allows 6 s in total.
+const takeoverListTimeout = 3 * time.Second
 
 const (
-	// noteEvery is how often a process leaves what it has learnt for the one that takes over.
-	noteEvery = time.Second
-	// noteAge is how old that may be: what is older was left before a stop.
-	noteAge = 5 * time.Second
+	// learnedStateInterval is how often a process saves its learned state for its successor.
+	learnedStateInterval = time.Second
+	// learnedStateMaxAge is the maximum age of saved state that a successor uses. Older state was
+	// saved before a stop.
+	learnedStateMaxAge = 5 * time.Second
 )
 
-// operate opens the operators' address and follows the other processes of the sidecar, until ctx ends.
-func (s *Sidecar) operate(ctx context.Context, helpers *sync.WaitGroup) error {
-	if s.dir != nil {
-		helpers.Go(func() { s.dir.Follow(ctx, s.apply, s.beside) })
+// startManagement opens the management address and starts the tasks that synchronize with the other
+// processes of the sidecar. They run until ctx ends.
+func (s *Sidecar) startManagement(ctx context.Context, tasks *sync.WaitGroup) error {
+	if s.handoverDir != nil {
+		tasks.Go(func() { s.handoverDir.Follow(ctx, s.applyOperatorState, s.divideLimits) })
 		if s.cfg.AcceptFD != 0 {
-			helpers.Go(func() { s.note(ctx) })
+			tasks.Go(func() { s.saveLearnedState(ctx) })
 		}
 	}
 	if s.cfg.Management == "" {
@@ -43,25 +45,26 @@
 	if err != nil {
 		return fmt.Errorf("management: %w", err)
 	}
-	server := management.New(operated{s}, s.log)
+	server := management.New(managedSidecar{s}, s.log)
 	s.log.Info("operators", "management", ln.Addr().String())
-	helpers.Go(func() {
+	tasks.Go(func() {
 		if err := server.Serve(ctx, ln); err != nil {
-			s.log.Error("management", "err", err)
+			s.log.Error("management: serving failed", "err", err)
 		}
 	})
 	return nil
 }
 
-// note is what a process leaves for the one that takes over.
-type note struct {
+// learnedState is what a process saves for its successor. It is stored as JSON.
+type learnedState struct {
 	Policy policy.Learned
 	Sites  sites.Memory
 }
 
-// note leaves what was learnt for the process that takes over, until there is one or ctx ends.
-func (s *Sidecar) note(ctx context.Context) {
-	tick := time.NewTicker(noteEvery)
+// saveLearnedState periodically saves the learned state until ctx ends. It pauses while there is a
+// newer process.
+func (s *Sidecar) saveLearnedState(ctx context.Context) {
+	tick := time.NewTicker(learnedStateInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -69,164 +72,168 @@
 			return
 		case <-tick.C:
 		}
-		if s.newer.Load() > 0 { // it leaves its own
+		if s.newerProcesses.Load() > 0 { // the newer process saves its own state
 			continue
 		}
 		if l, ok := s.engine.Learned(); ok {
-			if err := s.dir.Note(note{l, s.engine.SiteMemory()}); err != nil {
-				s.log.Warn("handover", "err", err)
+			if err := s.handoverDir.Note(learnedState{l, s.engine.SiteMemory()}); err != nil {
+				s.log.Warn("handover: cannot save the learned state", "err", err)
 			}
 		}
 	}
 }
 
-// apply makes state what operators have asked for.
-func (s *Sidecar) apply(state handover.State) {
+// applyOperatorState brings the engine and the server in line with the state set by operators.
+func (s *Sidecar) applyOperatorState(state handover.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.dir != nil {
-		state = s.dir.State() // of two calls at once, the second applies what both have changed
+	if s.handoverDir != nil {
+		state = s.handoverDir.State() // of two concurrent calls, the second applies the changes of both
 	}
-	if !state.Absences.Equal(&s.state.Absences) {
+	if !state.Absences.Equal(&s.operatorState.Absences) {
 		s.engine.SetAbsences(state.Absences.Clone())
 	}
-	if state.Evacuated != s.state.Evacuated {
+	if state.Evacuated != s.operatorState.Evacuated {
 		if state.Evacuated {
 			s.server.Evacuate()
 		} else {
 			s.server.Rejoin()
 		}
 	}
-	s.state = state
+	s.operatorState = state
 }
 
-// update changes what operators have asked for, here and in the other process.
-func (s *Sidecar) update(f func(*handover.State) error) error {
-	s.asking.Lock() // two calls at once are both kept
-	defer s.asking.Unlock()
+// updateOperatorState changes the state set by operators with f, here and in the other processes of
+// the sidecar.
+func (s *Sidecar) updateOperatorState(f func(*handover.State) error) error {
+	s.updateMu.Lock() // so that neither of two concurrent changes is lost
+	defer s.updateMu.Unlock()
 	var state handover.State
-	if s.dir != nil {
+	if s.handoverDir != nil {
 		var err error
-		if state, err = s.dir.Update(f); err != nil {
+		if state, err = s.handoverDir.Update(f); err != nil {
 			return err
 		}
 	} else {
 		s.mu.Lock()
-		state = s.state.Clone()
+		state = s.operatorState.Clone()
 		s.mu.Unlock()
 		if err := f(&state); err != nil {
 			return err
 		}
 	}
-	s.apply(state)
+	s.applyOperatorState(state)
 	return nil
 }
 
-// beside fits this process to the others of the sidecar: memory and descriptors are counted together.
-func (s *Sidecar) beside(o handover.Others) {
-	parts := 1 + o.Older + o.Newer
-	s.newer.Store(int32(o.Newer))
-	s.sockets.SetFraction(1 / float64(parts))
-	setMemory(s.cfg.MemoryMB, parts)
-	if parts > 1 {
-		s.log.Info("not alone", "older", o.Older, "newer", o.Newer)
+// divideLimits divides the limits on memory and file descriptors among the processes of the
+// sidecar, which share them.
+func (s *Sidecar) divideLimits(others handover.Others) {
+	processes := 1 + others.Older + others.Newer
+	s.newerProcesses.Store(int32(others.Newer))
+	s.sockets.SetFraction(1 / float64(processes))
+	setMemoryLimit(s.cfg.MemoryMB, processes)
+	if processes > 1 {
+		s.log.Info("sharing the limits with other processes of this sidecar", "older", others.Older, "newer", others.Newer)
 	}
 }
 
-// succeeded reports whether another process has taken over the clients' socket.
-func (s *Sidecar) succeeded() bool {
-	if s.dir == nil || s.cfg.AcceptFD == 0 {
+// hasSuccessor reports whether another process has taken over the clients' socket.
+func (s *Sidecar) hasSuccessor() bool {
+	if s.handoverDir == nil || s.cfg.AcceptFD == 0 {
 		return false
 	}
-	o, err := s.dir.Others()
-	return err == nil && o.Newer > 0
+	others, err := s.handoverDir.Others()
+	return err == nil && others.Newer > 0
 }
 
-// operated is what operators may do to a Sidecar.
-type operated struct{ *Sidecar }
+// managedSidecar provides the management API and the metrics of a Sidecar. It implements
+// management.Operated and telemetry.Source.
+type managedSidecar struct{ *Sidecar }
 
-// Ready is a method of management.Operated. A process that takes over is ready once it has the list, so that it knows of
-// every drain that the process before was told of, or after takeoverWait.
-func (o operated) Ready() error {
-	s := o.Sidecar
+// Ready returns nil if the sidecar is ready. A process that takes over is ready once it has the
+// list, so that it knows of every drain that its predecessor was told of, or after
+// takeoverListTimeout.
+func (m managedSidecar) Ready() error {
+	s := m.Sidecar
 	s.mu.Lock()
-	away := s.state.Evacuated
+	evacuated := s.operatorState.Evacuated
 	s.mu.Unlock()
-	if !s.serving.Load() || away {
+	if !s.serving.Load() || evacuated {
 		return management.ErrNotReady
 	}
-	if s.took && !s.engine.ListReceived() && time.Since(s.began) < takeoverWait {
+	if s.takeover && !s.engine.ListReceived() && time.Since(s.startedAt) < takeoverListTimeout {
 		return fmt.Errorf("%w: the list of servers has not come yet", management.ErrNotReady)
 	}
 	return nil
 }
 
-// Exclude is a method of management.Operated.
-func (o operated) Exclude(id policy.ServerID) error {
-	return o.update(func(st *handover.State) error {
-		return st.Absences.Exclude(id, o.engine.ListEntry, time.Now().UnixMilli())
+// Exclude takes a server out of service.
+func (m managedSidecar) Exclude(id policy.ServerID) error {
+	return m.updateOperatorState(func(state *handover.State) error {
+		return state.Absences.Exclude(id, m.engine.ListEntry, time.Now().UnixMilli())
 	})
 }
 
-// Include is a method of management.Operated.
-func (o operated) Include(id policy.ServerID) error {
-	return o.update(func(st *handover.State) error {
-		return st.Absences.Include(id, o.engine.ListEntry, time.Now().UnixMilli())
+// Include puts an excluded server back into service.
+func (m managedSidecar) Include(id policy.ServerID) error {
+	return m.updateOperatorState(func(state *handover.State) error {
+		return state.Absences.Include(id, m.engine.ListEntry, time.Now().UnixMilli())
 	})
 }
 
-// Evacuate is a method of management.Operated.
-func (o operated) Evacuate() error { return o.evacuated(true) }
+// Evacuate begins to drain the sidecar.
+func (m managedSidecar) Evacuate() error { return m.setEvacuated(true) }
 
-// Rejoin is a method of management.Operated.
-func (o operated) Rejoin() error { return o.evacuated(false) }
+// Rejoin ends the drain.
+func (m managedSidecar) Rejoin() error { return m.setEvacuated(false) }
 
-func (o operated) evacuated(is bool) error {
-	return o.update(func(st *handover.State) error {
-		st.Evacuated = is
+func (m managedSidecar) setEvacuated(evacuated bool) error {
+	return m.updateOperatorState(func(state *handover.State) error {
+		state.Evacuated = evacuated
 		return nil
 	})
 }
 
-// Members is a method of management.Operated.
-func (o operated) Members() http.Handler { return o.peers.handler() }
+// Members returns the handler for the other processes of the fleet, or nil if there are none.
+func (m managedSidecar) Members() http.Handler { return m.peers.handler() }
 
-// Metrics is a method of management.Operated.
-func (o operated) Metrics() http.Handler { return telemetry.Handler(o) }
+// Metrics returns the handler for the metrics.
+func (m managedSidecar) Metrics() http.Handler { return telemetry.Handler(m) }
 
-// Waiting is a method of management.Operated.
-func (o operated) Waiting(d time.Duration) []string {
-	var all []services.Waiting
-	for _, w := range o.engine.PendingRequests(d) {
-		all = append(all, services.Waiting{Pool: "platform", PendingRequest: w})
+// Waiting describes the requests that have waited for longer than d.
+func (m managedSidecar) Waiting(d time.Duration) []string {
+	var waiting []services.Waiting
+	for _, r := range m.engine.PendingRequests(d) {
+		waiting = append(waiting, services.Waiting{Pool: "platform", PendingRequest: r})
 	}
-	return linesOf(append(all, o.services.Waiting(d)...))
+	return formatWaiting(append(waiting, m.services.Waiting(d)...))
 }
 
-// linesOf tells requests that wait, one a line.
-func linesOf(all []services.Waiting) (lines []string) {
-	for _, w := range all {
+// formatWaiting describes waiting requests, one per line.
+func formatWaiting(waiting []services.Waiting) (lines []string) {
+	for _, w := range waiting {
 		lines = append(lines, fmt.Sprintf("%v pool=%s class=%s attempts=%d %q waits for %s", w.Age.Round(time.Millisecond), w.Pool, w.Class, w.Attempts, w.Description, w))
 	}
 	return lines
 }
 
-// Counts is a method of telemetry.Source.
-func (o operated) Counts() map[string]engine.Counts { return o.engine.Counts() }
-
-// State is a method of telemetry.Source.
-func (o operated) State() telemetry.State {
-	s := telemetry.State{Engine: o.engine.Snapshot(), Peers: o.peers.figures()}
-	s.Descriptors[0], s.Descriptors[1] = o.sockets.InUse()
-	s.Places[0], s.Places[1] = o.sockets.Limits()
-	if o.desk != nil {
-		d := o.desk.Stats()
-		s.Orders = &d
+// Counts returns the request counts by class.
+func (m managedSidecar) Counts() map[string]engine.Counts { return m.engine.Counts() }
+
+// State returns the current values of the metrics.
+func (m managedSidecar) State() telemetry.State {
+	s := telemetry.State{Engine: m.engine.Snapshot(), Peers: m.peers.metrics()}
+	s.Descriptors[0], s.Descriptors[1] = m.sockets.InUse()
+	s.Places[0], s.Places[1] = m.sockets.Limits()
+	if m.orders != nil {
+		stats := m.orders.Stats()
+		s.Orders = &stats
 	}
-	s.Services = o.services.Figures()
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	s.Out, s.Evacuated = len(o.state.Absences.Out), o.state.Evacuated
-	s.Applied, s.Rejected = o.reloads.applied, o.reloads.rejected
+	s.Services = m.services.Figures()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	s.Out, s.Evacuated = len(m.operatorState.Absences.Out), m.operatorState.Evacuated
+	s.Applied, s.Rejected = m.reloads.applied, m.reloads.rejected
 	return s
 }
--- a/internal/daemon/management_test.go
+++ b/internal/daemon/management_test.go
@@ -24,7 +24,7 @@
 func TestExclude(t *testing.T) {
 	m := newScript()
 	w := start(t, m, "127.0.0.1:1", "127.0.0.1:1")
-	o := operated{w.Sidecar}
+	o := managedSidecar{w.Sidecar}
 	if err := o.Exclude("b"); !errors.Is(err, roster.ErrUnknown) {
 		t.Errorf("an unknown server: %v", err)
 	}
@@ -72,7 +72,7 @@
 func TestEvacuate(t *testing.T) {
 	addr := peer(t, say(okAnswer))
 	w := start(t, newScript(), addr, "127.0.0.1:1")
-	o := operated{w.Sidecar}
+	o := managedSidecar{w.Sidecar}
 	eventually(t, "ready", func() bool { return o.Ready() == nil })
 	const probe = "GET /healthz HTTP/1.1\nHost: s\n\n"
 	quiet, busy := w.connect(t), w.connect(t)
@@ -121,17 +121,17 @@
 	alone := older.places()
 	newer := start(t, newScript(), "127.0.0.1:1", "127.0.0.1:1", share)
 	eventually(t, "both have half", func() bool { return older.places() == (alone+1)/2 && newer.places() == (alone+1)/2 })
-	if err := (operated{older.Sidecar}).Exclude("a"); err != nil {
+	if err := (managedSidecar{older.Sidecar}).Exclude("a"); err != nil {
 		t.Fatal(err)
 	}
-	if err := (operated{newer.Sidecar}).Evacuate(); err != nil {
+	if err := (managedSidecar{newer.Sidecar}).Evacuate(); err != nil {
 		t.Fatal(err)
 	}
 	out := func(w *world) bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		_, ok := w.state.Absences.Out["a"]
-		return ok && w.state.Evacuated
+		_, ok := w.operatorState.Absences.Out["a"]
+		return ok && w.operatorState.Evacuated
 	}
 	eventually(t, "both do what either was told", func() bool { return out(older) && out(newer) })
 	older.term()
@@ -153,14 +153,14 @@
 	var calls sync.WaitGroup
 	for i := range 100 {
 		calls.Go(func() {
-			w.update(func(s *handover.State) error {
+			w.updateOperatorState(func(s *handover.State) error {
 				runtime.Gosched()
 				return s.Absences.Exclude(policy.ServerID(fmt.Sprint(i)), func(id policy.ServerID) (roster.Entry, bool) { return roster.Entry{ID: id}, true }, 1)
 			})
 		})
 	}
 	calls.Wait()
-	if n := len(w.state.Absences.Out); n != 100 {
+	if n := len(w.operatorState.Absences.Out); n != 100 {
 		t.Errorf("%d of 100 are kept", n)
 	}
 }
@@ -231,7 +231,7 @@
 	for _, key := range []string{"k", "k", "no"} {
 		w.ask(t, strings.Replace(plainGet, "/read/k", "/read/"+key, 1))
 	}
-	o := operated{w.Sidecar}
+	o := managedSidecar{w.Sidecar}
 	if err := o.Exclude("a"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -12,40 +12,44 @@
 	"quillfront/policy"
 )
 
-// mostLeaving bounds the servers of which others are still to be told; one more is not told of.
-const mostLeaving = 64
+// maxQueuedHints limits the queue of drain hints to send to other processes. Hints beyond it are
+// dropped.
+const maxQueuedHints = 64
 
-// peers is a process among others, and what it does with what they tell.
-type peers struct {
+// membership connects the engines of this process to the other processes of the fleet: it divides
+// shares by the number of processes, and sends and receives drain hints. A nil membership means
+// that there are no other processes.
+type membership struct {
 	*peering.Host
-	cfg     config.Members
-	patient bool
-	log     *slog.Logger
-	leaving chan policy.ServerID
+	cfg       config.Members
+	retryBind bool // a failed bind is not fatal: it is retried in the background
+	log       *slog.Logger
+	departing chan policy.ServerID
 }
 
-// newPeers returns nil if cfg is. engines returns those that are at work. base is the number of processes by the settings.
-func newPeers(cfg *config.Members, name string, base int, patient bool, engines func() []*engine.Engine, log *slog.Logger) (*peers, error) {
+// newMembership returns nil if cfg is nil. base is the number of processes according to the
+// settings. engines returns the running engines.
+func newMembership(cfg *config.Members, name string, base int, retryBind bool, engines func() []*engine.Engine, log *slog.Logger) (*membership, error) {
 	if cfg == nil {
 		return nil, nil
 	}
-	p := &peers{cfg: *cfg, patient: patient, log: log, leaving: make(chan policy.ServerID, mostLeaving)}
-	var on peering.Hooks
+	m := &membership{cfg: *cfg, retryBind: retryBind, log: log, departing: make(chan policy.ServerID, maxQueuedHints)}
+	var hooks peering.Hooks
 	if cfg.Share {
 		sharing := cfg.Sharing
 		sharing.Configured = base
-		on.Estimator = &sharing
-		on.GroupChanged = func(group int) {
+		hooks.Estimator = &sharing
+		hooks.GroupChanged = func(group int) {
 			for _, e := range engines() {
 				if err := e.Regroup(group); err != nil {
-					log.Error("members: the number of processes", "group", group, "err", err)
+					log.Error("members: cannot apply the number of processes", "group", group, "err", err)
 				}
 			}
-			log.Info("members: shares", "group", group)
+			log.Info("members: number of processes changed", "group", group)
 		}
 	}
 	if cfg.Hints {
-		on.HintReceived = func(server string) {
+		hooks.HintReceived = func(server string) {
 			for _, e := range engines() {
 				e.HintDraining(policy.ServerID(server))
 			}
@@ -54,68 +58,71 @@
 	c := cfg.Peers
 	c.Node.Name = name
 	var err error
-	if p.Host, err = peering.New(c, on, log); err != nil {
+	if m.Host, err = peering.New(c, hooks, log); err != nil {
 		return nil, err
 	}
-	p.heed(engines())
-	return p, nil
+	m.attach(engines())
+	return m, nil
 }
 
-// heed has others told of what leaves these engines' lists, and the engines count as many processes as there are.
-func (p *peers) heed(engines []*engine.Engine) {
-	if p == nil {
+// attach makes the engines report servers that leave their lists, and sets the current number of
+// processes on them.
+func (m *membership) attach(engines []*engine.Engine) {
+	if m == nil {
 		return
 	}
 	for _, e := range engines {
-		if p.cfg.Hints {
+		if m.cfg.Hints {
 			e.OnLeaving(func(id policy.ServerID) {
 				select {
-				case p.leaving <- id:
+				case m.departing <- id:
 				default:
 				}
 			})
 		}
-		if g := p.View().Group; g > 0 {
+		if g := m.View().Group; g > 0 {
 			e.Regroup(g)
 		}
 	}
 }
 
-// run takes part until ctx ends and the others have been told. An error tells that the address cannot be had.
-func (p *peers) run(ctx context.Context, helpers *sync.WaitGroup) error {
-	if p == nil {
+// run binds the address and starts the background tasks, which take part in the membership until
+// ctx ends and the other processes are notified. It returns an error if the address cannot be bound
+// and retryBind is not set.
+func (m *membership) run(ctx context.Context, tasks *sync.WaitGroup) error {
+	if m == nil {
 		return nil
 	}
-	if err := p.Listen(); err != nil && !p.patient {
+	if err := m.Listen(); err != nil && !m.retryBind {
 		return err
 	}
-	helpers.Go(func() { p.Run(ctx) })
-	helpers.Go(func() {
+	tasks.Go(func() { m.Run(ctx) })
+	tasks.Go(func() {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case id := <-p.leaving:
-				p.Hint(string(id))
+			case id := <-m.departing:
+				m.Hint(string(id))
 			}
 		}
 	})
 	return nil
 }
 
-// handler answers operators' questions for the others; nil: there are none.
-func (p *peers) handler() http.Handler {
-	if p == nil {
+// handler returns the management API's handler for the other processes, or nil if there are none.
+func (m *membership) handler() http.Handler {
+	if m == nil {
 		return nil
 	}
-	return p.Host
+	return m.Host
 }
 
-// figures are nil if there are no others.
-func (p *peers) figures() *peering.Metrics {
-	if p == nil {
+// metrics returns nil if there are no other processes.
+func (m *membership) metrics() *peering.Metrics {
+	if m == nil {
 		return nil
 	}
-	f := p.Metrics()
-	return &f
+	metrics := m.Metrics()
+	return &metrics
 }
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -362,7 +362,7 @@
 		}
 	}
 	eventually(t, "nothing is left of them", func() bool {
-		return w.server.Stats().Open == 0 && w.room.TryAcquire(128<<20/8)
+		return w.server.Stats().Open == 0 && w.bodyBudget.TryAcquire(128<<20/8)
 	})
 }
 
@@ -480,7 +480,7 @@
 // no room is refused rather than lost.
 func TestRoomIsBounded(t *testing.T) {
 	w := start(t, newScript(), peer(t, say(okAnswer)), "127.0.0.1:1", func(c *config.Config) { c.MemoryMB = config.LeastMemoryMB })
-	if !w.room.TryAcquire(config.LeastMemoryMB<<20/8) || w.room.TryAcquire(1) {
+	if !w.bodyBudget.TryAcquire(config.LeastMemoryMB<<20/8) || w.bodyBudget.TryAcquire(1) {
 		t.Error("the room is not its part of the memory")
 	}
 	resp, _ := w.ask(t, "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 1\n\nx")
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -84,10 +84,10 @@
 	t.Helper()
 	var s shutdown.Schedule
 	eventually(t, "the shutdown has begun", func() bool {
-		w.ending.Lock()
-		told := w.told
-		w.ending.Unlock()
-		s = shutdown.ForTermination(told, w.deadlines.agreed(told))
+		w.shutdownMu.Lock()
+		told := w.signaledAt
+		w.shutdownMu.Unlock()
+		s = shutdown.ForTermination(told, w.deadlines.effective(told))
 		return !told.IsZero()
 	})
 	return s
@@ -284,9 +284,9 @@
 			if err := w.Reload(cfg, config.Operator{}); err != nil {
 				t.Fatal(err)
 			}
-			w.ending.Lock()
-			want := shutdown.ForTermination(w.told, shortDeadline)
-			w.ending.Unlock()
+			w.shutdownMu.Lock()
+			want := shutdown.ForTermination(w.signaledAt, shortDeadline)
+			w.shutdownMu.Unlock()
 			if resp, _ := c.read(t); resp.StatusCode/100 != 5 {
 				t.Errorf("answer %d", resp.StatusCode)
 			}
@@ -309,29 +309,29 @@
 	}
 	began := time.Now()
 	at := func(d time.Duration) time.Time { return began.Add(d) }
-	var d deadlines
+	var d deadlineHistory
 	want := func(after, longest time.Duration) {
 		t.Helper()
-		if got := d.agreed(at(after)); got != longest {
+		if got := d.effective(at(after)); got != longest {
 			t.Errorf("after %v: %v, want %v", after, got, longest)
 		}
 	}
-	d.set(settings(time.Second, 2*time.Second), began)
+	d.update(settings(time.Second, 2*time.Second), began)
 	want(0, 2*time.Second)
-	d.set(settings(4*time.Second), at(time.Minute)) // longer: the former may still count
+	d.update(settings(4*time.Second), at(time.Minute)) // longer: the former may still count
 	want(time.Minute, 2*time.Second)
-	want(time.Minute+changeTime+time.Millisecond, 4*time.Second)
-	d.set(settings(time.Second), at(time.Hour)) // shorter: it counts at once
+	want(time.Minute+settingsTransition+time.Millisecond, 4*time.Second)
+	d.update(settings(time.Second), at(time.Hour)) // shorter: it counts at once
 	want(time.Hour, time.Second)
-	d.set(settings(5*time.Second), at(time.Hour+time.Second))
-	d.set(settings(6*time.Second), at(time.Hour+2*time.Second)) // three in a row
+	d.update(settings(5*time.Second), at(time.Hour+time.Second))
+	d.update(settings(6*time.Second), at(time.Hour+2*time.Second)) // three in a row
 	want(time.Hour+2*time.Second, time.Second)
-	want(time.Hour+time.Second+changeTime+time.Millisecond, 5*time.Second)
+	want(time.Hour+time.Second+settingsTransition+time.Millisecond, 5*time.Second)
 	want(2*time.Hour, 6*time.Second)
-	d.set(settings(), at(3*time.Hour))
+	d.update(settings(), at(3*time.Hour))
 	want(4*time.Hour, shutdown.MaxAwaitedDeadline)
-	if len(d.former) > 1 {
-		t.Errorf("%d former ones are kept", len(d.former))
+	if len(d.previous) > 1 {
+		t.Errorf("%d former ones are kept", len(d.previous))
 	}
 }
 
--- a/internal/daemon/site_reload_test.go
+++ b/internal/daemon/site_reload_test.go
@@ -72,12 +72,12 @@
 	s := siteSidecar(t, &sites.Config{})
 	s.engine.RestoreSites(sites.Memory{Offered: 40, Sites: []sites.SiteMemory{{Site: "a", State: sites.Dark, Climb: time.Minute, Servers: 2}}})
 	l, _ := s.engine.Learned()
-	text, err := json.Marshal(note{l, s.engine.SiteMemory()})
+	text, err := json.Marshal(learnedState{l, s.engine.SiteMemory()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	next := siteSidecar(t, &sites.Config{})
-	var n note
+	var n learnedState
 	if err := json.Unmarshal(text, &n); err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n = note{}
+	n = learnedState{}
 	if err := json.Unmarshal(old, &n); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -19,154 +19,160 @@
 	"quillfront/roster"
 )
 
-// Standalone is a process that runs by the operator's file alone: the services there, and no front of the platform's.
+// Standalone is a process that is configured by the operator's file alone. It runs the services of
+// that file and, unlike a Sidecar, no front for the platform.
 type Standalone struct {
 	cfg      config.Config
 	log      *slog.Logger
 	sockets  *sockets.Budget
 	services *services.Services
-	peers    *peers // nil: there are no others
+	peers    *membership // nil: there are no other processes
 	serving  atomic.Bool
 
 	mu                sync.Mutex
-	absences          roster.Absences // what operators have taken out of the lists
-	away              bool            // they have it drained
-	applied, rejected int             // files
+	exclusions        roster.Absences // servers that operators have taken out of the lists
+	evacuated         bool            // drained by operators
+	applied, rejected int             // number of configuration files
 }
 
-// NewStandalone makes a process of op's services. It opens no socket.
+// NewStandalone creates a process for the services of op. It opens no socket.
 func NewStandalone(cfg config.Config, op config.Operator, log *slog.Logger) (*Standalone, error) {
-	o := &Standalone{cfg: cfg, log: log, sockets: sockets.New(cfg.Sockets)}
-	setMemory(cfg.MemoryMB, 1)
+	s := &Standalone{cfg: cfg, log: log, sockets: sockets.New(cfg.Sockets)}
+	setMemoryLimit(cfg.MemoryMB, 1)
 	var err error
-	if o.services, err = services.New(op.Services, op.Routes, int64(cfg.MemoryMB)<<20/8, o.sockets, log); err != nil {
+	if s.services, err = services.New(op.Services, op.Routes, int64(cfg.MemoryMB)<<20/8, s.sockets, log); err != nil {
 		return nil, err
 	}
-	o.sockets.OnShortage(o.services.MakeRoom, o.services.Evict)
-	if o.peers, err = newPeers(op.Members, cfg.Name, 1, false, o.services.Engines, log); err != nil {
-		o.services.Close()
+	s.sockets.OnShortage(s.services.MakeRoom, s.services.Evict)
+	if s.peers, err = newMembership(op.Members, cfg.Name, 1, false, s.services.Engines, log); err != nil {
+		s.services.Close()
 		return nil, err
 	}
-	return o, nil
+	return s, nil
 }
 
-// Run serves until ctx ends, and then has each service end as it is to.
-func (o *Standalone) Run(ctx context.Context) error {
-	defer o.services.Close()
-	beside, stop := context.WithCancel(context.Background()) // operators may ask while it ends
-	var helpers sync.WaitGroup
-	defer helpers.Wait()
-	defer stop()
-	part, leave := context.WithCancel(ctx) // among the others
+// Run serves until ctx ends and then shuts down every service gracefully.
+func (s *Standalone) Run(ctx context.Context) error {
+	defer s.services.Close()
+	// Ends with Run, not with ctx: operators may call during shutdown.
+	tasksCtx, stopTasks := context.WithCancel(context.Background())
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	defer stopTasks()
+	membershipCtx, leave := context.WithCancel(ctx)
 	defer leave()
-	if o.cfg.Management != "" {
-		ln, err := net.Listen("tcp", o.cfg.Management)
+	if s.cfg.Management != "" {
+		ln, err := net.Listen("tcp", s.cfg.Management)
 		if err != nil {
 			return err
 		}
-		server := management.New(ownOperated{o}, o.log)
-		o.log.Info("operators", "management", ln.Addr().String())
-		helpers.Go(func() {
-			if err := server.Serve(beside, ln); err != nil {
-				o.log.Error("management", "err", err)
+		server := management.New(managedStandalone{s}, s.log)
+		s.log.Info("operators", "management", ln.Addr().String())
+		tasks.Go(func() {
+			if err := server.Serve(tasksCtx, ln); err != nil {
+				s.log.Error("management: serving failed", "err", err)
 			}
 		})
 	}
-	if err := o.services.Listen(); err != nil {
+	if err := s.services.Listen(); err != nil {
 		return err
 	}
-	if err := o.peers.run(part, &helpers); err != nil {
+	if err := s.peers.run(membershipCtx, &tasks); err != nil {
 		return err
 	}
 	served := make(chan error, 1)
-	go func() { served <- o.services.Serve() }()
-	o.serving.Store(true)
-	o.log.Info("ready", "name", o.cfg.Name)
+	go func() { served <- s.services.Serve() }()
+	s.serving.Store(true)
+	s.log.Info("ready", "name", s.cfg.Name)
 	select {
 	case err := <-served:
 		return err
 	case <-ctx.Done():
 	}
-	o.serving.Store(false)
-	o.log.Info("draining")
-	o.services.Shutdown(context.Background()) // each ends within its patience
-	o.log.Info("drained")
+	s.serving.Store(false)
+	s.log.Info("draining")
+	s.services.Shutdown(context.Background()) // each service has a shutdown timeout of its own
+	s.log.Info("drained")
 	return <-served
 }
 
-// Addr returns where a service listens; see services.Services.
-func (o *Standalone) Addr(name string) string { return o.services.Addr(name) }
+// Addr returns the address that a service listens on; see services.Services.
+func (s *Standalone) Addr(name string) string { return s.services.Addr(name) }
 
-// Reload takes over what of op can change while the process runs; the log tells what takes a restart. With an error all stays as it was.
-func (o *Standalone) Reload(op config.Operator) error {
-	if err := o.services.Check(op.Services, op.Routes); err != nil {
+// Reload applies those parts of op that can change at run time. It logs whether the rest requires a
+// restart. If it returns an error, nothing has changed.
+func (s *Standalone) Reload(op config.Operator) error {
+	if err := s.services.Check(op.Services, op.Routes); err != nil {
 		return err
 	}
-	restart, err := o.services.Reload(op.Services, op.Routes)
+	restart, err := s.services.Reload(op.Services, op.Routes)
 	if err != nil {
 		return err
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.applied++
-	o.spread() // pools may be new
-	o.log.Info("reloaded", "restart_wanted", restart)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.applied++
+	s.applyExclusions() // the reload may have added pools
+	s.log.Info("reloaded", "restart_wanted", restart)
 	return nil
 }
 
-// ReloadFailed tells that a new file cannot be used, and that the old one stays.
-func (o *Standalone) ReloadFailed(err error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.rejected++
-	o.log.Error("reload: the old configuration stays", "err", err)
+// ReloadFailed records that a new configuration is invalid. The current one stays in effect.
+func (s *Standalone) ReloadFailed(err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.rejected++
+	s.log.Error("reload failed: the current configuration stays in effect", "err", err)
 }
 
-// spread makes what operators have taken out count in all pools. Called with the lock held.
-func (o *Standalone) spread() {
-	for _, e := range o.services.Engines() {
-		e.SetAbsences(o.absences.Clone())
+// applyExclusions applies the operators' exclusions to all pools, and connects all pools to the
+// membership. s.mu must be held.
+func (s *Standalone) applyExclusions() {
+	for _, e := range s.services.Engines() {
+		e.SetAbsences(s.exclusions.Clone())
 	}
-	o.peers.heed(o.services.Engines())
+	s.peers.attach(s.services.Engines())
 }
 
-// ownOperated is what operators may do to an Own.
-type ownOperated struct{ *Standalone }
+// managedStandalone provides the management API and the metrics of a Standalone. It implements
+// management.Operated and telemetry.Source.
+type managedStandalone struct{ *Standalone }
 
-// Ready is a method of management.Operated.
-func (o ownOperated) Ready() error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if !o.serving.Load() || o.away {
+// Ready returns nil if the process serves and is not drained.
+func (m managedStandalone) Ready() error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.serving.Load() || m.evacuated {
 		return management.ErrNotReady
 	}
 	return nil
 }
 
-// Exclude is a method of management.Operated. A server is out of all pools that list it.
-func (o ownOperated) Exclude(id policy.ServerID) error {
-	return o.change(func(a *roster.Absences) error { return a.Exclude(id, o.listed, time.Now().UnixMilli()) })
+// Exclude takes a server out of service in all pools that list it.
+func (m managedStandalone) Exclude(id policy.ServerID) error {
+	return m.updateExclusions(func(a *roster.Absences) error { return a.Exclude(id, m.listEntry, time.Now().UnixMilli()) })
 }
 
-// Include is a method of management.Operated.
-func (o ownOperated) Include(id policy.ServerID) error {
-	return o.change(func(a *roster.Absences) error { return a.Include(id, o.listed, time.Now().UnixMilli()) })
+// Include puts an excluded server back into service.
+func (m managedStandalone) Include(id policy.ServerID) error {
+	return m.updateExclusions(func(a *roster.Absences) error { return a.Include(id, m.listEntry, time.Now().UnixMilli()) })
 }
 
-func (o ownOperated) change(f func(*roster.Absences) error) error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	a := o.absences.Clone()
-	if err := f(&a); err != nil {
+func (m managedStandalone) updateExclusions(f func(*roster.Absences) error) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	updated := m.exclusions.Clone()
+	if err := f(&updated); err != nil {
 		return err
 	}
-	o.absences = a
-	o.spread()
+	m.exclusions = updated
+	m.applyExclusions()
 	return nil
 }
 
-func (o ownOperated) listed(id policy.ServerID) (roster.Entry, bool) {
-	for _, e := range o.services.Engines() {
+// listEntry returns a server's entry in the first pool that lists it.
+func (m managedStandalone) listEntry(id policy.ServerID) (roster.Entry, bool) {
+	for _, e := range m.services.Engines() {
 		if entry, ok := e.ListEntry(id); ok {
 			return entry, true
 		}
@@ -174,39 +180,41 @@
 	return roster.Entry{}, false
 }
 
-// Evacuate is a method of management.Operated.
-func (o ownOperated) Evacuate() error { return o.setAway(true) }
+// Evacuate begins to drain the process.
+func (m managedStandalone) Evacuate() error { return m.setEvacuated(true) }
 
-// Rejoin is a method of management.Operated.
-func (o ownOperated) Rejoin() error { return o.setAway(false) }
+// Rejoin ends the drain.
+func (m managedStandalone) Rejoin() error { return m.setEvacuated(false) }
 
-func (o ownOperated) setAway(is bool) error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.away = is
-	o.services.Evacuate(is)
+func (m managedStandalone) setEvacuated(evacuated bool) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.evacuated = evacuated
+	m.services.Evacuate(evacuated)
 	return nil
 }
 
-// Members is a method of management.Operated.
-func (o ownOperated) Members() http.Handler { return o.peers.handler() }
+// Members returns the handler for the other processes of the fleet, or nil if there are none.
+func (m managedStandalone) Members() http.Handler { return m.peers.handler() }
 
-// Metrics is a method of management.Operated.
-func (o ownOperated) Metrics() http.Handler { return telemetry.Handler(o) }
+// Metrics returns the handler for the metrics.
+func (m managedStandalone) Metrics() http.Handler { return telemetry.Handler(m) }
 
-// Waiting is a method of management.Operated.
-func (o ownOperated) Waiting(d time.Duration) []string { return linesOf(o.services.Waiting(d)) }
-
-// Counts is a method of telemetry.Source.
-func (o ownOperated) Counts() map[string]engine.Counts { return nil }
+// Waiting describes the requests that have waited for longer than d.
+func (m managedStandalone) Waiting(d time.Duration) []string {
+	return formatWaiting(m.services.Waiting(d))
+}
 
-// State is a method of telemetry.Source.
-func (o ownOperated) State() telemetry.State {
-	s := telemetry.State{Services: o.services.Figures(), Peers: o.peers.figures()}
-	s.Descriptors[0], s.Descriptors[1] = o.sockets.InUse()
-	s.Places[0], s.Places[1] = o.sockets.Limits()
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	s.Out, s.Evacuated, s.Applied, s.Rejected = len(o.absences.Out), o.away, o.applied, o.rejected
+// Counts returns nil, as there is no front for the platform.
+func (m managedStandalone) Counts() map[string]engine.Counts { return nil }
+
+// State returns the current values of the metrics.
+func (m managedStandalone) State() telemetry.State {
+	s := telemetry.State{Services: m.services.Figures(), Peers: m.peers.metrics()}
+	s.Descriptors[0], s.Descriptors[1] = m.sockets.InUse()
+	s.Places[0], s.Places[1] = m.sockets.Limits()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	s.Out, s.Evacuated, s.Applied, s.Rejected = len(m.exclusions.Out), m.evacuated, m.applied, m.rejected
 	return s
 }
