--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -17,17 +17,17 @@
 		strings.Repeat("x", 1000))
 	request := []byte(strings.ReplaceAll("POST /order/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\n"+
 		"Idempotency-Key: k\nX-Cost: 1000\nContent-Length: 200\n\n", "\n", "\r\n") + strings.Repeat("y", 200))
-	addr := peer(b, func(_ int, c net.Conn) {
+	addr := startServer(b, func(_ int, c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
-			if _, err := skim(r); err != nil {
+			if _, err := skipMessage(r); err != nil {
 				return
 			}
 			c.Write(answer)
 		}
 	})
-	w := start(b, nil, addr, "127.0.0.1:1", func(c *config.Config) { c.Settings.Config.MayProbe = false })
-	c, err := net.Dial("tcp", w.addr)
+	sc := startSidecar(b, nil, addr, "127.0.0.1:1", func(c *config.Config) { c.Settings.Config.MayProbe = false })
+	c, err := net.Dial("tcp", sc.addr)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -36,14 +36,14 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		c.Write(request)
-		if ok, err := skim(r); err != nil || !ok {
+		if ok, err := skipMessage(r); err != nil || !ok {
 			b.Fatalf("served %v, %v", ok, err)
 		}
 	}
 }
 
-// skim reads a message as cheaply as can be, and reports whether its first line tells of a 200.
-func skim(r *bufio.Reader) (ok bool, err error) {
+// skipMessage reads a message as cheaply as can be, and reports whether its first line tells of a 200.
+func skipMessage(r *bufio.Reader) (ok bool, err error) {
 	length := 0
 	for first := true; ; first = false {
 		line, err := r.ReadSlice('\n')
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -14,7 +14,7 @@
 
 func TestLoadConfig(t *testing.T) {
 	good := configText("127.0.0.1:1", "127.0.0.1:2")
-	c, err := loadText(t, good)
+	c, err := loadConfig(t, good)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 	}
 	// Guards against asking for more than small machines have: it would end the program at its start.
 	small := strings.Replace(good, `"memory_mb":128`, `"memory_mb":32`, 1)
-	if c, err := loadText(t, small); err != nil || c.MemoryMB != 32 {
+	if c, err := loadConfig(t, small); err != nil || c.MemoryMB != 32 {
 		t.Errorf("32 MB: %d, %v", c.MemoryMB, err)
 	}
 	tests := []struct{ name, old, new, want string }{
@@ -53,7 +53,7 @@
 			if text == good {
 				t.Fatal("the test changes nothing")
 			}
-			if _, err := loadText(t, text); err == nil || !strings.Contains(err.Error(), tt.want) {
+			if _, err := loadConfig(t, text); err == nil || !strings.Contains(err.Error(), tt.want) {
 				t.Errorf("error %v, want one that names %s", err, tt.want)
 			} else if strings.Contains(err.Error(), "\n") {
 				t.Errorf("error %q has more than one line", err)
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -22,94 +22,96 @@
 	"quillfront/policy"
 )
 
-// patience is how long a test waits for what must happen. It bounds a failure; no verdict hangs on it.
-const patience = 20 * time.Second
-
-// script is a decision module whose decisions the test makes. It records the events that it gets.
-type script struct {
-	request   func(now policy.Time, q policy.Request, act policy.Actions) // nil: send to server "a"
-	retune    func()                                                      // called as the settings change; nil: nothing is
-	outcome   func(o policy.Outcome, act policy.Actions)                  // nil: fail a request that is left open
-	outcomes  chan policy.Outcome
-	probed    chan policy.ProbeResult
-	members   chan membersEvent
-	withdrawn chan policy.RequestID
-	streaming chan policy.RequestID
-	uploaded  chan policy.RequestID
-	timers    chan string
-}
-
-type membersEvent struct {
+// testTimeout is how long a test waits for what must happen. It bounds a failure; no verdict hangs on it.
+const testTimeout = 20 * time.Second
+
+// scriptedModule is a decision module whose decisions the test makes. It records the events that it gets.
+type scriptedModule struct {
+	onRequest      func(now policy.Time, q policy.Request, act policy.Actions) // nil: send to server "a"
+	onReconfigure  func()                                                      // called as the settings change; nil: nothing is
+	onOutcome      func(o policy.Outcome, act policy.Actions)                  // nil: fail a request that is left open
+	outcomes       chan policy.Outcome
+	probeResults   chan policy.ProbeResult
+	lists          chan listEvent
+	disconnects    chan policy.RequestID
+	responseStarts chan policy.RequestID
+	uploads        chan policy.RequestID
+	timers         chan string
+}
+
+type listEvent struct {
 	kind    policy.ListKind
 	servers []policy.Server
 	act     policy.Actions
 }
 
-func newScript() *script {
-	return &script{
-		outcomes: make(chan policy.Outcome, 1000), probed: make(chan policy.ProbeResult, 1000),
-		members: make(chan membersEvent, 1000), withdrawn: make(chan policy.RequestID, 1000),
-		timers: make(chan string, 1000), streaming: make(chan policy.RequestID, 1000), uploaded: make(chan policy.RequestID, 1000),
+func newScriptedModule() *scriptedModule {
+	return &scriptedModule{
+		outcomes: make(chan policy.Outcome, 1000), probeResults: make(chan policy.ProbeResult, 1000),
+		lists: make(chan listEvent, 1000), disconnects: make(chan policy.RequestID, 1000),
+		timers: make(chan string, 1000), responseStarts: make(chan policy.RequestID, 1000), uploads: make(chan policy.RequestID, 1000),
 	}
 }
 
-func (s *script) UpdateServers(_ policy.Time, kind policy.ListKind, l []policy.Server, act policy.Actions) {
-	s.members <- membersEvent{kind, l, act}
+func (s *scriptedModule) UpdateServers(_ policy.Time, kind policy.ListKind, l []policy.Server, act policy.Actions) {
+	s.lists <- listEvent{kind, l, act}
 }
 
-func (s *script) Request(now policy.Time, q policy.Request, act policy.Actions) {
-	if s.request == nil {
+func (s *scriptedModule) Request(now policy.Time, q policy.Request, act policy.Actions) {
+	if s.onRequest == nil {
 		act.Send(q.ID, "a", q.Expires-now)
 		return
 	}
-	s.request(now, q, act)
+	s.onRequest(now, q, act)
 }
 
-func (s *script) Outcome(_ policy.Time, o policy.Outcome, act policy.Actions) {
-	if s.outcome != nil {
-		s.outcome(o, act)
+func (s *scriptedModule) Outcome(_ policy.Time, o policy.Outcome, act policy.Actions) {
+	if s.onOutcome != nil {
+		s.onOutcome(o, act)
 	} else if !o.Final {
 		act.Fail(o.ID)
 	}
 	s.outcomes <- o
 }
 
-func (s *script) Probed(_ policy.Time, p policy.ProbeResult, _ policy.Actions) { s.probed <- p }
+func (s *scriptedModule) Probed(_ policy.Time, p policy.ProbeResult, _ policy.Actions) {
+	s.probeResults <- p
+}
 
-func (s *script) ClientDisconnected(_ policy.Time, id policy.RequestID, _ policy.Actions) {
-	s.withdrawn <- id
+func (s *scriptedModule) ClientDisconnected(_ policy.Time, id policy.RequestID, _ policy.Actions) {
+	s.disconnects <- id
 }
 
-func (s *script) DiscoveryMoved(_ policy.Time, act policy.Actions) { act.Watch(true) }
+func (s *scriptedModule) DiscoveryMoved(_ policy.Time, act policy.Actions) { act.Watch(true) }
 
-func (s *script) ResponseStarted(_ policy.Time, id policy.RequestID, _ int, _ policy.Actions) {
-	s.streaming <- id
+func (s *scriptedModule) ResponseStarted(_ policy.Time, id policy.RequestID, _ int, _ policy.Actions) {
+	s.responseStarts <- id
 }
 
-func (s *script) UploadComplete(_ policy.Time, id policy.RequestID, _ policy.Actions) {
-	s.uploaded <- id
+func (s *scriptedModule) UploadComplete(_ policy.Time, id policy.RequestID, _ policy.Actions) {
+	s.uploads <- id
 }
 
-func (s *script) StopSending(policy.Time, policy.RequestID, policy.Actions) {}
+func (s *scriptedModule) StopSending(policy.Time, policy.RequestID, policy.Actions) {}
 
-func (s *script) GiveUp(_ policy.Time, id policy.RequestID, act policy.Actions) { act.Fail(id) }
+func (s *scriptedModule) GiveUp(_ policy.Time, id policy.RequestID, act policy.Actions) { act.Fail(id) }
 
-func (s *script) Reconfigure(policy.Config) error {
-	if s.retune != nil {
-		s.retune()
+func (s *scriptedModule) Reconfigure(policy.Config) error {
+	if s.onReconfigure != nil {
+		s.onReconfigure()
 	}
 	return nil
 }
 
-func (s *script) Timer(_ policy.Time, token string, _ policy.Actions) { s.timers <- token }
+func (s *scriptedModule) Timer(_ policy.Time, token string, _ policy.Actions) { s.timers <- token }
 
-// next waits for something to come from c.
-func next[T any](t testing.TB, what string, c <-chan T) T {
+// receive waits for something to come from c.
+func receive[T any](t testing.TB, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("no %s", what)
 		panic("unreachable")
 	}
@@ -118,7 +120,7 @@
 // eventually waits until ok.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
@@ -144,8 +146,8 @@
 "settings":%s}`, discovery, dial, settingsText)
 }
 
-// loadText reads a configuration from its text.
-func loadText(t testing.TB, text string) (config.Config, error) {
+// loadConfig reads a configuration from its text.
+func loadConfig(t testing.TB, text string) (config.Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -159,18 +161,18 @@
 	})
 }
 
-// world is a running sidecar.
-type world struct {
+// testSidecar is a running sidecar.
+type testSidecar struct {
 	*Sidecar
-	addr string
-	term context.CancelFunc // what SIGTERM does
-	over chan error         // what Run returned
+	addr      string
+	terminate context.CancelFunc // what SIGTERM does
+	done      chan error         // what Run returned
 }
 
-// start runs a sidecar under m, or under the real module if m is nil, until the test ends.
-func start(t testing.TB, m *script, dial, discovery string, change ...func(*config.Config)) *world {
+// startSidecar runs a sidecar under m, or under the real module if m is nil, until the test ends.
+func startSidecar(t testing.TB, m *scriptedModule, dial, discovery string, change ...func(*config.Config)) *testSidecar {
 	t.Helper()
-	cfg, err := loadText(t, configText(dial, discovery))
+	cfg, err := loadConfig(t, configText(dial, discovery))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,74 +185,74 @@
 		if s, err = newSidecar(cfg, config.Operator{}, m, log); err != nil {
 			t.Fatal(err)
 		}
-		next(t, "cached list", m.members)
+		receive(t, "cached list", m.lists)
 	} else if s, err = New(cfg, config.Operator{}, log); err != nil {
 		t.Fatal(err)
 	}
-	return serve(t, s)
+	return serveSidecar(t, s)
 }
 
-// serve has s serve until the test ends.
-func serve(t testing.TB, s *Sidecar) *world {
+// serveSidecar has s serveSidecar until the test ends.
+func serveSidecar(t testing.TB, s *Sidecar) *testSidecar {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &world{Sidecar: s, addr: ln.Addr().String(), term: cancel, over: make(chan error, 1)}
-	go func() { w.over <- s.Serve(ctx, ln.(*net.TCPListener)) }()
+	sc := &testSidecar{Sidecar: s, addr: ln.Addr().String(), terminate: cancel, done: make(chan error, 1)}
+	go func() { sc.done <- s.Serve(ctx, ln.(*net.TCPListener)) }()
 	t.Cleanup(func() {
 		cancel()
 		s.server.CloseAll()
 	})
-	return w
+	return sc
 }
 
-// act does what the module could.
-func (w *world) act(f func(act policy.Actions)) {
-	w.engine.RunAsEvent(func(_ policy.Time, act policy.Actions) { f(act) })
+// runActions does what the module could.
+func (sc *testSidecar) runActions(f func(act policy.Actions)) {
+	sc.engine.RunAsEvent(func(_ policy.Time, act policy.Actions) { f(act) })
 }
 
-// settled waits until the one idle connection to a server may carry the next request.
-func (w *world) settled(t *testing.T) {
+// waitReusableConn waits until the one idle connection to a server may carry the next request.
+func (sc *testSidecar) waitReusableConn(t *testing.T) {
 	t.Helper()
-	eventually(t, "an idle connection that has rested", func() bool { s := w.transport.Stats(); return s.Idle == 1 && s.Settling == 0 })
+	eventually(t, "an idle connection that has rested", func() bool { s := sc.transport.Stats(); return s.Idle == 1 && s.Settling == 0 })
 }
 
 // inUse and clients tell how many descriptors are taken, places and clientPlaces how many there are.
-func (w *world) inUse() int        { n, _ := w.sockets.InUse(); return n }
-func (w *world) clients() int      { _, n := w.sockets.InUse(); return n }
-func (w *world) places() int       { n, _ := w.sockets.Limits(); return n }
-func (w *world) clientPlaces() int { _, n := w.sockets.Limits(); return n }
+func (sc *testSidecar) inUse() int        { n, _ := sc.sockets.InUse(); return n }
+func (sc *testSidecar) clientsInUse() int { _, n := sc.sockets.InUse(); return n }
+func (sc *testSidecar) limit() int        { n, _ := sc.sockets.Limits(); return n }
+func (sc *testSidecar) clientLimit() int  { _, n := sc.sockets.Limits(); return n }
 
 // connect opens a client's connection.
-func (w *world) connect(t *testing.T) *client {
+func (sc *testSidecar) connect(t *testing.T) *testClient {
 	t.Helper()
-	c, err := net.Dial("tcp", w.addr)
+	c, err := net.Dial("tcp", sc.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	return &client{c, bufio.NewReader(c)}
+	c.SetDeadline(time.Now().Add(testTimeout))
+	return &testClient{c, bufio.NewReader(c)}
 }
 
-type client struct {
+type testClient struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-var lastID atomic.Int64
+var lastRequestID atomic.Int64
 
 // write writes a request with CRLF for each newline, and a new id in place of 1: an id is never open twice.
-func (c *client) write(text string) {
-	text = strings.Replace(text, "X-Request-ID: 1\n", fmt.Sprintf("X-Request-ID: u%d\n", lastID.Add(1)), 1)
+func (c *testClient) write(text string) {
+	text = strings.Replace(text, "X-Request-ID: 1\n", fmt.Sprintf("X-Request-ID: u%d\n", lastRequestID.Add(1)), 1)
 	io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n"))
 }
 
 // read reads an answer.
-func (c *client) read(t *testing.T) (*http.Response, string) {
+func (c *testClient) read(t *testing.T) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -263,18 +265,18 @@
 	return resp, string(body)
 }
 
-// ask sends a request and reads the answer.
-func (w *world) ask(t *testing.T, text string) (*http.Response, string) {
+// roundTrip sends a request and reads the answer.
+func (sc *testSidecar) roundTrip(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
-	c := w.connect(t)
+	c := sc.connect(t)
 	c.write(text)
 	return c.read(t)
 }
 
 const plainGet = "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\n\n"
 
-// peer is a server: it runs serve on each connection that comes, and returns its address.
-func peer(t testing.TB, serve func(n int, c net.Conn)) string {
+// startServer is a server: it runs serve on each connection that comes, and returns its address.
+func startServer(t testing.TB, serve func(n int, c net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -305,8 +307,8 @@
 	return ln.Addr().String()
 }
 
-// answering serves each request of a connection by reply.
-func answering(reply func(q *http.Request, c net.Conn)) func(int, net.Conn) {
+// respondWith serves each request of a connection by reply.
+func respondWith(reply func(q *http.Request, c net.Conn)) func(int, net.Conn) {
 	return func(_ int, c net.Conn) {
 		defer c.Close()
 		r := bufio.NewReader(c)
@@ -321,31 +323,31 @@
 	}
 }
 
-// say answers every request with text.
-func say(text string) func(int, net.Conn) {
-	return answering(func(q *http.Request, c net.Conn) {
+// respondText answers every request with text.
+func respondText(text string) func(int, net.Conn) {
+	return respondWith(func(q *http.Request, c net.Conn) {
 		io.Copy(io.Discard, q.Body)
 		io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n"))
 	})
 }
 
-const okAnswer = "HTTP/1.1 200 OK\nContent-Length: 2\n\nok"
+const okResponse = "HTTP/1.1 200 OK\nContent-Length: 2\n\nok"
 
-// lister is a discovery: it serves watches: each gets a channel on which the test says its lines.
-type lister struct {
+// fakeDiscovery is a discovery: it serves watches: each gets a channel on which the test says its lines.
+type fakeDiscovery struct {
 	addr    string
 	watches chan *watchConn
 }
 
 type watchConn struct {
 	net.Conn
-	query string
-	at    time.Time // when it was asked for
+	query       string
+	requestedAt time.Time // when it was asked for
 }
 
-func newDiscovery(t *testing.T) *lister {
-	d := &lister{watches: make(chan *watchConn, 100)}
-	d.addr = peer(t, func(_ int, c net.Conn) {
+func newFakeDiscovery(t *testing.T) *fakeDiscovery {
+	d := &fakeDiscovery{watches: make(chan *watchConn, 100)}
+	d.addr = startServer(t, func(_ int, c net.Conn) {
 		q, err := http.ReadRequest(bufio.NewReader(c))
 		if err != nil {
 			c.Close()
@@ -356,12 +358,12 @@
 	return d
 }
 
-func (w *watchConn) head() {
-	io.WriteString(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+func (c *watchConn) writeHead() {
+	io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-// line says one line of the watch.
-func (w *watchConn) line(text string) { fmt.Fprintf(w, "%x\r\n%s\n\r\n", len(text)+1, text) }
+// writeMessage says one writeMessage of the watch.
+func (c *watchConn) writeMessage(text string) { fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(text)+1, text) }
 
 func isTimeout(err error) bool {
 	var ne net.Error
@@ -381,8 +383,8 @@
 	return lerr
 }
 
-// contextThatEnded returns a context that has ended.
-func contextThatEnded(t *testing.T) (context.Context, context.CancelFunc) {
+// canceledContext returns a context that has ended.
+func canceledContext(t *testing.T) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	return ctx, cancel
--- a/internal/daemon/probe_test.go
+++ b/internal/daemon/probe_test.go
@@ -18,26 +18,26 @@
 		want  policy.Status
 		load  *policy.Load
 	}{
-		{"report", say("HTTP/1.1 200 OK\nContent-Length: 31\n\nTEXT eps=0.5, queue=2, util=0.1"), policy.OK, load},
-		{"no report", say("HTTP/1.1 200 OK\nContent-Length: 0\n\n"), policy.OK, nil},
-		{"broken report", say("HTTP/1.1 200 OK\nContent-Length: 9\n\n\x00=,queue="), policy.OK, nil},
-		{"turned away", say("HTTP/1.1 503 No\nContent-Length: 0\n\n"), policy.Overloaded, nil},
-		{"not there", say("HTTP/1.1 404 No\nContent-Length: 0\n\n"), policy.AppError, nil},
+		{"report", respondText("HTTP/1.1 200 OK\nContent-Length: 31\n\nTEXT eps=0.5, queue=2, util=0.1"), policy.OK, load},
+		{"no report", respondText("HTTP/1.1 200 OK\nContent-Length: 0\n\n"), policy.OK, nil},
+		{"broken report", respondText("HTTP/1.1 200 OK\nContent-Length: 9\n\n\x00=,queue="), policy.OK, nil},
+		{"turned away", respondText("HTTP/1.1 503 No\nContent-Length: 0\n\n"), policy.Overloaded, nil},
+		{"not there", respondText("HTTP/1.1 404 No\nContent-Length: 0\n\n"), policy.AppError, nil},
 		{"break", func(_ int, c net.Conn) { io.ReadFull(c, make([]byte, 20)); c.Close() }, policy.Reset, nil},
-		{"broken HTTP", say("HELLO\n\n"), policy.Reset, nil},
+		{"broken HTTP", respondText("HELLO\n\n"), policy.Reset, nil},
 		{"silence", func(int, net.Conn) {}, policy.Timeout, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			m := newScript()
-			w := start(t, m, peer(t, tt.serve), "127.0.0.1:1")
-			w.act(func(act policy.Actions) { act.Probe("a") })
-			p := next(t, "result", m.probed)
+			m := newScriptedModule()
+			sc := startSidecar(t, m, startServer(t, tt.serve), "127.0.0.1:1")
+			sc.runActions(func(act policy.Actions) { act.Probe("a") })
+			p := receive(t, "result", m.probeResults)
 			if p.Server != "a" || p.Status != tt.want || !reflect.DeepEqual(p.Load, tt.load) {
 				t.Errorf("result %v, load %+v; want %v, %+v", p.Status, p.Load, tt.want, tt.load)
 			}
-			if w.engine.Snapshot().Probing != 0 {
-				t.Errorf("%d probes under way", w.engine.Snapshot().Probing)
+			if sc.engine.Snapshot().Probing != 0 {
+				t.Errorf("%d probes under way", sc.engine.Snapshot().Probing)
 			}
 		})
 	}
@@ -46,9 +46,9 @@
 // TestProbesAreBounded: one beyond the bound, or of a server that is not listed, counts as never sent.
 func TestProbesAreBounded(t *testing.T) {
 	asked := make(chan string, 2*64)
-	m := newScript()
-	w := start(t, m, peer(t, answering(func(q *http.Request, c net.Conn) { asked <- q.RequestURI })), "127.0.0.1:1")
-	w.act(func(act policy.Actions) {
+	m := newScriptedModule()
+	sc := startSidecar(t, m, startServer(t, respondWith(func(q *http.Request, c net.Conn) { asked <- q.RequestURI })), "127.0.0.1:1")
+	sc.runActions(func(act policy.Actions) {
 		for range 64 + 5 {
 			act.Probe("a")
 		}
@@ -56,14 +56,14 @@
 	})
 	moot := 0
 	for range 64 + 6 {
-		if p := next(t, "result", m.probed); p.Status == policy.NotSent {
+		if p := receive(t, "result", m.probeResults); p.Status == policy.NotSent {
 			moot++
 		}
 	}
 	if moot != 6 || len(asked) > 64 {
 		t.Errorf("%d moot and %d sent, want 6 and at most %d", moot, len(asked), 64)
 	}
-	if path := next(t, "probe", asked); path != "/load" {
+	if path := receive(t, "probe", asked); path != "/load" {
 		t.Errorf("probe of %s", path)
 	}
 }
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -20,28 +20,28 @@
 	"quillfront/policy"
 )
 
-// seen is a request as an upstream has it.
-type seen struct {
-	line   string // method and target as they stand on the wire
-	header http.Header
-	sum    [sha256.Size]byte
-	length int
+// receivedRequest is a request as an upstream has it.
+type receivedRequest struct {
+	line       string // method and target as they stand on the wire
+	header     http.Header
+	bodySum    [sha256.Size]byte
+	bodyLength int
 }
 
-// recording answers requests with okAnswer and tells what it saw.
-func recording(t *testing.T) (string, chan seen) {
-	got := make(chan seen, 100)
-	return peer(t, answering(func(q *http.Request, c net.Conn) {
+// startRecordingServer answers requests with okAnswer and tells what it saw.
+func startRecordingServer(t *testing.T) (string, chan receivedRequest) {
+	got := make(chan receivedRequest, 100)
+	return startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		body, _ := io.ReadAll(q.Body)
-		got <- seen{q.Method + " " + q.RequestURI, q.Header, sha256.Sum256(body), len(body)}
-		io.WriteString(c, strings.ReplaceAll(okAnswer, "\n", "\r\n"))
+		got <- receivedRequest{q.Method + " " + q.RequestURI, q.Header, sha256.Sum256(body), len(body)}
+		io.WriteString(c, strings.ReplaceAll(okResponse, "\n", "\r\n"))
 	})), got
 }
 
 // TestForwardsUnchanged guards what an upstream tells repeats by, and paths that a mux or a URL parser rewrites.
 func TestForwardsUnchanged(t *testing.T) {
-	addr, got := recording(t)
-	w := start(t, newScript(), addr, "127.0.0.1:1")
+	addr, got := startRecordingServer(t)
+	sc := startSidecar(t, newScriptedModule(), addr, "127.0.0.1:1")
 	big := strings.Repeat("0123456789abcdef", httpmsg.MaxWhole/16)
 	tests := []struct{ name, line, headers, body string }{
 		{"plain", "GET /read/k", "", ""},
@@ -57,16 +57,16 @@
 			if strings.HasPrefix(tt.line, "POST") {
 				text += fmt.Sprintf("Content-Length: %d\n", len(tt.body))
 			}
-			resp, body := w.ask(t, text+"\n"+tt.body)
+			resp, body := sc.roundTrip(t, text+"\n"+tt.body)
 			if resp.StatusCode != http.StatusOK || body != "ok" {
 				t.Fatalf("answer %d %q", resp.StatusCode, body)
 			}
-			s := next(t, "request", got)
+			s := receive(t, "request", got)
 			if s.line != tt.line {
 				t.Errorf("request line %q, want %q", s.line, tt.line)
 			}
-			if s.length != len(tt.body) || s.sum != sha256.Sum256([]byte(tt.body)) {
-				t.Errorf("body of %d bytes is not the client's", s.length)
+			if s.bodyLength != len(tt.body) || s.bodySum != sha256.Sum256([]byte(tt.body)) {
+				t.Errorf("body of %d bytes is not the client's", s.bodyLength)
 			}
 			if id := s.header.Get("X-Request-Id"); id != fmt.Sprint("id", i) {
 				t.Errorf("X-Request-ID %q", id)
@@ -80,12 +80,12 @@
 
 // TestChunkedBodiesAreForwarded: their parts come to the upstream in one piece, and one that breaks off does not.
 func TestChunkedBodiesAreForwarded(t *testing.T) {
-	addr, got := recording(t)
-	w := start(t, newScript(), addr, "127.0.0.1:1")
+	addr, got := startRecordingServer(t)
+	sc := startSidecar(t, newScriptedModule(), addr, "127.0.0.1:1")
 	head := "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\nTransfer-Encoding: chunked\n\n"
 	for _, n := range []int{0, 1, 8 << 10, httpmsg.MaxWhole} {
 		body := strings.Repeat("0123456789abcdef", n/16+1)[:n]
-		c := w.connect(t)
+		c := sc.connect(t)
 		c.write(head)
 		if n > 0 {
 			fmt.Fprintf(c, "%x\r\n%s\r\n", n, body)
@@ -94,11 +94,11 @@
 		if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
 			t.Errorf("%d bytes: answer %d", n, resp.StatusCode)
 		}
-		if s := next(t, "request", got); s.length != n || s.sum != sha256.Sum256([]byte(body)) {
-			t.Errorf("%d bytes came as %d, or changed", n, s.length)
+		if s := receive(t, "request", got); s.bodyLength != n || s.bodySum != sha256.Sum256([]byte(body)) {
+			t.Errorf("%d bytes came as %d, or changed", n, s.bodyLength)
 		}
 	}
-	c := w.connect(t)
+	c := sc.connect(t)
 	c.write(head)
 	fmt.Fprintf(c, "%x\r\n%s\r\n", 5, "hello")
 	c.Conn.(*net.TCPConn).CloseWrite()
@@ -109,12 +109,12 @@
 
 // TestWaitIsPassedOn: X-Timeout-Ms tells the upstream how long the sidecar waits, not what the client said.
 func TestWaitIsPassedOn(t *testing.T) {
-	addr, got := recording(t)
-	m := newScript()
-	m.request = func(_ policy.Time, q policy.Request, act policy.Actions) { act.Send(q.ID, "a", 700*time.Millisecond) }
-	w := start(t, m, addr, "127.0.0.1:1")
-	w.ask(t, plainGet)
-	ms, err := strconv.Atoi(next(t, "request", got).header.Get("X-Timeout-Ms"))
+	addr, got := startRecordingServer(t)
+	m := newScriptedModule()
+	m.onRequest = func(_ policy.Time, q policy.Request, act policy.Actions) { act.Send(q.ID, "a", 700*time.Millisecond) }
+	sc := startSidecar(t, m, addr, "127.0.0.1:1")
+	sc.roundTrip(t, plainGet)
+	ms, err := strconv.Atoi(receive(t, "request", got).header.Get("X-Timeout-Ms"))
 	if err != nil || ms < 1 || ms > 700 {
 		t.Errorf("X-Timeout-Ms is %d, %v; want at most 700", ms, err)
 	}
@@ -127,12 +127,12 @@
 		left time.Duration
 	}
 	events := make(chan event, 10)
-	m := newScript()
-	m.request = func(now policy.Time, q policy.Request, act policy.Actions) {
+	m := newScriptedModule()
+	m.onRequest = func(now policy.Time, q policy.Request, act policy.Actions) {
 		events <- event{q, q.Expires - now}
 		act.Fail(q.ID)
 	}
-	w := start(t, m, "127.0.0.1:1", "127.0.0.1:1")
+	sc := startSidecar(t, m, "127.0.0.1:1", "127.0.0.1:1")
 	tests := []struct {
 		name, request string
 		want          policy.Request
@@ -148,10 +148,10 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if resp, _ := w.ask(t, tt.request); resp.StatusCode != http.StatusBadGateway {
+			if resp, _ := sc.roundTrip(t, tt.request); resp.StatusCode != http.StatusBadGateway {
 				t.Errorf("answer %d to a request that the module fails", resp.StatusCode)
 			}
-			e := next(t, "event", events)
+			e := receive(t, "event", events)
 			got := e.Request
 			got.ID, got.Expires = 0, 0
 			tt.want.ClientTimeout = tt.left
@@ -167,12 +167,12 @@
 
 // TestIllegalRequests: what is malformed is answered, and comes neither to the module nor to an upstream.
 func TestIllegalRequests(t *testing.T) {
-	m := newScript()
-	m.request = func(_ policy.Time, q policy.Request, act policy.Actions) {
+	m := newScriptedModule()
+	m.onRequest = func(_ policy.Time, q policy.Request, act policy.Actions) {
 		t.Errorf("the module got %+v", q)
 		act.Fail(q.ID)
 	}
-	w := start(t, m, "127.0.0.1:1", "127.0.0.1:1")
+	sc := startSidecar(t, m, "127.0.0.1:1", "127.0.0.1:1")
 	tests := []struct {
 		name, request string
 		want          int
@@ -205,7 +205,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c := w.connect(t)
+			c := sc.connect(t)
 			go c.write(tt.request)
 			resp, err := http.ReadResponse(c.r, nil)
 			if err != nil || resp.StatusCode != tt.want {
@@ -214,7 +214,7 @@
 		})
 	}
 	t.Run("healthz", func(t *testing.T) {
-		if resp, _ := w.ask(t, "GET /healthz HTTP/1.1\nHost: s\n\n"); resp.StatusCode != 200 {
+		if resp, _ := sc.roundTrip(t, "GET /healthz HTTP/1.1\nHost: s\n\n"); resp.StatusCode != 200 {
 			t.Errorf("answer %d", resp.StatusCode)
 		}
 	})
@@ -224,7 +224,7 @@
 // that failed are not all its retries, begun when it began, and so must not be ended as late. A true retry is.
 func TestFreshRequestsAreNotTakenForRetries(t *testing.T) {
 	var healthy atomic.Bool
-	addr := peer(t, answering(func(q *http.Request, c net.Conn) {
+	addr := startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		text := "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 		if healthy.Load() {
 			text = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -232,22 +232,22 @@
 		io.WriteString(c, text)
 	}))
 	const aim = 1500 * time.Millisecond
-	w := start(t, nil, addr, "127.0.0.1:1", func(c *config.Config) {
+	sc := startSidecar(t, nil, addr, "127.0.0.1:1", func(c *config.Config) {
 		c.Settings.Config.MayProbe = false
 		for i := range c.Settings.Config.Classes {
 			c.Settings.Config.Classes[i].Aim = aim
 		}
 	})
 	text := "GET /read HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 5000\nX-Cost: %d\n\n"
-	if resp, _ := w.ask(t, fmt.Sprintf(text, 1000)); resp.StatusCode == http.StatusOK {
+	if resp, _ := sc.roundTrip(t, fmt.Sprintf(text, 1000)); resp.StatusCode == http.StatusOK {
 		t.Fatalf("answer %d", resp.StatusCode)
 	}
 	healthy.Store(true)
 	time.Sleep(aim + 50*time.Millisecond) // what the failed one would be worth is gone
-	if resp, _ := w.ask(t, fmt.Sprintf(text, 1500)); resp.StatusCode != http.StatusOK {
+	if resp, _ := sc.roundTrip(t, fmt.Sprintf(text, 1500)); resp.StatusCode != http.StatusOK {
 		t.Errorf("answer %d to a fresh request", resp.StatusCode)
 	}
-	if resp, _ := w.ask(t, fmt.Sprintf(text, 1000)); resp.StatusCode == http.StatusOK {
+	if resp, _ := sc.roundTrip(t, fmt.Sprintf(text, 1000)); resp.StatusCode == http.StatusOK {
 		t.Errorf("answer %d to a retry whose aim has passed", resp.StatusCode)
 	}
 }
@@ -258,7 +258,7 @@
 	var slow atomic.Bool
 	slow.Store(true)
 	const aim = 100 * time.Millisecond
-	addr := peer(t, answering(func(q *http.Request, c net.Conn) {
+	addr := startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		text := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 		if q.URL.Path == "/load" {
 			text = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nqueue=0"
@@ -267,17 +267,17 @@
 		}
 		io.WriteString(c, text)
 	}))
-	w := start(t, nil, addr, "127.0.0.1:1", func(c *config.Config) {
+	sc := startSidecar(t, nil, addr, "127.0.0.1:1", func(c *config.Config) {
 		for i := range c.Settings.Config.Classes {
 			c.Settings.Config.Classes[i].Aim, c.Settings.Config.Classes[i].LateShare = aim, 0.5
 		}
 	})
 	for range 6 {
-		w.ask(t, plainGet)
+		sc.roundTrip(t, plainGet)
 	}
 	slow.Store(false)
 	for range 3 {
-		if resp, _ := w.ask(t, plainGet); resp.StatusCode != http.StatusOK {
+		if resp, _ := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK {
 			t.Errorf("answer %d, though the upstream is idle", resp.StatusCode)
 		}
 	}
@@ -286,8 +286,8 @@
 // TestIdleClientsEnd: a client that has asked once and keeps its connection holds a descriptor for about 2 s, not for
 // good.
 func TestIdleClientsEnd(t *testing.T) {
-	w := start(t, newScript(), peer(t, say(okAnswer)), "127.0.0.1:1")
-	c := w.connect(t)
+	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1")
+	c := sc.connect(t)
 	began := time.Now() // before the connection falls idle: the bound below holds on a slow machine too
 	c.write(plainGet)
 	c.read(t)
@@ -296,7 +296,7 @@
 	}
 	if d := time.Since(began); d < 2*time.Second {
 		t.Errorf("closed after %v: 2 s are owed", d)
-	} else if d > patience/2 {
+	} else if d > testTimeout/2 {
 		t.Errorf("closed after %v", d)
 	}
 }
@@ -304,20 +304,20 @@
 // TestOneIdOpenOnce: while a request is open another under its id is turned away, on whatever connection, and does not
 // disturb it; afterwards the id is free again.
 func TestOneIdOpenOnce(t *testing.T) {
-	g := newGate(t)
-	w := start(t, newScript(), g.addr, "127.0.0.1:1")
+	g := newGatedServer(t)
+	sc := startSidecar(t, newScriptedModule(), g.addr, "127.0.0.1:1")
 	text := strings.Replace(plainGet, "ID: 1", "ID: twice", 1)
-	first := w.connect(t)
+	first := sc.connect(t)
 	first.write(text)
-	next(t, "request", g.arrived)
-	if resp, _ := w.ask(t, text); resp.StatusCode != http.StatusConflict || !resp.Close {
+	receive(t, "request", g.requests)
+	if resp, _ := sc.roundTrip(t, text); resp.StatusCode != http.StatusConflict || !resp.Close {
 		t.Errorf("answer %d to the second, closes: %v", resp.StatusCode, resp.Close)
 	}
-	close(g.open)
+	close(g.gate)
 	if resp, body := first.read(t); resp.StatusCode != http.StatusOK || body != "ok" {
 		t.Errorf("answer %d %q to the first", resp.StatusCode, body)
 	}
-	if resp, _ := w.ask(t, text); resp.StatusCode != http.StatusOK {
+	if resp, _ := sc.roundTrip(t, text); resp.StatusCode != http.StatusOK {
 		t.Errorf("answer %d once the first has ended", resp.StatusCode)
 	}
 }
@@ -325,34 +325,34 @@
 // TestBehindAnOpenRequest: a client that writes a second request before the first is answered is turned away, and what
 // it had open is called off rather than answered out of turn.
 func TestBehindAnOpenRequest(t *testing.T) {
-	g := newGate(t)
-	m := newScript()
-	w := start(t, m, g.addr, "127.0.0.1:1")
-	c := w.connect(t)
+	g := newGatedServer(t)
+	m := newScriptedModule()
+	sc := startSidecar(t, m, g.addr, "127.0.0.1:1")
+	c := sc.connect(t)
 	c.write(plainGet)
-	next(t, "request", g.arrived)
+	receive(t, "request", g.requests)
 	c.write(plainGet)
 	if resp, _ := c.read(t); resp.StatusCode != http.StatusBadRequest || !resp.Close {
 		t.Errorf("answer %d, closes: %v", resp.StatusCode, resp.Close)
 	}
-	next(t, "Withdrawn", m.withdrawn)
-	close(g.open)
+	receive(t, "Withdrawn", m.disconnects)
+	close(g.gate)
 }
 
 // TestBadClientsEnd: silence, a head without end and half a body each get an error or a close within the 3 s that are
 // owed (the test allows what a slow machine needs), and nothing of them is left.
 func TestBadClientsEnd(t *testing.T) {
-	m := newScript()
-	m.request = func(_ policy.Time, q policy.Request, act policy.Actions) {
+	m := newScriptedModule()
+	m.onRequest = func(_ policy.Time, q policy.Request, act policy.Actions) {
 		t.Errorf("the module got %+v", q)
 		act.Fail(q.ID)
 	}
-	w := start(t, m, "127.0.0.1:1", "127.0.0.1:1")
+	sc := startSidecar(t, m, "127.0.0.1:1", "127.0.0.1:1")
 	for _, text := range []string{
 		"", "GET /read/k HTTP/1.1\nHost: s\nX-", "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 9\n\nhalf",
 		"POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nTransfer-Encoding: chunked\n\n9\nhalf",
 	} {
-		c := w.connect(t)
+		c := sc.connect(t)
 		c.write(text)
 		resp, err := http.ReadResponse(c.r, nil)
 		if err == nil && resp.StatusCode < 400 {
@@ -362,14 +362,14 @@
 		}
 	}
 	eventually(t, "nothing is left of them", func() bool {
-		return w.server.Stats().Open == 0 && w.bodyBudget.TryAcquire(128<<20/8)
+		return sc.server.Stats().Open == 0 && sc.bodyBudget.TryAcquire(128<<20/8)
 	})
 }
 
 // TestTimeRunsFromTheLastByte guards against charging a slow client for the time it takes to write.
 func TestTimeRunsFromTheLastByte(t *testing.T) {
-	w := start(t, newScript(), peer(t, say(okAnswer)), "127.0.0.1:1")
-	c := w.connect(t)
+	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1")
+	c := sc.connect(t)
 	c.write("POST /pay/k HTTP/1.1\nHost: s\nX-Reque")
 	time.Sleep(600 * time.Millisecond)
 	c.write("st-ID: 1\nX-Timeout-Ms: 1000\nContent-Length: 2\n\nx")
@@ -382,8 +382,8 @@
 
 // TestKeepAlive: a client's connection carries one request after another.
 func TestKeepAlive(t *testing.T) {
-	w := start(t, newScript(), peer(t, say(okAnswer)), "127.0.0.1:1")
-	c := w.connect(t)
+	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1")
+	c := sc.connect(t)
 	for range 5 {
 		c.write(plainGet)
 		if resp, body := c.read(t); resp.StatusCode != 200 || body != "ok" || resp.Close {
@@ -409,15 +409,15 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			m := newScript()
-			m.request = func(_ policy.Time, q policy.Request, act policy.Actions) { tt.decide(q.ID, act) }
-			w := start(t, m, peer(t, func(int, net.Conn) { t.Error("an upstream was reached") }), "127.0.0.1:1")
-			resp, _ := w.ask(t, plainGet)
+			m := newScriptedModule()
+			m.onRequest = func(_ policy.Time, q policy.Request, act policy.Actions) { tt.decide(q.ID, act) }
+			sc := startSidecar(t, m, startServer(t, func(int, net.Conn) { t.Error("an upstream was reached") }), "127.0.0.1:1")
+			resp, _ := sc.roundTrip(t, plainGet)
 			if resp.StatusCode != tt.want || resp.Header.Get("Retry-After") != tt.retry {
 				t.Errorf("answer %d, Retry-After %q; want %d, %q", resp.StatusCode, resp.Header.Get("Retry-After"), tt.want, tt.retry)
 			}
 			eventually(t, "nothing is left of it", func() bool {
-				return w.engine.Snapshot().Retained == 0
+				return sc.engine.Snapshot().Retained == 0
 			})
 		})
 	}
@@ -431,8 +431,8 @@
 		fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", 1<<30),
 	} {
 		closed := make(chan struct{})
-		m := newScript()
-		w := start(t, m, peer(t, func(_ int, c net.Conn) {
+		m := newScriptedModule()
+		sc := startSidecar(t, m, startServer(t, func(_ int, c net.Conn) {
 			http.ReadRequest(bufio.NewReader(c))
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head)
 			for {
@@ -442,7 +442,7 @@
 				}
 			}
 		}), "127.0.0.1:1")
-		c := w.connect(t)
+		c := sc.connect(t)
 		c.write(plainGet)
 		resp, err := http.ReadResponse(c.r, nil)
 		if err != nil {
@@ -451,8 +451,8 @@
 		if n, err := io.Copy(io.Discard, resp.Body); resp.StatusCode == http.StatusOK && (err == nil || n > httpmsg.MaxBody) {
 			t.Errorf("%d bytes pass for whole", n)
 		}
-		next(t, "close of the upstream's connection", closed)
-		if o := next(t, "outcome", m.outcomes); o.Status != policy.Reset {
+		receive(t, "close of the upstream's connection", closed)
+		if o := receive(t, "outcome", m.outcomes); o.Status != policy.Reset {
 			t.Errorf("outcome %+v, want Reset", o)
 		}
 	}
@@ -461,15 +461,15 @@
 // TestChunkedBodiesDoNotQueue guards against incident r1f1b89: while some clients take long over bodies of
 // unknown length, the bodies of others are read.
 func TestChunkedBodiesDoNotQueue(t *testing.T) {
-	w := start(t, newScript(), peer(t, say(okAnswer)), "127.0.0.1:1")
+	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1")
 	for range 20 {
-		c := w.connect(t)
+		c := sc.connect(t)
 		c.write("POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\nTransfer-Encoding: chunked\n\n")
 		fmt.Fprintf(c, "%x\r\n%s", 60<<10, make([]byte, 30<<10)) // and no more
 	}
 	for range 3 {
 		body := strings.Repeat("x", 50<<10)
-		resp, _ := w.ask(t, fmt.Sprintf("POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\nTransfer-Encoding: chunked\n\n%x\n%s\n0\n\n", len(body), body))
+		resp, _ := sc.roundTrip(t, fmt.Sprintf("POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\nTransfer-Encoding: chunked\n\n%x\n%s\n0\n\n", len(body), body))
 		if resp.StatusCode != http.StatusOK {
 			t.Errorf("answer %d", resp.StatusCode)
 		}
@@ -479,11 +479,11 @@
 // TestRoomIsBounded: bodies that are only announced never hold more than their part of the memory, and one that finds
 // no room is refused rather than lost.
 func TestRoomIsBounded(t *testing.T) {
-	w := start(t, newScript(), peer(t, say(okAnswer)), "127.0.0.1:1", func(c *config.Config) { c.MemoryMB = config.LeastMemoryMB })
-	if !w.bodyBudget.TryAcquire(config.LeastMemoryMB<<20/8) || w.bodyBudget.TryAcquire(1) {
+	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1", func(c *config.Config) { c.MemoryMB = config.LeastMemoryMB })
+	if !sc.bodyBudget.TryAcquire(config.LeastMemoryMB<<20/8) || sc.bodyBudget.TryAcquire(1) {
 		t.Error("the room is not its part of the memory")
 	}
-	resp, _ := w.ask(t, "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 1\n\nx")
+	resp, _ := sc.roundTrip(t, "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 1\n\nx")
 	if resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("answer %d without room", resp.StatusCode)
 	}
@@ -492,15 +492,15 @@
 // TestSmallBodiesDoNotQueue guards against incident r1f0832: while clients take long over bodies of megabytes, small
 // ones are read.
 func TestSmallBodiesDoNotQueue(t *testing.T) {
-	w := start(t, newScript(), peer(t, say(okAnswer)), "127.0.0.1:1")
+	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1")
 	for range 40 {
-		w.connect(t).write(fmt.Sprintf("POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\nContent-Length: %d\n\nx", 60<<10))
+		sc.connect(t).write(fmt.Sprintf("POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\nContent-Length: %d\n\nx", 60<<10))
 	}
-	if resp, _ := w.ask(t, "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\nContent-Length: 1\n\nx"); resp.StatusCode != http.StatusOK {
+	if resp, _ := sc.roundTrip(t, "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\nContent-Length: 1\n\nx"); resp.StatusCode != http.StatusOK {
 		t.Errorf("answer %d", resp.StatusCode)
 	}
 	body := strings.Repeat("0123456789abcdef", 1000)
-	if resp, _ := w.ask(t, fmt.Sprintf("POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\nTransfer-Encoding: chunked\n\n%x\n%s\n0\n\n", 5, body[:5])); resp.StatusCode != http.StatusOK {
+	if resp, _ := sc.roundTrip(t, fmt.Sprintf("POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\nTransfer-Encoding: chunked\n\n%x\n%s\n0\n\n", 5, body[:5])); resp.StatusCode != http.StatusOK {
 		t.Errorf("answer %d", resp.StatusCode)
 	}
 }
@@ -511,7 +511,7 @@
 	const service = 20 * time.Millisecond
 	learnt := make(chan struct{}) // closed once the free one has answered: until then the other's report would set the scale
 	serve := func(report string, takes time.Duration) func(int, net.Conn) {
-		return answering(func(q *http.Request, c net.Conn) {
+		return respondWith(func(q *http.Request, c net.Conn) {
 			text := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 			if q.URL.Path != "/load" {
 				time.Sleep(takes)
@@ -521,21 +521,21 @@
 			io.WriteString(c, text)
 		})
 	}
-	free, busy := peer(t, serve("queue=0", service)), peer(t, serve("queue=100", 20*service))
-	w := start(t, nil, free, "127.0.0.1:1", func(c *config.Config) {
+	free, busy := startServer(t, serve("queue=0", service)), startServer(t, serve("queue=100", 20*service))
+	sc := startSidecar(t, nil, free, "127.0.0.1:1", func(c *config.Config) {
 		c.Known.Servers = append(c.Known.Servers, engine.Server{ID: "b", Addr: busy, Zone: "z"})
 		c.Settings.Config.ProbeTariff = 1e6      // nothing is probed but for the first request
 		c.Settings.Config.Classes[1].Worth = 1e4 // so that the others stand little of a queue, well below their aim
 	})
-	if resp, _ := w.ask(t, plainGet); resp.StatusCode != http.StatusOK {
+	if resp, _ := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK {
 		t.Fatalf("answer %d to the first request", resp.StatusCode)
 	}
 	close(learnt)
 	eventually(t, "both reports are in", func() bool {
-		return w.engine.Snapshot().Probing == 0
+		return sc.engine.Snapshot().Probing == 0
 	})
 	for range 20 {
-		if resp, _ := w.ask(t, plainGet); resp.StatusCode != http.StatusOK {
+		if resp, _ := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK {
 			t.Errorf("answer %d, though one upstream is free", resp.StatusCode)
 		}
 	}
@@ -547,7 +547,7 @@
 	const service = 20 * time.Millisecond
 	gate := make(chan struct{})
 	var learnt atomic.Bool
-	addr := peer(t, answering(func(q *http.Request, c net.Conn) {
+	addr := startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		text := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 		if q.URL.Path == "/load" {
 			text = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nqueue=0"
@@ -558,19 +558,19 @@
 		}
 		io.WriteString(c, text)
 	}))
-	w := start(t, nil, addr, "127.0.0.1:1", func(c *config.Config) {
+	sc := startSidecar(t, nil, addr, "127.0.0.1:1", func(c *config.Config) {
 		c.Settings.Config.MaxRetryAfter = time.Second
 		c.Settings.Config.ProbeTariff = 1e6      // nothing is probed but for the first request
 		c.Settings.Config.Classes[1].Worth = 1e4 // so that the others stand little of a queue
 	})
-	if resp, _ := w.ask(t, plainGet); resp.StatusCode != http.StatusOK {
+	if resp, _ := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK {
 		t.Fatalf("answer %d to the first request", resp.StatusCode)
 	}
 	learnt.Store(true)
 	const crowd = 30
 	answers := make(chan *http.Response, crowd)
 	for range crowd {
-		c := w.connect(t)
+		c := sc.connect(t)
 		c.write(plainGet)
 		go func() {
 			resp, err := http.ReadResponse(c.r, nil)
@@ -580,7 +580,7 @@
 			answers <- resp
 		}()
 	}
-	first := next(t, "answer", answers)
+	first := receive(t, "answer", answers)
 	if first.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("answer %d while all others wait, want a refusal", first.StatusCode)
 	}
@@ -591,7 +591,7 @@
 	close(gate)
 	served := 0
 	for range crowd - 1 {
-		switch status := next(t, "answer", answers).StatusCode; status {
+		switch status := receive(t, "answer", answers).StatusCode; status {
 		case http.StatusOK:
 			served++
 		case http.StatusServiceUnavailable:
@@ -610,17 +610,17 @@
 	var asked [fleet]atomic.Int64
 	var hosts []engine.Server
 	for i := range fleet {
-		addr := peer(t, answering(func(q *http.Request, c net.Conn) {
+		addr := startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 			asked[i].Add(1)
-			io.WriteString(c, strings.ReplaceAll(okAnswer, "\n", "\r\n"))
+			io.WriteString(c, strings.ReplaceAll(okResponse, "\n", "\r\n"))
 		}))
 		hosts = append(hosts, engine.Server{ID: policy.ServerID(fmt.Sprint("u", i)), Addr: addr, Zone: "z"})
 	}
-	w := start(t, nil, "127.0.0.1:1", "127.0.0.1:1", func(c *config.Config) {
+	sc := startSidecar(t, nil, "127.0.0.1:1", "127.0.0.1:1", func(c *config.Config) {
 		c.Known.Servers = hosts
 		c.Settings.Config.MayProbe = false
 	})
-	c := w.connect(t)
+	c := sc.connect(t)
 	for range 200 {
 		c.write(plainGet)
 		if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
@@ -637,13 +637,13 @@
 // TestCrowdIsNotKept guards against clients that ask once and keep their connection, each with a new one: a few are kept
 // for their next request, a crowd is told that its answers are the last.
 func TestCrowdIsNotKept(t *testing.T) {
-	w := start(t, nil, peer(t, say(okAnswer)), "127.0.0.1:1", func(c *config.Config) {
+	sc := startSidecar(t, nil, startServer(t, respondText(okResponse)), "127.0.0.1:1", func(c *config.Config) {
 		c.Sockets, c.Settings.Config.MayProbe = config.LeastSockets, false
 	})
 	const many = 20 // of 28 places for clients
 	kept := 0
 	for i := range many {
-		c := w.connect(t)
+		c := sc.connect(t)
 		c.write(plainGet)
 		resp, _ := c.read(t)
 		if resp.StatusCode != http.StatusOK {
@@ -672,21 +672,21 @@
 	for name, load := range loads {
 		t.Run(name, func(t *testing.T) {
 			serve := func(load string) string {
-				return peer(t, answering(func(q *http.Request, c net.Conn) {
-					text := strings.ReplaceAll(okAnswer, "\n", "\r\n")
+				return startServer(t, respondWith(func(q *http.Request, c net.Conn) {
+					text := strings.ReplaceAll(okResponse, "\n", "\r\n")
 					if q.URL.Path == "/load" {
 						text = load
 					}
 					io.WriteString(c, text)
 				}))
 			}
-			w := start(t, nil, serve(load), "127.0.0.1:1", func(c *config.Config) {
+			sc := startSidecar(t, nil, serve(load), "127.0.0.1:1", func(c *config.Config) {
 				for i := range 3 {
 					c.Known.Servers = append(c.Known.Servers, engine.Server{ID: policy.ServerID(fmt.Sprint("u", i)), Addr: serve(load), Zone: "z"})
 				}
 			})
 			for range 3 {
-				if resp, _ := w.ask(t, plainGet); resp.StatusCode != http.StatusOK {
+				if resp, _ := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK {
 					t.Errorf("answer %d, though upstreams are free", resp.StatusCode)
 				}
 			}
@@ -697,27 +697,27 @@
 // TestLateRetryBesideAFreeUpstream: a retry whose aim has passed is still worth a share, and is served where nobody waits.
 func TestLateRetryBesideAFreeUpstream(t *testing.T) {
 	var healthy atomic.Bool
-	addr := peer(t, answering(func(q *http.Request, c net.Conn) {
+	addr := startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		text := "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 		if healthy.Load() {
-			text = strings.ReplaceAll(okAnswer, "\n", "\r\n")
+			text = strings.ReplaceAll(okResponse, "\n", "\r\n")
 		}
 		io.WriteString(c, text)
 	}))
 	const aim = 300 * time.Millisecond
-	w := start(t, nil, addr, "127.0.0.1:1", func(c *config.Config) {
+	sc := startSidecar(t, nil, addr, "127.0.0.1:1", func(c *config.Config) {
 		c.Settings.Config.MayProbe = false
 		for i := range c.Settings.Config.Classes {
 			c.Settings.Config.Classes[i].Aim, c.Settings.Config.Classes[i].LateShare = aim, 0.5
 		}
 	})
 	text := "GET /read HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 5000\nX-Cost: 1000\n\n"
-	if resp, _ := w.ask(t, text); resp.StatusCode == http.StatusOK {
+	if resp, _ := sc.roundTrip(t, text); resp.StatusCode == http.StatusOK {
 		t.Fatalf("answer %d", resp.StatusCode)
 	}
 	healthy.Store(true)
 	time.Sleep(aim + 50*time.Millisecond)
-	if resp, _ := w.ask(t, text); resp.StatusCode != http.StatusOK {
+	if resp, _ := sc.roundTrip(t, text); resp.StatusCode != http.StatusOK {
 		t.Errorf("answer %d to a late retry, though the upstream is free", resp.StatusCode)
 	}
 }
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -26,8 +26,8 @@
 	shortDeadline = 400 * time.Millisecond
 	// longDeadline is one that ends long after the earliest kill.
 	longDeadline = 8 * time.Second
-	// busyMachine is what a machine with much else to do may take beyond a point of the schedule before a test fails.
-	busyMachine = 2 * time.Second
+	// scheduleTolerance is what a machine with much else to do may take beyond a point of the schedule before a test fails.
+	scheduleTolerance = 2 * time.Second
 )
 
 // withDeadline gives all classes a deadline.
@@ -41,13 +41,13 @@
 
 // hangingServer reads requests and never answers them, but for probes. It notes their ids.
 type hangingServer struct {
-	addr    string
-	arrived chan string
+	addr       string
+	requestIDs chan string
 }
 
 func newHangingServer(t *testing.T) *hangingServer {
-	h := &hangingServer{arrived: make(chan string, 1000)}
-	h.addr = peer(t, func(_ int, c net.Conn) {
+	h := &hangingServer{requestIDs: make(chan string, 1000)}
+	h.addr = startServer(t, func(_ int, c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
 			q, err := http.ReadRequest(r)
@@ -55,39 +55,39 @@
 				return
 			}
 			if id := q.Header.Get("X-Request-ID"); id != "" {
-				h.arrived <- id
+				h.requestIDs <- id
 			} else {
-				sayLoad(c)
+				respondLoad(c)
 			}
 		}
 	})
 	return h
 }
 
-// sayLoad answers a probe.
-func sayLoad(c net.Conn) {
+// respondLoad answers a probe.
+func respondLoad(c net.Conn) {
 	const report = "TEXT eps=0, queue=0"
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(report), report)
 }
 
-// ids returns the ids that have come so far.
-func (h *hangingServer) ids() map[string]bool {
+// receivedIDs returns the receivedIDs that have come so far.
+func (h *hangingServer) receivedIDs() map[string]bool {
 	ids := map[string]bool{}
-	for len(h.arrived) > 0 {
-		ids[<-h.arrived] = true
+	for len(h.requestIDs) > 0 {
+		ids[<-h.requestIDs] = true
 	}
 	return ids
 }
 
 // schedule returns that of the shutdown, once it has begun.
-func (w *world) schedule(t *testing.T) shutdown.Schedule {
+func (sc *testSidecar) schedule(t *testing.T) shutdown.Schedule {
 	t.Helper()
 	var s shutdown.Schedule
 	eventually(t, "the shutdown has begun", func() bool {
-		w.shutdownMu.Lock()
-		told := w.signaledAt
-		w.shutdownMu.Unlock()
-		s = shutdown.ForTermination(told, w.deadlines.effective(told))
+		sc.shutdownMu.Lock()
+		told := sc.signaledAt
+		sc.shutdownMu.Unlock()
+		s = shutdown.ForTermination(told, sc.deadlines.effective(told))
 		return !told.IsZero()
 	})
 	return s
@@ -97,21 +97,21 @@
 // a whole answer; none of which the last byte came after the end of forwarding is forwarded.
 func TestShutdownPoints(t *testing.T) {
 	h := newHangingServer(t)
-	w := start(t, nil, h.addr, "127.0.0.1:1", withDeadline(shortDeadline))
+	sc := startSidecar(t, nil, h.addr, "127.0.0.1:1", withDeadline(shortDeadline))
 	const half = "GET /read/k HTTP/1.1\r\nHost: s\r\nX-Request-ID: %s\r\nX-Timeout-Ms: 400\r\n\r"
 	type late struct {
-		*client
+		*testClient
 		id string
 	}
 	var clients []late
 	for i := range 6 {
-		c := late{w.connect(t), fmt.Sprintf("p%d", i)}
+		c := late{sc.connect(t), fmt.Sprintf("p%d", i)}
 		fmt.Fprintf(c, half, c.id)
 		clients = append(clients, c)
 	}
-	eventually(t, "their heads have come in part", func() bool { s := w.server.Stats(); return s.Open-s.Idle == len(clients) })
-	w.term()
-	s := w.schedule(t)
+	eventually(t, "their heads have come in part", func() bool { s := sc.server.Stats(); return s.Open-s.Idle == len(clients) })
+	sc.terminate()
+	s := sc.schedule(t)
 	var all sync.WaitGroup
 	for i, c := range clients {
 		point := []time.Time{s.Forward, s.Answer, s.Exit}[i/2]
@@ -131,13 +131,13 @@
 		})
 	}
 	all.Wait()
-	if err := next(t, "end", w.over); err != nil {
+	if err := receive(t, "end", sc.done); err != nil {
 		t.Error(err)
 	}
-	if late := time.Since(s.Exit); late > busyMachine {
+	if late := time.Since(s.Exit); late > scheduleTolerance {
 		t.Errorf("it ended %v after the exit", late)
 	}
-	for id := range h.ids() {
+	for id := range h.receivedIDs() {
 		if id != "p0" {
 			t.Errorf("%s was forwarded", id)
 		}
@@ -147,16 +147,16 @@
 // TestShutdownOfAnUpload: a request whose long body is on its way to a server, and stands still, has its answer by the exit.
 func TestShutdownOfAnUpload(t *testing.T) {
 	h := newHangingServer(t)
-	w := start(t, nil, h.addr, "127.0.0.1:1", withDeadline(shortDeadline))
-	c := w.connect(t)
+	sc := startSidecar(t, nil, h.addr, "127.0.0.1:1", withDeadline(shortDeadline))
+	c := sc.connect(t)
 	c.write(fmt.Sprintf("POST /order/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nIdempotency-Key: k\nContent-Length: %d\n\n", 4<<20))
 	c.Write(make([]byte, 2<<20))
-	next(t, "request", h.arrived)
-	w.term()
+	receive(t, "request", h.requestIDs)
+	sc.terminate()
 	if resp, _ := c.read(t); resp.StatusCode/100 != 5 || !resp.Close {
 		t.Errorf("answer %d, closes %v", resp.StatusCode, resp.Close)
 	}
-	next(t, "end", w.over)
+	receive(t, "end", sc.done)
 }
 
 // TestShutdownBesideAFullClient: a client that takes nothing of its answer keeps neither the others from theirs nor the process from
@@ -164,15 +164,15 @@
 func TestShutdownBesideAFullClient(t *testing.T) {
 	// Built before the request: building 32 MiB can take longer than the request's deadline on a busy machine.
 	answer := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 32<<20, strings.Repeat("x", 32<<20))
-	long := peer(t, answering(func(q *http.Request, c net.Conn) {
+	long := startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		if q.URL.Path == "/load" {
-			sayLoad(c)
+			respondLoad(c)
 			return
 		}
 		c.Write(answer)
 	}))
-	w := start(t, nil, long, "127.0.0.1:1", withDeadline(shortDeadline))
-	full := w.connect(t)
+	sc := startSidecar(t, nil, long, "127.0.0.1:1", withDeadline(shortDeadline))
+	full := sc.connect(t)
 	if err := full.Conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
 		t.Fatal(err)
 	}
@@ -180,13 +180,13 @@
 	if status, err := full.r.ReadString('\n'); err != nil || !strings.Contains(status, " 200 ") {
 		t.Fatalf("its answer begins with %q, %v", status, err)
 	}
-	w.term()
-	s := w.schedule(t)
-	if resp, _ := w.ask(t, "GET /healthz HTTP/1.1\nHost: s\n\n"); resp.StatusCode != http.StatusOK {
+	sc.terminate()
+	s := sc.schedule(t)
+	if resp, _ := sc.roundTrip(t, "GET /healthz HTTP/1.1\nHost: s\n\n"); resp.StatusCode != http.StatusOK {
 		t.Errorf("answer %d", resp.StatusCode)
 	}
-	next(t, "end", w.over)
-	if late := time.Since(s.Exit); late < 0 || late > busyMachine {
+	receive(t, "end", sc.done)
+	if late := time.Since(s.Exit); late < 0 || late > scheduleTolerance {
 		t.Errorf("it ended %v after the exit, which alone ends the connection of the full client", late)
 	}
 }
@@ -194,7 +194,7 @@
 // TestShutdownCutsTruthfully: a client of HTTP/1.0 gets an answer whose end is that of the connection; one that is cut off at the exit
 // ends with a reset, so that nobody takes it for whole.
 func TestShutdownCutsTruthfully(t *testing.T) {
-	endless := peer(t, answering(func(_ *http.Request, c net.Conn) {
+	endless := startServer(t, respondWith(func(_ *http.Request, c net.Conn) {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for {
 			if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", 32<<10, strings.Repeat("x", 32<<10)); err != nil {
@@ -203,31 +203,31 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}))
-	w := start(t, nil, endless, "127.0.0.1:1", withDeadline(shortDeadline))
-	c := w.connect(t)
+	sc := startSidecar(t, nil, endless, "127.0.0.1:1", withDeadline(shortDeadline))
+	c := sc.connect(t)
 	c.write("GET /read/k HTTP/1.0\nHost: s\nX-Request-ID: 1\n\n")
 	if _, err := c.r.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	w.term()
+	sc.terminate()
 	if _, err := io.Copy(io.Discard, c.r); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the answer that was cut off ends with %v, want a reset", err)
 	}
-	next(t, "end", w.over)
+	receive(t, "end", sc.done)
 }
 
 // TestShutdownWithFewDescriptors: connections that wait for a descriptor as SIGTERM comes have been accepted by the machine, and their
 // requests are answered though the server never answers any.
 func TestShutdownWithFewDescriptors(t *testing.T) {
 	h := newHangingServer(t)
-	w := start(t, nil, h.addr, "127.0.0.1:1", withDeadline(longDeadline), func(c *config.Config) { c.Sockets = config.LeastSockets })
-	var clients []*client
-	for range 2 * w.clientPlaces() {
-		c := w.connect(t)
+	sc := startSidecar(t, nil, h.addr, "127.0.0.1:1", withDeadline(longDeadline), func(c *config.Config) { c.Sockets = config.LeastSockets })
+	var clients []*testClient
+	for range 2 * sc.clientLimit() {
+		c := sc.connect(t)
 		c.write(strings.Replace(plainGet, "9000", "8000", 1))
 		clients = append(clients, c)
 	}
-	w.term()
+	sc.terminate()
 	for i, c := range clients {
 		resp, err := http.ReadResponse(c.r, nil)
 		if err == nil {
@@ -237,15 +237,15 @@
 			t.Fatalf("connection %d of %d: %v", i, len(clients), err)
 		}
 	}
-	next(t, "end", w.over)
+	receive(t, "end", sc.done)
 }
 
 // TestShutdownBeforeItServes: a process that is told to end before it listens takes no connection.
 func TestShutdownBeforeItServes(t *testing.T) {
-	w := start(t, newScript(), "127.0.0.1:1", "127.0.0.1:1")
-	w.term()
-	next(t, "end", w.over)
-	cfg, err := loadText(t, configText("127.0.0.1:1", "127.0.0.1:1"))
+	sc := startSidecar(t, newScriptedModule(), "127.0.0.1:1", "127.0.0.1:1")
+	sc.terminate()
+	receive(t, "end", sc.done)
+	cfg, err := loadConfig(t, configText("127.0.0.1:1", "127.0.0.1:1"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -255,11 +255,11 @@
 	}
 	defer ln.Close()
 	cfg.Listen = ln.Addr().String()
-	s, err := New(cfg, config.Operator{}, w.log)
+	s, err := New(cfg, config.Operator{}, sc.log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := contextThatEnded(t)
+	ctx, cancel := canceledContext(t)
 	defer cancel()
 	if err := s.Run(ctx); err != nil {
 		t.Errorf("Run: %v, want nil without listening", err)
@@ -272,26 +272,26 @@
 	for _, tt := range []struct{ before, after time.Duration }{{3 * time.Second, shortDeadline}, {shortDeadline, 3 * time.Second}} {
 		t.Run(fmt.Sprintf("%v to %v", tt.before, tt.after), func(t *testing.T) {
 			h := newHangingServer(t)
-			w := start(t, nil, h.addr, "127.0.0.1:1", withDeadline(tt.before))
-			c := w.connect(t)
+			sc := startSidecar(t, nil, h.addr, "127.0.0.1:1", withDeadline(tt.before))
+			c := sc.connect(t)
 			c.write(plainGet)
-			next(t, "request", h.arrived)
-			w.term()
-			w.schedule(t)
-			cfg := w.Config()
+			receive(t, "request", h.requestIDs)
+			sc.terminate()
+			sc.schedule(t)
+			cfg := sc.Config()
 			cfg.Settings.Config.Classes = append(cfg.Settings.Config.Classes[:0:0], cfg.Settings.Config.Classes...)
 			withDeadline(tt.after)(&cfg)
-			if err := w.Reload(cfg, config.Operator{}); err != nil {
+			if err := sc.Reload(cfg, config.Operator{}); err != nil {
 				t.Fatal(err)
 			}
-			w.shutdownMu.Lock()
-			want := shutdown.ForTermination(w.signaledAt, shortDeadline)
-			w.shutdownMu.Unlock()
+			sc.shutdownMu.Lock()
+			want := shutdown.ForTermination(sc.signaledAt, shortDeadline)
+			sc.shutdownMu.Unlock()
 			if resp, _ := c.read(t); resp.StatusCode/100 != 5 {
 				t.Errorf("answer %d", resp.StatusCode)
 			}
-			next(t, "end", w.over)
-			if late := time.Since(want.Exit); late > busyMachine {
+			receive(t, "end", sc.done)
+			if late := time.Since(want.Exit); late > scheduleTolerance {
 				t.Errorf("it ended %v after the exit", late)
 			}
 		})
@@ -338,34 +338,34 @@
 // TestTermInTheMiddleOfAReload: a shutdown begins though a reload stands still, and goes by the new deadlines once it is through.
 func TestTermInTheMiddleOfAReload(t *testing.T) {
 	h := newHangingServer(t)
-	m := newScript()
+	m := newScriptedModule()
 	begun, goOn := make(chan struct{}), make(chan struct{})
-	w := start(t, m, h.addr, "127.0.0.1:1", withDeadline(3*time.Second))
-	c := w.connect(t)
+	sc := startSidecar(t, m, h.addr, "127.0.0.1:1", withDeadline(3*time.Second))
+	c := sc.connect(t)
 	c.write(plainGet)
-	next(t, "request", h.arrived)
-	m.retune = func() {
+	receive(t, "request", h.requestIDs)
+	m.onReconfigure = func() {
 		close(begun)
 		<-goOn
 	}
-	cfg := w.Config()
+	cfg := sc.Config()
 	cfg.Settings.Config.Classes = slices.Clone(cfg.Settings.Config.Classes)
 	withDeadline(shortDeadline)(&cfg)
 	reloaded := make(chan error, 1)
-	go func() { reloaded <- w.Reload(cfg, config.Operator{}) }()
+	go func() { reloaded <- sc.Reload(cfg, config.Operator{}) }()
 	<-begun
-	m.retune = nil // what the change settles to comes later
-	w.term()
-	schedule := w.schedule(t)
+	m.onReconfigure = nil // what the change settles to comes later
+	sc.terminate()
+	schedule := sc.schedule(t)
 	close(goOn)
-	if err := next(t, "end of the reload", reloaded); err != nil {
+	if err := receive(t, "end of the reload", reloaded); err != nil {
 		t.Error(err)
 	}
 	if resp, _ := c.read(t); resp.StatusCode/100 != 5 {
 		t.Errorf("answer %d", resp.StatusCode)
 	}
-	next(t, "end", w.over)
-	if early := schedule.Exit.Sub(time.Now()); early < 3*time.Second-shortDeadline-busyMachine {
+	receive(t, "end", sc.done)
+	if early := schedule.Exit.Sub(time.Now()); early < 3*time.Second-shortDeadline-scheduleTolerance {
 		t.Errorf("it ended %v before the exit of the former deadlines", early)
 	}
 }
@@ -384,9 +384,9 @@
 	}
 	defer socket.Close()
 	shared := t.TempDir() + "/shared"
-	server := peer(t, say(okAnswer))
+	server := startServer(t, respondText(okResponse))
 	process := func() *Sidecar {
-		cfg, err := loadText(t, configText(server, "127.0.0.1:1"))
+		cfg, err := loadConfig(t, configText(server, "127.0.0.1:1"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -412,7 +412,7 @@
 	eventually(t, "the older one serves", older.serving.Load)
 	newer := process()
 	termOlder()
-	if err := next(t, "end of the older one", olderOver); err != nil {
+	if err := receive(t, "end of the older one", olderOver); err != nil {
 		t.Error(err)
 	}
 	conn, err := net.Dial("tcp", platform.Addr().String())
@@ -420,16 +420,16 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
-	c := &client{conn, bufio.NewReader(conn)}
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	c := &testClient{conn, bufio.NewReader(conn)}
 	c.write(plainGet)
-	ended, cancel := contextThatEnded(t)
+	ended, cancel := canceledContext(t)
 	defer cancel()
 	newerOver := run(newer, ended)
 	if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
 		t.Errorf("answer %d", resp.StatusCode)
 	}
-	if err := next(t, "end of the newer one", newerOver); err != nil {
+	if err := receive(t, "end of the newer one", newerOver); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/daemon/site_reload_test.go
+++ b/internal/daemon/site_reload_test.go
@@ -14,8 +14,8 @@
 	"quillfront/sites"
 )
 
-// siteSidecar returns a sidecar that watches sites by cfg, with two servers at each of a and b, and has seen a fail.
-func siteSidecar(t *testing.T, cfg *sites.Config) *Sidecar {
+// newSiteSidecar returns a sidecar that watches sites by cfg, with two servers at each of a and b, and has seen a fail.
+func newSiteSidecar(t *testing.T, cfg *sites.Config) *Sidecar {
 	t.Helper()
 	known := engine.List{Seq: 1, Full: true}
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
@@ -35,7 +35,7 @@
 	return s
 }
 
-func views(s *Sidecar) string {
+func siteStates(s *Sidecar) string {
 	var all []string
 	for _, v := range s.engine.Snapshot().Sites {
 		all = append(all, v.Site+" "+v.State.String())
@@ -46,43 +46,43 @@
 // TestReloadOfSites: SIGHUP takes over how sites are watched with what is known of them, turns the watch off and on, and changes
 // nothing where the new settings cannot be used.
 func TestReloadOfSites(t *testing.T) {
-	s := siteSidecar(t, &sites.Config{Hold: time.Hour})
+	s := newSiteSidecar(t, &sites.Config{Hold: time.Hour})
 	s.engine.RestoreSites(sites.Memory{Sites: []sites.SiteMemory{{Site: "a", State: sites.Dark, Climb: time.Minute, Servers: 2}}})
-	if got := views(s); got != "a dark, b healthy" {
+	if got := siteStates(s); got != "a dark, b healthy" {
 		t.Fatal(got)
 	}
 	reload := func(c *sites.Config) error { return s.Reload(s.Config(), config.Operator{Sites: c}) }
-	if err := reload(&sites.Config{Hold: time.Hour, Prefer: []string{"b"}}); err != nil || views(s) != "b healthy, a dark" {
-		t.Errorf("%v, %s", err, views(s))
+	if err := reload(&sites.Config{Hold: time.Hour, Prefer: []string{"b"}}); err != nil || siteStates(s) != "b healthy, a dark" {
+		t.Errorf("%v, %s", err, siteStates(s))
 	}
-	if err := reload(&sites.Config{Spill: -1}); err == nil || !strings.Contains(err.Error(), "[sites]: spill") || views(s) != "b healthy, a dark" {
-		t.Errorf("%v, %s", err, views(s))
+	if err := reload(&sites.Config{Spill: -1}); err == nil || !strings.Contains(err.Error(), "[sites]: spill") || siteStates(s) != "b healthy, a dark" {
+		t.Errorf("%v, %s", err, siteStates(s))
 	}
-	if err := reload(nil); err != nil || views(s) != "" {
-		t.Errorf("off: %v, %s", err, views(s))
+	if err := reload(nil); err != nil || siteStates(s) != "" {
+		t.Errorf("off: %v, %s", err, siteStates(s))
 	}
-	if err := reload(&sites.Config{}); err != nil || views(s) != "a healthy, b healthy" {
-		t.Errorf("on again: %v, %s", err, views(s))
+	if err := reload(&sites.Config{}); err != nil || siteStates(s) != "a healthy, b healthy" {
+		t.Errorf("on again: %v, %s", err, siteStates(s))
 	}
 }
 
 // TestHandoverOfSites: what one process leaves of its sites the next begins with, and a note of a version that knew of none does no
 // harm.
 func TestHandoverOfSites(t *testing.T) {
-	s := siteSidecar(t, &sites.Config{})
+	s := newSiteSidecar(t, &sites.Config{})
 	s.engine.RestoreSites(sites.Memory{Offered: 40, Sites: []sites.SiteMemory{{Site: "a", State: sites.Dark, Climb: time.Minute, Servers: 2}}})
 	l, _ := s.engine.Learned()
 	text, err := json.Marshal(learnedState{l, s.engine.SiteMemory()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := siteSidecar(t, &sites.Config{})
+	next := newSiteSidecar(t, &sites.Config{})
 	var n learnedState
 	if err := json.Unmarshal(text, &n); err != nil {
 		t.Fatal(err)
 	}
 	next.engine.RestoreSites(n.Sites)
-	if got := views(next); got != "a dark, b healthy" {
+	if got := siteStates(next); got != "a dark, b healthy" {
 		t.Error(got)
 	}
 	old, err := json.Marshal(l)
@@ -95,10 +95,10 @@
 	}
 	next.engine.Learn(n.Policy)
 	next.engine.RestoreSites(n.Sites)
-	if got := views(next); got != "a dark, b healthy" {
+	if got := siteStates(next); got != "a dark, b healthy" {
 		t.Errorf("after an old note: %s", got)
 	}
-	siteSidecar(t, nil).engine.RestoreSites(sites.Memory{Offered: 1}) // where none are watched
+	newSiteSidecar(t, nil).engine.RestoreSites(sites.Memory{Offered: 1}) // where none are watched
 	if s, err := New(s.Config(), config.Operator{Sites: &sites.Config{Spill: -1}}, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "[sites]: spill") {
 		t.Errorf("settings that cannot be used: %v, %v", s, err)
 	}
--- a/internal/daemon/site_return_test.go
+++ b/internal/daemon/site_return_test.go
@@ -66,7 +66,7 @@
 	lost, other := start("clare-pump", "clare-", false), start("giru-office", "giru-", false)
 	known := fleet.Disco.List()
 	var urls []string
-	var sidecars []*world
+	var sidecars []*testSidecar
 	for i := range 2 {
 		cfg, err := config.Parse(standin.Platform{
 			Discovery: fleet.Disco.Addr(), Seed: uint64(i + 1), Known: &known, Classes: classes, Ramp: 8600 * time.Millisecond, Sockets: 2048,
@@ -82,8 +82,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := serve(t, s)
-		sidecars, urls = append(sidecars, w), append(urls, "http://"+w.addr)
+		sc := serveSidecar(t, s)
+		sidecars, urls = append(sidecars, sc), append(urls, "http://"+sc.addr)
 	}
 
 	tr := &http.Transport{MaxIdleConnsPerHost: 512, MaxConnsPerHost: 1024, DisableCompression: true}
@@ -219,8 +219,8 @@
 	if e := fleet.Effects(); e.Duplicates > 0 {
 		t.Errorf("%d orders took effect twice", e.Duplicates)
 	}
-	for _, w := range sidecars {
-		if s := w.engine.Snapshot(); *siteWatch && len(s.Sites) != 2 {
+	for _, sc := range sidecars {
+		if s := sc.engine.Snapshot(); *siteWatch && len(s.Sites) != 2 {
 			t.Errorf("%v", s.Sites)
 		}
 	}
--- a/internal/daemon/sites_test.go
+++ b/internal/daemon/sites_test.go
@@ -34,11 +34,11 @@
 			known := engine.List{Seq: 1, Full: true}
 			for i := range 4 {
 				site := i % 2
-				addr := peer(t, answering(func(q *http.Request, c net.Conn) {
+				addr := startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 					if q.URL.Path != "/load" {
 						hits[site].Add(1)
 					}
-					text := okAnswer
+					text := okResponse
 					if q.URL.Path == "/load" {
 						text = "HTTP/1.1 200 OK\nContent-Length: 7\n\nqueue=0"
 					}
@@ -64,7 +64,7 @@
 			// try of an old request, and on a busy machine that much may pass between the reading of a request and its event.
 			text := strings.NewReplacer(`"AimUs":9000000`, `"AimUs":290000`, `"DeadlineUs":10000000`, `"DeadlineUs":300000`).
 				Replace(configText("127.0.0.1:1", "127.0.0.1:1"))
-			cfg, err := loadText(t, text)
+			cfg, err := loadConfig(t, text)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -75,7 +75,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w := serve(t, s)
+			sc := serveSidecar(t, s)
 			stop := make(chan struct{})
 			defer close(stop)
 			var asked, served atomic.Int64
@@ -87,13 +87,13 @@
 							return
 						case <-time.After(5 * time.Millisecond):
 						}
-						c, err := net.Dial("tcp", w.addr)
+						c, err := net.Dial("tcp", sc.addr)
 						if err != nil {
 							return
 						}
 						asked.Add(1)
-						fmt.Fprintf(c, "GET /read/k HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nConnection: close\r\n\r\n", lastID.Add(1))
-						c.SetDeadline(time.Now().Add(patience))
+						fmt.Fprintf(c, "GET /read/k HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nConnection: close\r\n\r\n", lastRequestID.Add(1))
+						c.SetDeadline(time.Now().Add(testTimeout))
 						answer, _ := io.ReadAll(c)
 						if strings.HasPrefix(string(answer), "HTTP/1.1 200 ") {
 							served.Add(1)
@@ -103,7 +103,7 @@
 				}()
 			}
 			view := func() sites.View {
-				for _, v := range w.engine.Snapshot().Sites {
+				for _, v := range sc.engine.Snapshot().Sites {
 					if v.Site == "b" {
 						return v
 					}
--- a/internal/daemon/stream_test.go
+++ b/internal/daemon/stream_test.go
@@ -16,8 +16,8 @@
 	"quillfront/policy"
 )
 
-// long is longer than is ever held whole, and no two places of it are alike.
-var long = func() []byte {
+// longBody is longer than is ever held whole, and no two places of it are alike.
+var longBody = func() []byte {
 	var b bytes.Buffer
 	for i := 0; b.Len() < 2<<20; i++ {
 		fmt.Fprintf(&b, "%08x", i*2654435761)
@@ -25,8 +25,8 @@
 	return b.Bytes()[:2<<20]
 }()
 
-// pieces writes text in pieces of some size.
-func pieces(c net.Conn, text []byte, size int) {
+// writeInPieces writes text in writeInPieces of some size.
+func writeInPieces(c net.Conn, text []byte, size int) {
 	for len(text) > 0 {
 		n := min(len(text), size)
 		if _, err := c.Write(text[:n]); err != nil {
@@ -36,8 +36,8 @@
 	}
 }
 
-// asChunks is text in chunks.
-func asChunks(text []byte, size int, last bool) []byte {
+// chunkedBody is text in chunks.
+func chunkedBody(text []byte, size int, last bool) []byte {
 	var b bytes.Buffer
 	for len(text) > 0 {
 		n := min(len(text), size)
@@ -57,28 +57,28 @@
 		name, head string
 		body       []byte
 	}{
-		{"of a length", fmt.Sprintf("Content-Length: %d\r\n", len(long)), long},
-		{"in chunks", "Transfer-Encoding: chunked\r\n", asChunks(long, 10_000, true)},
-		{"to the end", "Connection: close\r\n", long},
+		{"of a length", fmt.Sprintf("Content-Length: %d\r\n", len(longBody)), longBody},
+		{"in chunks", "Transfer-Encoding: chunked\r\n", chunkedBody(longBody, 10_000, true)},
+		{"to the end", "Connection: close\r\n", longBody},
 	} {
 		for _, version := range []string{"1.1", "1.0"} {
 			t.Run(tt.name+" to HTTP/"+version, func(t *testing.T) {
-				m := newScript()
-				w := start(t, m, peer(t, answering(func(q *http.Request, c net.Conn) {
+				m := newScriptedModule()
+				sc := startSidecar(t, m, startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 					io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Novel: 1\r\n"+tt.head+"\r\n")
-					pieces(c, tt.body, 7777)
+					writeInPieces(c, tt.body, 7777)
 					if strings.Contains(tt.head, "close") {
 						c.Close()
 					}
 				})), "127.0.0.1:1")
-				c := w.connect(t)
+				c := sc.connect(t)
 				c.write(strings.Replace(plainGet, "HTTP/1.1", "HTTP/"+version, 1))
 				resp, body := c.read(t)
-				if resp.StatusCode != http.StatusOK || sha256.Sum256([]byte(body)) != sha256.Sum256(long) || resp.Header.Get("X-Novel") != "1" {
+				if resp.StatusCode != http.StatusOK || sha256.Sum256([]byte(body)) != sha256.Sum256(longBody) || resp.Header.Get("X-Novel") != "1" {
 					t.Errorf("%d, %d bytes, %v", resp.StatusCode, len(body), resp.Header)
 				}
-				next(t, "begin of the answer", m.streaming)
-				if o := next(t, "outcome", m.outcomes); o.Status != policy.OK || !o.Final {
+				receive(t, "begin of the answer", m.responseStarts)
+				if o := receive(t, "outcome", m.outcomes); o.Status != policy.OK || !o.Final {
 					t.Errorf("outcome %+v", o)
 				}
 			})
@@ -92,19 +92,19 @@
 		name, head string
 		body       []byte
 	}{
-		{"of a length", fmt.Sprintf("Content-Length: %d\r\n", len(long)), long[:1<<20]},
-		{"in chunks", "Transfer-Encoding: chunked\r\n", asChunks(long[:1<<20], 10_000, false)},
-		{"in chunks that are none", "Transfer-Encoding: chunked\r\n", append(asChunks(long[:1<<20], 10_000, false), "no chunk\r\n"...)},
+		{"of a length", fmt.Sprintf("Content-Length: %d\r\n", len(longBody)), longBody[:1<<20]},
+		{"in chunks", "Transfer-Encoding: chunked\r\n", chunkedBody(longBody[:1<<20], 10_000, false)},
+		{"in chunks that are none", "Transfer-Encoding: chunked\r\n", append(chunkedBody(longBody[:1<<20], 10_000, false), "no chunk\r\n"...)},
 	} {
 		for _, version := range []string{"1.1", "1.0"} {
 			t.Run(tt.name+" to HTTP/"+version, func(t *testing.T) {
-				m := newScript()
-				w := start(t, m, peer(t, answering(func(q *http.Request, c net.Conn) {
+				m := newScriptedModule()
+				sc := startSidecar(t, m, startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 					io.WriteString(c, "HTTP/1.1 200 OK\r\n"+tt.head+"\r\n")
 					c.Write(tt.body)
 					c.Close()
 				})), "127.0.0.1:1")
-				c := w.connect(t)
+				c := sc.connect(t)
 				c.write(strings.Replace(plainGet, "HTTP/1.1", "HTTP/"+version, 1))
 				resp, err := http.ReadResponse(c.r, nil)
 				if err != nil || resp.StatusCode != http.StatusOK {
@@ -113,7 +113,7 @@
 				if n, err := io.Copy(io.Discard, resp.Body); err == nil {
 					t.Errorf("%d bytes pass for whole", n)
 				}
-				if o := next(t, "outcome", m.outcomes); o.Status != policy.Reset || !o.Final {
+				if o := receive(t, "outcome", m.outcomes); o.Status != policy.Reset || !o.Final {
 					t.Errorf("outcome %+v, want Reset", o)
 				}
 			})
@@ -124,8 +124,8 @@
 // TestClientLeavesLongAnswer: the upstream's connection ends with the client, and both descriptors come back.
 func TestClientLeavesLongAnswer(t *testing.T) {
 	left := make(chan struct{})
-	m := newScript()
-	w := start(t, m, peer(t, answering(func(q *http.Request, c net.Conn) {
+	m := newScriptedModule()
+	sc := startSidecar(t, m, startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 32<<20)
 		for {
 			if _, err := c.Write(make([]byte, 1<<16)); err != nil {
@@ -134,21 +134,21 @@
 			}
 		}
 	})), "127.0.0.1:1")
-	c := w.connect(t)
+	c := sc.connect(t)
 	c.write(plainGet)
 	if _, err := io.ReadFull(c.r, make([]byte, 100_000)); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
-	next(t, "end of the upstream's connection", left)
-	if o := next(t, "outcome", m.outcomes); o.Status != policy.OK || !o.Final {
+	receive(t, "end of the upstream's connection", left)
+	if o := receive(t, "outcome", m.outcomes); o.Status != policy.OK || !o.Final {
 		t.Errorf("outcome %+v: what a client does says nothing of the upstream", o)
 	}
-	eventually(t, "all descriptors are back", func() bool { return w.inUse() == 1 }) // that of the next client
+	eventually(t, "all descriptors are back", func() bool { return sc.inUse() == 1 }) // that of the next client
 }
 
-// post is a request with a body of n bytes that is still to be written, or in chunks if n is negative.
-func post(n int) string {
+// postHead is a request with a body of n bytes that is still to be written, or in chunks if n is negative.
+func postHead(n int) string {
 	framing := fmt.Sprintf("Content-Length: %d", n)
 	if n < 0 {
 		framing = "Transfer-Encoding: chunked"
@@ -166,29 +166,29 @@
 		want     []byte
 		uploaded bool
 	}{
-		{"held", 1 << 20, long[:1<<20], long[:1<<20], false},
-		{"of a length", len(long), long, long, true},
-		{"in chunks", -1, asChunks(long, 9999, true), long, true},
+		{"held", 1 << 20, longBody[:1<<20], longBody[:1<<20], false},
+		{"of a length", len(longBody), longBody, longBody, true},
+		{"in chunks", -1, chunkedBody(longBody, 9999, true), longBody, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			addr, got := recording(t)
-			m := newScript()
-			w := start(t, m, addr, "127.0.0.1:1")
-			c := w.connect(t)
+			addr, got := startRecordingServer(t)
+			m := newScriptedModule()
+			sc := startSidecar(t, m, addr, "127.0.0.1:1")
+			c := sc.connect(t)
 			for range 2 { // the connections can carry more
-				c.write(post(tt.length))
-				pieces(c, tt.body, 12345)
+				c.write(postHead(tt.length))
+				writeInPieces(c, tt.body, 12345)
 				if resp, body := c.read(t); resp.StatusCode != http.StatusOK || body != "ok" {
 					t.Fatalf("answer %d %q", resp.StatusCode, body)
 				}
-				if s := next(t, "request", got); s.length != len(tt.want) || s.sum != sha256.Sum256(tt.want) {
-					t.Errorf("%d bytes came of %d, or changed", s.length, len(tt.want))
+				if s := receive(t, "request", got); s.bodyLength != len(tt.want) || s.bodySum != sha256.Sum256(tt.want) {
+					t.Errorf("%d bytes came of %d, or changed", s.bodyLength, len(tt.want))
 				}
-				if o := next(t, "outcome", m.outcomes); o.Status != policy.OK || o.NoResend != tt.uploaded {
+				if o := receive(t, "outcome", m.outcomes); o.Status != policy.OK || o.NoResend != tt.uploaded {
 					t.Errorf("outcome %+v", o)
 				}
 			}
-			if n := len(m.uploaded); (n == 2) != tt.uploaded {
+			if n := len(m.uploads); (n == 2) != tt.uploaded {
 				t.Errorf("the module hears of %d ends", n)
 			}
 		})
@@ -207,11 +207,11 @@
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 		}, http.StatusServiceUnavailable},
 		{"turned away", func(r *bufio.Reader, c net.Conn) {
-			io.CopyN(io.Discard, r, int64(len(long)))
+			io.CopyN(io.Discard, r, int64(len(longBody)))
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 		}, http.StatusServiceUnavailable},
 		{"failed", func(r *bufio.Reader, c net.Conn) {
-			io.CopyN(io.Discard, r, int64(len(long)))
+			io.CopyN(io.Discard, r, int64(len(longBody)))
 			io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		}, http.StatusBadGateway},
 	} {
@@ -219,7 +219,7 @@
 			sent := make(chan struct{}, 10)
 			end := make(chan struct{})
 			defer close(end)
-			w := start(t, nil, peer(t, func(_ int, c net.Conn) {
+			sc := startSidecar(t, nil, startServer(t, func(_ int, c net.Conn) {
 				r := bufio.NewReader(c)
 				q, err := http.ReadRequest(r)
 				if err != nil || q.URL.Path == "/load" {
@@ -230,9 +230,9 @@
 				tt.answer(r, c)
 				<-end
 			}), "127.0.0.1:1")
-			c := w.connect(t)
-			c.write(post(len(long)))
-			c.Write(long)
+			c := sc.connect(t)
+			c.write(postHead(len(longBody)))
+			c.Write(longBody)
 			resp, _ := c.read(t)
 			if resp.StatusCode != tt.want {
 				t.Errorf("answer %d, want %d", resp.StatusCode, tt.want)
@@ -240,7 +240,7 @@
 			if n := len(sent); n != 1 {
 				t.Errorf("sent %d times", n)
 			}
-			eventually(t, "it is forgotten", func() bool { return w.engine.Snapshot().Retained == 0 })
+			eventually(t, "it is forgotten", func() bool { return sc.engine.Snapshot().Retained == 0 })
 		})
 	}
 }
@@ -248,10 +248,10 @@
 // TestLateEarlyAnswer: an upstream that turns a long request away while it comes is heard, also when that took longer than the
 // client's time, which has not begun.
 func TestLateEarlyAnswer(t *testing.T) {
-	m := newScript()
+	m := newScriptedModule()
 	end := make(chan struct{})
 	defer close(end)
-	w := start(t, m, peer(t, func(_ int, c net.Conn) {
+	sc := startSidecar(t, m, startServer(t, func(_ int, c net.Conn) {
 		r := bufio.NewReader(c)
 		if _, err := http.ReadRequest(r); err == nil {
 			io.CopyN(io.Discard, r, 1<<20)
@@ -260,13 +260,13 @@
 		}
 		<-end
 	}), "127.0.0.1:1")
-	c := w.connect(t)
-	c.write(strings.Replace(post(len(long)), "9000", "100", 1))
-	c.Write(long[:1<<19])
+	c := sc.connect(t)
+	c.write(strings.Replace(postHead(len(longBody)), "9000", "100", 1))
+	c.Write(longBody[:1<<19])
 	time.Sleep(300 * time.Millisecond)
-	c.Write(long[1<<19:])
+	c.Write(longBody[1<<19:])
 	c.read(t)
-	if o := next(t, "outcome", m.outcomes); o.Status != policy.Overloaded {
+	if o := receive(t, "outcome", m.outcomes); o.Status != policy.Overloaded {
 		t.Errorf("outcome %+v, want that of its answer", o)
 	}
 }
@@ -275,23 +275,23 @@
 func TestBodyBreaks(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
-		write func(c *client)
+		write func(c *testClient)
 		want  int
 	}{
-		{"stands still", func(c *client) { c.write(post(len(long))); c.Write(long[:1<<20]) }, http.StatusRequestTimeout},
-		{"breaks off", func(c *client) {
-			c.write(post(len(long)))
-			c.Write(long[:1<<20])
+		{"stands still", func(c *testClient) { c.write(postHead(len(longBody))); c.Write(longBody[:1<<20]) }, http.StatusRequestTimeout},
+		{"breaks off", func(c *testClient) {
+			c.write(postHead(len(longBody)))
+			c.Write(longBody[:1<<20])
 			c.Conn.(*net.TCPConn).CloseWrite()
 		}, http.StatusBadRequest},
-		{"has a chunk that is none", func(c *client) {
-			c.write(post(-1))
-			c.Write(append(asChunks(long, 9999, false), "no chunk\r\n"...))
+		{"has a chunk that is none", func(c *testClient) {
+			c.write(postHead(-1))
+			c.Write(append(chunkedBody(longBody, 9999, false), "no chunk\r\n"...))
 		}, http.StatusBadRequest},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			ended := make(chan error, 10)
-			w := start(t, nil, peer(t, func(_ int, c net.Conn) {
+			sc := startSidecar(t, nil, startServer(t, func(_ int, c net.Conn) {
 				defer c.Close()
 				q, err := http.ReadRequest(bufio.NewReader(c))
 				if err != nil || q.URL.Path == "/load" {
@@ -300,15 +300,15 @@
 				_, err = io.Copy(io.Discard, q.Body)
 				ended <- err
 			}), "127.0.0.1:1")
-			c := w.connect(t)
+			c := sc.connect(t)
 			go tt.write(c)
 			if resp, err := http.ReadResponse(c.r, nil); err != nil || resp.StatusCode != tt.want {
 				t.Errorf("answer %v, %v; want %d", resp, err, tt.want)
 			}
-			if err := next(t, "end at the upstream", ended); err == nil {
+			if err := receive(t, "end at the upstream", ended); err == nil {
 				t.Error("the upstream takes it for whole")
 			}
-			eventually(t, "it is forgotten", func() bool { return w.engine.Snapshot().Retained == 0 })
+			eventually(t, "it is forgotten", func() bool { return sc.engine.Snapshot().Retained == 0 })
 		})
 	}
 }
@@ -316,38 +316,38 @@
 // TestTimeCountsFromTheLastByte: while a body comes its request's time does not run, and it runs whole from its end.
 func TestTimeCountsFromTheLastByte(t *testing.T) {
 	waits := make(chan int, 1)
-	w := start(t, nil, peer(t, answering(func(q *http.Request, c net.Conn) {
+	sc := startSidecar(t, nil, startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		if q.URL.Path != "/load" {
 			ms, _ := strconv.Atoi(q.Header.Get("X-Timeout-Ms"))
 			waits <- ms
 		}
 		io.Copy(io.Discard, q.Body)
 		time.Sleep(20 * time.Millisecond)
-		io.WriteString(c, strings.ReplaceAll(okAnswer, "\n", "\r\n"))
+		io.WriteString(c, strings.ReplaceAll(okResponse, "\n", "\r\n"))
 	})), "127.0.0.1:1")
-	c := w.connect(t)
-	c.write(strings.Replace(post(len(long)), "9000", "400", 1))
+	c := sc.connect(t)
+	c.write(strings.Replace(postHead(len(longBody)), "9000", "400", 1))
 	for range 4 { // 600 ms in all
-		c.Write(long[:len(long)/4])
+		c.Write(longBody[:len(longBody)/4])
 		time.Sleep(150 * time.Millisecond)
 	}
 	if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
 		t.Errorf("answer %d", resp.StatusCode)
 	}
-	if ms := next(t, "wait", waits); ms < 1 || ms > 400 {
+	if ms := receive(t, "wait", waits); ms < 1 || ms > 400 {
 		t.Errorf("the upstream is told to wait %d ms", ms)
 	}
 }
 
 // TestSlowPieces: an answer that comes in small pieces over longer than it may stand still is whole.
 func TestSlowPieces(t *testing.T) {
-	w := start(t, newScript(), peer(t, answering(func(q *http.Request, c net.Conn) {
+	sc := startSidecar(t, newScriptedModule(), startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		for _, b := range []byte("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789abcdefghij") {
 			c.Write([]byte{b})
 			time.Sleep(15 * time.Millisecond)
 		}
 	})), "127.0.0.1:1")
-	if resp, body := w.ask(t, plainGet); resp.StatusCode != http.StatusOK || body != "0123456789abcdefghij" {
+	if resp, body := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK || body != "0123456789abcdefghij" {
 		t.Errorf("answer %d %q", resp.StatusCode, body)
 	}
 }
--- a/internal/daemon/upstream_test.go
+++ b/internal/daemon/upstream_test.go
@@ -17,10 +17,10 @@
 	"quillfront/policy"
 )
 
-// lists is a source that tells some lists and then nothing more.
-type lists []engine.List
+// staticSource is a source that tells some staticSource and then nothing more.
+type staticSource []engine.List
 
-func (l lists) Watch(ctx context.Context, _ int64, tell func(engine.List)) error {
+func (l staticSource) Watch(ctx context.Context, _ int64, tell func(engine.List)) error {
 	for _, list := range l {
 		tell(list)
 	}
@@ -39,7 +39,7 @@
 		return ln.Addr().String()
 	}
 	serving := func(serve func(int, net.Conn)) func(*testing.T) string {
-		return func(t *testing.T) string { return peer(t, serve) }
+		return func(t *testing.T) string { return startServer(t, serve) }
 	}
 	// closing reads a request, and ends the connection after text.
 	closing := func(text string) func(*testing.T) string {
@@ -60,16 +60,16 @@
 		want     policy.Status
 		code     int
 	}{
-		{"served", serving(say(okAnswer)), plainGet, policy.OK, 200},
-		{"served, after an interim answer", serving(say("HTTP/1.1 103 Early Hints\n\n" + okAnswer)), plainGet, policy.OK, 200},
-		{"served, empty", serving(say("HTTP/1.1 200 OK\nContent-Length: 0\n\n")), plainGet, policy.OK, 200},
-		{"served, chunked", serving(say("HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n2\nok\n0\n\n")), plainGet, policy.OK, 200},
-		{"error", serving(say("HTTP/1.1 500 Oh\nContent-Length: 0\n\n")), plainGet, policy.AppError, 502},
-		{"another success is no answer", serving(say("HTTP/1.1 204 No\n\n")), plainGet, policy.AppError, 502},
-		{"turned away", serving(say("HTTP/1.1 503 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.Overloaded, 502},
-		{"over", serving(say("HTTP/1.1 504 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.Overloaded, 502},
-		{"503 that may have run", serving(say("HTTP/1.1 503 No\nContent-Length: 0\n\n")), plainGet, policy.AppError, 502},
-		{"500 cannot be turned away", serving(say("HTTP/1.1 500 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.AppError, 502},
+		{"served", serving(respondText(okResponse)), plainGet, policy.OK, 200},
+		{"served, after an interim answer", serving(respondText("HTTP/1.1 103 Early Hints\n\n" + okResponse)), plainGet, policy.OK, 200},
+		{"served, empty", serving(respondText("HTTP/1.1 200 OK\nContent-Length: 0\n\n")), plainGet, policy.OK, 200},
+		{"served, chunked", serving(respondText("HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n2\nok\n0\n\n")), plainGet, policy.OK, 200},
+		{"error", serving(respondText("HTTP/1.1 500 Oh\nContent-Length: 0\n\n")), plainGet, policy.AppError, 502},
+		{"another success is no answer", serving(respondText("HTTP/1.1 204 No\n\n")), plainGet, policy.AppError, 502},
+		{"turned away", serving(respondText("HTTP/1.1 503 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.Overloaded, 502},
+		{"over", serving(respondText("HTTP/1.1 504 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.Overloaded, 502},
+		{"503 that may have run", serving(respondText("HTTP/1.1 503 No\nContent-Length: 0\n\n")), plainGet, policy.AppError, 502},
+		{"500 cannot be turned away", serving(respondText("HTTP/1.1 500 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.AppError, 502},
 		{"connection refused", refused, plainGet, policy.ConnectFailed, 502},
 		{"break after writing", closing(""), plainGet, policy.Reset, 502},
 		{"break in the head", closing("HTTP/1.1 200 OK\nContent-"), plainGet, policy.Reset, 502},
@@ -77,7 +77,7 @@
 		{"broken HTTP", closing("HELLO\n\n"), plainGet, policy.Reset, 502},
 		{"senseless length", closing("HTTP/1.1 200 OK\nContent-Length: -5\n\nabc"), plainGet, policy.Reset, 502},
 		{"broken chunk", closing("HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\nzz\nabc"), plainGet, policy.Reset, 502},
-		{"endless head", serving(answering(func(_ *http.Request, c net.Conn) {
+		{"endless head", serving(respondWith(func(_ *http.Request, c net.Conn) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 			for {
 				if _, err := io.WriteString(c, "X-More: "+strings.Repeat("y", 1000)+"\r\n"); err != nil {
@@ -85,7 +85,7 @@
 				}
 			}
 		})), plainGet, policy.Reset, 502},
-		{"endless interim answers", serving(answering(func(_ *http.Request, c net.Conn) {
+		{"endless interim answers", serving(respondWith(func(_ *http.Request, c net.Conn) {
 			for {
 				if _, err := io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 					return
@@ -94,25 +94,25 @@
 		})), plainGet, policy.Reset, 502},
 		{"silence", serving(func(int, net.Conn) {}), short, policy.Timeout, 502},
 		// These would wait for their whole 9 s.
-		{"silence in the body", serving(say("HTTP/1.1 200 OK\nContent-Length: 9\n\nabc")), plainGet, policy.Reset, 502},
-		{"silence in the head", serving(say("HTTP/1.1 200 OK\nContent-")), plainGet, policy.Reset, 502},
-		{"both lengths", serving(say("HTTP/1.1 200 OK\nContent-Length: 2\nTransfer-Encoding: chunked\n\n2\nok\n0\n\n")), plainGet, policy.Reset, 502},
-		{"a type taken out on the way", serving(say("HTTP/1.1 200 OK\nConnection: Content-Type\nContent-Type: a/b\nContent-Length: 0\n\n")), plainGet, policy.Reset, 502},
-		{"a proof taken out on the way", serving(say("HTTP/1.1 503 No\nConnection: X-Not-Processed\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.Reset, 502},
-		{"not usable", serving(say("HTTP/1.1 404 No\nContent-Length: 0\n\n")), plainGet, policy.Rejected, 502},
+		{"silence in the body", serving(respondText("HTTP/1.1 200 OK\nContent-Length: 9\n\nabc")), plainGet, policy.Reset, 502},
+		{"silence in the head", serving(respondText("HTTP/1.1 200 OK\nContent-")), plainGet, policy.Reset, 502},
+		{"both lengths", serving(respondText("HTTP/1.1 200 OK\nContent-Length: 2\nTransfer-Encoding: chunked\n\n2\nok\n0\n\n")), plainGet, policy.Reset, 502},
+		{"a type taken out on the way", serving(respondText("HTTP/1.1 200 OK\nConnection: Content-Type\nContent-Type: a/b\nContent-Length: 0\n\n")), plainGet, policy.Reset, 502},
+		{"a proof taken out on the way", serving(respondText("HTTP/1.1 503 No\nConnection: X-Not-Processed\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.Reset, 502},
+		{"not usable", serving(respondText("HTTP/1.1 404 No\nContent-Length: 0\n\n")), plainGet, policy.Rejected, 502},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			m := newScript()
-			w := start(t, m, tt.upstream(t), "127.0.0.1:1")
-			c := w.connect(t)
+			m := newScriptedModule()
+			sc := startSidecar(t, m, tt.upstream(t), "127.0.0.1:1")
+			c := sc.connect(t)
 			go c.write(tt.request)
 			began := time.Now()
 			resp, _ := c.read(t)
 			if d := time.Since(began); d > 8*time.Second {
 				t.Errorf("an answer after %v: the time was waited out", d)
 			}
-			o := next(t, "outcome", m.outcomes)
+			o := receive(t, "outcome", m.outcomes)
 			if o.Status != tt.want || resp.StatusCode != tt.code {
 				t.Errorf("outcome %v, answer %d; want %v, %d", o.Status, resp.StatusCode, tt.want, tt.code)
 			}
@@ -128,12 +128,12 @@
 
 // TestDialThatNeverComesUp: a listener whose backlog is full answers nothing.
 func TestDialThatNeverComesUp(t *testing.T) {
-	m := newScript()
-	w := start(t, m, newFull(t).Addr().String(), "127.0.0.1:1", func(c *config.Config) {
+	m := newScriptedModule()
+	sc := startSidecar(t, m, newFullBacklogServer(t).Addr().String(), "127.0.0.1:1", func(c *config.Config) {
 		c.Settings.Config.DialTimeout = 50 * time.Millisecond
 	})
-	w.ask(t, plainGet)
-	if o := next(t, "outcome", m.outcomes); o.Status != policy.ConnectFailed {
+	sc.roundTrip(t, plainGet)
+	if o := receive(t, "outcome", m.outcomes); o.Status != policy.ConnectFailed {
 		t.Errorf("outcome %v, want ConnectFailed", o.Status)
 	}
 }
@@ -141,7 +141,7 @@
 // TestNothingIsSentAgain guards against a library that repeats a request when a kept connection breaks.
 func TestNothingIsSentAgain(t *testing.T) {
 	requests := make(chan string, 10)
-	addr := peer(t, func(n int, c net.Conn) {
+	addr := startServer(t, func(n int, c net.Conn) {
 		r := bufio.NewReader(c)
 		for i := 0; ; i++ {
 			q, err := http.ReadRequest(r)
@@ -153,22 +153,22 @@
 				c.Close()
 				return
 			}
-			io.WriteString(c, strings.ReplaceAll(okAnswer, "\n", "\r\n"))
+			io.WriteString(c, strings.ReplaceAll(okResponse, "\n", "\r\n"))
 		}
 	})
-	m := newScript()
-	w := start(t, m, addr, "127.0.0.1:1")
-	w.ask(t, strings.Replace(plainGet, "ID: 1", "ID: first", 1))
-	w.settled(t)
-	w.ask(t, strings.Replace(plainGet, "ID: 1", "ID: 2\nIdempotency-Key: x", 1))
-	next(t, "outcome", m.outcomes)
-	if o := next(t, "outcome", m.outcomes); o.Status != policy.Reset {
+	m := newScriptedModule()
+	sc := startSidecar(t, m, addr, "127.0.0.1:1")
+	sc.roundTrip(t, strings.Replace(plainGet, "ID: 1", "ID: first", 1))
+	sc.waitReusableConn(t)
+	sc.roundTrip(t, strings.Replace(plainGet, "ID: 1", "ID: 2\nIdempotency-Key: x", 1))
+	receive(t, "outcome", m.outcomes)
+	if o := receive(t, "outcome", m.outcomes); o.Status != policy.Reset {
 		t.Errorf("outcome %v, want Reset", o.Status)
 	}
-	w.ask(t, strings.Replace(plainGet, "ID: 1", "ID: 3", 1)) // whatever is sent again has come by now
+	sc.roundTrip(t, strings.Replace(plainGet, "ID: 1", "ID: 3", 1)) // whatever is sent again has come by now
 	var got []string
 	for range 3 {
-		got = append(got, next(t, "request", requests))
+		got = append(got, receive(t, "request", requests))
 	}
 	if fmt.Sprint(got) != "[first 2 3]" || len(requests) > 0 {
 		t.Errorf("requests %v, and %d more", got, len(requests))
@@ -178,45 +178,45 @@
 // TestIdleConnections guards against writing to a connection that the upstream closes as idle.
 func TestIdleConnections(t *testing.T) {
 	conns := make(chan net.Conn, 10)
-	addr := peer(t, func(n int, c net.Conn) {
+	addr := startServer(t, func(n int, c net.Conn) {
 		conns <- c
-		say(okAnswer)(n, c)
+		respondText(okResponse)(n, c)
 	})
 	t.Run("reused", func(t *testing.T) {
-		w := start(t, newScript(), addr, "127.0.0.1:1")
-		w.ask(t, plainGet)
-		w.settled(t)
-		w.ask(t, plainGet)
-		next(t, "connection", conns)
+		sc := startSidecar(t, newScriptedModule(), addr, "127.0.0.1:1")
+		sc.roundTrip(t, plainGet)
+		sc.waitReusableConn(t)
+		sc.roundTrip(t, plainGet)
+		receive(t, "connection", conns)
 		if len(conns) != 0 {
 			t.Error("a second connection, with an idle one at hand")
 		}
-		w.act(func(act policy.Actions) { act.CloseIdle("a") })
-		w.ask(t, plainGet)
-		next(t, "new connection after a hang-up", conns)
+		sc.runActions(func(act policy.Actions) { act.CloseIdle("a") })
+		sc.roundTrip(t, plainGet)
+		receive(t, "new connection after a hang-up", conns)
 	})
 	t.Run("closed by the upstream", func(t *testing.T) {
-		m := newScript()
-		w := start(t, m, addr, "127.0.0.1:1")
+		m := newScriptedModule()
+		sc := startSidecar(t, m, addr, "127.0.0.1:1")
 		for range 2 {
-			w.ask(t, plainGet)
-			if o := next(t, "outcome", m.outcomes); o.Status != policy.OK {
+			sc.roundTrip(t, plainGet)
+			if o := receive(t, "outcome", m.outcomes); o.Status != policy.OK {
 				t.Errorf("outcome %v, want OK", o.Status)
 			}
-			next(t, "connection", conns).Close()
-			w.settled(t)
-			eventually(t, "the close shows", func() bool { return w.transport.Stats() == upstreams.Stats{Idle: 1, Stale: 1} })
+			receive(t, "connection", conns).Close()
+			sc.waitReusableConn(t)
+			eventually(t, "the close shows", func() bool { return sc.transport.Stats() == upstreams.Stats{Idle: 1, Stale: 1} })
 		}
 	})
 	t.Run("closed in time", func(t *testing.T) {
-		w := start(t, newScript(), addr, "127.0.0.1:1", func(c *config.Config) {
+		sc := startSidecar(t, newScriptedModule(), addr, "127.0.0.1:1", func(c *config.Config) {
 			c.Settings.Config.ConnIdleTimeout = 100 * time.Millisecond
 		})
-		w.ask(t, plainGet)
-		c := next(t, "connection", conns)
-		c.SetReadDeadline(time.Now().Add(patience))
-		eventually(t, "no idle connection is left", func() bool { return w.transport.Stats().Idle == 0 })
-		eventually(t, "its descriptor is given back", func() bool { return w.inUse() <= 2 })
+		sc.roundTrip(t, plainGet)
+		c := receive(t, "connection", conns)
+		c.SetReadDeadline(time.Now().Add(testTimeout))
+		eventually(t, "no idle connection is left", func() bool { return sc.transport.Stats().Idle == 0 })
+		eventually(t, "its descriptor is given back", func() bool { return sc.inUse() <= 2 })
 	})
 }
 
@@ -224,61 +224,61 @@
 // nor to the same one started anew.
 func TestAddressPassesOn(t *testing.T) {
 	conns := make(chan net.Conn, 10)
-	addr := peer(t, func(n int, c net.Conn) {
+	addr := startServer(t, func(n int, c net.Conn) {
 		conns <- c
-		say(okAnswer)(n, c)
+		respondText(okResponse)(n, c)
 	})
-	m := newScript()
+	m := newScriptedModule()
 	id := policy.ServerID("a")
-	m.request = func(now policy.Time, q policy.Request, act policy.Actions) { act.Send(q.ID, id, q.Expires-now) }
-	w := start(t, m, addr, "127.0.0.1:1")
+	m.onRequest = func(now policy.Time, q policy.Request, act policy.Actions) { act.Send(q.ID, id, q.Expires-now) }
+	sc := startSidecar(t, m, addr, "127.0.0.1:1")
 	for i, e := range []engine.Server{{ID: "a", Addr: addr}, {ID: "b", Addr: addr}, {ID: "b", Addr: addr, StartedMs: 5}} {
 		id = e.ID
-		w.engine.SetSource(lists{{Seq: int64(50 + i), Full: true, Servers: []engine.Server{e}}})
-		next(t, "list", m.members)
+		sc.engine.SetSource(staticSource{{Seq: int64(50 + i), Full: true, Servers: []engine.Server{e}}})
+		receive(t, "list", m.lists)
 		for range 2 {
-			if resp, _ := w.ask(t, plainGet); resp.StatusCode != http.StatusOK {
+			if resp, _ := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK {
 				t.Fatalf("answer %d", resp.StatusCode)
 			}
-			next(t, "outcome", m.outcomes)
-			w.settled(t)
+			receive(t, "outcome", m.outcomes)
+			sc.waitReusableConn(t)
 		}
-		next(t, "connection", conns)
+		receive(t, "connection", conns)
 		if len(conns) > 0 {
 			t.Error("a second connection to the same upstream")
 		}
 	}
-	eventually(t, "the connections of the upstreams before are closed", func() bool { return w.transport.Stats().Idle == 1 })
+	eventually(t, "the connections of the upstreams before are closed", func() bool { return sc.transport.Stats().Idle == 1 })
 }
 
 // TestCancel guards against attempts that go on after the module, or the client, has given them up.
 func TestCancel(t *testing.T) {
 	gone := make(chan error, 10)
-	addr := peer(t, func(_ int, c net.Conn) {
+	addr := startServer(t, func(_ int, c net.Conn) {
 		r := bufio.NewReader(c)
 		http.ReadRequest(r)
 		_, err := r.ReadByte()
 		gone <- err
 	})
 	t.Run("by the module", func(t *testing.T) {
-		m := newScript()
-		m.request = func(now policy.Time, q policy.Request, act policy.Actions) {
+		m := newScriptedModule()
+		m.onRequest = func(now policy.Time, q policy.Request, act policy.Actions) {
 			act.Send(q.ID, "a", time.Minute)
 			act.Send(q.ID, "a", time.Minute)
 			act.SetTimer(10*time.Millisecond, "x")
 		}
-		w := start(t, m, addr, "127.0.0.1:1")
-		c := w.connect(t)
+		sc := startSidecar(t, m, addr, "127.0.0.1:1")
+		c := sc.connect(t)
 		c.write(plainGet)
-		next(t, "timer", m.timers)
-		w.act(func(act policy.Actions) {
+		receive(t, "timer", m.timers)
+		sc.runActions(func(act policy.Actions) {
 			act.Cancel(1, 0)
 			act.Cancel(1, 1)
 			act.Cancel(1, 2) // never made
 			act.Fail(1)
 		})
 		for range 2 {
-			if o := next(t, "outcome", m.outcomes); o.Status != policy.Canceled {
+			if o := receive(t, "outcome", m.outcomes); o.Status != policy.Canceled {
 				t.Errorf("outcome %v, want Canceled", o.Status)
 			}
 		}
@@ -287,21 +287,21 @@
 		}
 	})
 	t.Run("client gone", func(t *testing.T) {
-		m := newScript()
-		w := start(t, m, addr, "127.0.0.1:1")
-		c := w.connect(t)
+		m := newScriptedModule()
+		sc := startSidecar(t, m, addr, "127.0.0.1:1")
+		c := sc.connect(t)
 		c.write(plainGet)
 		eventually(t, "the request is taken", func() bool {
-			return w.engine.Snapshot().Accepted == 1
+			return sc.engine.Snapshot().Accepted == 1
 		})
 		c.Close()
-		id := next(t, "Withdrawn", m.withdrawn)
-		w.act(func(act policy.Actions) { act.Cancel(id, 0) })
-		if o := next(t, "outcome", m.outcomes); o.Status != policy.Canceled || !o.Final {
+		id := receive(t, "Withdrawn", m.disconnects)
+		sc.runActions(func(act policy.Actions) { act.Cancel(id, 0) })
+		if o := receive(t, "outcome", m.outcomes); o.Status != policy.Canceled || !o.Final {
 			t.Errorf("outcome %+v, want Canceled and Closed", o)
 		}
 		eventually(t, "nothing is left of it", func() bool {
-			return w.engine.Snapshot().Retained == 0
+			return sc.engine.Snapshot().Retained == 0
 		})
 	})
 }
@@ -309,7 +309,7 @@
 // TestLosersWriteNothing: of two copies the first whole answer is the client's, and the other one's is dropped.
 func TestLosersWriteNothing(t *testing.T) {
 	arrived, second := make(chan struct{}), make(chan struct{})
-	addr := peer(t, func(n int, c net.Conn) {
+	addr := startServer(t, func(n int, c net.Conn) {
 		r := bufio.NewReader(c)
 		http.ReadRequest(r)
 		if n == 0 {
@@ -319,26 +319,26 @@
 			<-second
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", n)
-		say(okAnswer)(n, c)
+		respondText(okResponse)(n, c)
 	})
-	m := newScript()
-	m.request = func(now policy.Time, q policy.Request, act policy.Actions) {
+	m := newScriptedModule()
+	m.onRequest = func(now policy.Time, q policy.Request, act policy.Actions) {
 		act.Send(q.ID, "a", q.Expires-now)
 		act.Send(q.ID, "a", q.Expires-now)
 	}
-	w := start(t, m, addr, "127.0.0.1:1")
-	c := w.connect(t)
+	sc := startSidecar(t, m, addr, "127.0.0.1:1")
+	c := sc.connect(t)
 	c.write(plainGet)
 	if _, body := c.read(t); body != "0" {
 		t.Errorf("answer %q, want that of the first", body)
 	}
 	close(second)
 	for range 2 {
-		if o := next(t, "outcome", m.outcomes); o.Status != policy.OK || !o.Final {
+		if o := receive(t, "outcome", m.outcomes); o.Status != policy.OK || !o.Final {
 			t.Errorf("outcome %+v, want OK and Closed", o)
 		}
 	}
-	m.request = nil
+	m.onRequest = nil
 	c.write(plainGet) // comes next on the connection: nothing else was written to it
 	if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
 		t.Errorf("the next answer is %d", resp.StatusCode)
