--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -30,7 +30,7 @@
 	"quillfront/internal/sockets"
 	"quillfront/internal/upstream"
 	"quillfront/policy"
-	"quillfront/retune"
+	"quillfront/reconfig"
 )
 
 const (
@@ -46,7 +46,7 @@
 	engine     *engine.Engine
 	transport  *upstream.Transport
 	server     *httpfront.Server
-	orders     *orders.Desk // nil: orders are not recorded
+	orders     *orders.Coordinator // nil: orders are not recorded
 	services   *services.Services
 	peers      *membership // nil: there are no other processes
 	sockets    *sockets.Budget
@@ -98,7 +98,7 @@
 }
 
 func newSidecar(cfg config.Config, op config.Operator, module engine.Module, log *slog.Logger) (*Sidecar, error) {
-	var book orders.Book
+	var book orders.EntryStore
 	var retention func(string) time.Duration
 	var err error
 	if op.Sites != nil {
@@ -125,7 +125,7 @@
 	}
 	s.engine = engine.New(options)
 	if book != nil {
-		s.orders = orders.New(orders.Options{Engine: s.engine, Book: book, Codec: httpmsg.Codec{}, Retention: retention, Log: log})
+		s.orders = orders.New(orders.Options{Engine: s.engine, Store: book, Codec: httpmsg.Codec{}, Retention: retention, Log: log})
 	}
 	s.server = httpfront.New(s.engine, s.orders, s.bodyBudget, s.sockets, log)
 	if s.services, err = services.New(op.Services, op.Routes, int64(cfg.MemoryMB)<<20/8, s.sockets, log); err != nil {
@@ -329,8 +329,8 @@
 	}
 	retuned := !reflect.DeepEqual(cfg.Settings, old.Settings)
 	if retuned {
-		change := retune.Between(old.Settings.Config, cfg.Settings.Config)
-		if err := s.engine.Reconfigure(change.Now); err != nil {
+		change := reconfig.NewChange(old.Settings.Config, cfg.Settings.Config)
+		if err := s.engine.Reconfigure(change.Interim); err != nil {
 			return err
 		}
 		s.transport.Reconfigure(cfg.Settings)
@@ -340,14 +340,14 @@
 			s.transitionTimer.Stop()
 		}
 		s.settingsVersion++
-		if version := s.settingsVersion; change.Moved {
+		if version := s.settingsVersion; change.HasInterim {
 			s.transitionTimer = time.AfterFunc(settingsTransition, func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				if s.settingsVersion != version { // fired during a later change, which takes precedence
 					return
 				}
-				if err := s.engine.Reconfigure(change.Then); err != nil {
+				if err := s.engine.Reconfigure(change.Final); err != nil {
 					s.log.Error("reload: cannot end the transition to the new settings", "err", err)
 				}
 			})
--- a/internal/daemon/management.go
+++ b/internal/daemon/management.go
@@ -58,7 +58,7 @@
 // learnedState is what a process saves for its successor. It is stored as JSON.
 type learnedState struct {
 	Policy policy.Learned
-	Sites  sites.Memory
+	Sites  sites.Learned
 }
 
 // saveLearnedState periodically saves the learned state until ctx ends. It pauses while there is a
@@ -233,7 +233,7 @@
 	s.Services = m.services.Figures()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s.Out, s.Evacuated = len(m.operatorState.Absences.Out), m.operatorState.Evacuated
+	s.Out, s.Evacuated = len(m.operatorState.Absences.Excluded), m.operatorState.Evacuated
 	s.Applied, s.Rejected = m.reloads.applied, m.reloads.rejected
 	return s
 }
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"quillfront/exclusion"
 	"quillfront/internal/config"
 	"quillfront/internal/engine"
 	"quillfront/internal/management"
@@ -16,7 +17,6 @@
 	"quillfront/internal/sockets"
 	"quillfront/internal/telemetry"
 	"quillfront/policy"
-	"quillfront/roster"
 )
 
 // Standalone is a process that is configured by the operator's file alone. It runs the services of
@@ -30,7 +30,7 @@
 	serving  atomic.Bool
 
 	mu                sync.Mutex
-	exclusions        roster.Absences // servers that operators have taken out of the lists
+	exclusions        exclusion.State // servers that operators have taken out of the lists
 	evacuated         bool            // drained by operators
 	applied, rejected int             // number of configuration files
 }
@@ -150,15 +150,15 @@
 
 // Exclude takes a server out of service in all pools that list it.
 func (m managedStandalone) Exclude(id policy.ServerID) error {
-	return m.updateExclusions(func(a *roster.Absences) error { return a.Exclude(id, m.listEntry, time.Now().UnixMilli()) })
+	return m.updateExclusions(func(a *exclusion.State) error { return a.Exclude(id, m.listEntry, time.Now().UnixMilli()) })
 }
 
 // Include puts an excluded server back into service.
 func (m managedStandalone) Include(id policy.ServerID) error {
-	return m.updateExclusions(func(a *roster.Absences) error { return a.Include(id, m.listEntry, time.Now().UnixMilli()) })
+	return m.updateExclusions(func(a *exclusion.State) error { return a.Include(id, m.listEntry, time.Now().UnixMilli()) })
 }
 
-func (m managedStandalone) updateExclusions(f func(*roster.Absences) error) error {
+func (m managedStandalone) updateExclusions(f func(*exclusion.State) error) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	updated := m.exclusions.Clone()
@@ -171,13 +171,13 @@
 }
 
 // listEntry returns a server's entry in the first pool that lists it.
-func (m managedStandalone) listEntry(id policy.ServerID) (roster.Entry, bool) {
+func (m managedStandalone) listEntry(id policy.ServerID) (exclusion.Entry, bool) {
 	for _, e := range m.services.Engines() {
 		if entry, ok := e.ListEntry(id); ok {
 			return entry, true
 		}
 	}
-	return roster.Entry{}, false
+	return exclusion.Entry{}, false
 }
 
 // Evacuate begins to drain the process.
@@ -215,6 +215,6 @@
 	s.Places[0], s.Places[1] = m.sockets.Limits()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s.Out, s.Evacuated, s.Applied, s.Rejected = len(m.exclusions.Out), m.evacuated, m.applied, m.rejected
+	s.Out, s.Evacuated, s.Applied, s.Rejected = len(m.exclusions.Excluded), m.evacuated, m.applied, m.rejected
 	return s
 }
--- a/internal/engine/availability.go
+++ b/internal/engine/availability.go
@@ -5,16 +5,16 @@
 	"slices"
 	"time"
 
+	"quillfront/exclusion"
 	"quillfront/policy"
-	"quillfront/roster"
 )
 
 // ListEntry returns a server's entry in the list, without regard to removals by operators.
-func (e *Engine) ListEntry(id policy.ServerID) (roster.Entry, bool) {
+func (e *Engine) ListEntry(id policy.ServerID) (exclusion.Entry, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.listed[id]
-	return roster.Entry{ID: s.ID, State: s.State, BornMs: s.StartedMs}, ok
+	return exclusion.Entry{ID: s.ID, State: s.State, StartedMs: s.StartedMs}, ok
 }
 
 // ServerUsable reports whether a server is listed and may get new requests according to the list,
@@ -86,7 +86,7 @@
 
 // SetAbsences sets which servers operators have removed and restored. The module is informed of
 // every server whose effective entry changes. The caller must not modify a afterwards.
-func (e *Engine) SetAbsences(a roster.Absences) {
+func (e *Engine) SetAbsences(a exclusion.State) {
 	e.event(func(now policy.Time) {
 		before := e.absences
 		e.absences = a
@@ -104,9 +104,9 @@
 }
 
 // effective returns s with the operators' removals in a and the current avoidances applied.
-func (e *Engine) effective(a roster.Absences, s Server) Server {
-	c := a.Counts(roster.Entry{ID: s.ID, State: s.State, BornMs: s.StartedMs})
-	s.State, s.StartedMs = c.State, c.BornMs
+func (e *Engine) effective(a exclusion.State, s Server) Server {
+	c := a.Effective(exclusion.Entry{ID: s.ID, State: s.State, StartedMs: s.StartedMs})
+	s.State, s.StartedMs = c.State, c.StartedMs
 	if s.State == policy.Ready && e.avoided.Has(s.ID) {
 		s.State = policy.Draining
 	}
@@ -161,12 +161,12 @@
 	}
 	usable := 0
 	for _, o := range e.listed {
-		if c := e.absences.Counts(roster.Entry{ID: o.ID, State: o.State, BornMs: o.StartedMs}); c.State == policy.Ready {
+		if c := e.absences.Effective(exclusion.Entry{ID: o.ID, State: o.State, StartedMs: o.StartedMs}); c.State == policy.Ready {
 			usable++
 		}
 	}
 	before := e.effective(e.absences, s)
-	if !e.avoided.Avoid(id, now.Milliseconds(), max(d.Milliseconds(), 1), usable) {
+	if !e.avoided.Add(id, now.Milliseconds(), max(d.Milliseconds(), 1), usable) {
 		return
 	}
 	if current := e.effective(e.absences, s); current != before {
@@ -177,7 +177,7 @@
 
 // endAvoidance ends the avoidances that have expired, and schedules itself for the next one.
 func (e *Engine) endAvoidance(now policy.Time) {
-	expired, next := e.avoided.End(now.Milliseconds(), func(id policy.ServerID) bool { _, listed := e.listed[id]; return !listed })
+	expired, next := e.avoided.Expire(now.Milliseconds(), func(id policy.ServerID) bool { _, listed := e.listed[id]; return !listed })
 	var changed []Server
 	slices.Sort(expired)
 	for _, id := range expired {
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -170,7 +170,7 @@
 	}
 	e.module.UpdateServers(now, kind, servers, e)
 	e.cancelUnsent(leaving)
-	e.sites.Members(now, kind, servers)
+	e.sites.UpdateServers(now, kind, servers)
 }
 
 // cancelUnsent cancels attempts that have not been sent yet to servers that leave, so that the
--- a/internal/engine/sites.go
+++ b/internal/engine/sites.go
@@ -10,7 +10,7 @@
 // then.
 func (e *Engine) WatchSites(cfg *sites.Config) (err error) {
 	e.event(func(now policy.Time) {
-		if err = e.sites.Watch(now, cfg, e.config); err == nil {
+		if err = e.sites.Configure(now, cfg, e.config); err == nil {
 			e.siteConfig = cfg
 		}
 	})
@@ -18,12 +18,12 @@
 }
 
 // SiteMemory returns the learned state of the sites, for a process that takes over.
-func (e *Engine) SiteMemory() (m sites.Memory) {
-	e.event(func(now policy.Time) { m = e.sites.Memory(now) })
+func (e *Engine) SiteMemory() (m sites.Learned) {
+	e.event(func(now policy.Time) { m = e.sites.Learned(now) })
 	return m
 }
 
 // RestoreSites initializes the monitoring of sites with the learned state of another engine.
-func (e *Engine) RestoreSites(m sites.Memory) {
-	e.event(func(now policy.Time) { e.sites.Recall(now, m) })
+func (e *Engine) RestoreSites(m sites.Learned) {
+	e.event(func(now policy.Time) { e.sites.Restore(now, m) })
 }
