--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -10,8 +10,8 @@
 	"quillfront/internal/config"
 )
 
-// BenchmarkRequest is the path of one request: client, module, upstream and back, all on kept connections. The
-// far ends only copy bytes.
+// BenchmarkRequest measures the path of one request from the client through the module to the
+// server and back, on kept connections. The client and the server only copy bytes.
 func BenchmarkRequest(b *testing.B) {
 	answer := []byte(strings.ReplaceAll("HTTP/1.1 200 OK\nContent-Type: text/plain\nContent-Length: 1000\n\n", "\n", "\r\n") +
 		strings.Repeat("x", 1000))
@@ -37,12 +37,12 @@
 	for b.Loop() {
 		c.Write(request)
 		if ok, err := skipMessage(r); err != nil || !ok {
-			b.Fatalf("served %v, %v", ok, err)
+			b.Fatalf("status is 200: %v, %v", ok, err)
 		}
 	}
 }
 
-// skipMessage reads a message as cheaply as can be, and reports whether its first line tells of a 200.
+// skipMessage reads a message as cheaply as possible and reports whether its status is 200.
 func skipMessage(r *bufio.Reader) (ok bool, err error) {
 	length := 0
 	for first := true; ; first = false {
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -12,6 +12,8 @@
 	"quillfront/internal/settings"
 )
 
+// TestLoadConfig checks that a valid configuration is loaded, and that the error for an invalid one
+// contains its key.
 func TestLoadConfig(t *testing.T) {
 	good := configText("127.0.0.1:1", "127.0.0.1:2")
 	c, err := loadConfig(t, good)
@@ -22,7 +24,7 @@
 		c.Sockets != 256 || len(c.Known.Servers) != 1 || len(c.Settings.Config.Classes) != 3 {
 		t.Errorf("configuration %+v", c)
 	}
-	// Guards against asking for more than small machines have: it would end the program at its start.
+	// Guards against a minimum that small machines cannot meet: the program would not start there.
 	small := strings.Replace(good, `"memory_mb":128`, `"memory_mb":32`, 1)
 	if c, err := loadConfig(t, small); err != nil || c.MemoryMB != 32 {
 		t.Errorf("32 MB: %d, %v", c.MemoryMB, err)
@@ -51,10 +53,10 @@
 		t.Run(tt.name, func(t *testing.T) {
 			text := strings.Replace(good, tt.old, tt.new, 1)
 			if text == good {
-				t.Fatal("the test changes nothing")
+				t.Fatal("the test case changes nothing")
 			}
 			if _, err := loadConfig(t, text); err == nil || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("error %v, want one that names %s", err, tt.want)
+				t.Errorf("error %v, want one that contains %s", err, tt.want)
 			} else if strings.Contains(err.Error(), "\n") {
 				t.Errorf("error %q has more than one line", err)
 			}
@@ -62,16 +64,18 @@
 	}
 }
 
-func TestWithoutAFile(t *testing.T) {
+// TestLoadWithoutFile checks the errors if no configuration file is set or the file does not exist.
+func TestLoadWithoutFile(t *testing.T) {
 	if _, err := config.Load(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "GW_CONFIG") {
-		t.Errorf("error %v, want one that names GW_CONFIG", err)
+		t.Errorf("error %v, want one that contains GW_CONFIG", err)
 	}
 	if _, err := config.Load(func(string) string { return "/nowhere/at/all" }); err == nil || !strings.Contains(err.Error(), "GW_CONFIG") {
-		t.Errorf("error %v, want one that names GW_CONFIG", err)
+		t.Errorf("error %v, want one that contains GW_CONFIG", err)
 	}
 }
 
-// TestFileHasPrecedence: the file can be replaced while the program runs, its environment cannot.
+// TestFileHasPrecedence checks that the file takes precedence over the environment: the file can be
+// replaced while the program runs, the environment cannot.
 func TestFileHasPrecedence(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := strings.Replace(configText("127.0.0.1:1", "127.0.0.1:2"), `"listen":"127.0.0.1:0",`, "", 1)
@@ -81,29 +85,30 @@
 	env := map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "127.0.0.1:3", "GW_LISTEN": "127.0.0.1:4"}
 	c, err := config.Load(func(name string) string { return env[name] })
 	if err != nil || c.Discovery != "127.0.0.1:2" || c.Listen != "127.0.0.1:4" {
-		t.Errorf("discovery %q, listen %q, %v; want the file's, and the environment's where it has none", c.Discovery, c.Listen, err)
+		t.Errorf("discovery %q, listen %q, %v; want the file's, or the environment's if the file has none", c.Discovery, c.Listen, err)
 	}
 }
 
-// TestUnknownKeysAreIgnored: the settings of the tests hold some.
+// TestUnknownKeysAreIgnored checks that settings may contain unknown keys, also nested ones.
 func TestUnknownKeysAreIgnored(t *testing.T) {
 	if _, err := settings.Parse([]byte(strings.Replace(settingsText, `"Zone"`, `"Wholly":{"Novel":[1]},"Zone"`, 1))); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestLogIsBounded: the log is held in memory where there is no disk.
-func TestLogIsBounded(t *testing.T) {
+// TestLogIsRateLimited checks the rate limit of the log, which is kept in memory if there is no
+// disk.
+func TestLogIsRateLimited(t *testing.T) {
 	var out bytes.Buffer
 	log := NewLog(&out, config.Log{Rate: 5})
 	for range 100 * logBurst {
-		log.With("a", 1).WithGroup("g").Info("something goes wrong over and over")
+		log.With("a", 1).WithGroup("g").Info("a repeated message")
 	}
 	n := strings.Count(out.String(), "\n")
 	if n > 2*logBurst || n < logBurst {
 		t.Errorf("%d lines, want about %d", n, logBurst)
 	}
 	if log.Enabled(t.Context(), slog.LevelDebug) {
-		t.Error("debug lines are on")
+		t.Error("debug lines are enabled")
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -34,8 +34,8 @@
 )
 
 const (
-	// settingsTransition is how long requests may still follow the settings before a change: clients
-	// apply those for up to 1.2 s, and a request may take 2 s to arrive.
+	// settingsTransition is how long requests may still follow the settings before a change:
+	// clients apply those for up to 1.2 s, and a request may take 2 s to arrive.
 	settingsTransition = 3200 * time.Millisecond
 )
 
--- a/internal/daemon/discovery_test.go
+++ b/internal/daemon/discovery_test.go
@@ -14,7 +14,7 @@
 	"quillfront/policy"
 )
 
-// startWatchingSidecar starts a sidecar whose module has asked for a watch.
+// startWatchingSidecar starts a sidecar whose module has requested a watch.
 func startWatchingSidecar(t *testing.T) (*testSidecar, *scriptedModule, *fakeDiscovery, *watchConn) {
 	m, d := newScriptedModule(), newFakeDiscovery(t)
 	sc := startSidecar(t, m, "127.0.0.1:1", d.addr)
@@ -27,7 +27,7 @@
 func TestWatch(t *testing.T) {
 	sc, m, d, c := startWatchingSidecar(t)
 	if c.query != "/v1/servers?follow=1&since=41" {
-		t.Errorf("watch asks for %q", c.query)
+		t.Errorf("the watch requests %q", c.query)
 	}
 	c.writeHead()
 	c.writeMessage("")
@@ -43,16 +43,16 @@
 	c.writeMessage(`{"seq":43,"whole":false,"hosts":[{"host":"b","dial":"127.0.0.1:3","site":"y","block":7,"health":"leaving","share":1,"born_ms":1700000000123}]}`)
 	e = receive(t, "list", m.lists)
 	if e.servers[0].State != policy.Draining || e.servers[0].Started != b.Started {
-		t.Errorf("server %+v; a time that is said again must stay the same", e.servers[0])
+		t.Errorf("server %+v; an unchanged start time must stay the same", e.servers[0])
 	}
-	dials := func() string {
+	addresses := func() string {
 		m := map[policy.ServerID]string{}
 		for _, s := range sc.engine.Snapshot().Servers {
 			m[s.ID] = s.Addr
 		}
 		return fmt.Sprint(m)
 	}
-	if got := dials(); got != "map[a:127.0.0.1:1 b:127.0.0.1:3]" {
+	if got := addresses(); got != "map[a:127.0.0.1:1 b:127.0.0.1:3]" {
 		t.Errorf("addresses %s, want b's new one", got)
 	}
 	c.writeMessage(`{"seq":44,"whole":false,"hosts":[{"host":"b","dial":"","health":"left"},{"host":"a","dial":"127.0.0.1:1","health":"active","born_ms":1700000009000}]}`)
@@ -64,33 +64,34 @@
 	if e = receive(t, "list", m.lists); e.kind != policy.ListFull || e.servers[0].Started != 0 {
 		t.Errorf("event %+v", e)
 	}
-	if got := dials(); got != "map[c:127.0.0.1:4]" {
-		t.Errorf("addresses %s, want those of the whole list alone", got)
+	if got := addresses(); got != "map[c:127.0.0.1:4]" {
+		t.Errorf("addresses %s, want those of the full list only", got)
 	}
 	c.Close()
-	if e = receive(t, "failure", m.lists); e.kind != policy.ListFailed || len(e.servers) != 0 {
+	if e = receive(t, "the failure", m.lists); e.kind != policy.ListFailed || len(e.servers) != 0 {
 		t.Errorf("event %+v, want ListFailed", e)
 	}
 	if len(d.watches) > 0 {
-		t.Error("the sidecar asked again of its own accord")
+		t.Error("the sidecar requested a watch without the module")
 	}
 	sc.startWatch()
 	if c = receive(t, "second watch", d.watches); !strings.HasSuffix(c.query, "since=45") {
-		t.Errorf("watch asks for %q, want since=45", c.query)
+		t.Errorf("the watch requests %q, want since=45", c.query)
 	}
 	sc.runActions(func(act policy.Actions) { act.Watch(false) })
 	c.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Error("a watch that is called off stays open")
+		t.Error("a canceled watch stays open")
 	}
 }
 
-// TestReloadMovesDiscovery: a new address is asked at once for its whole list, as versions of the old one mean nothing
-// there, and the old watch ends. The same address again changes nothing.
+// TestReloadMovesDiscovery checks that the full list is requested at once from a new address, as
+// versions of the old one mean nothing there, and that the old watch ends. Reloading the same
+// address changes nothing.
 func TestReloadMovesDiscovery(t *testing.T) {
-	sc, m, _, old := startWatchingSidecar(t)
-	old.writeHead()
-	old.writeMessage(`{"seq":90,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"active"}]}`)
+	sc, m, _, oldWatch := startWatchingSidecar(t)
+	oldWatch.writeHead()
+	oldWatch.writeMessage(`{"seq":90,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"active"}]}`)
 	receive(t, "list", m.lists)
 	d := newFakeDiscovery(t)
 	cfg := sc.cfg
@@ -98,11 +99,11 @@
 	sc.Reload(cfg, config.Operator{})
 	c := receive(t, "watch at the new address", d.watches)
 	if c.query != "/v1/servers?follow=1" {
-		t.Errorf("watch asks for %q", c.query)
+		t.Errorf("the watch requests %q", c.query)
 	}
-	old.SetReadDeadline(time.Now().Add(testTimeout))
-	if _, err := old.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the old watch: %v, want its end", err)
+	oldWatch.SetReadDeadline(time.Now().Add(testTimeout))
+	if _, err := oldWatch.Read(make([]byte, 1)); err != io.EOF {
+		t.Errorf("the old watch: %v, want EOF", err)
 	}
 	c.writeHead()
 	c.writeMessage(`{"seq":3,"whole":true,"hosts":[{"host":"b","dial":"127.0.0.1:2","health":"active"}]}`)
@@ -112,20 +113,21 @@
 	sc.Reload(cfg, config.Operator{})
 	c.writeMessage(`{"seq":4,"whole":false,"hosts":[]}`)
 	if e := receive(t, "list", m.lists); e.kind != policy.ListDelta || len(d.watches) > 0 {
-		t.Errorf("event %+v, and %d more watches, though the address stayed", e, len(d.watches))
+		t.Errorf("event %+v and %d more watches, although the address is unchanged", e, len(d.watches))
 	}
 }
 
-// TestWatchFails: whatever goes wrong with a watch, the list stays and the module is told once.
-func TestWatchFails(t *testing.T) {
+// TestWatchFailures checks that the list is kept and the module is told once, however a watch
+// fails.
+func TestWatchFailures(t *testing.T) {
 	tests := []struct {
 		name  string
 		serve func(c *watchConn)
 	}{
 		{"refused", func(c *watchConn) { io.WriteString(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") }},
 		{"reset", func(c *watchConn) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() }},
-		{"no HTTP", func(c *watchConn) { io.WriteString(c, "HELLO\r\n\r\n") }},
-		{"a line that is cut", func(c *watchConn) {
+		{"not HTTP", func(c *watchConn) { io.WriteString(c, "HELLO\r\n\r\n") }},
+		{"truncated line", func(c *watchConn) {
 			c.writeHead()
 			c.writeMessage(`{"seq":50,"whole":true,"hosts":[{"host":"b","dial":"127.`)
 		}},
@@ -136,25 +138,25 @@
 		{"endless head", func(c *watchConn) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 2*(64<<10)))
 		}},
-		{"a message that trickles", func(c *watchConn) {
+		{"slow message", func(c *watchConn) {
 			c.writeHead()
 			for text := `{"seq":50,"whole":true,"hosts":[` + strings.Repeat(" ", 1000); text != ""; text = text[1:] {
 				if _, err := fmt.Fprintf(c, "1\r\n%c\r\n", text[0]); err != nil {
 					return
 				}
-				time.Sleep(50 * time.Millisecond) // it has to be slow: that is what is tested
+				time.Sleep(50 * time.Millisecond) // the slowness is what is tested
 			}
 		}},
 		{"end", func(c *watchConn) { c.writeHead(); io.WriteString(c, "0\r\n\r\n") }},
-		{"silence from the start", func(c *watchConn) {}},
+		{"silence from the beginning", func(c *watchConn) {}},
 		{"silence later", func(c *watchConn) { c.writeHead(); c.writeMessage("") }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			t.Parallel() // some of them wait for silence to end
+			t.Parallel() // some cases wait for a silence timeout
 			sc, m, _, c := startWatchingSidecar(t)
 			go tt.serve(c)
-			if e := receive(t, "failure", m.lists); e.kind != policy.ListFailed {
+			if e := receive(t, "the failure", m.lists); e.kind != policy.ListFailed {
 				t.Fatalf("event %+v, want ListFailed", e)
 			}
 			if len(m.lists) > 0 || len(sc.engine.Snapshot().Servers) != 1 || sc.engine.Snapshot().ListSeq != 41 || sc.engine.Snapshot().Watching {
@@ -164,15 +166,16 @@
 	}
 }
 
-// TestSpoiltEntries: of a list with entries that cannot be used the others count, what stood of those stays, a drain is kept
-// whatever else its entry says, and the watch goes on.
-func TestSpoiltEntries(t *testing.T) {
+// TestInvalidEntries checks that of a list with invalid entries the valid ones are applied, that
+// the previous state of the others is kept, that a drain counts whatever else its entry says, and
+// that the watch continues.
+func TestInvalidEntries(t *testing.T) {
 	sc, m, d, c := startWatchingSidecar(t)
 	c.writeHead()
 	c.writeMessage(`{"seq":42,"whole":true,"hosts":[{"host":"a","dial":"nowhere","health":"active"},{"host":"b","dial":"127.0.0.1:2","health":"active"},` +
 		`{"host":"c","dial":"127.0.0.1:0","health":"active"},{"host":"d","dial":"127.0.0.1:4","health":"odd"},{"host":"","dial":"127.0.0.1:5","health":"active"}]}`)
 	if e := receive(t, "list", m.lists); e.kind != policy.ListFull || len(e.servers) != 2 {
-		t.Fatalf("event %+v, want a, as it stood, and b", e)
+		t.Fatalf("event %+v, want a, unchanged, and b", e)
 	}
 	c.writeMessage(`{"seq":43,"hosts":[{"host":"b","dial":"127.0.0.1:99999","health":"leaving"},{"host":"a","dial":"127.0.0.1:7","health":"leaving"},{"host":"a","dial":"127.0.0.1:7","health":"active"}]}`)
 	e := receive(t, "changes", m.lists)
@@ -181,7 +184,7 @@
 	}
 	for _, s := range sc.engine.Snapshot().Servers {
 		if want := map[policy.ServerID]string{"a": "127.0.0.1:7", "b": "127.0.0.1:2"}[s.ID]; s.Addr != want {
-			t.Errorf("%s is at %q, want %q", s.ID, s.Addr, want)
+			t.Errorf("%s has the address %q, want %q", s.ID, s.Addr, want)
 		}
 	}
 	if len(d.watches) > 0 || !sc.engine.Snapshot().Watching {
@@ -189,18 +192,19 @@
 	}
 }
 
-// TestDiscoveryRefused: nobody listens.
+// TestDiscoveryRefused checks that the module is told if nothing listens at the address.
 func TestDiscoveryRefused(t *testing.T) {
 	m := newScriptedModule()
 	sc := startSidecar(t, m, "127.0.0.1:1", "127.0.0.1:1")
 	sc.startWatch()
-	if e := receive(t, "failure", m.lists); e.kind != policy.ListFailed {
+	if e := receive(t, "the failure", m.lists); e.kind != policy.ListFailed {
 		t.Errorf("event %+v, want ListFailed", e)
 	}
 }
 
-// TestIndentedLists: a message may stand on many lines, be cut anywhere, and come together with the one behind it.
-func TestIndentedLists(t *testing.T) {
+// TestMultiLineMessages checks that a message may span several lines, be split anywhere, and arrive
+// together with the next one.
+func TestMultiLineMessages(t *testing.T) {
 	_, m, d, c := startWatchingSidecar(t)
 	var all strings.Builder
 	for seq, dial := range []string{"127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"} {
@@ -230,17 +234,18 @@
 	}
 }
 
-// TestPushedListsAreWatched: where lists are pushed, an agent has to be listened to from the start, as what it has counts as told. One
-// that takes a call and says nothing is asked again within the 2 s that a drain leaves once it has it.
+// TestPushedListsAreWatched checks that an agent that pushes lists is watched from the start, as
+// what it knows counts as known to the sidecar. An agent that accepts a call and stays silent is
+// called again within the 2 s that a drain leaves once the agent knows of it.
 func TestPushedListsAreWatched(t *testing.T) {
 	d := newFakeDiscovery(t)
 	sc := startSidecar(t, nil, "127.0.0.1:1", d.addr, func(c *config.Config) { c.Settings.Config.ListPushed = true })
 	receive(t, "first call", d.watches)
-	for range 5 { // pauses grow with each
+	for range 5 { // pauses grow with each call
 		before := time.Now()
 		receive(t, "next call", d.watches)
 		if took := time.Since(before); took >= 2*time.Second {
-			t.Errorf("asked again after %v", took)
+			t.Errorf("called again after %v", took)
 		}
 	}
 	c := receive(t, "call", d.watches)
@@ -252,12 +257,13 @@
 	})
 }
 
-// TestSilentAfterSilent: a watch that says nothing from its first moment is given up in time for the next call, by which what it
-// missed is known before it counts: 6 s later, and 2 s that a drain leaves.
-func TestSilentAfterSilent(t *testing.T) {
-	t.Parallel() // it waits for silence to end
+// TestRepeatedlySilentWatch checks that a watch that is silent from the beginning is given up in
+// time for the next call to learn of what the watch missed before it takes effect: 6 s later, plus
+// the 2 s that a drain leaves.
+func TestRepeatedlySilentWatch(t *testing.T) {
+	t.Parallel() // waits for a silence timeout
 	var all []*fakeDiscovery
-	for _, seed := range []uint64{0, 2, 4, 7} { // which draws pauses that are long
+	for _, seed := range []uint64{0, 2, 4, 7} { // these seeds draw long pauses
 		d := newFakeDiscovery(t)
 		all = append(all, d)
 		startSidecar(t, nil, "127.0.0.1:1", d.addr, func(c *config.Config) { c.Settings.Config.RefreshInterval, c.Seed = 10*time.Second, seed })
@@ -268,9 +274,9 @@
 		c.writeMessage("")
 	}
 	for i, d := range all {
-		second := receive(t, "second watch", d.watches) // silent from its first moment
+		second := receive(t, "second watch", d.watches) // silent from the beginning
 		if took := receive(t, "third watch", d.watches).requestedAt.Sub(second.requestedAt); took >= 8*time.Second {
-			t.Errorf("%d: asked again after %v", i, took)
+			t.Errorf("%d: called again after %v", i, took)
 		}
 	}
 }
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -18,7 +18,7 @@
 // connectWindow is how long new connections are expected after SIGTERM, with some reserve.
 const connectWindow = 500 * time.Millisecond
 
-// gatedServer is an upstream that answers nothing before it is opened.
+// gatedServer is a server that does not respond until gate is closed.
 type gatedServer struct {
 	addr     string
 	requests chan struct{}
@@ -35,8 +35,8 @@
 	return g
 }
 
-// TestDrain: after SIGTERM nothing that is taken is lost, and new connections are served for as long as they may
-// come.
+// TestDrain checks that no accepted request is lost after SIGTERM, and that new connections are
+// served for as long as they may arrive.
 func TestDrain(t *testing.T) {
 	g := newGatedServer(t)
 	sc := startSidecar(t, newScriptedModule(), g.addr, "127.0.0.1:1")
@@ -47,7 +47,7 @@
 	receive(t, "request", g.requests)
 	sc.terminate()
 	if _, err := idle.r.ReadByte(); err != io.EOF {
-		t.Errorf("read from an idle connection: %v, want its end", err)
+		t.Errorf("read from an idle connection: %v, want EOF", err)
 	}
 	late := sc.connect(t)
 	late.write(plainGet)
@@ -56,30 +56,30 @@
 	receive(t, "request", g.requests)
 	select {
 	case err := <-sc.done:
-		t.Fatalf("the sidecar ended with requests unanswered: %v", err)
-	case <-time.After(connectWindow + 200*time.Millisecond): // past the window they still have their time
+		t.Fatalf("the sidecar ended with open requests: %v", err)
+	case <-time.After(connectWindow + 200*time.Millisecond): // requests still have their time after the window
 	}
 	close(g.gate)
 	for _, c := range []*testClient{busy, late, fresh} {
 		if resp, body := c.read(t); resp.StatusCode != http.StatusOK || body != "ok" || !resp.Close {
-			t.Errorf("answer %d %q, closes: %v; want a whole one that closes", resp.StatusCode, body, resp.Close)
+			t.Errorf("status %d %q, close: %v; want a complete response with Connection: close", resp.StatusCode, body, resp.Close)
 		}
 	}
-	if err := receive(t, "end", sc.done); err != nil {
+	if err := receive(t, "the end of the sidecar", sc.done); err != nil {
 		t.Error(err)
 	}
 	if c, err := net.Dial("tcp", sc.addr); err == nil {
 		c.Close()
-		t.Error("it still listens")
+		t.Error("the sidecar still listens")
 	}
 }
 
-// TestDrainEmptiesTheBacklog: connections that the kernel has accepted count as taken.
-func TestDrainEmptiesTheBacklog(t *testing.T) {
+// TestDrainEmptiesBacklog checks that connections in the kernel's accept queue are served.
+func TestDrainEmptiesBacklog(t *testing.T) {
 	g := newGatedServer(t)
 	sc := startSidecar(t, newScriptedModule(), g.addr, "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.LeastSockets })
 	var clients []*testClient
-	for range sc.clientLimit() + 5 { // five have to wait
+	for range sc.clientLimit() + 5 { // five connections have to wait
 		c := sc.connect(t)
 		c.write(plainGet)
 		clients = append(clients, c)
@@ -90,7 +90,7 @@
 	sc.terminate()
 	select {
 	case err := <-sc.done:
-		t.Fatalf("the sidecar ended with requests unanswered: %v", err)
+		t.Fatalf("the sidecar ended with open requests: %v", err)
 	case <-time.After(connectWindow + 200*time.Millisecond):
 	}
 	close(g.gate)
@@ -101,13 +101,14 @@
 		}
 		io.Copy(io.Discard, resp.Body)
 	}
-	if err := receive(t, "end", sc.done); err != nil {
+	if err := receive(t, "the end of the sidecar", sc.done); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestSocketsAreBounded: many times as many clients as there are descriptors get their answers, by turns.
-func TestSocketsAreBounded(t *testing.T) {
+// TestDescriptorsAreLimited checks that many times as many clients as there are descriptors get
+// their responses, by turns.
+func TestDescriptorsAreLimited(t *testing.T) {
 	m := newScriptedModule()
 	sc := startSidecar(t, m, startServer(t, respondText(okResponse)), "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.LeastSockets })
 	var clients []*testClient
@@ -116,9 +117,9 @@
 		c.write(plainGet)
 		clients = append(clients, c)
 	}
-	for _, c := range clients { // each stays open, so that idle ones must make room for those that wait
+	for _, c := range clients { // each stays open, so idle connections must be evicted for waiting ones
 		if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
-			t.Fatalf("answer %d", resp.StatusCode)
+			t.Fatalf("status %d", resp.StatusCode)
 		}
 		if n := sc.inUse(); n > config.LeastSockets-sockets.Reserved {
 			t.Fatalf("%d descriptors in use", n)
@@ -126,35 +127,37 @@
 	}
 }
 
-// TestSilentConnectionsMakeRoom guards against incident rab7690: connections on which nothing ever comes must not
-// keep clients out. The one that has been silent longest goes, and no other.
-func TestSilentConnectionsMakeRoom(t *testing.T) {
+// TestSilentConnectionsAreEvicted guards against incident rab7690: connections on which nothing
+// ever arrives must not keep other clients out. Only the connection that has been silent the
+// longest is closed.
+func TestSilentConnectionsAreEvicted(t *testing.T) {
 	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.LeastSockets })
-	quiet := func() int { return sc.server.Stats().Idle }
+	silentConns := func() int { return sc.server.Stats().Idle }
 	var silent []*testClient
-	begun := sc.connect(t) // a head that is slow to come is not silence
-	begun.write(plainGet[:20])
+	partial := sc.connect(t) // a head that arrives slowly is not silence
+	partial.write(plainGet[:20])
 	for range sc.clientLimit() - 1 {
 		silent = append(silent, sc.connect(t))
 	}
-	eventually(t, "all places are taken, but for what one more needs", func() bool { return quiet() >= sc.clientLimit()-1 })
+	eventually(t, "all descriptors but those of one more client are in use", func() bool { return silentConns() >= sc.clientLimit()-1 })
 	if resp, _ := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK {
-		t.Errorf("answer %d", resp.StatusCode)
+		t.Errorf("status %d", resp.StatusCode)
 	}
-	if n := quiet(); n < sc.clientLimit()-4 {
-		t.Errorf("only %d of %d silent connections are left", n, len(silent))
+	if n := silentConns(); n < sc.clientLimit()-4 {
+		t.Errorf("only %d of %d silent connections are still open", n, len(silent))
 	}
 	if _, err := silent[0].r.ReadByte(); err == nil {
-		t.Error("something came on a silent connection")
+		t.Error("received data on a silent connection")
 	}
-	begun.write(plainGet[20:])
-	if resp, _ := begun.read(t); resp.StatusCode != http.StatusOK {
-		t.Errorf("answer %d", resp.StatusCode)
+	partial.write(plainGet[20:])
+	if resp, _ := partial.read(t); resp.StatusCode != http.StatusOK {
+		t.Errorf("status %d", resp.StatusCode)
 	}
 }
 
-// TestNoDescriptorForAnAttempt: an attempt that gets none in time has never run, and is no evidence against the upstream.
-func TestNoDescriptorForAnAttempt(t *testing.T) {
+// TestNoDescriptorForAttempt checks that an attempt that gets no descriptor in time counts as never
+// sent, which is no evidence against the server.
+func TestNoDescriptorForAttempt(t *testing.T) {
 	m := newScriptedModule()
 	sc := startSidecar(t, m, startServer(t, respondText(okResponse)), "127.0.0.1:1", func(c *config.Config) {
 		c.Sockets = config.LeastSockets
@@ -163,10 +166,10 @@
 	c := sc.connect(t)
 	c.write("GET /healthz HTTP/1.1\nHost: s\n\n")
 	c.read(t)
-	soon, cancel := context.WithCancel(t.Context())
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	for { // take all that are left
-		if _, err := sc.sockets.Acquire(soon); err != nil {
+	for { // take all remaining descriptors
+		if _, err := sc.sockets.Acquire(canceled); err != nil {
 			break
 		}
 	}
@@ -177,7 +180,7 @@
 	}
 }
 
-// TestTimers: they are due in order, each once, and none is due later than a client can wait.
+// TestTimers checks that timers fire in order, each once, and none later than a client can wait.
 func TestTimers(t *testing.T) {
 	m := newScriptedModule()
 	sc := startSidecar(t, m, "127.0.0.1:1", "127.0.0.1:1")
@@ -192,12 +195,13 @@
 		}
 	}
 	if n := sc.engine.Snapshot().Timers; n > 0 || len(m.timers) > 0 {
-		t.Errorf("%d timers are left, and %d came twice", n, len(m.timers))
+		t.Errorf("%d timers remain, and %d fired twice", n, len(m.timers))
 	}
 }
 
-// TestNothingIsLeftBehind: requests, attempts, connections and goroutines of a busy hour are gone after it.
-func TestNothingIsLeftBehind(t *testing.T) {
+// TestNoLeaks checks that the requests, attempts and connections of a busy period are gone after
+// it.
+func TestNoLeaks(t *testing.T) {
 	sc := startSidecar(t, nil, startServer(t, func(n int, c net.Conn) {
 		if n%3 == 0 { // some connections break
 			http.ReadRequest(bufio.NewReader(c))
@@ -214,15 +218,15 @@
 	}
 	for _, c := range clients {
 		if _, err := http.ReadResponse(c.r, nil); err != nil {
-			t.Errorf("no answer: %v", err)
+			t.Errorf("no response: %v", err)
 		}
 		c.Close()
 	}
-	eventually(t, "all is gone", func() bool {
-		// One place for the connection that the listener waits for.
+	eventually(t, "all resources are released", func() bool {
+		// One descriptor is reserved for the next connection of the listener.
 		return sc.engine.Snapshot().Retained == 0 && sc.engine.Snapshot().Probing == 0 && sc.inUse() <= 1 && sc.clientsInUse() <= 1
 	})
 	if due := sc.engine.Snapshot().LastDue; due > sc.engine.LongestDeadline() {
-		t.Errorf("a timer is due in %v", due)
+		t.Errorf("the last timer is due in %v", due)
 	}
 }
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -22,14 +22,16 @@
 	"quillfront/policy"
 )
 
-// testTimeout is how long a test waits for what must happen. It bounds a failure; no verdict hangs on it.
+// testTimeout is how long a test waits for an event that must happen. It only limits how long a
+// failing test takes.
 const testTimeout = 20 * time.Second
 
-// scriptedModule is a decision module whose decisions the test makes. It records the events that it gets.
+// scriptedModule is a decision module whose decisions are made by the test. It records the events
+// it receives.
 type scriptedModule struct {
-	onRequest      func(now policy.Time, q policy.Request, act policy.Actions) // nil: send to server "a"
-	onReconfigure  func()                                                      // called as the settings change; nil: nothing is
-	onOutcome      func(o policy.Outcome, act policy.Actions)                  // nil: fail a request that is left open
+	onRequest      func(now policy.Time, q policy.Request, act policy.Actions) // nil: sends to server "a"
+	onReconfigure  func()                                                      // called when the settings change; may be nil
+	onOutcome      func(o policy.Outcome, act policy.Actions)                  // nil: fails a request that is still open
 	outcomes       chan policy.Outcome
 	probeResults   chan policy.ProbeResult
 	lists          chan listEvent
@@ -105,29 +107,29 @@
 
 func (s *scriptedModule) Timer(_ policy.Time, token string, _ policy.Actions) { s.timers <- token }
 
-// receive waits for something to come from c.
+// receive returns the next value from c. what names it in the failure message.
 func receive[T any](t testing.TB, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatalf("no %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// eventually waits until ok.
+// eventually waits until ok returns true. what describes that condition in the failure message.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// settingsText is the settings object of the tests.
+// settingsText is the settings object that the tests use. It contains an unknown key.
 const settingsText = `{"GroupSize":1,"Zone":"z","MembershipMode":"on_request","TickUs":1000,
 "Limits":{"Cancelling":true,"MayDuplicate":true,"Probes":true,"RetryAfter":true,"SendCap":3,
  "DialTimeoutUs":2000000,"ConnIdleUs":60000000},
@@ -138,7 +140,8 @@
 "Safety":{"AskEveryUs":10000000,"GraceToAnswerUs":20000},
 "Telemetry":{"Fields":["eps","queue"],"Via":"on_probe"},"Novel":{"key":1}}`
 
-// configText is a configuration in which server "a" listens at dial.
+// configText returns a configuration in which server "a" has the address dial. It contains unknown
+// keys.
 func configText(dial, discovery string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","novel":true,
 "limits":{"cores":1.0,"memory_mb":128,"sockets":256},
@@ -146,7 +149,7 @@
 "settings":%s}`, discovery, dial, settingsText)
 }
 
-// loadConfig reads a configuration from its text.
+// loadConfig loads a configuration from a temporary file with the given text.
 func loadConfig(t testing.TB, text string) (config.Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -161,15 +164,16 @@
 	})
 }
 
-// testSidecar is a running sidecar.
+// testSidecar is a running Sidecar.
 type testSidecar struct {
 	*Sidecar
 	addr      string
-	terminate context.CancelFunc // what SIGTERM does
-	done      chan error         // what Run returned
+	terminate context.CancelFunc // has the effect of SIGTERM
+	done      chan error         // the result of Serve
 }
 
-// startSidecar runs a sidecar under m, or under the real module if m is nil, until the test ends.
+// startSidecar runs a sidecar with the module m, or with the real module if m is nil, until the
+// test ends.
 func startSidecar(t testing.TB, m *scriptedModule, dial, discovery string, change ...func(*config.Config)) *testSidecar {
 	t.Helper()
 	cfg, err := loadConfig(t, configText(dial, discovery))
@@ -185,14 +189,14 @@
 		if s, err = newSidecar(cfg, config.Operator{}, m, log); err != nil {
 			t.Fatal(err)
 		}
-		receive(t, "cached list", m.lists)
+		receive(t, "the cached list", m.lists)
 	} else if s, err = New(cfg, config.Operator{}, log); err != nil {
 		t.Fatal(err)
 	}
 	return serveSidecar(t, s)
 }
 
-// serveSidecar has s serveSidecar until the test ends.
+// serveSidecar runs s until the test ends.
 func serveSidecar(t testing.TB, s *Sidecar) *testSidecar {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -209,24 +213,25 @@
 	return sc
 }
 
-// runActions does what the module could.
+// runActions calls f with the actions that are available to the module.
 func (sc *testSidecar) runActions(f func(act policy.Actions)) {
 	sc.engine.RunAsEvent(func(_ policy.Time, act policy.Actions) { f(act) })
 }
 
-// waitReusableConn waits until the one idle connection to a server may carry the next request.
+// waitReusableConn waits until the only idle connection to a server can carry the next request.
 func (sc *testSidecar) waitReusableConn(t *testing.T) {
 	t.Helper()
-	eventually(t, "an idle connection that has rested", func() bool { s := sc.transport.Stats(); return s.Idle == 1 && s.Settling == 0 })
+	eventually(t, "the idle connection can be reused", func() bool { s := sc.transport.Stats(); return s.Idle == 1 && s.Settling == 0 })
 }
 
-// inUse and clients tell how many descriptors are taken, places and clientPlaces how many there are.
+// inUse and clientsInUse return the number of descriptors in use, limit and clientLimit their
+// limits.
 func (sc *testSidecar) inUse() int        { n, _ := sc.sockets.InUse(); return n }
 func (sc *testSidecar) clientsInUse() int { _, n := sc.sockets.InUse(); return n }
 func (sc *testSidecar) limit() int        { n, _ := sc.sockets.Limits(); return n }
 func (sc *testSidecar) clientLimit() int  { _, n := sc.sockets.Limits(); return n }
 
-// connect opens a client's connection.
+// connect opens a client connection.
 func (sc *testSidecar) connect(t *testing.T) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", sc.addr)
@@ -245,27 +250,28 @@
 
 var lastRequestID atomic.Int64
 
-// write writes a request with CRLF for each newline, and a new id in place of 1: an id is never open twice.
+// write writes a request, with CRLF for each newline, and with a unique request ID in place of 1:
+// two open requests must not share an ID.
 func (c *testClient) write(text string) {
 	text = strings.Replace(text, "X-Request-ID: 1\n", fmt.Sprintf("X-Request-ID: u%d\n", lastRequestID.Add(1)), 1)
 	io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n"))
 }
 
-// read reads an answer.
+// read reads a response.
 func (c *testClient) read(t *testing.T) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("cannot read the response: %v", err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.Fatalf("an answer that is not whole: %v", err)
+		t.Fatalf("the response body is incomplete: %v", err)
 	}
 	return resp, string(body)
 }
 
-// roundTrip sends a request and reads the answer.
+// roundTrip sends a request on a new connection and returns the response.
 func (sc *testSidecar) roundTrip(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
 	c := sc.connect(t)
@@ -275,7 +281,8 @@
 
 const plainGet = "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\n\n"
 
-// startServer is a server: it runs serve on each connection that comes, and returns its address.
+// startServer starts a server that runs serve on each connection, and returns its address. serve
+// gets the connections numbered from 0.
 func startServer(t testing.TB, serve func(n int, c net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -307,7 +314,7 @@
 	return ln.Addr().String()
 }
 
-// respondWith serves each request of a connection by reply.
+// respondWith returns a handler of connections that calls reply for each request.
 func respondWith(reply func(q *http.Request, c net.Conn)) func(int, net.Conn) {
 	return func(_ int, c net.Conn) {
 		defer c.Close()
@@ -323,7 +330,7 @@
 	}
 }
 
-// respondText answers every request with text.
+// respondText returns a handler of connections that responds to every request with text.
 func respondText(text string) func(int, net.Conn) {
 	return respondWith(func(q *http.Request, c net.Conn) {
 		io.Copy(io.Discard, q.Body)
@@ -333,7 +340,8 @@
 
 const okResponse = "HTTP/1.1 200 OK\nContent-Length: 2\n\nok"
 
-// fakeDiscovery is a discovery: it serves watches: each gets a channel on which the test says its lines.
+// fakeDiscovery is a discovery server. It passes each watch to the test, which writes the
+// responses.
 type fakeDiscovery struct {
 	addr    string
 	watches chan *watchConn
@@ -342,7 +350,7 @@
 type watchConn struct {
 	net.Conn
 	query       string
-	requestedAt time.Time // when it was asked for
+	requestedAt time.Time // when the watch was requested
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
@@ -358,11 +366,12 @@
 	return d
 }
 
+// writeHead writes the head of the response to the watch.
 func (c *watchConn) writeHead() {
 	io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-// writeMessage says one writeMessage of the watch.
+// writeMessage writes one message of the watch.
 func (c *watchConn) writeMessage(text string) { fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(text)+1, text) }
 
 func isTimeout(err error) bool {
@@ -370,20 +379,20 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// setBacklog makes ln hold at most about n connections that nobody has accepted.
+// setBacklog limits the connections waiting to be accepted on ln to about n.
 func setBacklog(ln *net.TCPListener, n int) error {
 	raw, err := ln.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var lerr error
-	if err := raw.Control(func(fd uintptr) { lerr = syscall.Listen(int(fd), n) }); err != nil {
+	var listenErr error
+	if err := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), n) }); err != nil {
 		return err
 	}
-	return lerr
+	return listenErr
 }
 
-// canceledContext returns a context that has ended.
+// canceledContext returns a context that is already canceled.
 func canceledContext(t *testing.T) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/daemon/management_test.go
+++ b/internal/daemon/management_test.go
@@ -19,29 +19,29 @@
 	"quillfront/policy"
 )
 
-// TestExclude: a server that operators have out counts as draining whatever discovery lists meanwhile, and as one that has
-// just started once it is back.
+// TestExclude checks that a server that operators have excluded counts as draining whatever
+// discovery lists, and as just restarted once it is included again.
 func TestExclude(t *testing.T) {
 	m := newScriptedModule()
 	sc := startSidecar(t, m, "127.0.0.1:1", "127.0.0.1:1")
-	o := managedSidecar{sc.Sidecar}
-	if err := o.Exclude("b"); !errors.Is(err, exclusion.ErrUnknown) {
+	managed := managedSidecar{sc.Sidecar}
+	if err := managed.Exclude("b"); !errors.Is(err, exclusion.ErrUnknown) {
 		t.Errorf("an unknown server: %v", err)
 	}
-	told := func(want policy.ServerState) policy.Server {
+	wantListed := func(want policy.ServerState) policy.Server {
 		t.Helper()
 		e := receive(t, "list", m.lists)
 		if len(e.servers) != 1 || e.servers[0].ID != "a" || e.servers[0].State != want {
-			t.Fatalf("the module is told %+v, want state %v", e.servers, want)
+			t.Fatalf("the module received %+v, want state %v", e.servers, want)
 		}
 		return e.servers[0]
 	}
 	for range 2 {
-		if err := o.Exclude("a"); err != nil {
+		if err := managed.Exclude("a"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	told(policy.Draining)
+	wantListed(policy.Draining)
 	d := newFakeDiscovery(t)
 	cfg := sc.Config()
 	cfg.Discovery = d.addr
@@ -51,104 +51,105 @@
 	watch := receive(t, "watch", d.watches)
 	watch.writeHead()
 	watch.writeMessage(`{"seq":50,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"active"}]}`)
-	told(policy.Draining)
-	if err := o.Include("a"); err != nil {
+	wantListed(policy.Draining)
+	if err := managed.Include("a"); err != nil {
 		t.Fatal(err)
 	}
-	if s := told(policy.Ready); s.Started == 0 {
-		t.Error("it does not count as started anew")
+	if s := wantListed(policy.Ready); s.Started == 0 {
+		t.Error("the server does not count as restarted")
 	}
 	watch.writeMessage(`{"seq":51,"whole":false,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"active"}]}`)
-	if s := told(policy.Ready); s.Started == 0 {
-		t.Error("a list that runs behind makes it warm")
+	if s := wantListed(policy.Ready); s.Started == 0 {
+		t.Error("an outdated list makes the server count as warm")
 	}
 	if len(m.lists) > 0 {
-		t.Errorf("the module is told more: %+v", receive(t, "list", m.lists))
+		t.Errorf("the module received another list: %+v", receive(t, "list", m.lists))
 	}
 }
 
-// TestEvacuate: a drained sidecar says that it is not ready, ends each connection with its answer and closes those that are
-// quiet, goes on serving, and is as before once the drain has ended.
+// TestEvacuate checks that a drained sidecar reports that it is not ready, closes each connection
+// after its response and idle connections at once, keeps serving, and returns to normal once the
+// drain has ended.
 func TestEvacuate(t *testing.T) {
 	addr := startServer(t, respondText(okResponse))
 	sc := startSidecar(t, newScriptedModule(), addr, "127.0.0.1:1")
-	o := managedSidecar{sc.Sidecar}
-	eventually(t, "ready", func() bool { return o.Ready() == nil })
+	managed := managedSidecar{sc.Sidecar}
+	eventually(t, "the sidecar is ready", func() bool { return managed.Ready() == nil })
 	const probe = "GET /healthz HTTP/1.1\nHost: s\n\n"
-	quiet, busy := sc.connect(t), sc.connect(t)
-	for _, c := range []*testClient{quiet, busy} {
+	idle, busy := sc.connect(t), sc.connect(t)
+	for _, c := range []*testClient{idle, busy} {
 		c.write(plainGet)
 		if resp, _ := c.read(t); resp.Close {
 			t.Fatal("the connection is not kept")
 		}
 	}
-	busy.write("GET /read/k HTTP/1.1\nHost: s\n") // a request that has come in part
-	eventually(t, "part of a request is read", func() bool { return sc.server.Stats().Idle == 1 })
-	if err := o.Evacuate(); err != nil {
+	busy.write("GET /read/k HTTP/1.1\nHost: s\n") // a partial request
+	eventually(t, "the partial request is read", func() bool { return sc.server.Stats().Idle == 1 })
+	if err := managed.Evacuate(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := quiet.r.ReadByte(); err != io.EOF {
-		t.Errorf("a quiet connection: %v", err)
+	if _, err := idle.r.ReadByte(); err != io.EOF {
+		t.Errorf("an idle connection: %v, want EOF", err)
 	}
 	busy.write("X-Request-ID: 1\n\n")
 	if resp, _ := busy.read(t); resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("the request that had begun: %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("the partial request: status %d, close %v", resp.StatusCode, resp.Close)
 	}
-	if resp, _ := sc.roundTrip(t, probe); resp.StatusCode != http.StatusServiceUnavailable || !errors.Is(o.Ready(), management.ErrNotReady) {
-		t.Errorf("/healthz is %d, ready is %v", resp.StatusCode, o.Ready())
+	if resp, _ := sc.roundTrip(t, probe); resp.StatusCode != http.StatusServiceUnavailable || !errors.Is(managed.Ready(), management.ErrNotReady) {
+		t.Errorf("/healthz: status %d; Ready: %v", resp.StatusCode, managed.Ready())
 	}
 	if resp, _ := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("a new connection: %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("a new connection: status %d, close %v", resp.StatusCode, resp.Close)
 	}
 	silent := sc.connect(t)
 	if _, err := silent.r.ReadByte(); err != io.EOF {
-		t.Errorf("a connection on which nothing comes: %v", err)
+		t.Errorf("a silent connection: %v, want EOF", err)
 	}
-	if err := o.Rejoin(); err != nil {
+	if err := managed.Rejoin(); err != nil {
 		t.Fatal(err)
 	}
-	if resp, _ := sc.roundTrip(t, probe); resp.StatusCode != http.StatusOK || resp.Close || o.Ready() != nil {
-		t.Errorf("after the drain: %d, close %v, ready is %v", resp.StatusCode, resp.Close, o.Ready())
+	if resp, _ := sc.roundTrip(t, probe); resp.StatusCode != http.StatusOK || resp.Close || managed.Ready() != nil {
+		t.Errorf("after the drain: status %d, close %v; Ready: %v", resp.StatusCode, resp.Close, managed.Ready())
 	}
 }
 
-// TestSharedByTwo: what one process of a sidecar is told to do the other does too, and both share the descriptors until one
-// ends.
-func TestSharedByTwo(t *testing.T) {
+// TestTwoProcesses checks that a change by an operator to one process of a sidecar applies to the
+// other too, and that both share the descriptors until one ends.
+func TestTwoProcesses(t *testing.T) {
 	shared := t.TempDir() + "/shared"
 	share := func(c *config.Config) { c.Shared = shared }
 	older := startSidecar(t, newScriptedModule(), "127.0.0.1:1", "127.0.0.1:1", share)
-	alone := older.limit()
+	all := older.limit()
 	newer := startSidecar(t, newScriptedModule(), "127.0.0.1:1", "127.0.0.1:1", share)
-	eventually(t, "both have half", func() bool { return older.limit() == (alone+1)/2 && newer.limit() == (alone+1)/2 })
+	eventually(t, "each process has half of the descriptors", func() bool { return older.limit() == (all+1)/2 && newer.limit() == (all+1)/2 })
 	if err := (managedSidecar{older.Sidecar}).Exclude("a"); err != nil {
 		t.Fatal(err)
 	}
 	if err := (managedSidecar{newer.Sidecar}).Evacuate(); err != nil {
 		t.Fatal(err)
 	}
-	out := func(sc *testSidecar) bool {
+	applied := func(sc *testSidecar) bool {
 		sc.mu.Lock()
 		defer sc.mu.Unlock()
 		_, ok := sc.operatorState.Absences.Excluded["a"]
 		return ok && sc.operatorState.Evacuated
 	}
-	eventually(t, "both do what either was told", func() bool { return out(older) && out(newer) })
+	eventually(t, "both changes apply to both processes", func() bool { return applied(older) && applied(newer) })
 	older.terminate()
-	receive(t, "end", older.done)
-	eventually(t, "the other has all", func() bool { return newer.limit() == alone })
-	again := startSidecar(t, newScriptedModule(), "127.0.0.1:1", "127.0.0.1:1", share)
-	if !out(again) {
-		t.Error("a third process knows nothing of it")
+	receive(t, "the end of the older process", older.done)
+	eventually(t, "the other process has all descriptors", func() bool { return newer.limit() == all })
+	third := startSidecar(t, newScriptedModule(), "127.0.0.1:1", "127.0.0.1:1", share)
+	if !applied(third) {
+		t.Error("the changes do not apply to a third process")
 	}
-	for _, sc := range []*testSidecar{newer, again} {
+	for _, sc := range []*testSidecar{newer, third} {
 		sc.terminate()
-		receive(t, "end", sc.done)
+		receive(t, "the end of the process", sc.done)
 	}
 }
 
-// TestCallsAtOnce: of many calls at once each is kept.
-func TestCallsAtOnce(t *testing.T) {
+// TestConcurrentUpdates checks that no change is lost if many are made at once.
+func TestConcurrentUpdates(t *testing.T) {
 	sc := startSidecar(t, newScriptedModule(), "127.0.0.1:1", "127.0.0.1:1")
 	var calls sync.WaitGroup
 	for i := range 100 {
@@ -161,17 +162,18 @@
 	}
 	calls.Wait()
 	if n := len(sc.operatorState.Absences.Excluded); n != 100 {
-		t.Errorf("%d of 100 are kept", n)
+		t.Errorf("%d of 100 changes are applied", n)
 	}
 }
 
-// TestRetune: new settings hold for what comes after them, clients may go by the old ones for a while, open requests keep
-// theirs, and settings that cannot be used change nothing.
-func TestRetune(t *testing.T) {
-	open := make(chan struct{})
+// TestReloadSettings checks that new settings apply to new requests, that clients may follow the
+// old settings for a while, that open requests keep theirs, and that invalid settings change
+// nothing.
+func TestReloadSettings(t *testing.T) {
+	release := make(chan struct{})
 	addr := startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		if q.Header.Get("Idempotency-Key") == "slow" {
-			<-open
+			<-release
 		}
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	}))
@@ -183,41 +185,41 @@
 	}
 	slow := sc.connect(t)
 	slow.write(strings.ReplaceAll(keyed, "%", "slow"))
-	eventually(t, "it is open", func() bool { return sc.engine.Snapshot().Open == 1 })
+	eventually(t, "the slow request is open", func() bool { return sc.engine.Snapshot().Open == 1 })
 	cfg := sc.Config()
-	next, err := loadConfig(t, strings.NewReplacer(
+	newCfg, err := loadConfig(t, strings.NewReplacer(
 		`"Name":"order","Effect":"idempotency_key"`, `"Name":"order","Effect":"read_like"`,
 		`"Name":"pay"`, `"Name":"settle"`, `"SendCap":3`, `"SendCap":2`).Replace(configText(addr, "127.0.0.1:1")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	bad := next
+	bad := newCfg
 	bad.Settings.Config.MaxAttempts = 0
 	if err := sc.Reload(bad, config.Operator{}); err == nil || sc.Config().Settings.Config.MaxAttempts != cfg.Settings.Config.MaxAttempts {
-		t.Errorf("no attempts: %v", err)
+		t.Errorf("MaxAttempts 0: %v", err)
 	}
 	const get, pay, settle = "GET /order/k HTTP/1.1\nHost: s\nX-Request-ID: 1\n\n", "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 0\n\n",
 		"POST /settle/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 0\n\n"
 	if got := [...]int{status(get), status(settle), status(pay)}; got != [...]int{405, 404, 200} {
 		t.Errorf("before: %v", got)
 	}
-	if err := sc.Reload(next, config.Operator{}); err != nil {
+	if err := sc.Reload(newCfg, config.Operator{}); err != nil {
 		t.Fatal(err)
 	}
 	if got := [...]int{status(get), status(settle), status(pay), status(strings.ReplaceAll(keyed, "%", "x"))}; got != [...]int{200, 200, 200, 200} {
-		t.Errorf("while clients change over: %v", got)
+		t.Errorf("during the transition: %v", got)
 	}
-	eventually(t, "the old rules have ended", func() bool { return status(pay) == 404 })
+	eventually(t, "the old settings have ended", func() bool { return status(pay) == 404 })
 	if got := [...]int{status(get), status(settle), status(strings.ReplaceAll(keyed, "%", "x"))}; got != [...]int{200, 200, 405} {
 		t.Errorf("after: %v", got)
 	}
-	close(open)
+	close(release)
 	if resp, body := slow.read(t); resp.StatusCode != http.StatusOK || body != "ok" {
-		t.Errorf("the request that was open: %d %q", resp.StatusCode, body)
+		t.Errorf("the slow request: status %d, body %q", resp.StatusCode, body)
 	}
 }
 
-// TestTelemetry: the figures tell what has become of requests, and what operators have asked for.
+// TestTelemetry checks that the metrics show the outcomes of requests and the changes by operators.
 func TestTelemetry(t *testing.T) {
 	m := newScriptedModule()
 	m.onRequest = func(now policy.Time, q policy.Request, act policy.Actions) {
@@ -231,20 +233,20 @@
 	for _, key := range []string{"k", "k", "no"} {
 		sc.roundTrip(t, strings.Replace(plainGet, "/read/k", "/read/"+key, 1))
 	}
-	o := managedSidecar{sc.Sidecar}
-	if err := o.Exclude("a"); err != nil {
+	managed := managedSidecar{sc.Sidecar}
+	if err := managed.Exclude("a"); err != nil {
 		t.Fatal(err)
 	}
 	sc.ReloadFailed(errors.New("no"))
 	rec := httptest.NewRecorder()
-	o.Metrics().ServeHTTP(rec, httptest.NewRequest(http.MethodGet, "/api/telemetry", nil))
+	managed.Metrics().ServeHTTP(rec, httptest.NewRequest(http.MethodGet, "/api/telemetry", nil))
 	for _, want := range []string{
 		`svc_ok_total{kind="read"} 2`, `svc_shed_total{kind="read"} 1`, `svc_errors_total{kind="read"} 0`,
 		`svc_tries_total{kind="read",result="ok"} 2`, `svc_active 0`, `svc_pool_size 1`, `svc_server_out{server="a"} 0`, `svc_pool_out 1`, `svc_pool_draining 0`,
 		`svc_config_rejected_total 1`, `svc_config_applied_total 0`, `svc_descriptors_most{of="all"} 240`,
 	} {
 		if !strings.Contains(rec.Body.String(), want+"\n") {
-			t.Errorf("no line %q", want)
+			t.Errorf("the metrics have no line %q", want)
 		}
 	}
 }
--- a/internal/daemon/probe_test.go
+++ b/internal/daemon/probe_test.go
@@ -20,11 +20,11 @@
 	}{
 		{"report", respondText("HTTP/1.1 200 OK\nContent-Length: 31\n\nTEXT eps=0.5, queue=2, util=0.1"), policy.OK, load},
 		{"no report", respondText("HTTP/1.1 200 OK\nContent-Length: 0\n\n"), policy.OK, nil},
-		{"broken report", respondText("HTTP/1.1 200 OK\nContent-Length: 9\n\n\x00=,queue="), policy.OK, nil},
+		{"invalid report", respondText("HTTP/1.1 200 OK\nContent-Length: 9\n\n\x00=,queue="), policy.OK, nil},
 		{"turned away", respondText("HTTP/1.1 503 No\nContent-Length: 0\n\n"), policy.Overloaded, nil},
-		{"not there", respondText("HTTP/1.1 404 No\nContent-Length: 0\n\n"), policy.AppError, nil},
-		{"break", func(_ int, c net.Conn) { io.ReadFull(c, make([]byte, 20)); c.Close() }, policy.Reset, nil},
-		{"broken HTTP", respondText("HELLO\n\n"), policy.Reset, nil},
+		{"not found", respondText("HTTP/1.1 404 No\nContent-Length: 0\n\n"), policy.AppError, nil},
+		{"reset", func(_ int, c net.Conn) { io.ReadFull(c, make([]byte, 20)); c.Close() }, policy.Reset, nil},
+		{"not HTTP", respondText("HELLO\n\n"), policy.Reset, nil},
 		{"silence", func(int, net.Conn) {}, policy.Timeout, nil},
 	}
 	for _, tt := range tests {
@@ -37,33 +37,34 @@
 				t.Errorf("result %v, load %+v; want %v, %+v", p.Status, p.Load, tt.want, tt.load)
 			}
 			if sc.engine.Snapshot().Probing != 0 {
-				t.Errorf("%d probes under way", sc.engine.Snapshot().Probing)
+				t.Errorf("%d probes are in progress", sc.engine.Snapshot().Probing)
 			}
 		})
 	}
 }
 
-// TestProbesAreBounded: one beyond the bound, or of a server that is not listed, counts as never sent.
-func TestProbesAreBounded(t *testing.T) {
-	asked := make(chan string, 2*64)
+// TestProbesAreLimited checks that a probe beyond the limit, or of a server that is not listed,
+// counts as never sent.
+func TestProbesAreLimited(t *testing.T) {
+	probes := make(chan string, 2*64)
 	m := newScriptedModule()
-	sc := startSidecar(t, m, startServer(t, respondWith(func(q *http.Request, c net.Conn) { asked <- q.RequestURI })), "127.0.0.1:1")
+	sc := startSidecar(t, m, startServer(t, respondWith(func(q *http.Request, c net.Conn) { probes <- q.RequestURI })), "127.0.0.1:1")
 	sc.runActions(func(act policy.Actions) {
 		for range 64 + 5 {
 			act.Probe("a")
 		}
 		act.Probe("unlisted")
 	})
-	moot := 0
+	notSent := 0
 	for range 64 + 6 {
 		if p := receive(t, "result", m.probeResults); p.Status == policy.NotSent {
-			moot++
+			notSent++
 		}
 	}
-	if moot != 6 || len(asked) > 64 {
-		t.Errorf("%d moot and %d sent, want 6 and at most %d", moot, len(asked), 64)
+	if notSent != 6 || len(probes) > 64 {
+		t.Errorf("%d probes not sent and %d sent, want 6 and at most %d", notSent, len(probes), 64)
 	}
-	if path := receive(t, "probe", asked); path != "/load" {
-		t.Errorf("probe of %s", path)
+	if path := receive(t, "probe", probes); path != "/load" {
+		t.Errorf("probe of %s, want /load", path)
 	}
 }
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -20,15 +20,16 @@
 	"quillfront/policy"
 )
 
-// receivedRequest is a request as an upstream has it.
+// receivedRequest is a request as received by a server.
 type receivedRequest struct {
-	line       string // method and target as they stand on the wire
+	line       string // method and target as on the wire
 	header     http.Header
 	bodySum    [sha256.Size]byte
 	bodyLength int
 }
 
-// startRecordingServer answers requests with okAnswer and tells what it saw.
+// startRecordingServer starts a server that responds with okResponse, and returns its address and
+// the requests it receives.
 func startRecordingServer(t *testing.T) (string, chan receivedRequest) {
 	got := make(chan receivedRequest, 100)
 	return startServer(t, respondWith(func(q *http.Request, c net.Conn) {
@@ -38,14 +39,15 @@
 	})), got
 }
 
-// TestForwardsUnchanged guards what an upstream tells repeats by, and paths that a mux or a URL parser rewrites.
-func TestForwardsUnchanged(t *testing.T) {
+// TestRequestsAreForwardedUnchanged guards against changes to a request by which a server detects
+// repeats, and against paths that a mux or a URL parser rewrites.
+func TestRequestsAreForwardedUnchanged(t *testing.T) {
 	addr, got := startRecordingServer(t)
 	sc := startSidecar(t, newScriptedModule(), addr, "127.0.0.1:1")
 	big := strings.Repeat("0123456789abcdef", httpmsg.MaxFullBody/16)
 	tests := []struct{ name, line, headers, body string }{
 		{"plain", "GET /read/k", "", ""},
-		{"target kept byte for byte", "GET /read/a%2Fb//c/..d/%41?x=1&&y=%20;z/../", "", ""},
+		{"unusual target", "GET /read/a%2Fb//c/..d/%41?x=1&&y=%20;z/../", "", ""},
 		{"characters that URLs escape", `GET /read/"<k>|^`, "", ""},
 		{"keyed", "POST /order/k", "Idempotency-Key: 5C0f\nX-Novel: 1\n", "body"},
 		{"unsafe, no body", "POST /pay/k", "", ""},
@@ -59,14 +61,14 @@
 			}
 			resp, body := sc.roundTrip(t, text+"\n"+tt.body)
 			if resp.StatusCode != http.StatusOK || body != "ok" {
-				t.Fatalf("answer %d %q", resp.StatusCode, body)
+				t.Fatalf("status %d %q", resp.StatusCode, body)
 			}
 			s := receive(t, "request", got)
 			if s.line != tt.line {
 				t.Errorf("request line %q, want %q", s.line, tt.line)
 			}
 			if s.bodyLength != len(tt.body) || s.bodySum != sha256.Sum256([]byte(tt.body)) {
-				t.Errorf("body of %d bytes is not the client's", s.bodyLength)
+				t.Errorf("the body of %d bytes differs from the client's", s.bodyLength)
 			}
 			if id := s.header.Get("X-Request-Id"); id != fmt.Sprint("id", i) {
 				t.Errorf("X-Request-ID %q", id)
@@ -78,7 +80,8 @@
 	}
 }
 
-// TestChunkedBodiesAreForwarded: their parts come to the upstream in one piece, and one that breaks off does not.
+// TestChunkedBodiesAreForwarded checks that a server receives a chunked body in one piece, and does
+// not receive a truncated one.
 func TestChunkedBodiesAreForwarded(t *testing.T) {
 	addr, got := startRecordingServer(t)
 	sc := startSidecar(t, newScriptedModule(), addr, "127.0.0.1:1")
@@ -92,10 +95,10 @@
 		}
 		c.write("0\n\n")
 		if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
-			t.Errorf("%d bytes: answer %d", n, resp.StatusCode)
+			t.Errorf("%d bytes: status %d", n, resp.StatusCode)
 		}
 		if s := receive(t, "request", got); s.bodyLength != n || s.bodySum != sha256.Sum256([]byte(body)) {
-			t.Errorf("%d bytes came as %d, or changed", n, s.bodyLength)
+			t.Errorf("%d bytes: the server received %d bytes, or a different body", n, s.bodyLength)
 		}
 	}
 	c := sc.connect(t)
@@ -103,12 +106,13 @@
 	fmt.Fprintf(c, "%x\r\n%s\r\n", 5, "hello")
 	c.Conn.(*net.TCPConn).CloseWrite()
 	if resp, _ := c.read(t); resp.StatusCode != http.StatusBadRequest || len(got) > 0 {
-		t.Errorf("answer %d to half a body, %d sent on", resp.StatusCode, len(got))
+		t.Errorf("truncated body: status %d, %d requests forwarded", resp.StatusCode, len(got))
 	}
 }
 
-// TestWaitIsPassedOn: X-Timeout-Ms tells the upstream how long the sidecar waits, not what the client said.
-func TestWaitIsPassedOn(t *testing.T) {
+// TestTimeoutIsForwarded checks that X-Timeout-Ms tells the server how long the sidecar waits,
+// rather than the client's timeout.
+func TestTimeoutIsForwarded(t *testing.T) {
 	addr, got := startRecordingServer(t)
 	m := newScriptedModule()
 	m.onRequest = func(_ policy.Time, q policy.Request, act policy.Actions) { act.Send(q.ID, "a", 700*time.Millisecond) }
@@ -120,11 +124,11 @@
 	}
 }
 
-// TestWhatTheModuleIsTold is a table of requests and the event of each.
-func TestWhatTheModuleIsTold(t *testing.T) {
+// TestRequestEvents checks the event that the module receives for each request.
+func TestRequestEvents(t *testing.T) {
 	type event struct {
 		policy.Request
-		left time.Duration
+		remaining time.Duration
 	}
 	events := make(chan event, 10)
 	m := newScriptedModule()
@@ -136,40 +140,41 @@
 	tests := []struct {
 		name, request string
 		want          policy.Request
-		left          time.Duration // at most, and at least 1 s less
+		remaining     time.Duration // upper limit; at least 1 s less
 	}{
-		{"all there is", "GET /read/u/k7 HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 4000\nX-Tenant-Id: acme\nX-Retried: 1\nX-Cost: 1200\nX-Attrs: a=1\n\n",
+		{"all headers", "GET /read/u/k7 HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 4000\nX-Tenant-Id: acme\nX-Retried: 1\nX-Cost: 1200\nX-Attrs: a=1\n\n",
 			policy.Request{Class: "read", Key: "k7", Tenant: "acme", Retry: true, Cost: 1200 * time.Microsecond}, 4 * time.Second},
 		{"no key", "GET /read HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 4000\n\n", policy.Request{Class: "read"}, 4 * time.Second},
 		{"no timeout", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\n\n", policy.Request{Class: "read", Key: "k"}, 10 * time.Second},
-		{"endless timeout", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9223372036854775807\n\n", policy.Request{Class: "read", Key: "k"}, 10 * time.Second},
+		{"maximum timeout", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9223372036854775807\n\n", policy.Request{Class: "read", Key: "k"}, 10 * time.Second},
 		{"malformed cost", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 4000\nX-Cost: much\nX-Attrs: ====,\n\n", policy.Request{Class: "read", Key: "k"}, 4 * time.Second},
 		{"negative cost", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 4000\nX-Cost: -3\n\n", policy.Request{Class: "read", Key: "k"}, 4 * time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if resp, _ := sc.roundTrip(t, tt.request); resp.StatusCode != http.StatusBadGateway {
-				t.Errorf("answer %d to a request that the module fails", resp.StatusCode)
+				t.Errorf("status %d for a request that the module fails", resp.StatusCode)
 			}
 			e := receive(t, "event", events)
 			got := e.Request
 			got.ID, got.Expires = 0, 0
-			tt.want.ClientTimeout = tt.left
+			tt.want.ClientTimeout = tt.remaining
 			if !reflect.DeepEqual(got, tt.want) {
 				t.Errorf("event %+v, want %+v", got, tt.want)
 			}
-			if e.left > tt.left || e.left < tt.left-time.Second {
-				t.Errorf("%v left, want %v", e.left, tt.left)
+			if e.remaining > tt.remaining || e.remaining < tt.remaining-time.Second {
+				t.Errorf("%v remaining, want %v", e.remaining, tt.remaining)
 			}
 		})
 	}
 }
 
-// TestIllegalRequests: what is malformed is answered, and comes neither to the module nor to an upstream.
-func TestIllegalRequests(t *testing.T) {
+// TestInvalidRequests checks that invalid requests get an error response, and reach neither the
+// module nor a server.
+func TestInvalidRequests(t *testing.T) {
 	m := newScriptedModule()
 	m.onRequest = func(_ policy.Time, q policy.Request, act policy.Actions) {
-		t.Errorf("the module got %+v", q)
+		t.Errorf("the module received %+v", q)
 		act.Fail(q.ID)
 	}
 	sc := startSidecar(t, m, "127.0.0.1:1", "127.0.0.1:1")
@@ -177,30 +182,30 @@
 		name, request string
 		want          int
 	}{
-		{"no HTTP", "HELLO\n\n", 400},
-		{"no id", "GET /read/k HTTP/1.1\nHost: s\nX-Timeout-Ms: 9000\n\n", 400},
+		{"not HTTP", "HELLO\n\n", 400},
+		{"no request ID", "GET /read/k HTTP/1.1\nHost: s\nX-Timeout-Ms: 9000\n\n", 400},
 		{"no host", "GET /read/k HTTP/1.1\nX-Request-ID: 1\n\n", 400},
 		{"unknown class and no timeout", "GET /novel/k HTTP/1.1\nHost: s\nX-Request-ID: 1\n\n", 404},
-		{"a deadline that is no number", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: soon\n\n", 400},
-		{"a negative deadline", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: -4\n\n", 400},
+		{"non-numeric timeout", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: soon\n\n", 400},
+		{"negative timeout", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: -4\n\n", 400},
 		{"unknown class", "POST /novel/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 4000\nContent-Length: 0\n\n", 404},
-		{"a method that is not the class's", "POST /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 0\n\n", 405},
-		{"a body that the class has not", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 1\n\nx", 400},
-		{"two ids", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Request-ID: 2\n\n", 400},
-		{"both lengths", "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 5\nTransfer-Encoding: chunked\n\n0\n\n", 400},
-		{"two lengths", "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 0\nContent-Length: 0\n\n", 400},
-		{"a negative length", "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: -5\n\n", 400},
-		{"a coding of another name", "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nTransfer-Encoding: xchunked\n\n0\n\n", 400},
-		{"a folded line", "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 0\nX-A: b\n Transfer-Encoding: chunked\n\n", 400},
-		{"requests in one go", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\n\nGET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 2\n\n", 400},
+		{"wrong method for the class", "POST /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 0\n\n", 405},
+		{"body not allowed by the class", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 1\n\nx", 400},
+		{"two request IDs", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Request-ID: 2\n\n", 400},
+		{"Content-Length and Transfer-Encoding", "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 5\nTransfer-Encoding: chunked\n\n0\n\n", 400},
+		{"two Content-Length headers", "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 0\nContent-Length: 0\n\n", 400},
+		{"negative length", "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: -5\n\n", 400},
+		{"unknown transfer coding", "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nTransfer-Encoding: xchunked\n\n0\n\n", 400},
+		{"folded header line", "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 0\nX-A: b\n Transfer-Encoding: chunked\n\n", 400},
+		{"pipelined requests", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\n\nGET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 2\n\n", 400},
 		{"keyed class without a key", "POST /order/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 0\n\n", 400},
-		{"a key taken out on the way", "POST /order/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nIdempotency-Key: k\nConnection: close, Idempotency-Key\nContent-Length: 0\n\n", 400},
-		{"an id taken out on the way", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nConnection: X-Request-ID\n\n", 400},
-		{"a host that is none", "GET /read/k HTTP/1.1\nHost: a b/c\nX-Request-ID: 1\n\n", 400},
-		{"dots out of the class", "GET /read/../order/k HTTP/1.1\nHost: s\nX-Request-ID: 1\n\n", 400},
-		{"senseless length", "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: many\n\n", 400},
+		{"idempotency key as hop-by-hop header", "POST /order/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nIdempotency-Key: k\nConnection: close, Idempotency-Key\nContent-Length: 0\n\n", 400},
+		{"request ID as hop-by-hop header", "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nConnection: X-Request-ID\n\n", 400},
+		{"invalid host", "GET /read/k HTTP/1.1\nHost: a b/c\nX-Request-ID: 1\n\n", 400},
+		{"dot segments out of the class", "GET /read/../order/k HTTP/1.1\nHost: s\nX-Request-ID: 1\n\n", 400},
+		{"non-numeric length", "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: many\n\n", 400},
 		{"over 32 MiB", fmt.Sprintf("POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: %d\n\n", httpmsg.MaxBody+1), 413},
-		{"broken chunk", "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nTransfer-Encoding: chunked\n\nzz\n", 400},
+		{"invalid chunk", "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nTransfer-Encoding: chunked\n\nzz\n", 400},
 		{"head too long", "GET /read/k HTTP/1.1\nHost: s\nX-Long: " + strings.Repeat("x", 2*(8<<10)) + "\n\n", 431},
 	}
 	for _, tt := range tests {
@@ -209,20 +214,21 @@
 			go c.write(tt.request)
 			resp, err := http.ReadResponse(c.r, nil)
 			if err != nil || resp.StatusCode != tt.want {
-				t.Errorf("answer %v, %v; want %d", resp, err, tt.want)
+				t.Errorf("response %v, %v; want status %d", resp, err, tt.want)
 			}
 		})
 	}
 	t.Run("healthz", func(t *testing.T) {
 		if resp, _ := sc.roundTrip(t, "GET /healthz HTTP/1.1\nHost: s\n\n"); resp.StatusCode != 200 {
-			t.Errorf("answer %d", resp.StatusCode)
+			t.Errorf("status %d", resp.StatusCode)
 		}
 	})
 }
 
-// TestFreshRequestsAreNotTakenForRetries guards against a spiral of refusals: requests without a key that come after one
-// that failed are not all its retries, begun when it began, and so must not be ended as late. A true retry is.
-func TestFreshRequestsAreNotTakenForRetries(t *testing.T) {
+// TestNewRequestsAreNotTreatedAsRetries guards against a spiral of refusals: requests without a key
+// that follow a failed one must not all be treated as its retries, which would date them back to
+// its start and end them as late. A real retry is dated back.
+func TestNewRequestsAreNotTreatedAsRetries(t *testing.T) {
 	var healthy atomic.Bool
 	addr := startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		text := "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
@@ -240,21 +246,22 @@
 	})
 	text := "GET /read HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 5000\nX-Cost: %d\n\n"
 	if resp, _ := sc.roundTrip(t, fmt.Sprintf(text, 1000)); resp.StatusCode == http.StatusOK {
-		t.Fatalf("answer %d", resp.StatusCode)
+		t.Fatalf("status %d", resp.StatusCode)
 	}
 	healthy.Store(true)
-	time.Sleep(aim + 50*time.Millisecond) // what the failed one would be worth is gone
+	time.Sleep(aim + 50*time.Millisecond) // the aim of the failed request has passed
 	if resp, _ := sc.roundTrip(t, fmt.Sprintf(text, 1500)); resp.StatusCode != http.StatusOK {
-		t.Errorf("answer %d to a fresh request", resp.StatusCode)
+		t.Errorf("status %d for a new request", resp.StatusCode)
 	}
 	if resp, _ := sc.roundTrip(t, fmt.Sprintf(text, 1000)); resp.StatusCode == http.StatusOK {
-		t.Errorf("answer %d to a retry whose aim has passed", resp.StatusCode)
+		t.Errorf("status %d for a retry after its aim", resp.StatusCode)
 	}
 }
 
-// TestBeliefDoesNotStarve guards against beliefs that keep out the evidence against them: an upstream that was slow, and
-// so is held too slow for any request, gets one as soon as it reports an empty queue.
-func TestBeliefDoesNotStarve(t *testing.T) {
+// TestSlowServerRecovers guards against an estimate that prevents the evidence against it: a server
+// that was slow, and is considered too slow for any request, gets a request as soon as it reports
+// an empty queue.
+func TestSlowServerRecovers(t *testing.T) {
 	var slow atomic.Bool
 	slow.Store(true)
 	const aim = 100 * time.Millisecond
@@ -278,32 +285,32 @@
 	slow.Store(false)
 	for range 3 {
 		if resp, _ := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK {
-			t.Errorf("answer %d, though the upstream is idle", resp.StatusCode)
+			t.Errorf("status %d, although the server is idle", resp.StatusCode)
 		}
 	}
 }
 
-// TestIdleClientsEnd: a client that has asked once and keeps its connection holds a descriptor for about 2 s, not for
-// good.
-func TestIdleClientsEnd(t *testing.T) {
+// TestIdleClientConnectionsAreClosed checks that a client that keeps its connection after one
+// request holds a descriptor for about 2 s, rather than forever.
+func TestIdleClientConnectionsAreClosed(t *testing.T) {
 	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1")
 	c := sc.connect(t)
-	began := time.Now() // before the connection falls idle: the bound below holds on a slow machine too
+	began := time.Now() // before the connection becomes idle, so that the limit below holds on a slow machine
 	c.write(plainGet)
 	c.read(t)
 	if _, err := c.r.ReadByte(); err != io.EOF {
-		t.Errorf("read: %v, want the end", err)
+		t.Errorf("read: %v, want EOF", err)
 	}
 	if d := time.Since(began); d < 2*time.Second {
-		t.Errorf("closed after %v: 2 s are owed", d)
+		t.Errorf("closed after %v, want at least 2 s", d)
 	} else if d > testTimeout/2 {
 		t.Errorf("closed after %v", d)
 	}
 }
 
-// TestOneIdOpenOnce: while a request is open another under its id is turned away, on whatever connection, and does not
-// disturb it; afterwards the id is free again.
-func TestOneIdOpenOnce(t *testing.T) {
+// TestDuplicateRequestID checks that while a request is open, another request with its ID is
+// rejected on any connection without affecting it, and that the ID can be used again afterwards.
+func TestDuplicateRequestID(t *testing.T) {
 	g := newGatedServer(t)
 	sc := startSidecar(t, newScriptedModule(), g.addr, "127.0.0.1:1")
 	text := strings.Replace(plainGet, "ID: 1", "ID: twice", 1)
@@ -311,20 +318,20 @@
 	first.write(text)
 	receive(t, "request", g.requests)
 	if resp, _ := sc.roundTrip(t, text); resp.StatusCode != http.StatusConflict || !resp.Close {
-		t.Errorf("answer %d to the second, closes: %v", resp.StatusCode, resp.Close)
+		t.Errorf("second request: status %d, close: %v", resp.StatusCode, resp.Close)
 	}
 	close(g.gate)
 	if resp, body := first.read(t); resp.StatusCode != http.StatusOK || body != "ok" {
-		t.Errorf("answer %d %q to the first", resp.StatusCode, body)
+		t.Errorf("first request: status %d %q", resp.StatusCode, body)
 	}
 	if resp, _ := sc.roundTrip(t, text); resp.StatusCode != http.StatusOK {
-		t.Errorf("answer %d once the first has ended", resp.StatusCode)
+		t.Errorf("after the first request has ended: status %d", resp.StatusCode)
 	}
 }
 
-// TestBehindAnOpenRequest: a client that writes a second request before the first is answered is turned away, and what
-// it had open is called off rather than answered out of turn.
-func TestBehindAnOpenRequest(t *testing.T) {
+// TestPipelinedRequest checks that a client that sends a second request before the response to the
+// first is rejected, and that its open request is canceled rather than answered out of order.
+func TestPipelinedRequest(t *testing.T) {
 	g := newGatedServer(t)
 	m := newScriptedModule()
 	sc := startSidecar(t, m, g.addr, "127.0.0.1:1")
@@ -333,18 +340,19 @@
 	receive(t, "request", g.requests)
 	c.write(plainGet)
 	if resp, _ := c.read(t); resp.StatusCode != http.StatusBadRequest || !resp.Close {
-		t.Errorf("answer %d, closes: %v", resp.StatusCode, resp.Close)
+		t.Errorf("status %d, close: %v", resp.StatusCode, resp.Close)
 	}
-	receive(t, "Withdrawn", m.disconnects)
+	receive(t, "ClientDisconnected", m.disconnects)
 	close(g.gate)
 }
 
-// TestBadClientsEnd: silence, a head without end and half a body each get an error or a close within the 3 s that are
-// owed (the test allows what a slow machine needs), and nothing of them is left.
-func TestBadClientsEnd(t *testing.T) {
+// TestStalledClientsAreClosed checks that silence, an incomplete head and an incomplete body each
+// lead to an error or a close within the required 3 s (the test allows what a slow machine needs),
+// and that no resources are leaked.
+func TestStalledClientsAreClosed(t *testing.T) {
 	m := newScriptedModule()
 	m.onRequest = func(_ policy.Time, q policy.Request, act policy.Actions) {
-		t.Errorf("the module got %+v", q)
+		t.Errorf("the module received %+v", q)
 		act.Fail(q.ID)
 	}
 	sc := startSidecar(t, m, "127.0.0.1:1", "127.0.0.1:1")
@@ -356,18 +364,19 @@
 		c.write(text)
 		resp, err := http.ReadResponse(c.r, nil)
 		if err == nil && resp.StatusCode < 400 {
-			t.Errorf("%q: answer %d", text, resp.StatusCode)
+			t.Errorf("%q: status %d", text, resp.StatusCode)
 		} else if isTimeout(err) {
 			t.Errorf("%q: neither an error nor a close", text)
 		}
 	}
-	eventually(t, "nothing is left of them", func() bool {
+	eventually(t, "all resources are released", func() bool {
 		return sc.server.Stats().Open == 0 && sc.bodyBudget.TryAcquire(128<<20/8)
 	})
 }
 
-// TestTimeRunsFromTheLastByte guards against charging a slow client for the time it takes to write.
-func TestTimeRunsFromTheLastByte(t *testing.T) {
+// TestTimeoutStartsAtLastByte guards against counting the time that a slow client takes to send its
+// request towards the timeout.
+func TestTimeoutStartsAtLastByte(t *testing.T) {
 	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1")
 	c := sc.connect(t)
 	c.write("POST /pay/k HTTP/1.1\nHost: s\nX-Reque")
@@ -376,24 +385,24 @@
 	time.Sleep(600 * time.Millisecond)
 	c.write("y")
 	if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
-		t.Errorf("answer %d", resp.StatusCode)
+		t.Errorf("status %d", resp.StatusCode)
 	}
 }
 
-// TestKeepAlive: a client's connection carries one request after another.
+// TestKeepAlive checks that a client connection carries several requests, one after the other.
 func TestKeepAlive(t *testing.T) {
 	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1")
 	c := sc.connect(t)
 	for range 5 {
 		c.write(plainGet)
 		if resp, body := c.read(t); resp.StatusCode != 200 || body != "ok" || resp.Close {
-			t.Fatalf("answer %d %q, closes: %v", resp.StatusCode, body, resp.Close)
+			t.Fatalf("status %d %q, close: %v", resp.StatusCode, body, resp.Close)
 		}
 	}
 }
 
-// TestFinalAnswers is a table of what the module decides and what the client gets.
-func TestFinalAnswers(t *testing.T) {
+// TestFinalResponses checks the response that the client gets for each decision of the module.
+func TestFinalResponses(t *testing.T) {
 	tests := []struct {
 		name   string
 		decide func(id policy.RequestID, act policy.Actions)
@@ -403,29 +412,30 @@
 		{"refused", func(id policy.RequestID, act policy.Actions) { act.Refuse(id, 0) }, 503, ""},
 		{"refused with a delay", func(id policy.RequestID, act policy.Actions) { act.Refuse(id, 1500*time.Millisecond) }, 503, "1.5"},
 		{"failed", func(id policy.RequestID, act policy.Actions) { act.Fail(id) }, 502, ""},
-		{"two answers", func(id policy.RequestID, act policy.Actions) { act.Fail(id); act.Refuse(id, 0) }, 502, ""},
-		{"send after the answer", func(id policy.RequestID, act policy.Actions) { act.Refuse(id, 0); act.Send(id, "a", time.Second) }, 503, ""},
+		{"two decisions", func(id policy.RequestID, act policy.Actions) { act.Fail(id); act.Refuse(id, 0) }, 502, ""},
+		{"send after the decision", func(id policy.RequestID, act policy.Actions) { act.Refuse(id, 0); act.Send(id, "a", time.Second) }, 503, ""},
 		{"unlisted server", func(id policy.RequestID, act policy.Actions) { act.Send(id, "b", time.Second) }, 502, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			m := newScriptedModule()
 			m.onRequest = func(_ policy.Time, q policy.Request, act policy.Actions) { tt.decide(q.ID, act) }
-			sc := startSidecar(t, m, startServer(t, func(int, net.Conn) { t.Error("an upstream was reached") }), "127.0.0.1:1")
+			sc := startSidecar(t, m, startServer(t, func(int, net.Conn) { t.Error("a server was reached") }), "127.0.0.1:1")
 			resp, _ := sc.roundTrip(t, plainGet)
 			if resp.StatusCode != tt.want || resp.Header.Get("Retry-After") != tt.retry {
-				t.Errorf("answer %d, Retry-After %q; want %d, %q", resp.StatusCode, resp.Header.Get("Retry-After"), tt.want, tt.retry)
+				t.Errorf("status %d, Retry-After %q; want %d, %q", resp.StatusCode, resp.Header.Get("Retry-After"), tt.want, tt.retry)
 			}
-			eventually(t, "nothing is left of it", func() bool {
+			eventually(t, "no state is retained", func() bool {
 				return sc.engine.Snapshot().Retained == 0
 			})
 		})
 	}
 }
 
-// TestAnswersOverTheBound: an answer that is longer than the protocol allows is read no further, its connection is
-// closed, and the client can tell that the request has failed.
-func TestAnswersOverTheBound(t *testing.T) {
+// TestOversizedResponses checks that a response that is longer than the protocol allows is not read
+// to its end, that its connection is closed, and that the client can tell that the request has
+// failed.
+func TestOversizedResponses(t *testing.T) {
 	for _, head := range []string{
 		"Content-Length: 3000000000\r\n\r\n",
 		fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", 1<<30),
@@ -449,109 +459,110 @@
 			t.Fatal(err)
 		}
 		if n, err := io.Copy(io.Discard, resp.Body); resp.StatusCode == http.StatusOK && (err == nil || n > httpmsg.MaxBody) {
-			t.Errorf("%d bytes pass for whole", n)
+			t.Errorf("%d bytes look like a complete response", n)
 		}
-		receive(t, "close of the upstream's connection", closed)
+		receive(t, "the close of the server's connection", closed)
 		if o := receive(t, "outcome", m.outcomes); o.Status != policy.Reset {
 			t.Errorf("outcome %+v, want Reset", o)
 		}
 	}
 }
 
-// TestChunkedBodiesDoNotQueue guards against incident r1f1b89: while some clients take long over bodies of
-// unknown length, the bodies of others are read.
-func TestChunkedBodiesDoNotQueue(t *testing.T) {
+// TestSlowChunkedBodiesDoNotBlockOthers guards against incident r1f1b89: while some clients are
+// slow to send bodies of unknown length, the bodies of other clients are read.
+func TestSlowChunkedBodiesDoNotBlockOthers(t *testing.T) {
 	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1")
 	for range 20 {
 		c := sc.connect(t)
 		c.write("POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\nTransfer-Encoding: chunked\n\n")
-		fmt.Fprintf(c, "%x\r\n%s", 60<<10, make([]byte, 30<<10)) // and no more
+		fmt.Fprintf(c, "%x\r\n%s", 60<<10, make([]byte, 30<<10)) // never completed
 	}
 	for range 3 {
 		body := strings.Repeat("x", 50<<10)
 		resp, _ := sc.roundTrip(t, fmt.Sprintf("POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\nTransfer-Encoding: chunked\n\n%x\n%s\n0\n\n", len(body), body))
 		if resp.StatusCode != http.StatusOK {
-			t.Errorf("answer %d", resp.StatusCode)
+			t.Errorf("status %d", resp.StatusCode)
 		}
 	}
 }
 
-// TestRoomIsBounded: bodies that are only announced never hold more than their part of the memory, and one that finds
-// no room is refused rather than lost.
-func TestRoomIsBounded(t *testing.T) {
+// TestBodyBudgetIsBounded checks that bodies that are only announced never reserve more than their
+// share of the memory, and that a body that does not fit is refused rather than lost.
+func TestBodyBudgetIsBounded(t *testing.T) {
 	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1", func(c *config.Config) { c.MemoryMB = config.LeastMemoryMB })
 	if !sc.bodyBudget.TryAcquire(config.LeastMemoryMB<<20/8) || sc.bodyBudget.TryAcquire(1) {
-		t.Error("the room is not its part of the memory")
+		t.Error("the body budget is not an eighth of the memory")
 	}
 	resp, _ := sc.roundTrip(t, "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 1\n\nx")
 	if resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("answer %d without room", resp.StatusCode)
+		t.Errorf("status %d without body budget", resp.StatusCode)
 	}
 }
 
-// TestSmallBodiesDoNotQueue guards against incident r1f0832: while clients take long over bodies of megabytes, small
-// ones are read.
-func TestSmallBodiesDoNotQueue(t *testing.T) {
+// TestSlowBodiesDoNotBlockSmallOnes guards against incident r1f0832: while clients are slow to send
+// large bodies, small bodies are read.
+func TestSlowBodiesDoNotBlockSmallOnes(t *testing.T) {
 	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1")
 	for range 40 {
 		sc.connect(t).write(fmt.Sprintf("POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\nContent-Length: %d\n\nx", 60<<10))
 	}
 	if resp, _ := sc.roundTrip(t, "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\nContent-Length: 1\n\nx"); resp.StatusCode != http.StatusOK {
-		t.Errorf("answer %d", resp.StatusCode)
+		t.Errorf("status %d", resp.StatusCode)
 	}
 	body := strings.Repeat("0123456789abcdef", 1000)
 	if resp, _ := sc.roundTrip(t, fmt.Sprintf("POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\nTransfer-Encoding: chunked\n\n%x\n%s\n0\n\n", 5, body[:5])); resp.StatusCode != http.StatusOK {
-		t.Errorf("answer %d", resp.StatusCode)
+		t.Errorf("status %d", resp.StatusCode)
 	}
 }
 
-// TestSlowUpstreamBesideAFreeOne guards against refusals by lot: a request is not refused because the upstream that was
-// drawn for it has a long queue, while another one is known to have none.
-func TestSlowUpstreamBesideAFreeOne(t *testing.T) {
+// TestIdleServerIsPreferredToBusyOne guards against random refusals: a request must not be refused
+// because the server drawn for it has a long queue while another one is known to have none.
+func TestIdleServerIsPreferredToBusyOne(t *testing.T) {
 	const service = 20 * time.Millisecond
-	learnt := make(chan struct{}) // closed once the free one has answered: until then the other's report would set the scale
+	learned := make(chan struct{}) // closed once the idle server has responded: until then the other report would set the scale
 	serve := func(report string, takes time.Duration) func(int, net.Conn) {
 		return respondWith(func(q *http.Request, c net.Conn) {
 			text := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 			if q.URL.Path != "/load" {
 				time.Sleep(takes)
 			} else if text = fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(report), report); takes > service {
-				<-learnt
+				<-learned
 			}
 			io.WriteString(c, text)
 		})
 	}
-	free, busy := startServer(t, serve("queue=0", service)), startServer(t, serve("queue=100", 20*service))
-	sc := startSidecar(t, nil, free, "127.0.0.1:1", func(c *config.Config) {
+	idle, busy := startServer(t, serve("queue=0", service)), startServer(t, serve("queue=100", 20*service))
+	sc := startSidecar(t, nil, idle, "127.0.0.1:1", func(c *config.Config) {
 		c.Known.Servers = append(c.Known.Servers, engine.Server{ID: "b", Addr: busy, Zone: "z"})
-		c.Settings.Config.ProbeTariff = 1e6      // nothing is probed but for the first request
-		c.Settings.Config.Classes[1].Worth = 1e4 // so that the others stand little of a queue, well below their aim
+		c.Settings.Config.ProbeTariff = 1e6      // only the first request causes probes
+		c.Settings.Config.Classes[1].Worth = 1e4 // so that the other classes accept a short queue only, well below their aim
 	})
 	if resp, _ := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK {
-		t.Fatalf("answer %d to the first request", resp.StatusCode)
+		t.Fatalf("first request: status %d", resp.StatusCode)
 	}
-	close(learnt)
-	eventually(t, "both reports are in", func() bool {
+	close(learned)
+	eventually(t, "both reports have arrived", func() bool {
 		return sc.engine.Snapshot().Probing == 0
 	})
 	for range 20 {
 		if resp, _ := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK {
-			t.Errorf("answer %d, though one upstream is free", resp.StatusCode)
+			t.Errorf("status %d, although one server is idle", resp.StatusCode)
 		}
 	}
 }
 
-// TestOwnRequestsCount guards against reports that run behind: an upstream that was idle by its last report is not idle
-// while this sidecar's own requests wait there, and what would come too late behind them is refused at once.
-func TestOwnRequestsCount(t *testing.T) {
+// TestOwnRequestsCountTowardsQueue guards against outdated reports: a server that was idle at its
+// last report is not idle while requests of this sidecar wait there, and what would be too late
+// behind them is refused at once.
+func TestOwnRequestsCountTowardsQueue(t *testing.T) {
 	const service = 20 * time.Millisecond
 	gate := make(chan struct{})
-	var learnt atomic.Bool
+	var learned atomic.Bool
 	addr := startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		text := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 		if q.URL.Path == "/load" {
 			text = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nqueue=0"
-		} else if learnt.Load() {
+		} else if learned.Load() {
 			<-gate
 		} else {
 			time.Sleep(service)
@@ -560,16 +571,16 @@
 	}))
 	sc := startSidecar(t, nil, addr, "127.0.0.1:1", func(c *config.Config) {
 		c.Settings.Config.MaxRetryAfter = time.Second
-		c.Settings.Config.ProbeTariff = 1e6      // nothing is probed but for the first request
-		c.Settings.Config.Classes[1].Worth = 1e4 // so that the others stand little of a queue
+		c.Settings.Config.ProbeTariff = 1e6      // only the first request causes probes
+		c.Settings.Config.Classes[1].Worth = 1e4 // so that the other classes accept a short queue only
 	})
 	if resp, _ := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK {
-		t.Fatalf("answer %d to the first request", resp.StatusCode)
+		t.Fatalf("first request: status %d", resp.StatusCode)
 	}
-	learnt.Store(true)
-	const crowd = 30
-	answers := make(chan *http.Response, crowd)
-	for range crowd {
+	learned.Store(true)
+	const burst = 30
+	responses := make(chan *http.Response, burst)
+	for range burst {
 		c := sc.connect(t)
 		c.write(plainGet)
 		go func() {
@@ -577,41 +588,42 @@
 			if err != nil {
 				resp = &http.Response{}
 			}
-			answers <- resp
+			responses <- resp
 		}()
 	}
-	first := receive(t, "answer", answers)
+	first := receive(t, "response", responses)
 	if first.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("answer %d while all others wait, want a refusal", first.StatusCode)
+		t.Errorf("status %d while all other requests wait, want 503", first.StatusCode)
 	}
-	// It tells when to come back: a client that asks again at once is refused again.
+	// Retry-After is set, as a client that retries at once is refused again.
 	if wait, err := strconv.ParseFloat(first.Header.Get("Retry-After"), 64); err != nil || wait <= 0 || wait > 1 {
 		t.Errorf("Retry-After %q", first.Header.Get("Retry-After"))
 	}
 	close(gate)
 	served := 0
-	for range crowd - 1 {
-		switch status := receive(t, "answer", answers).StatusCode; status {
+	for range burst - 1 {
+		switch status := receive(t, "response", responses).StatusCode; status {
 		case http.StatusOK:
 			served++
 		case http.StatusServiceUnavailable:
 		default:
-			t.Errorf("answer %d", status)
+			t.Errorf("status %d", status)
 		}
 	}
 	if served == 0 {
-		t.Error("nobody was served")
+		t.Error("no request was served")
 	}
 }
 
-// TestBusySidecarUsesWholeFleet guards against upstreams that idle because no busy sidecar has them in its ready set.
+// TestBusySidecarUsesWholeFleet guards against servers that stay idle because no busy sidecar has
+// them in its ready set.
 func TestBusySidecarUsesWholeFleet(t *testing.T) {
 	const fleet = 6
-	var asked [fleet]atomic.Int64
+	var requests [fleet]atomic.Int64
 	var hosts []engine.Server
 	for i := range fleet {
 		addr := startServer(t, respondWith(func(q *http.Request, c net.Conn) {
-			asked[i].Add(1)
+			requests[i].Add(1)
 			io.WriteString(c, strings.ReplaceAll(okResponse, "\n", "\r\n"))
 		}))
 		hosts = append(hosts, engine.Server{ID: policy.ServerID(fmt.Sprint("u", i)), Addr: addr, Zone: "z"})
@@ -624,37 +636,38 @@
 	for range 200 {
 		c.write(plainGet)
 		if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
-			t.Fatalf("answer %d", resp.StatusCode)
+			t.Fatalf("status %d", resp.StatusCode)
 		}
 	}
-	for i := range asked {
-		if asked[i].Load() == 0 {
-			t.Errorf("upstream %d of %d was never asked", i, fleet)
+	for i := range requests {
+		if requests[i].Load() == 0 {
+			t.Errorf("server %d of %d got no request", i, fleet)
 		}
 	}
 }
 
-// TestCrowdIsNotKept guards against clients that ask once and keep their connection, each with a new one: a few are kept
-// for their next request, a crowd is told that its answers are the last.
-func TestCrowdIsNotKept(t *testing.T) {
+// TestIdleClientConnectionsAreLimited guards against many clients that each send one request on a
+// new connection and keep it: a few connections are kept for the next request, and the other
+// clients are told that the connection closes.
+func TestIdleClientConnectionsAreLimited(t *testing.T) {
 	sc := startSidecar(t, nil, startServer(t, respondText(okResponse)), "127.0.0.1:1", func(c *config.Config) {
 		c.Sockets, c.Settings.Config.MayProbe = config.LeastSockets, false
 	})
-	const many = 20 // of 28 places for clients
+	const many = 20 // of 28 client connections
 	kept := 0
 	for i := range many {
 		c := sc.connect(t)
 		c.write(plainGet)
 		resp, _ := c.read(t)
 		if resp.StatusCode != http.StatusOK {
-			t.Fatalf("answer %d", resp.StatusCode)
+			t.Fatalf("status %d", resp.StatusCode)
 		}
 		if !resp.Close {
 			kept++
 			continue
 		}
 		if _, err := c.r.ReadByte(); err != io.EOF {
-			t.Errorf("connection %d goes on after its last answer: %v", i, err)
+			t.Errorf("connection %d stays open after its last response: %v", i, err)
 		}
 	}
 	if kept == 0 || kept > many*3/4 {
@@ -662,9 +675,9 @@
 	}
 }
 
-// TestProbesThatTellNothing guards against requests that wait for reports which do not come: once the probes of its round
-// are answered, a request goes on without.
-func TestProbesThatTellNothing(t *testing.T) {
+// TestUnusableLoadReports guards against requests that wait for reports that never arrive: once all
+// probes of its round have ended, a request proceeds without reports.
+func TestUnusableLoadReports(t *testing.T) {
 	loads := map[string]string{
 		"unreadable": "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nqueue=?",
 		"failed":     "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
@@ -687,15 +700,16 @@
 			})
 			for range 3 {
 				if resp, _ := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK {
-					t.Errorf("answer %d, though upstreams are free", resp.StatusCode)
+					t.Errorf("status %d, although servers are idle", resp.StatusCode)
 				}
 			}
 		})
 	}
 }
 
-// TestLateRetryBesideAFreeUpstream: a retry whose aim has passed is still worth a share, and is served where nobody waits.
-func TestLateRetryBesideAFreeUpstream(t *testing.T) {
+// TestLateRetryIsServedByIdleServer checks that a retry after its aim, which still has its late
+// share of the worth, is served where no request waits.
+func TestLateRetryIsServedByIdleServer(t *testing.T) {
 	var healthy atomic.Bool
 	addr := startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		text := "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
@@ -713,11 +727,11 @@
 	})
 	text := "GET /read HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 5000\nX-Cost: 1000\n\n"
 	if resp, _ := sc.roundTrip(t, text); resp.StatusCode == http.StatusOK {
-		t.Fatalf("answer %d", resp.StatusCode)
+		t.Fatalf("status %d", resp.StatusCode)
 	}
 	healthy.Store(true)
 	time.Sleep(aim + 50*time.Millisecond)
 	if resp, _ := sc.roundTrip(t, text); resp.StatusCode != http.StatusOK {
-		t.Errorf("answer %d to a late retry, though the upstream is free", resp.StatusCode)
+		t.Errorf("status %d for a late retry, although the server is idle", resp.StatusCode)
 	}
 }
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	// shortDeadline is that of all classes where a test waits for the whole of a shutdown.
+	// shortDeadline is the deadline of all classes in tests that wait for an entire shutdown.
 	shortDeadline = 400 * time.Millisecond
-	// longDeadline is one that ends long after the earliest kill.
+	// longDeadline is a deadline long after the earliest time of SIGKILL.
 	longDeadline = 8 * time.Second
-	// scheduleTolerance is what a machine with much else to do may take beyond a point of the schedule before a test fails.
+	// scheduleTolerance is how late a point of the schedule may be on a busy machine.
 	scheduleTolerance = 2 * time.Second
 )
 
-// withDeadline gives all classes a deadline.
+// withDeadline sets the deadline and the aim of all classes.
 func withDeadline(d time.Duration) func(*config.Config) {
 	return func(c *config.Config) {
 		for i := range c.Settings.Config.Classes {
@@ -39,7 +39,7 @@
 	}
 }
 
-// hangingServer reads requests and never answers them, but for probes. It notes their ids.
+// hangingServer reads requests and never responds, except to probes. It records the request IDs.
 type hangingServer struct {
 	addr       string
 	requestIDs chan string
@@ -64,13 +64,13 @@
 	return h
 }
 
-// respondLoad answers a probe.
+// respondLoad responds to a probe.
 func respondLoad(c net.Conn) {
 	const report = "TEXT eps=0, queue=0"
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(report), report)
 }
 
-// receivedIDs returns the receivedIDs that have come so far.
+// receivedIDs returns the IDs of the requests received so far.
 func (h *hangingServer) receivedIDs() map[string]bool {
 	ids := map[string]bool{}
 	for len(h.requestIDs) > 0 {
@@ -79,37 +79,38 @@
 	return ids
 }
 
-// schedule returns that of the shutdown, once it has begun.
+// schedule waits until the shutdown has begun and returns its schedule.
 func (sc *testSidecar) schedule(t *testing.T) shutdown.Schedule {
 	t.Helper()
 	var s shutdown.Schedule
 	eventually(t, "the shutdown has begun", func() bool {
 		sc.shutdownMu.Lock()
-		told := sc.signaledAt
+		signaled := sc.signaledAt
 		sc.shutdownMu.Unlock()
-		s = shutdown.ForTermination(told, sc.deadlines.effective(told))
-		return !told.IsZero()
+		s = shutdown.ForTermination(signaled, sc.deadlines.effective(signaled))
+		return !signaled.IsZero()
 	})
 	return s
 }
 
-// TestShutdownPoints: requests whose last byte comes 1 ms before or after each point of the schedule, while the server hangs, all have
-// a whole answer; none of which the last byte came after the end of forwarding is forwarded.
-func TestShutdownPoints(t *testing.T) {
+// TestShutdownSchedule checks, with a server that hangs, that requests whose last byte arrives 1 ms
+// before or after each point of the schedule get a complete response, and that no request whose
+// last byte arrives after the end of forwarding is forwarded.
+func TestShutdownSchedule(t *testing.T) {
 	h := newHangingServer(t)
 	sc := startSidecar(t, nil, h.addr, "127.0.0.1:1", withDeadline(shortDeadline))
-	const half = "GET /read/k HTTP/1.1\r\nHost: s\r\nX-Request-ID: %s\r\nX-Timeout-Ms: 400\r\n\r"
-	type late struct {
+	const partialRequest = "GET /read/k HTTP/1.1\r\nHost: s\r\nX-Request-ID: %s\r\nX-Timeout-Ms: 400\r\n\r"
+	type lateRequest struct {
 		*testClient
 		id string
 	}
-	var clients []late
+	var clients []lateRequest
 	for i := range 6 {
-		c := late{sc.connect(t), fmt.Sprintf("p%d", i)}
-		fmt.Fprintf(c, half, c.id)
+		c := lateRequest{sc.connect(t), fmt.Sprintf("p%d", i)}
+		fmt.Fprintf(c, partialRequest, c.id)
 		clients = append(clients, c)
 	}
-	eventually(t, "their heads have come in part", func() bool { s := sc.server.Stats(); return s.Open-s.Idle == len(clients) })
+	eventually(t, "their partial heads have arrived", func() bool { s := sc.server.Stats(); return s.Open-s.Idle == len(clients) })
 	sc.terminate()
 	s := sc.schedule(t)
 	var all sync.WaitGroup
@@ -124,18 +125,18 @@
 				_, err = io.Copy(io.Discard, resp.Body)
 			}
 			if err != nil {
-				t.Errorf("%s, the last byte %v before the exit: %v", c.id, s.Exit.Sub(at), err)
+				t.Errorf("%s, last byte %v before the exit: %v", c.id, s.Exit.Sub(at), err)
 			} else if resp.StatusCode/100 != 5 || !resp.Close {
-				t.Errorf("%s: answer %d, closes %v", c.id, resp.StatusCode, resp.Close)
+				t.Errorf("%s: status %d, close %v", c.id, resp.StatusCode, resp.Close)
 			}
 		})
 	}
 	all.Wait()
-	if err := receive(t, "end", sc.done); err != nil {
+	if err := receive(t, "the end of the sidecar", sc.done); err != nil {
 		t.Error(err)
 	}
 	if late := time.Since(s.Exit); late > scheduleTolerance {
-		t.Errorf("it ended %v after the exit", late)
+		t.Errorf("the sidecar ended %v after the exit time", late)
 	}
 	for id := range h.receivedIDs() {
 		if id != "p0" {
@@ -144,8 +145,9 @@
 	}
 }
 
-// TestShutdownOfAnUpload: a request whose long body is on its way to a server, and stands still, has its answer by the exit.
-func TestShutdownOfAnUpload(t *testing.T) {
+// TestShutdownDuringUpload checks that a request whose upload to a server is stalled gets its
+// response by the exit.
+func TestShutdownDuringUpload(t *testing.T) {
 	h := newHangingServer(t)
 	sc := startSidecar(t, nil, h.addr, "127.0.0.1:1", withDeadline(shortDeadline))
 	c := sc.connect(t)
@@ -154,46 +156,48 @@
 	receive(t, "request", h.requestIDs)
 	sc.terminate()
 	if resp, _ := c.read(t); resp.StatusCode/100 != 5 || !resp.Close {
-		t.Errorf("answer %d, closes %v", resp.StatusCode, resp.Close)
+		t.Errorf("status %d, close %v", resp.StatusCode, resp.Close)
 	}
-	receive(t, "end", sc.done)
+	receive(t, "the end of the sidecar", sc.done)
 }
 
-// TestShutdownBesideAFullClient: a client that takes nothing of its answer keeps neither the others from theirs nor the process from
-// its end.
-func TestShutdownBesideAFullClient(t *testing.T) {
-	// Built before the request: building 32 MiB can take longer than the request's deadline on a busy machine.
-	answer := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 32<<20, strings.Repeat("x", 32<<20))
+// TestShutdownWithStalledClient checks that a client that does not read its response prevents
+// neither the responses of others nor the exit of the process.
+func TestShutdownWithStalledClient(t *testing.T) {
+	// Built before the request: building 32 MiB can take longer than the request's deadline on a
+	// busy machine.
+	response := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 32<<20, strings.Repeat("x", 32<<20))
 	long := startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		if q.URL.Path == "/load" {
 			respondLoad(c)
 			return
 		}
-		c.Write(answer)
+		c.Write(response)
 	}))
 	sc := startSidecar(t, nil, long, "127.0.0.1:1", withDeadline(shortDeadline))
-	full := sc.connect(t)
-	if err := full.Conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
+	stalled := sc.connect(t)
+	if err := stalled.Conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
 		t.Fatal(err)
 	}
-	full.write(plainGet)
-	if status, err := full.r.ReadString('\n'); err != nil || !strings.Contains(status, " 200 ") {
-		t.Fatalf("its answer begins with %q, %v", status, err)
+	stalled.write(plainGet)
+	if status, err := stalled.r.ReadString('\n'); err != nil || !strings.Contains(status, " 200 ") {
+		t.Fatalf("its response begins with %q, %v", status, err)
 	}
 	sc.terminate()
 	s := sc.schedule(t)
 	if resp, _ := sc.roundTrip(t, "GET /healthz HTTP/1.1\nHost: s\n\n"); resp.StatusCode != http.StatusOK {
-		t.Errorf("answer %d", resp.StatusCode)
+		t.Errorf("status %d", resp.StatusCode)
 	}
-	receive(t, "end", sc.done)
+	receive(t, "the end of the sidecar", sc.done)
 	if late := time.Since(s.Exit); late < 0 || late > scheduleTolerance {
-		t.Errorf("it ended %v after the exit, which alone ends the connection of the full client", late)
+		t.Errorf("the sidecar ended %v after the exit time, which alone closes the connection of the stalled client", late)
 	}
 }
 
-// TestShutdownCutsTruthfully: a client of HTTP/1.0 gets an answer whose end is that of the connection; one that is cut off at the exit
-// ends with a reset, so that nobody takes it for whole.
-func TestShutdownCutsTruthfully(t *testing.T) {
+// TestShutdownResetsTruncatedResponse checks that an HTTP/1.0 response, which ends with its
+// connection, ends with a reset if it is cut off at the exit, so that it is not mistaken for a
+// complete one.
+func TestShutdownResetsTruncatedResponse(t *testing.T) {
 	endless := startServer(t, respondWith(func(_ *http.Request, c net.Conn) {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for {
@@ -211,13 +215,14 @@
 	}
 	sc.terminate()
 	if _, err := io.Copy(io.Discard, c.r); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the answer that was cut off ends with %v, want a reset", err)
+		t.Errorf("the truncated response ends with %v, want a reset", err)
 	}
-	receive(t, "end", sc.done)
+	receive(t, "the end of the sidecar", sc.done)
 }
 
-// TestShutdownWithFewDescriptors: connections that wait for a descriptor as SIGTERM comes have been accepted by the machine, and their
-// requests are answered though the server never answers any.
+// TestShutdownWithFewDescriptors checks that requests on connections that wait for a descriptor
+// when SIGTERM arrives get a response, as the kernel has accepted them, although the server never
+// responds.
 func TestShutdownWithFewDescriptors(t *testing.T) {
 	h := newHangingServer(t)
 	sc := startSidecar(t, nil, h.addr, "127.0.0.1:1", withDeadline(longDeadline), func(c *config.Config) { c.Sockets = config.LeastSockets })
@@ -237,19 +242,20 @@
 			t.Fatalf("connection %d of %d: %v", i, len(clients), err)
 		}
 	}
-	receive(t, "end", sc.done)
+	receive(t, "the end of the sidecar", sc.done)
 }
 
-// TestShutdownBeforeItServes: a process that is told to end before it listens takes no connection.
-func TestShutdownBeforeItServes(t *testing.T) {
+// TestShutdownBeforeServing checks that a process that is terminated before it listens accepts
+// no connection.
+func TestShutdownBeforeServing(t *testing.T) {
 	sc := startSidecar(t, newScriptedModule(), "127.0.0.1:1", "127.0.0.1:1")
 	sc.terminate()
-	receive(t, "end", sc.done)
+	receive(t, "the end of the sidecar", sc.done)
 	cfg, err := loadConfig(t, configText("127.0.0.1:1", "127.0.0.1:1"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // whoever listened there would fail
+	ln, err := net.Listen("tcp", "127.0.0.1:0") // listening on this address would fail
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -266,8 +272,8 @@
 	}
 }
 
-// TestReloadDuringShutdown: a reload that comes while the process ends may bring its end forward, as the platform may go by the new
-// deadlines, and never puts it off.
+// TestReloadDuringShutdown checks that a reload during a shutdown may bring the exit forward, as
+// the platform may apply the new deadlines, and never postpones it.
 func TestReloadDuringShutdown(t *testing.T) {
 	for _, tt := range []struct{ before, after time.Duration }{{3 * time.Second, shortDeadline}, {shortDeadline, 3 * time.Second}} {
 		t.Run(fmt.Sprintf("%v to %v", tt.before, tt.after), func(t *testing.T) {
@@ -288,19 +294,19 @@
 			want := shutdown.ForTermination(sc.signaledAt, shortDeadline)
 			sc.shutdownMu.Unlock()
 			if resp, _ := c.read(t); resp.StatusCode/100 != 5 {
-				t.Errorf("answer %d", resp.StatusCode)
+				t.Errorf("status %d", resp.StatusCode)
 			}
-			receive(t, "end", sc.done)
+			receive(t, "the end of the sidecar", sc.done)
 			if late := time.Since(want.Exit); late > scheduleTolerance {
-				t.Errorf("it ended %v after the exit", late)
+				t.Errorf("the sidecar ended %v after the exit time", late)
 			}
 		})
 	}
 }
 
-// TestDeadlinesBeforeChanges: of the deadlines that settings had within the time in which the platform may go by them, the
-// shortest counts.
-func TestDeadlinesBeforeChanges(t *testing.T) {
+// TestDeadlineHistory checks that the shortest of the deadlines that the platform may still apply
+// is effective.
+func TestDeadlineHistory(t *testing.T) {
 	settings := func(deadlines ...time.Duration) (cfg policy.Config) {
 		for _, d := range deadlines {
 			cfg.Classes = append(cfg.Classes, policy.Class{Deadline: d})
@@ -318,61 +324,63 @@
 	}
 	d.update(settings(time.Second, 2*time.Second), began)
 	want(0, 2*time.Second)
-	d.update(settings(4*time.Second), at(time.Minute)) // longer: the former may still count
+	d.update(settings(4*time.Second), at(time.Minute)) // longer: the previous one may still apply
 	want(time.Minute, 2*time.Second)
 	want(time.Minute+settingsTransition+time.Millisecond, 4*time.Second)
-	d.update(settings(time.Second), at(time.Hour)) // shorter: it counts at once
+	d.update(settings(time.Second), at(time.Hour)) // shorter: it applies at once
 	want(time.Hour, time.Second)
 	d.update(settings(5*time.Second), at(time.Hour+time.Second))
-	d.update(settings(6*time.Second), at(time.Hour+2*time.Second)) // three in a row
+	d.update(settings(6*time.Second), at(time.Hour+2*time.Second)) // three changes in a row
 	want(time.Hour+2*time.Second, time.Second)
 	want(time.Hour+time.Second+settingsTransition+time.Millisecond, 5*time.Second)
 	want(2*time.Hour, 6*time.Second)
 	d.update(settings(), at(3*time.Hour))
 	want(4*time.Hour, shutdown.MaxAwaitedDeadline)
 	if len(d.previous) > 1 {
-		t.Errorf("%d former ones are kept", len(d.previous))
+		t.Errorf("%d previous deadlines are kept", len(d.previous))
 	}
 }
 
-// TestTermInTheMiddleOfAReload: a shutdown begins though a reload stands still, and goes by the new deadlines once it is through.
-func TestTermInTheMiddleOfAReload(t *testing.T) {
+// TestTerminationDuringReload checks that a shutdown begins while a reload is stalled, and follows
+// the new deadlines once the reload has finished.
+func TestTerminationDuringReload(t *testing.T) {
 	h := newHangingServer(t)
 	m := newScriptedModule()
-	begun, goOn := make(chan struct{}), make(chan struct{})
+	reloading, resume := make(chan struct{}), make(chan struct{})
 	sc := startSidecar(t, m, h.addr, "127.0.0.1:1", withDeadline(3*time.Second))
 	c := sc.connect(t)
 	c.write(plainGet)
 	receive(t, "request", h.requestIDs)
 	m.onReconfigure = func() {
-		close(begun)
-		<-goOn
+		close(reloading)
+		<-resume
 	}
 	cfg := sc.Config()
 	cfg.Settings.Config.Classes = slices.Clone(cfg.Settings.Config.Classes)
 	withDeadline(shortDeadline)(&cfg)
 	reloaded := make(chan error, 1)
 	go func() { reloaded <- sc.Reload(cfg, config.Operator{}) }()
-	<-begun
-	m.onReconfigure = nil // what the change settles to comes later
+	<-reloading
+	m.onReconfigure = nil // the transition to the new settings ends later
 	sc.terminate()
 	schedule := sc.schedule(t)
-	close(goOn)
-	if err := receive(t, "end of the reload", reloaded); err != nil {
+	close(resume)
+	if err := receive(t, "the end of the reload", reloaded); err != nil {
 		t.Error(err)
 	}
 	if resp, _ := c.read(t); resp.StatusCode/100 != 5 {
-		t.Errorf("answer %d", resp.StatusCode)
+		t.Errorf("status %d", resp.StatusCode)
 	}
-	receive(t, "end", sc.done)
+	receive(t, "the end of the sidecar", sc.done)
 	if early := schedule.Exit.Sub(time.Now()); early < 3*time.Second-shortDeadline-scheduleTolerance {
-		t.Errorf("it ended %v before the exit of the former deadlines", early)
+		t.Errorf("the sidecar ended %v before the exit time of the previous deadlines", early)
 	}
 }
 
-// TestTermInTheMiddleOfAnUpgrade: a newer process that is told to end before it serves answers what waits at the common socket, as
-// the older one has left that to it.
-func TestTermInTheMiddleOfAnUpgrade(t *testing.T) {
+// TestTerminationDuringUpgrade checks that a newer process that is terminated before it serves
+// responds to the requests waiting at the shared socket, as the older process has left them to
+// it.
+func TestTerminationDuringUpgrade(t *testing.T) {
 	platform, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -385,7 +393,7 @@
 	defer socket.Close()
 	shared := t.TempDir() + "/shared"
 	server := startServer(t, respondText(okResponse))
-	process := func() *Sidecar {
+	newProcess := func() *Sidecar {
 		cfg, err := loadConfig(t, configText(server, "127.0.0.1:1"))
 		if err != nil {
 			t.Fatal(err)
@@ -401,18 +409,18 @@
 		return s
 	}
 	run := func(s *Sidecar, ctx context.Context) chan error {
-		over := make(chan error, 1)
-		go func() { over <- s.Run(ctx) }()
-		return over
-	}
-	ctx, termOlder := context.WithCancel(context.Background())
-	defer termOlder()
-	older := process()
-	olderOver := run(older, ctx)
-	eventually(t, "the older one serves", older.serving.Load)
-	newer := process()
-	termOlder()
-	if err := receive(t, "end of the older one", olderOver); err != nil {
+		done := make(chan error, 1)
+		go func() { done <- s.Run(ctx) }()
+		return done
+	}
+	ctx, terminateOlder := context.WithCancel(context.Background())
+	defer terminateOlder()
+	older := newProcess()
+	olderDone := run(older, ctx)
+	eventually(t, "the older process serves", older.serving.Load)
+	newer := newProcess()
+	terminateOlder()
+	if err := receive(t, "the end of the older process", olderDone); err != nil {
 		t.Error(err)
 	}
 	conn, err := net.Dial("tcp", platform.Addr().String())
@@ -425,11 +433,11 @@
 	c.write(plainGet)
 	ended, cancel := canceledContext(t)
 	defer cancel()
-	newerOver := run(newer, ended)
+	newerDone := run(newer, ended)
 	if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
-		t.Errorf("answer %d", resp.StatusCode)
+		t.Errorf("status %d", resp.StatusCode)
 	}
-	if err := receive(t, "end of the newer one", newerOver); err != nil {
+	if err := receive(t, "the end of the newer process", newerDone); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/daemon/site_reload_test.go
+++ b/internal/daemon/site_reload_test.go
@@ -14,7 +14,8 @@
 	"quillfront/sites"
 )
 
-// newSiteSidecar returns a sidecar that watches sites by cfg, with two servers at each of a and b, and has seen a fail.
+// newSiteSidecar returns a sidecar that monitors sites as configured by cfg, with two servers at
+// each of the sites a and b.
 func newSiteSidecar(t *testing.T, cfg *sites.Config) *Sidecar {
 	t.Helper()
 	known := engine.List{Seq: 1, Full: true}
@@ -35,6 +36,7 @@
 	return s
 }
 
+// siteStates returns the sites of s with their states.
 func siteStates(s *Sidecar) string {
 	var all []string
 	for _, v := range s.engine.Snapshot().Sites {
@@ -43,9 +45,9 @@
 	return strings.Join(all, ", ")
 }
 
-// TestReloadOfSites: SIGHUP takes over how sites are watched with what is known of them, turns the watch off and on, and changes
-// nothing where the new settings cannot be used.
-func TestReloadOfSites(t *testing.T) {
+// TestReloadSites checks that a reload changes the monitoring of sites without losing their states,
+// turns it off and on, and changes nothing if the new settings are invalid.
+func TestReloadSites(t *testing.T) {
 	s := newSiteSidecar(t, &sites.Config{HoldTime: time.Hour})
 	s.engine.RestoreSites(sites.Learned{Sites: []sites.LearnedSite{{Site: "a", State: sites.Down, RecoveryTime: time.Minute, EffectiveServers: 2}}})
 	if got := siteStates(s); got != "a dark, b healthy" {
@@ -66,8 +68,8 @@
 	}
 }
 
-// TestHandoverOfSites: what one process leaves of its sites the next begins with, and a note of a version that knew of none does no
-// harm.
+// TestHandoverOfSites checks that a process starts with the site states that its predecessor saved,
+// and that the saved state of a version without sites does no harm.
 func TestHandoverOfSites(t *testing.T) {
 	s := newSiteSidecar(t, &sites.Config{})
 	s.engine.RestoreSites(sites.Learned{RequestRate: 40, Sites: []sites.LearnedSite{{Site: "a", State: sites.Down, RecoveryTime: time.Minute, EffectiveServers: 2}}})
@@ -76,13 +78,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := newSiteSidecar(t, &sites.Config{})
+	successor := newSiteSidecar(t, &sites.Config{})
 	var n learnedState
 	if err := json.Unmarshal(text, &n); err != nil {
 		t.Fatal(err)
 	}
-	next.engine.RestoreSites(n.Sites)
-	if got := siteStates(next); got != "a dark, b healthy" {
+	successor.engine.RestoreSites(n.Sites)
+	if got := siteStates(successor); got != "a dark, b healthy" {
 		t.Error(got)
 	}
 	old, err := json.Marshal(l)
@@ -93,13 +95,13 @@
 	if err := json.Unmarshal(old, &n); err != nil {
 		t.Fatal(err)
 	}
-	next.engine.Learn(n.Policy)
-	next.engine.RestoreSites(n.Sites)
-	if got := siteStates(next); got != "a dark, b healthy" {
-		t.Errorf("after an old note: %s", got)
+	successor.engine.Learn(n.Policy)
+	successor.engine.RestoreSites(n.Sites)
+	if got := siteStates(successor); got != "a dark, b healthy" {
+		t.Errorf("after loading the state of an old version: %s", got)
 	}
-	newSiteSidecar(t, nil).engine.RestoreSites(sites.Learned{RequestRate: 1}) // where none are watched
+	newSiteSidecar(t, nil).engine.RestoreSites(sites.Learned{RequestRate: 1}) // without monitoring of sites
 	if s, err := New(s.Config(), config.Operator{Sites: &sites.Config{MaxSpill: -1}}, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "[sites]: spill") {
-		t.Errorf("settings that cannot be used: %v, %v", s, err)
+		t.Errorf("invalid settings: %v, %v", s, err)
 	}
 }
--- a/internal/daemon/site_return_test.go
+++ b/internal/daemon/site_return_test.go
@@ -20,19 +20,21 @@
 	"quillfront/sites"
 )
 
-// siteCapacity is how much of all requests one site can take.
-var siteCapacity = flag.Float64("site.capacity", 4./3, "capacity of each site in TestSiteOnSockets, as a part of all requests")
+// siteCapacity is the share of all requests that one site can serve.
+var siteCapacity = flag.Float64("site.capacity", 4./3, "capacity of each site in TestSiteOnSockets, as a fraction of all requests")
 
-// siteWatch shows by hand what happens without: the test then fails.
-var siteWatch = flag.Bool("site.watch", true, "whether sites are watched in TestSiteOnSockets")
+// siteWatch turns the monitoring of sites off, to show that the test then fails.
+var siteWatch = flag.Bool("site.watch", true, "whether sites are monitored in TestSiteOnSockets")
 
-var siteRate = flag.Float64("site.rate", 0, "requests a second of TestSiteOnSockets, which is a measurement by hand; 0: it is not played")
+// siteRate enables the test and sets its load.
+var siteRate = flag.Float64("site.rate", 0, "requests per second in TestSiteOnSockets, which is run manually; 0: the test is skipped")
 
-// TestSiteOnSockets is the users' test: two sites of four boxes each, two sidecars, open-loop clients; every box of one site is
-// killed, the list notices three seconds later, and new boxes come back cold. docs/design/sites.md has it at 1,300 a second.
+// TestSiteOnSockets runs two sites of four servers each, two sidecars and open-loop clients. All
+// servers of one site are killed, the list is updated three seconds later, and new servers come
+// back cold. docs/design/sites.md has results at 1,300 requests per second.
 func TestSiteOnSockets(t *testing.T) {
-	if *siteRate == 0 { // how far a site has come back after so many seconds hangs on the machine: no verdict for CI
-		t.Skip("played by hand, with -site.rate")
+	if *siteRate == 0 { // how far a site recovers in a given time depends on the machine, so not in CI
+		t.Skip("run manually, with -site.rate")
 	}
 	t.Parallel()
 	const (
@@ -89,10 +91,10 @@
 	tr := &http.Transport{MaxIdleConnsPerHost: 512, MaxConnsPerHost: 1024, DisableCompression: true}
 	defer tr.CloseIdleConnections()
 	client := &http.Client{Transport: tr}
-	type tally struct{ asked, served int }
+	type tally struct{ sent, served int }
 	var mu sync.Mutex
-	parts := map[string]*tally{} // by class and part of the day
-	ask := func(n int, class, part string) {
+	tallies := map[string]*tally{} // by class and phase
+	send := func(n int, class, phase string) {
 		deadline := time.Second
 		if class == "delivery-order" {
 			deadline = 800 * time.Millisecond
@@ -130,12 +132,12 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		p := parts[class+" "+part]
+		p := tallies[class+" "+phase]
 		if p == nil {
 			p = &tally{}
-			parts[class+" "+part] = p
+			tallies[class+" "+phase] = p
 		}
-		if p.asked++; ok {
+		if p.sent++; ok {
 			p.served++
 		}
 	}
@@ -150,7 +152,7 @@
 	var clients sync.WaitGroup
 	began := time.Now()
 	killed, returned, restored := false, false, []*standin.Box(nil)
-	var inDark [2]int64 // requests at the other site, from 2 s after the kill and at the return
+	var otherRequests [2]int64 // requests at the other site 2 s after the kill and at the return
 	for n, at := 0, time.Duration(0); at < whole; n++ {
 		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 		time.Sleep(time.Until(began.Add(at)))
@@ -160,61 +162,61 @@
 			for _, b := range lost {
 				fleet.Kill(b)
 			}
-			time.AfterFunc(2*time.Second, func() { inDark[0] = requests(other) })
+			time.AfterFunc(2*time.Second, func() { otherRequests[0] = requests(other) })
 		}
 		if at > back && !returned {
 			returned = true
-			inDark[1] = requests(other)
+			otherRequests[1] = requests(other)
 			restored = start("clare-pump", "clare-new-", true)
 		}
-		class, part := "allocation-check", ""
+		class, phase := "allocation-check", ""
 		if rng.Float64() < 0.3 {
 			class = "delivery-order"
 		}
 		switch {
 		case at > time.Second && at < dark-time.Second:
-			part = "calm"
+			phase = "before"
 		case at > dark && at < dark+2*time.Second:
-			part = "loss"
+			phase = "loss"
 		case at > dark+2*time.Second && at < back:
-			part = "dark"
+			phase = "dark"
 		case at > whole-6*time.Second:
-			part = "back"
+			phase = "back"
 		}
-		clients.Go(func() { ask(n, class, part) })
+		clients.Go(func() { send(n, class, phase) })
 	}
 	clients.Wait()
 
-	share := func(class, part string) float64 {
-		p := parts[class+" "+part]
-		return float64(p.served) / float64(p.asked)
+	share := func(class, phase string) float64 {
+		p := tallies[class+" "+phase]
+		return float64(p.served) / float64(p.sent)
 	}
 	var text strings.Builder
-	for _, part := range []string{"calm", "loss", "dark", "back"} {
-		fmt.Fprintf(&text, "%s: orders %.3f, checks %.3f; ", part, share("delivery-order", part), share("allocation-check", part))
+	for _, phase := range []string{"before", "loss", "dark", "back"} {
+		fmt.Fprintf(&text, "%s: orders %.3f, checks %.3f; ", phase, share("delivery-order", phase), share("allocation-check", phase))
 	}
-	perSecond := float64(inDark[1]-inDark[0]) / (back - dark - 2*time.Second).Seconds()
-	t.Logf("%.0f a second: %sthe other site had %.2f of its normal load in the dark", rate, text.String(), perSecond/(rate/2))
-	if calm := share("allocation-check", "calm"); calm < 0.95 {
-		t.Errorf("%.3f of checks served in calm time", calm)
+	perSecond := float64(otherRequests[1]-otherRequests[0]) / (back - dark - 2*time.Second).Seconds()
+	t.Logf("%.0f requests per second: %sthe other site had %.2f of its normal load during the outage", rate, text.String(), perSecond/(rate/2))
+	if before := share("allocation-check", "before"); before < 0.95 {
+		t.Errorf("%.3f of checks served before the outage", before)
 	}
-	// The other site can take all of the orders; of all requests three quarters may be served.
+	// The other site can serve all orders, and three quarters of all requests.
 	if got := share("delivery-order", "dark"); got < 0.93 {
-		t.Errorf("%.3f of orders served in the dark", got)
+		t.Errorf("%.3f of orders served during the outage", got)
 	}
 	if got := 0.3*share("delivery-order", "dark") + 0.7*share("allocation-check", "dark"); got < 0.75*0.93 {
-		t.Errorf("%.3f of all served in the dark, 0.75 may be", got)
+		t.Errorf("%.3f of all requests served during the outage, 0.75 are possible", got)
 	}
 	if perSecond > rate/2*(1+spill)*1.1 {
-		t.Errorf("the other site had %.0f a second, %.0f may be", perSecond, rate/2*(1+spill))
+		t.Errorf("the other site had %.0f requests per second, at most %.0f are allowed", perSecond, rate/2*(1+spill))
 	}
 	for _, b := range restored {
 		if b.Counts().Fallen {
-			t.Errorf("%s was sent more than its warm-up share", b.ID())
+			t.Errorf("%s received more than its warm-up share", b.ID())
 		}
 	}
 	if got := share("allocation-check", "back"); got < 0.93 || requests(restored) == 0 {
-		t.Errorf("%.3f of checks served at the end, new boxes had %d requests", got, requests(restored))
+		t.Errorf("%.3f of checks served at the end, the new servers had %d requests", got, requests(restored))
 	}
 	if e := fleet.Effects(); e.Duplicates > 0 {
 		t.Errorf("%d orders took effect twice", e.Duplicates)
--- a/internal/daemon/sites_test.go
+++ b/internal/daemon/sites_test.go
@@ -17,10 +17,11 @@
 	"quillfront/sites"
 )
 
-// TestLossOfASite: all servers of a site fail at once, in several ways, and come back. The site gets next to nothing while
-// it is dark, the other goes on, and the way back is one of degrees.
-func TestLossOfASite(t *testing.T) {
-	for _, fault := range []string{"errors", "resets", "silence", "errors, and little may spill"} {
+// TestSiteOutage makes all servers of a site fail at once, in several ways, and recover. While the
+// site is dark, it gets hardly any requests and the other site keeps serving. Its traffic returns
+// gradually.
+func TestSiteOutage(t *testing.T) {
+	for _, fault := range []string{"errors", "resets", "silence", "errors, low spill limit"} {
 		spill := 10.0
 		if strings.Contains(fault, "spill") {
 			spill = 0.2
@@ -28,7 +29,7 @@
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			var down atomic.Bool
-			var hits [2]atomic.Int64
+			var received [2]atomic.Int64
 			end := make(chan struct{})
 			defer close(end)
 			known := engine.List{Seq: 1, Full: true}
@@ -36,7 +37,7 @@
 				site := i % 2
 				addr := startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 					if q.URL.Path != "/load" {
-						hits[site].Add(1)
+						received[site].Add(1)
 					}
 					text := okResponse
 					if q.URL.Path == "/load" {
@@ -44,7 +45,7 @@
 					}
 					if site == 1 && down.Load() {
 						switch fault {
-						case "errors", "errors, and little may spill":
+						case "errors", "errors, low spill limit":
 							text = "HTTP/1.1 500 Internal Server Error\nContent-Length: 0\n\n"
 						case "resets":
 							c.Close()
@@ -60,8 +61,9 @@
 					ID: policy.ServerID(fmt.Sprint("s", i)), Addr: addr, State: policy.Ready, Zone: []string{"a", "b"}[site], Weight: 1,
 				})
 			}
-			// Clients wait as long as the class has it: one whose time differs from the usual by more than 2 ms passes for the last
-			// try of an old request, and on a busy machine that much may pass between the reading of a request and its event.
+			// The clients' timeout is the class's deadline: a request whose remaining time differs
+			// from it by more than 2 ms is taken for the last try of an old request, and on a busy
+			// machine that much time may pass between the reading of a request and its event.
 			text := strings.NewReplacer(`"AimUs":9000000`, `"AimUs":290000`, `"DeadlineUs":10000000`, `"DeadlineUs":300000`).
 				Replace(configText("127.0.0.1:1", "127.0.0.1:1"))
 			cfg, err := loadConfig(t, text)
@@ -78,7 +80,7 @@
 			sc := serveSidecar(t, s)
 			stop := make(chan struct{})
 			defer close(stop)
-			var asked, served atomic.Int64
+			var sent, served atomic.Int64
 			for range 8 {
 				go func() {
 					for n := 0; ; n++ {
@@ -91,11 +93,11 @@
 						if err != nil {
 							return
 						}
-						asked.Add(1)
+						sent.Add(1)
 						fmt.Fprintf(c, "GET /read/k HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nConnection: close\r\n\r\n", lastRequestID.Add(1))
 						c.SetDeadline(time.Now().Add(testTimeout))
-						answer, _ := io.ReadAll(c)
-						if strings.HasPrefix(string(answer), "HTTP/1.1 200 ") {
+						response, _ := io.ReadAll(c)
+						if strings.HasPrefix(string(response), "HTTP/1.1 200 ") {
 							served.Add(1)
 						}
 						c.Close()
@@ -110,26 +112,27 @@
 				}
 				return sites.SiteSnapshot{}
 			}
-			eventually(t, "both sites are used", func() bool { return hits[0].Load() > 50 && hits[1].Load() > 50 })
+			eventually(t, "both sites receive requests", func() bool { return received[0].Load() > 50 && received[1].Load() > 50 })
 			down.Store(true)
 			eventually(t, "the site is dark", func() bool { return view().State == sites.Down })
-			time.Sleep(500 * time.Millisecond) // what was under way is over
-			a, b, n, ok := hits[0].Load(), hits[1].Load(), asked.Load(), served.Load()
-			eventually(t, "500 requests in the dark", func() bool { return asked.Load() > n+500 })
-			a, b, n, ok = hits[0].Load()-a, hits[1].Load()-b, asked.Load()-n, served.Load()-ok
+			time.Sleep(500 * time.Millisecond) // open requests have ended
+			a, b, n, ok := received[0].Load(), received[1].Load(), sent.Load(), served.Load()
+			eventually(t, "500 requests are sent while the site is dark", func() bool { return sent.Load() > n+500 })
+			a, b, n, ok = received[0].Load()-a, received[1].Load()-b, sent.Load()-n, served.Load()-ok
 			if b > a/10 {
-				t.Errorf("%d requests go to the dark site and %d to the other", b, a)
+				t.Errorf("%d requests to the dark site and %d to the other", b, a)
 			}
-			// Half is meant for the dark site, and 0.2 of the other's half may be added to it.
+			// Half of the requests is meant for the dark site. The other site may take 0.2 more
+			// than its half.
 			if spill > 1 && ok < n*9/10 || spill < 1 && (ok < n*45/100 || ok > n*75/100) {
 				t.Errorf("%d of %d served", ok, n)
 			}
 			down.Store(false)
-			eventually(t, "the site returns", func() bool { return view().State == sites.Recovering })
+			eventually(t, "the site is returning", func() bool { return view().State == sites.Recovering })
 			if share := view().Share; share > 0.5 {
-				t.Errorf("it returns with a share of %.2f", share)
+				t.Errorf("the site returns with a share of %.2f", share)
 			}
-			eventually(t, "the site is back", func() bool { return view().State == sites.Healthy })
+			eventually(t, "the site is healthy", func() bool { return view().State == sites.Healthy })
 		})
 	}
 }
--- a/internal/daemon/stream_test.go
+++ b/internal/daemon/stream_test.go
@@ -16,7 +16,7 @@
 	"quillfront/policy"
 )
 
-// longBody is longer than is ever held whole, and no two places of it are alike.
+// longBody is longer than any body that is buffered completely. No two positions of it look alike.
 var longBody = func() []byte {
 	var b bytes.Buffer
 	for i := 0; b.Len() < 2<<20; i++ {
@@ -25,7 +25,7 @@
 	return b.Bytes()[:2<<20]
 }()
 
-// writeInPieces writes text in writeInPieces of some size.
+// writeInPieces writes text in pieces of size bytes.
 func writeInPieces(c net.Conn, text []byte, size int) {
 	for len(text) > 0 {
 		n := min(len(text), size)
@@ -36,7 +36,7 @@
 	}
 }
 
-// chunkedBody is text in chunks.
+// chunkedBody returns text in chunks of size bytes. last adds the last chunk and a trailer.
 func chunkedBody(text []byte, size int, last bool) []byte {
 	var b bytes.Buffer
 	for len(text) > 0 {
@@ -50,16 +50,16 @@
 	return b.Bytes()
 }
 
-// TestLongAnswers: answers in every framing come to the client byte for byte, whichever version it speaks, and the module
-// hears of their begin.
-func TestLongAnswers(t *testing.T) {
+// TestLongResponses checks that long responses in every framing reach the client byte for byte, for
+// HTTP/1.1 and HTTP/1.0, and that the module is told when they start.
+func TestLongResponses(t *testing.T) {
 	for _, tt := range []struct {
 		name, head string
 		body       []byte
 	}{
-		{"of a length", fmt.Sprintf("Content-Length: %d\r\n", len(longBody)), longBody},
-		{"in chunks", "Transfer-Encoding: chunked\r\n", chunkedBody(longBody, 10_000, true)},
-		{"to the end", "Connection: close\r\n", longBody},
+		{"with a length", fmt.Sprintf("Content-Length: %d\r\n", len(longBody)), longBody},
+		{"chunked", "Transfer-Encoding: chunked\r\n", chunkedBody(longBody, 10_000, true)},
+		{"until close", "Connection: close\r\n", longBody},
 	} {
 		for _, version := range []string{"1.1", "1.0"} {
 			t.Run(tt.name+" to HTTP/"+version, func(t *testing.T) {
@@ -75,9 +75,9 @@
 				c.write(strings.Replace(plainGet, "HTTP/1.1", "HTTP/"+version, 1))
 				resp, body := c.read(t)
 				if resp.StatusCode != http.StatusOK || sha256.Sum256([]byte(body)) != sha256.Sum256(longBody) || resp.Header.Get("X-Novel") != "1" {
-					t.Errorf("%d, %d bytes, %v", resp.StatusCode, len(body), resp.Header)
+					t.Errorf("status %d, %d bytes, header %v", resp.StatusCode, len(body), resp.Header)
 				}
-				receive(t, "begin of the answer", m.responseStarts)
+				receive(t, "the start of the response", m.responseStarts)
 				if o := receive(t, "outcome", m.outcomes); o.Status != policy.OK || !o.Final {
 					t.Errorf("outcome %+v", o)
 				}
@@ -86,15 +86,16 @@
 	}
 }
 
-// TestLongAnswerBreaks: a client can always tell an answer that broke off from a whole one, and nothing is sent again.
-func TestLongAnswerBreaks(t *testing.T) {
+// TestTruncatedLongResponse checks that a client can always tell a truncated response from a
+// complete one, and that the request is not sent again.
+func TestTruncatedLongResponse(t *testing.T) {
 	for _, tt := range []struct {
 		name, head string
 		body       []byte
 	}{
-		{"of a length", fmt.Sprintf("Content-Length: %d\r\n", len(longBody)), longBody[:1<<20]},
-		{"in chunks", "Transfer-Encoding: chunked\r\n", chunkedBody(longBody[:1<<20], 10_000, false)},
-		{"in chunks that are none", "Transfer-Encoding: chunked\r\n", append(chunkedBody(longBody[:1<<20], 10_000, false), "no chunk\r\n"...)},
+		{"with a length", fmt.Sprintf("Content-Length: %d\r\n", len(longBody)), longBody[:1<<20]},
+		{"chunked", "Transfer-Encoding: chunked\r\n", chunkedBody(longBody[:1<<20], 10_000, false)},
+		{"invalid chunk", "Transfer-Encoding: chunked\r\n", append(chunkedBody(longBody[:1<<20], 10_000, false), "no chunk\r\n"...)},
 	} {
 		for _, version := range []string{"1.1", "1.0"} {
 			t.Run(tt.name+" to HTTP/"+version, func(t *testing.T) {
@@ -111,7 +112,7 @@
 					t.Fatal(resp, err)
 				}
 				if n, err := io.Copy(io.Discard, resp.Body); err == nil {
-					t.Errorf("%d bytes pass for whole", n)
+					t.Errorf("%d bytes look like a complete response", n)
 				}
 				if o := receive(t, "outcome", m.outcomes); o.Status != policy.Reset || !o.Final {
 					t.Errorf("outcome %+v, want Reset", o)
@@ -121,15 +122,16 @@
 	}
 }
 
-// TestClientLeavesLongAnswer: the upstream's connection ends with the client, and both descriptors come back.
-func TestClientLeavesLongAnswer(t *testing.T) {
-	left := make(chan struct{})
+// TestClientDisconnectsDuringResponse checks that the server's connection is closed with the
+// client's, and that both descriptors are released.
+func TestClientDisconnectsDuringResponse(t *testing.T) {
+	closed := make(chan struct{})
 	m := newScriptedModule()
 	sc := startSidecar(t, m, startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 32<<20)
 		for {
 			if _, err := c.Write(make([]byte, 1<<16)); err != nil {
-				close(left)
+				close(closed)
 				return
 			}
 		}
@@ -140,14 +142,15 @@
 		t.Fatal(err)
 	}
 	c.Close()
-	receive(t, "end of the upstream's connection", left)
+	receive(t, "the end of the server's connection", closed)
 	if o := receive(t, "outcome", m.outcomes); o.Status != policy.OK || !o.Final {
-		t.Errorf("outcome %+v: what a client does says nothing of the upstream", o)
+		t.Errorf("outcome %+v, want OK: a client's disconnect is no evidence against the server", o)
 	}
-	eventually(t, "all descriptors are back", func() bool { return sc.inUse() == 1 }) // that of the next client
+	eventually(t, "all descriptors are released", func() bool { return sc.inUse() == 1 }) // reserved for the next client
 }
 
-// postHead is a request with a body of n bytes that is still to be written, or in chunks if n is negative.
+// postHead returns the head of a request with a body of n bytes, or with a chunked body if n is
+// negative.
 func postHead(n int) string {
 	framing := fmt.Sprintf("Content-Length: %d", n)
 	if n < 0 {
@@ -156,8 +159,9 @@
 	return "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nX-Timeout-Ms: 9000\n" + framing + "\n\n"
 }
 
-// TestLongRequests: bodies in both framings come to the upstream byte for byte, those that fit into memory whole and others
-// as they come, of whose end the module hears.
+// TestLongRequests checks that long bodies in both framings reach the server byte for byte. Bodies
+// that fit into memory are buffered; others are streamed, and the module is told when their upload
+// ends.
 func TestLongRequests(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -166,47 +170,48 @@
 		want     []byte
 		uploaded bool
 	}{
-		{"held", 1 << 20, longBody[:1<<20], longBody[:1<<20], false},
-		{"of a length", len(longBody), longBody, longBody, true},
-		{"in chunks", -1, chunkedBody(longBody, 9999, true), longBody, true},
+		{"buffered", 1 << 20, longBody[:1<<20], longBody[:1<<20], false},
+		{"with a length", len(longBody), longBody, longBody, true},
+		{"chunked", -1, chunkedBody(longBody, 9999, true), longBody, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			addr, got := startRecordingServer(t)
 			m := newScriptedModule()
 			sc := startSidecar(t, m, addr, "127.0.0.1:1")
 			c := sc.connect(t)
-			for range 2 { // the connections can carry more
+			for range 2 { // the connections are reused
 				c.write(postHead(tt.length))
 				writeInPieces(c, tt.body, 12345)
 				if resp, body := c.read(t); resp.StatusCode != http.StatusOK || body != "ok" {
-					t.Fatalf("answer %d %q", resp.StatusCode, body)
+					t.Fatalf("status %d %q", resp.StatusCode, body)
 				}
 				if s := receive(t, "request", got); s.bodyLength != len(tt.want) || s.bodySum != sha256.Sum256(tt.want) {
-					t.Errorf("%d bytes came of %d, or changed", s.bodyLength, len(tt.want))
+					t.Errorf("the server received %d bytes of %d, or a different body", s.bodyLength, len(tt.want))
 				}
 				if o := receive(t, "outcome", m.outcomes); o.Status != policy.OK || o.NoResend != tt.uploaded {
 					t.Errorf("outcome %+v", o)
 				}
 			}
 			if n := len(m.uploads); (n == 2) != tt.uploaded {
-				t.Errorf("the module hears of %d ends", n)
+				t.Errorf("the module was told of %d uploads", n)
 			}
 		})
 	}
 }
 
-// TestSpentRequests: what has been sent as it came is not sent again. One that has never run is refused, at once and
-// truly; one that may have run has failed, and both answers reach a client that is still writing.
-func TestSpentRequests(t *testing.T) {
+// TestStreamedRequestsAreNotResent checks that a streamed request is not sent again. A request
+// that certainly has not run is refused at once, and one that may have run fails. Both responses
+// reach a client that is still writing.
+func TestStreamedRequestsAreNotResent(t *testing.T) {
 	for _, tt := range []struct {
-		name   string
-		answer func(r *bufio.Reader, c net.Conn)
-		want   int
+		name    string
+		respond func(r *bufio.Reader, c net.Conn)
+		want    int
 	}{
-		{"turned away before it was read", func(_ *bufio.Reader, c net.Conn) {
+		{"rejected before it is read", func(_ *bufio.Reader, c net.Conn) {
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 		}, http.StatusServiceUnavailable},
-		{"turned away", func(r *bufio.Reader, c net.Conn) {
+		{"rejected", func(r *bufio.Reader, c net.Conn) {
 			io.CopyN(io.Discard, r, int64(len(longBody)))
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 		}, http.StatusServiceUnavailable},
@@ -216,7 +221,7 @@
 		}, http.StatusBadGateway},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			sent := make(chan struct{}, 10)
+			attempts := make(chan struct{}, 10)
 			end := make(chan struct{})
 			defer close(end)
 			sc := startSidecar(t, nil, startServer(t, func(_ int, c net.Conn) {
@@ -226,8 +231,8 @@
 					c.Close()
 					return
 				}
-				sent <- struct{}{}
-				tt.answer(r, c)
+				attempts <- struct{}{}
+				tt.respond(r, c)
 				<-end
 			}), "127.0.0.1:1")
 			c := sc.connect(t)
@@ -235,19 +240,20 @@
 			c.Write(longBody)
 			resp, _ := c.read(t)
 			if resp.StatusCode != tt.want {
-				t.Errorf("answer %d, want %d", resp.StatusCode, tt.want)
+				t.Errorf("status %d, want %d", resp.StatusCode, tt.want)
 			}
-			if n := len(sent); n != 1 {
+			if n := len(attempts); n != 1 {
 				t.Errorf("sent %d times", n)
 			}
-			eventually(t, "it is forgotten", func() bool { return sc.engine.Snapshot().Retained == 0 })
+			eventually(t, "no state is retained", func() bool { return sc.engine.Snapshot().Retained == 0 })
 		})
 	}
 }
 
-// TestLateEarlyAnswer: an upstream that turns a long request away while it comes is heard, also when that took longer than the
-// client's time, which has not begun.
-func TestLateEarlyAnswer(t *testing.T) {
+// TestEarlyResponseAfterTimeout checks that a response that rejects a long request during its
+// upload is used even if the upload has already taken longer than the client's timeout, which has
+// not started.
+func TestEarlyResponseAfterTimeout(t *testing.T) {
 	m := newScriptedModule()
 	end := make(chan struct{})
 	defer close(end)
@@ -267,24 +273,25 @@
 	c.Write(longBody[1<<19:])
 	c.read(t)
 	if o := receive(t, "outcome", m.outcomes); o.Status != policy.Overloaded {
-		t.Errorf("outcome %+v, want that of its answer", o)
+		t.Errorf("outcome %+v, want Overloaded", o)
 	}
 }
 
-// TestBodyBreaks: a long body that stands still, breaks off or is too long ends its request and the attempt that it had.
-func TestBodyBreaks(t *testing.T) {
+// TestBrokenUpload checks that a long body that stalls, is truncated or has an invalid chunk ends
+// its request and the attempt.
+func TestBrokenUpload(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		write func(c *testClient)
 		want  int
 	}{
-		{"stands still", func(c *testClient) { c.write(postHead(len(longBody))); c.Write(longBody[:1<<20]) }, http.StatusRequestTimeout},
-		{"breaks off", func(c *testClient) {
+		{"stalls", func(c *testClient) { c.write(postHead(len(longBody))); c.Write(longBody[:1<<20]) }, http.StatusRequestTimeout},
+		{"is truncated", func(c *testClient) {
 			c.write(postHead(len(longBody)))
 			c.Write(longBody[:1<<20])
 			c.Conn.(*net.TCPConn).CloseWrite()
 		}, http.StatusBadRequest},
-		{"has a chunk that is none", func(c *testClient) {
+		{"has an invalid chunk", func(c *testClient) {
 			c.write(postHead(-1))
 			c.Write(append(chunkedBody(longBody, 9999, false), "no chunk\r\n"...))
 		}, http.StatusBadRequest},
@@ -303,23 +310,24 @@
 			c := sc.connect(t)
 			go tt.write(c)
 			if resp, err := http.ReadResponse(c.r, nil); err != nil || resp.StatusCode != tt.want {
-				t.Errorf("answer %v, %v; want %d", resp, err, tt.want)
+				t.Errorf("response %v, %v; want status %d", resp, err, tt.want)
 			}
-			if err := receive(t, "end at the upstream", ended); err == nil {
-				t.Error("the upstream takes it for whole")
+			if err := receive(t, "the end of the body at the server", ended); err == nil {
+				t.Error("the server takes the body for complete")
 			}
-			eventually(t, "it is forgotten", func() bool { return sc.engine.Snapshot().Retained == 0 })
+			eventually(t, "no state is retained", func() bool { return sc.engine.Snapshot().Retained == 0 })
 		})
 	}
 }
 
-// TestTimeCountsFromTheLastByte: while a body comes its request's time does not run, and it runs whole from its end.
-func TestTimeCountsFromTheLastByte(t *testing.T) {
-	waits := make(chan int, 1)
+// TestUploadDoesNotUseTimeout checks that a request's timeout starts at the end of its body, and is
+// not shortened by the upload.
+func TestUploadDoesNotUseTimeout(t *testing.T) {
+	timeouts := make(chan int, 1)
 	sc := startSidecar(t, nil, startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		if q.URL.Path != "/load" {
 			ms, _ := strconv.Atoi(q.Header.Get("X-Timeout-Ms"))
-			waits <- ms
+			timeouts <- ms
 		}
 		io.Copy(io.Discard, q.Body)
 		time.Sleep(20 * time.Millisecond)
@@ -327,20 +335,21 @@
 	})), "127.0.0.1:1")
 	c := sc.connect(t)
 	c.write(strings.Replace(postHead(len(longBody)), "9000", "400", 1))
-	for range 4 { // 600 ms in all
+	for range 4 { // 600 ms in total
 		c.Write(longBody[:len(longBody)/4])
 		time.Sleep(150 * time.Millisecond)
 	}
 	if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
-		t.Errorf("answer %d", resp.StatusCode)
+		t.Errorf("status %d", resp.StatusCode)
 	}
-	if ms := receive(t, "wait", waits); ms < 1 || ms > 400 {
-		t.Errorf("the upstream is told to wait %d ms", ms)
+	if ms := receive(t, "the timeout", timeouts); ms < 1 || ms > 400 {
+		t.Errorf("the server is told a timeout of %d ms, want at most 400", ms)
 	}
 }
 
-// TestSlowPieces: an answer that comes in small pieces over longer than it may stand still is whole.
-func TestSlowPieces(t *testing.T) {
+// TestSlowResponse checks that a response is complete if it arrives in small pieces over a time
+// longer than the stall timeout.
+func TestSlowResponse(t *testing.T) {
 	sc := startSidecar(t, newScriptedModule(), startServer(t, respondWith(func(q *http.Request, c net.Conn) {
 		for _, b := range []byte("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789abcdefghij") {
 			c.Write([]byte{b})
@@ -348,6 +357,6 @@
 		}
 	})), "127.0.0.1:1")
 	if resp, body := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK || body != "0123456789abcdefghij" {
-		t.Errorf("answer %d %q", resp.StatusCode, body)
+		t.Errorf("status %d %q", resp.StatusCode, body)
 	}
 }
--- a/internal/daemon/upstream_test.go
+++ b/internal/daemon/upstream_test.go
@@ -17,18 +17,19 @@
 	"quillfront/policy"
 )
 
-// staticSource is a source that tells some staticSource and then nothing more.
+// staticSource is a source that delivers its lists and then nothing more.
 type staticSource []engine.List
 
-func (l staticSource) Watch(ctx context.Context, _ int64, tell func(engine.List)) error {
+func (l staticSource) Watch(ctx context.Context, _ int64, deliver func(engine.List)) error {
 	for _, list := range l {
-		tell(list)
+		deliver(list)
 	}
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// TestOutcomes guards PROTOCOL's table of outcomes, on which rests what may be sent again.
+// TestOutcomes checks the outcome of each kind of response and failure, which decides whether a
+// request may be sent again.
 func TestOutcomes(t *testing.T) {
 	refused := func(t *testing.T) string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,7 +42,7 @@
 	serving := func(serve func(int, net.Conn)) func(*testing.T) string {
 		return func(t *testing.T) string { return startServer(t, serve) }
 	}
-	// closing reads a request, and ends the connection after text.
+	// closing reads a request, writes text and closes the connection.
 	closing := func(text string) func(*testing.T) string {
 		return serving(func(_ int, c net.Conn) {
 			q, err := http.ReadRequest(bufio.NewReader(c))
@@ -61,22 +62,22 @@
 		code     int
 	}{
 		{"served", serving(respondText(okResponse)), plainGet, policy.OK, 200},
-		{"served, after an interim answer", serving(respondText("HTTP/1.1 103 Early Hints\n\n" + okResponse)), plainGet, policy.OK, 200},
+		{"served, after an interim response", serving(respondText("HTTP/1.1 103 Early Hints\n\n" + okResponse)), plainGet, policy.OK, 200},
 		{"served, empty", serving(respondText("HTTP/1.1 200 OK\nContent-Length: 0\n\n")), plainGet, policy.OK, 200},
 		{"served, chunked", serving(respondText("HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n2\nok\n0\n\n")), plainGet, policy.OK, 200},
 		{"error", serving(respondText("HTTP/1.1 500 Oh\nContent-Length: 0\n\n")), plainGet, policy.AppError, 502},
-		{"another success is no answer", serving(respondText("HTTP/1.1 204 No\n\n")), plainGet, policy.AppError, 502},
-		{"turned away", serving(respondText("HTTP/1.1 503 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.Overloaded, 502},
-		{"over", serving(respondText("HTTP/1.1 504 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.Overloaded, 502},
-		{"503 that may have run", serving(respondText("HTTP/1.1 503 No\nContent-Length: 0\n\n")), plainGet, policy.AppError, 502},
-		{"500 cannot be turned away", serving(respondText("HTTP/1.1 500 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.AppError, 502},
+		{"other success status", serving(respondText("HTTP/1.1 204 No\n\n")), plainGet, policy.AppError, 502},
+		{"rejected", serving(respondText("HTTP/1.1 503 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.Overloaded, 502},
+		{"rejected after its deadline", serving(respondText("HTTP/1.1 504 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.Overloaded, 502},
+		{"503 without proof that it has not run", serving(respondText("HTTP/1.1 503 No\nContent-Length: 0\n\n")), plainGet, policy.AppError, 502},
+		{"500 with proof that it has not run", serving(respondText("HTTP/1.1 500 No\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.AppError, 502},
 		{"connection refused", refused, plainGet, policy.ConnectFailed, 502},
-		{"break after writing", closing(""), plainGet, policy.Reset, 502},
-		{"break in the head", closing("HTTP/1.1 200 OK\nContent-"), plainGet, policy.Reset, 502},
-		{"break in the body", closing("HTTP/1.1 200 OK\nContent-Length: 9\n\nabc"), plainGet, policy.Reset, 502},
-		{"broken HTTP", closing("HELLO\n\n"), plainGet, policy.Reset, 502},
-		{"senseless length", closing("HTTP/1.1 200 OK\nContent-Length: -5\n\nabc"), plainGet, policy.Reset, 502},
-		{"broken chunk", closing("HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\nzz\nabc"), plainGet, policy.Reset, 502},
+		{"closed after the request", closing(""), plainGet, policy.Reset, 502},
+		{"closed in the head", closing("HTTP/1.1 200 OK\nContent-"), plainGet, policy.Reset, 502},
+		{"closed in the body", closing("HTTP/1.1 200 OK\nContent-Length: 9\n\nabc"), plainGet, policy.Reset, 502},
+		{"not HTTP", closing("HELLO\n\n"), plainGet, policy.Reset, 502},
+		{"negative length", closing("HTTP/1.1 200 OK\nContent-Length: -5\n\nabc"), plainGet, policy.Reset, 502},
+		{"invalid chunk", closing("HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\nzz\nabc"), plainGet, policy.Reset, 502},
 		{"endless head", serving(respondWith(func(_ *http.Request, c net.Conn) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 			for {
@@ -85,7 +86,7 @@
 				}
 			}
 		})), plainGet, policy.Reset, 502},
-		{"endless interim answers", serving(respondWith(func(_ *http.Request, c net.Conn) {
+		{"endless interim responses", serving(respondWith(func(_ *http.Request, c net.Conn) {
 			for {
 				if _, err := io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 					return
@@ -93,13 +94,13 @@
 			}
 		})), plainGet, policy.Reset, 502},
 		{"silence", serving(func(int, net.Conn) {}), short, policy.Timeout, 502},
-		// These would wait for their whole 9 s.
+		// Without a stall timeout, these would wait for the entire 9 s.
 		{"silence in the body", serving(respondText("HTTP/1.1 200 OK\nContent-Length: 9\n\nabc")), plainGet, policy.Reset, 502},
 		{"silence in the head", serving(respondText("HTTP/1.1 200 OK\nContent-")), plainGet, policy.Reset, 502},
-		{"both lengths", serving(respondText("HTTP/1.1 200 OK\nContent-Length: 2\nTransfer-Encoding: chunked\n\n2\nok\n0\n\n")), plainGet, policy.Reset, 502},
-		{"a type taken out on the way", serving(respondText("HTTP/1.1 200 OK\nConnection: Content-Type\nContent-Type: a/b\nContent-Length: 0\n\n")), plainGet, policy.Reset, 502},
-		{"a proof taken out on the way", serving(respondText("HTTP/1.1 503 No\nConnection: X-Not-Processed\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.Reset, 502},
-		{"not usable", serving(respondText("HTTP/1.1 404 No\nContent-Length: 0\n\n")), plainGet, policy.Rejected, 502},
+		{"Content-Length and Transfer-Encoding", serving(respondText("HTTP/1.1 200 OK\nContent-Length: 2\nTransfer-Encoding: chunked\n\n2\nok\n0\n\n")), plainGet, policy.Reset, 502},
+		{"Content-Type as hop-by-hop header", serving(respondText("HTTP/1.1 200 OK\nConnection: Content-Type\nContent-Type: a/b\nContent-Length: 0\n\n")), plainGet, policy.Reset, 502},
+		{"X-Not-Processed as hop-by-hop header", serving(respondText("HTTP/1.1 503 No\nConnection: X-Not-Processed\nX-Not-Processed: 1\nContent-Length: 0\n\n")), plainGet, policy.Reset, 502},
+		{"not found", serving(respondText("HTTP/1.1 404 No\nContent-Length: 0\n\n")), plainGet, policy.Rejected, 502},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -110,11 +111,11 @@
 			began := time.Now()
 			resp, _ := c.read(t)
 			if d := time.Since(began); d > 8*time.Second {
-				t.Errorf("an answer after %v: the time was waited out", d)
+				t.Errorf("response after %v: the sidecar waited for the entire timeout", d)
 			}
 			o := receive(t, "outcome", m.outcomes)
 			if o.Status != tt.want || resp.StatusCode != tt.code {
-				t.Errorf("outcome %v, answer %d; want %v, %d", o.Status, resp.StatusCode, tt.want, tt.code)
+				t.Errorf("outcome %v, status %d; want %v, %d", o.Status, resp.StatusCode, tt.want, tt.code)
 			}
 			if o.Server != "a" || o.Attempt != 0 || o.Delay <= 0 || o.Final != (tt.want == policy.OK) {
 				t.Errorf("outcome %+v", o)
@@ -126,8 +127,8 @@
 	}
 }
 
-// TestDialThatNeverComesUp: a listener whose backlog is full answers nothing.
-func TestDialThatNeverComesUp(t *testing.T) {
+// TestDialTimeout checks the outcome if a listener does not respond because its backlog is full.
+func TestDialTimeout(t *testing.T) {
 	m := newScriptedModule()
 	sc := startSidecar(t, m, newFullBacklogServer(t).Addr().String(), "127.0.0.1:1", func(c *config.Config) {
 		c.Settings.Config.DialTimeout = 50 * time.Millisecond
@@ -138,8 +139,8 @@
 	}
 }
 
-// TestNothingIsSentAgain guards against a library that repeats a request when a kept connection breaks.
-func TestNothingIsSentAgain(t *testing.T) {
+// TestNoImplicitResend guards against a library that repeats a request if a kept connection breaks.
+func TestNoImplicitResend(t *testing.T) {
 	requests := make(chan string, 10)
 	addr := startServer(t, func(n int, c net.Conn) {
 		r := bufio.NewReader(c)
@@ -165,7 +166,7 @@
 	if o := receive(t, "outcome", m.outcomes); o.Status != policy.Reset {
 		t.Errorf("outcome %v, want Reset", o.Status)
 	}
-	sc.roundTrip(t, strings.Replace(plainGet, "ID: 1", "ID: 3", 1)) // whatever is sent again has come by now
+	sc.roundTrip(t, strings.Replace(plainGet, "ID: 1", "ID: 3", 1)) // a repeated request would have arrived by now
 	var got []string
 	for range 3 {
 		got = append(got, receive(t, "request", requests))
@@ -175,7 +176,8 @@
 	}
 }
 
-// TestIdleConnections guards against writing to a connection that the upstream closes as idle.
+// TestIdleConnections guards against writing to a connection that the server closes because it is
+// idle.
 func TestIdleConnections(t *testing.T) {
 	conns := make(chan net.Conn, 10)
 	addr := startServer(t, func(n int, c net.Conn) {
@@ -189,13 +191,13 @@
 		sc.roundTrip(t, plainGet)
 		receive(t, "connection", conns)
 		if len(conns) != 0 {
-			t.Error("a second connection, with an idle one at hand")
+			t.Error("a second connection, although an idle one is available")
 		}
 		sc.runActions(func(act policy.Actions) { act.CloseIdle("a") })
 		sc.roundTrip(t, plainGet)
-		receive(t, "new connection after a hang-up", conns)
+		receive(t, "a new connection after CloseIdle", conns)
 	})
-	t.Run("closed by the upstream", func(t *testing.T) {
+	t.Run("closed by the server", func(t *testing.T) {
 		m := newScriptedModule()
 		sc := startSidecar(t, m, addr, "127.0.0.1:1")
 		for range 2 {
@@ -205,10 +207,10 @@
 			}
 			receive(t, "connection", conns).Close()
 			sc.waitReusableConn(t)
-			eventually(t, "the close shows", func() bool { return sc.transport.Stats() == upstreams.Stats{Idle: 1, Stale: 1} })
+			eventually(t, "the close is detected", func() bool { return sc.transport.Stats() == upstreams.Stats{Idle: 1, Stale: 1} })
 		}
 	})
-	t.Run("closed in time", func(t *testing.T) {
+	t.Run("closed after the idle timeout", func(t *testing.T) {
 		sc := startSidecar(t, newScriptedModule(), addr, "127.0.0.1:1", func(c *config.Config) {
 			c.Settings.Config.ConnIdleTimeout = 100 * time.Millisecond
 		})
@@ -216,13 +218,13 @@
 		c := receive(t, "connection", conns)
 		c.SetReadDeadline(time.Now().Add(testTimeout))
 		eventually(t, "no idle connection is left", func() bool { return sc.transport.Stats().Idle == 0 })
-		eventually(t, "its descriptor is given back", func() bool { return sc.inUse() <= 2 })
+		eventually(t, "its descriptor is released", func() bool { return sc.inUse() <= 2 })
 	})
 }
 
-// TestAddressPassesOn: an idle connection to one upstream never carries a request to another that has its address now,
-// nor to the same one started anew.
-func TestAddressPassesOn(t *testing.T) {
+// TestAddressReuse checks that an idle connection to one server never carries a request to another
+// server that now has its address, nor to the same server after a restart.
+func TestAddressReuse(t *testing.T) {
 	conns := make(chan net.Conn, 10)
 	addr := startServer(t, func(n int, c net.Conn) {
 		conns <- c
@@ -238,20 +240,21 @@
 		receive(t, "list", m.lists)
 		for range 2 {
 			if resp, _ := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK {
-				t.Fatalf("answer %d", resp.StatusCode)
+				t.Fatalf("status %d", resp.StatusCode)
 			}
 			receive(t, "outcome", m.outcomes)
 			sc.waitReusableConn(t)
 		}
 		receive(t, "connection", conns)
 		if len(conns) > 0 {
-			t.Error("a second connection to the same upstream")
+			t.Error("a second connection to the same server")
 		}
 	}
-	eventually(t, "the connections of the upstreams before are closed", func() bool { return sc.transport.Stats().Idle == 1 })
+	eventually(t, "the connections to the previous servers are closed", func() bool { return sc.transport.Stats().Idle == 1 })
 }
 
-// TestCancel guards against attempts that go on after the module, or the client, has given them up.
+// TestCancel guards against attempts that continue after the module, or the client, has given them
+// up.
 func TestCancel(t *testing.T) {
 	gone := make(chan error, 10)
 	addr := startServer(t, func(_ int, c net.Conn) {
@@ -274,7 +277,7 @@
 		sc.runActions(func(act policy.Actions) {
 			act.Cancel(1, 0)
 			act.Cancel(1, 1)
-			act.Cancel(1, 2) // never made
+			act.Cancel(1, 2) // never started
 			act.Fail(1)
 		})
 		for range 2 {
@@ -283,7 +286,7 @@
 			}
 		}
 		if resp, _ := c.read(t); resp.StatusCode != http.StatusBadGateway {
-			t.Errorf("answer %d", resp.StatusCode)
+			t.Errorf("status %d", resp.StatusCode)
 		}
 	})
 	t.Run("client gone", func(t *testing.T) {
@@ -291,29 +294,30 @@
 		sc := startSidecar(t, m, addr, "127.0.0.1:1")
 		c := sc.connect(t)
 		c.write(plainGet)
-		eventually(t, "the request is taken", func() bool {
+		eventually(t, "the request is accepted", func() bool {
 			return sc.engine.Snapshot().Accepted == 1
 		})
 		c.Close()
-		id := receive(t, "Withdrawn", m.disconnects)
+		id := receive(t, "ClientDisconnected", m.disconnects)
 		sc.runActions(func(act policy.Actions) { act.Cancel(id, 0) })
 		if o := receive(t, "outcome", m.outcomes); o.Status != policy.Canceled || !o.Final {
-			t.Errorf("outcome %+v, want Canceled and Closed", o)
+			t.Errorf("outcome %+v, want Canceled and Final", o)
 		}
-		eventually(t, "nothing is left of it", func() bool {
+		eventually(t, "no state is retained", func() bool {
 			return sc.engine.Snapshot().Retained == 0
 		})
 	})
 }
 
-// TestLosersWriteNothing: of two copies the first whole answer is the client's, and the other one's is dropped.
-func TestLosersWriteNothing(t *testing.T) {
+// TestFirstResponseWins checks that of two copies of a request the first complete response goes to
+// the client, and that the other one is dropped.
+func TestFirstResponseWins(t *testing.T) {
 	arrived, second := make(chan struct{}), make(chan struct{})
 	addr := startServer(t, func(n int, c net.Conn) {
 		r := bufio.NewReader(c)
 		http.ReadRequest(r)
 		if n == 0 {
-			<-arrived // an attempt that is not sent yet would be called off by the first answer
+			<-arrived // the first response would cancel an attempt that is not sent yet
 		} else if n == 1 {
 			close(arrived)
 			<-second
@@ -330,17 +334,17 @@
 	c := sc.connect(t)
 	c.write(plainGet)
 	if _, body := c.read(t); body != "0" {
-		t.Errorf("answer %q, want that of the first", body)
+		t.Errorf("response %q, want that of the first attempt", body)
 	}
 	close(second)
 	for range 2 {
 		if o := receive(t, "outcome", m.outcomes); o.Status != policy.OK || !o.Final {
-			t.Errorf("outcome %+v, want OK and Closed", o)
+			t.Errorf("outcome %+v, want OK and Final", o)
 		}
 	}
 	m.onRequest = nil
-	c.write(plainGet) // comes next on the connection: nothing else was written to it
+	c.write(plainGet) // the next response on the connection: nothing else was written to it
 	if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
-		t.Errorf("the next answer is %d", resp.StatusCode)
+		t.Errorf("the next response: status %d", resp.StatusCode)
 	}
 }
