--- a/internal/daemon/site_reload_test.go
+++ b/internal/daemon/site_reload_test.go
@@ -48,16 +48,16 @@
 // TestReloadSites checks that a reload changes the monitoring of sites without losing their states,
 // turns it off and on, and changes nothing if the new settings are invalid.
 func TestReloadSites(t *testing.T) {
-	s := newSiteSidecar(t, &sites.Config{HoldTime: time.Hour})
+	s := newSiteSidecar(t, &sites.Config{Hold: time.Hour})
 	s.engine.RestoreSites(sites.Learned{Sites: []sites.LearnedSite{{Site: "a", State: sites.Down, RecoveryTime: time.Minute, EffectiveServers: 2}}})
 	if got := siteStates(s); got != "a dark, b healthy" {
 		t.Fatal(got)
 	}
 	reload := func(c *sites.Config) error { return s.Reload(s.Config(), config.Operator{Sites: c}) }
-	if err := reload(&sites.Config{HoldTime: time.Hour, Prefer: []string{"b"}}); err != nil || siteStates(s) != "b healthy, a dark" {
+	if err := reload(&sites.Config{Hold: time.Hour, Prefer: []string{"b"}}); err != nil || siteStates(s) != "b healthy, a dark" {
 		t.Errorf("%v, %s", err, siteStates(s))
 	}
-	if err := reload(&sites.Config{MaxSpill: -1}); err == nil || !strings.Contains(err.Error(), "[sites]: spill") || siteStates(s) != "b healthy, a dark" {
+	if err := reload(&sites.Config{Spill: -1}); err == nil || !strings.Contains(err.Error(), "[sites]: spill") || siteStates(s) != "b healthy, a dark" {
 		t.Errorf("%v, %s", err, siteStates(s))
 	}
 	if err := reload(nil); err != nil || siteStates(s) != "" {
@@ -101,7 +101,7 @@
 		t.Errorf("after loading the state of an old version: %s", got)
 	}
 	newSiteSidecar(t, nil).engine.RestoreSites(sites.Learned{RequestRate: 1}) // without monitoring of sites
-	if s, err := New(s.Config(), config.Operator{Sites: &sites.Config{MaxSpill: -1}}, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "[sites]: spill") {
+	if s, err := New(s.Config(), config.Operator{Sites: &sites.Config{Spill: -1}}, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "[sites]: spill") {
 		t.Errorf("invalid settings: %v, %v", s, err)
 	}
 }
--- a/path_bench_test.go
+++ b/path_bench_test.go
@@ -29,10 +29,11 @@
 	"quillfront/policy"
 )
 
-// BenchmarkPath is one request, 200 bytes up and 1,000 down, by each form and by what one would use without: a bare
-// http.Transport straight to the server, and net/http/httputil.ReverseProxy with a pool that holds all connections.
-// Client, form and server run in one process and are counted together. The clients of all but the round tripper, which
-// is a client itself, are the same http.Transport.
+// BenchmarkPath measures one request, with 200 bytes in the request body and 1,000 in the answer,
+// through each form of the balancer. For comparison it measures a plain http.Transport and an
+// httputil.ReverseProxy whose connection pool holds all connections. Client, balancer and server
+// run in one process and are measured together. The client is an http.Transport with the same
+// settings in all cases but the round tripper, which is a client itself.
 func BenchmarkPath(b *testing.B) {
 	answer := []byte(strings.Repeat("x", 1000))
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -60,7 +61,7 @@
 		b.Cleanup(l.Close)
 		return l
 	}
-	behind := func(b *testing.B, h http.Handler) (http.RoundTripper, string) {
+	through := func(b *testing.B, h http.Handler) (http.RoundTripper, string) {
 		front := httptest.NewServer(h)
 		b.Cleanup(front.Close)
 		tr := transport()
@@ -81,27 +82,27 @@
 			to, _ := url.Parse(srv.URL)
 			proxy := httputil.NewSingleHostReverseProxy(to)
 			proxy.Transport = transport()
-			return behind(b, proxy)
+			return through(b, proxy)
 		}},
-		{"handler", func(b *testing.B) (http.RoundTripper, string) { return behind(b, library(b).Handler()) }},
-		{"daemon", sidecar(text, nil)},
-		{"routes", byRoutes(addr)},
-		{"daemon-memory", sidecar(text, &orders.Config{})},
-		{"daemon-batched", sidecar(text, &orders.Config{Durability: orders.Batched})},
-		{"daemon-sync", sidecar(text, &orders.Config{Durability: orders.Sync})},
+		{"handler", func(b *testing.B) (http.RoundTripper, string) { return through(b, library(b).Handler()) }},
+		{"daemon", sidecarPath(text, nil)},
+		{"routes", servicesPath(addr)},
+		{"daemon-memory", sidecarPath(text, &orders.Config{})},
+		{"daemon-batched", sidecarPath(text, &orders.Config{Durability: orders.Batched})},
+		{"daemon-sync", sidecarPath(text, &orders.Config{Durability: orders.Sync})},
 	}
 	for _, clients := range []int{1, 16} {
 		for _, p := range paths {
 			b.Run(fmt.Sprintf("%s/clients=%d", p.name, clients), func(b *testing.B) {
 				rt, base := p.start(b)
-				load(b, rt, base, clients)
+				runLoad(b, rt, base, clients)
 			})
 		}
 	}
 }
 
-// byRoutes starts what serves any HTTP by an operator's file.
-func byRoutes(server string) func(b *testing.B) (http.RoundTripper, string) {
+// servicesPath returns a function that starts an HTTP service of an operator's file.
+func servicesPath(server string) func(b *testing.B) (http.RoundTripper, string) {
 	return func(b *testing.B) (http.RoundTripper, string) {
 		path := filepath.Join(b.TempDir(), "quillfront.toml")
 		text := fmt.Sprintf("[[pools]]\nname = \"p\"\nservers = [{addr = %q}]\n[[pools.classes]]\nname = \"order\"\neffect = \"by-request\"\naim = \"9s\"\ndeadline = \"10s\"\nwindow = \"1s\"\n"+
@@ -120,8 +121,9 @@
 	}
 }
 
-// sidecar starts a daemon that notes orders as store says, in a directory of its own unless that is in memory.
-func sidecar(text []byte, store *orders.Config) func(b *testing.B) (http.RoundTripper, string) {
+// sidecarPath returns a function that starts a sidecar. It stores orders as store says, on disk in
+// a temporary directory or in memory.
+func sidecarPath(text []byte, store *orders.Config) func(b *testing.B) (http.RoundTripper, string) {
 	return func(b *testing.B) (http.RoundTripper, string) {
 		cfg, err := config.Parse(text)
 		if err != nil {
@@ -144,19 +146,20 @@
 			b.Fatal(err)
 		}
 		ctx, stop := context.WithCancel(context.Background())
-		over := make(chan error, 1)
-		go func() { over <- s.Serve(ctx, ln.(*net.TCPListener)) }()
+		done := make(chan error, 1)
+		go func() { done <- s.Serve(ctx, ln.(*net.TCPListener)) }()
 		tr := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
-		b.Cleanup(func() { tr.CloseIdleConnections(); stop(); <-over })
+		b.Cleanup(func() { tr.CloseIdleConnections(); stop(); <-done })
 		return tr, "http://" + ln.Addr().String()
 	}
 }
 
-// load has clients ask until b.N requests are answered, and reports the 99th percentile beside the mean.
-func load(b *testing.B, rt http.RoundTripper, base string, clients int) {
+// runLoad sends requests from the given number of concurrent clients until b.N are answered, and
+// reports the 99th percentile in addition to the mean.
+func runLoad(b *testing.B, rt http.RoundTripper, base string, clients int) {
 	body := bytes.Repeat([]byte("y"), 200)
 	var n, id atomic.Int64
-	ask := func() error {
+	send := func() error {
 		q, err := http.NewRequest(http.MethodPost, base+"/order/k", bytes.NewReader(body))
 		if err != nil {
 			return err
@@ -173,8 +176,8 @@
 		}
 		return nil
 	}
-	for range 4 * clients { // connections are opened, and the module has learnt
-		if err := ask(); err != nil {
+	for range 4 * clients { // warm up: open connections and let the module learn
+		if err := send(); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -187,7 +190,7 @@
 		all.Go(func() {
 			for n.Add(1) <= int64(b.N) {
 				began := time.Now()
-				if err := ask(); err != nil {
+				if err := send(); err != nil {
 					b.Error(err)
 					return
 				}
