--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if op.Account {
+	if op.LogAccount {
 		var transport atomic.Pointer[upstream.Transport]
 		reported := int64(0) // dials reported so far; seconds are reported one after the other
 		report := func(second account.Second) {
@@ -86,7 +86,7 @@
 				n := t.Dials()
 				second.Dials, reported = n-reported, n
 			}
-			log.Info("account", "second", second.Text())
+			log.Info("account", "second", second.Encode())
 		}
 		s, err := newSidecar(cfg, op, account.New(module, cfg.Settings.Config, engine.ClockOrigin().UnixMilli(), report), log)
 		if err == nil {
@@ -121,7 +121,7 @@
 	}
 	options := engine.Options{
 		Config: cfg.Settings.Config, Module: module, Transport: transport, Source: discoveryClient(cfg),
-		CachedList: cfg.Known, Sites: op.Sites, Log: log,
+		CachedList: cfg.CachedList, Sites: op.Sites, Log: log,
 	}
 	s.engine = engine.New(options)
 	if book != nil {
@@ -133,13 +133,13 @@
 		return nil, err
 	}
 	s.sockets.OnShortage(func() bool { return s.transport.EvictIdle() || s.services.MakeRoom() }, func() bool { return s.server.Evict() || s.services.Evict() })
-	if cfg.Shared != "" {
-		if s.handoverDir, err = handover.Open(cfg.Shared); err != nil {
+	if cfg.SharedDir != "" {
+		if s.handoverDir, err = handover.Open(cfg.SharedDir); err != nil {
 			s.close()
 			return nil, err
 		}
 		s.applyOperatorState(s.handoverDir.State())
-		others, err := s.handoverDir.Others()
+		others, err := s.handoverDir.CountOthers()
 		if err != nil {
 			s.close()
 			return nil, err
@@ -147,7 +147,7 @@
 		s.divideLimits(others)
 		if s.takeover = others.Older > 0; s.takeover {
 			var learned learnedState
-			if s.handoverDir.Noted(&learned, learnedStateMaxAge) {
+			if s.handoverDir.LoadLearned(&learned, learnedStateMaxAge) {
 				s.engine.Learn(learned.Policy)
 				s.engine.RestoreSites(learned.Sites)
 			}
@@ -155,7 +155,7 @@
 		}
 	}
 	engines := func() []*engine.Engine { return append(s.services.Engines(), s.engine) }
-	members, err := op.Members.For(&cfg)
+	members, err := op.Members.ForPlatform(&cfg)
 	if err != nil { // the platform does not allow it: the sidecar serves without members
 		log.Warn("members: disabled", "why", err)
 	}
@@ -375,7 +375,7 @@
 	if moved {
 		s.engine.SetSource(discoveryClient(cfg))
 	}
-	s.cfg.Settings, s.cfg.Discovery, s.cfg.Text = cfg.Settings, cfg.Discovery, cfg.Text
+	s.cfg.Settings, s.cfg.Discovery, s.cfg.Raw = cfg.Settings, cfg.Discovery, cfg.Raw
 	s.reloads.applied++
 	s.log.Info("reloaded", "discovery", cfg.Discovery, "moved", moved, "retuned", retuned)
 	return nil
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -77,7 +77,7 @@
 // TestDrainEmptiesBacklog checks that connections in the kernel's accept queue are served.
 func TestDrainEmptiesBacklog(t *testing.T) {
 	g := newGatedServer(t)
-	sc := startSidecar(t, newScriptedModule(), g.addr, "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.LeastSockets })
+	sc := startSidecar(t, newScriptedModule(), g.addr, "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.MinSockets })
 	var clients []*testClient
 	for range sc.clientLimit() + 5 { // five connections have to wait
 		c := sc.connect(t)
@@ -110,9 +110,9 @@
 // their responses, by turns.
 func TestDescriptorsAreLimited(t *testing.T) {
 	m := newScriptedModule()
-	sc := startSidecar(t, m, startServer(t, respondText(okResponse)), "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.LeastSockets })
+	sc := startSidecar(t, m, startServer(t, respondText(okResponse)), "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.MinSockets })
 	var clients []*testClient
-	for range 4 * config.LeastSockets {
+	for range 4 * config.MinSockets {
 		c := sc.connect(t)
 		c.write(plainGet)
 		clients = append(clients, c)
@@ -121,7 +121,7 @@
 		if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
-		if n := sc.inUse(); n > config.LeastSockets-sockets.Reserved {
+		if n := sc.inUse(); n > config.MinSockets-sockets.Reserved {
 			t.Fatalf("%d descriptors in use", n)
 		}
 	}
@@ -131,7 +131,7 @@
 // ever arrives must not keep other clients out. Only the connection that has been silent the
 // longest is closed.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
-	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.LeastSockets })
+	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.MinSockets })
 	silentConns := func() int { return sc.server.Stats().Idle }
 	var silent []*testClient
 	partial := sc.connect(t) // a head that arrives slowly is not silence
@@ -160,7 +160,7 @@
 func TestNoDescriptorForAttempt(t *testing.T) {
 	m := newScriptedModule()
 	sc := startSidecar(t, m, startServer(t, respondText(okResponse)), "127.0.0.1:1", func(c *config.Config) {
-		c.Sockets = config.LeastSockets
+		c.Sockets = config.MinSockets
 		c.Settings.Config.DialTimeout = 30 * time.Millisecond
 	})
 	c := sc.connect(t)
--- a/internal/daemon/management.go
+++ b/internal/daemon/management.go
@@ -76,7 +76,7 @@
 			continue
 		}
 		if l, ok := s.engine.Learned(); ok {
-			if err := s.handoverDir.Note(learnedState{l, s.engine.SiteMemory()}); err != nil {
+			if err := s.handoverDir.SaveLearned(learnedState{l, s.engine.SiteMemory()}); err != nil {
 				s.log.Warn("handover: cannot save the learned state", "err", err)
 			}
 		}
@@ -90,8 +90,8 @@
 	if s.handoverDir != nil {
 		state = s.handoverDir.State() // of two concurrent calls, the second applies the changes of both
 	}
-	if !state.Absences.Equal(&s.operatorState.Absences) {
-		s.engine.SetAbsences(state.Absences.Clone())
+	if !state.Exclusions.Equal(&s.operatorState.Exclusions) {
+		s.engine.SetAbsences(state.Exclusions.Clone())
 	}
 	if state.Evacuated != s.operatorState.Evacuated {
 		if state.Evacuated {
@@ -128,7 +128,7 @@
 
 // divideLimits divides the limits on memory and file descriptors among the processes of the
 // sidecar, which share them.
-func (s *Sidecar) divideLimits(others handover.Others) {
+func (s *Sidecar) divideLimits(others handover.ProcessCounts) {
 	processes := 1 + others.Older + others.Newer
 	s.newerProcesses.Store(int32(others.Newer))
 	s.sockets.SetFraction(1 / float64(processes))
@@ -143,7 +143,7 @@
 	if s.handoverDir == nil || s.cfg.AcceptFD == 0 {
 		return false
 	}
-	others, err := s.handoverDir.Others()
+	others, err := s.handoverDir.CountOthers()
 	return err == nil && others.Newer > 0
 }
 
@@ -171,14 +171,14 @@
 // Exclude takes a server out of service.
 func (m managedSidecar) Exclude(id policy.ServerID) error {
 	return m.updateOperatorState(func(state *handover.State) error {
-		return state.Absences.Exclude(id, m.engine.ListEntry, time.Now().UnixMilli())
+		return state.Exclusions.Exclude(id, m.engine.ListEntry, time.Now().UnixMilli())
 	})
 }
 
 // Include puts an excluded server back into service.
 func (m managedSidecar) Include(id policy.ServerID) error {
 	return m.updateOperatorState(func(state *handover.State) error {
-		return state.Absences.Include(id, m.engine.ListEntry, time.Now().UnixMilli())
+		return state.Exclusions.Include(id, m.engine.ListEntry, time.Now().UnixMilli())
 	})
 }
 
@@ -201,8 +201,8 @@
 // Metrics returns the handler for the metrics.
 func (m managedSidecar) Metrics() http.Handler { return telemetry.Handler(m) }
 
-// Waiting describes the requests that have waited for longer than d.
-func (m managedSidecar) Waiting(d time.Duration) []string {
+// PendingRequests describes the requests that have waited for longer than d.
+func (m managedSidecar) PendingRequests(d time.Duration) []string {
 	var waiting []services.Waiting
 	for _, r := range m.engine.PendingRequests(d) {
 		waiting = append(waiting, services.Waiting{Pool: "platform", PendingRequest: r})
@@ -225,7 +225,7 @@
 func (m managedSidecar) State() telemetry.State {
 	s := telemetry.State{Engine: m.engine.Snapshot(), Peers: m.peers.metrics()}
 	s.Descriptors[0], s.Descriptors[1] = m.sockets.InUse()
-	s.Places[0], s.Places[1] = m.sockets.Limits()
+	s.DescriptorLimits[0], s.DescriptorLimits[1] = m.sockets.Limits()
 	if m.orders != nil {
 		stats := m.orders.Stats()
 		s.Orders = &stats
@@ -233,7 +233,7 @@
 	s.Services = m.services.Figures()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s.Out, s.Evacuated = len(m.operatorState.Absences.Excluded), m.operatorState.Evacuated
-	s.Applied, s.Rejected = m.reloads.applied, m.reloads.rejected
+	s.Excluded, s.Evacuated = len(m.operatorState.Exclusions.Excluded), m.operatorState.Evacuated
+	s.ConfigsApplied, s.ConfigsRejected = m.reloads.applied, m.reloads.rejected
 	return s
 }
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -489,8 +489,8 @@
 // TestBodyBudgetIsBounded checks that bodies that are only announced never reserve more than their
 // share of the memory, and that a body that does not fit is refused rather than lost.
 func TestBodyBudgetIsBounded(t *testing.T) {
-	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1", func(c *config.Config) { c.MemoryMB = config.LeastMemoryMB })
-	if !sc.bodyBudget.TryAcquire(config.LeastMemoryMB<<20/8) || sc.bodyBudget.TryAcquire(1) {
+	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1", func(c *config.Config) { c.MemoryMB = config.MinMemoryMB })
+	if !sc.bodyBudget.TryAcquire(config.MinMemoryMB<<20/8) || sc.bodyBudget.TryAcquire(1) {
 		t.Error("the body budget is not an eighth of the memory")
 	}
 	resp, _ := sc.roundTrip(t, "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: 1\nContent-Length: 1\n\nx")
@@ -533,7 +533,7 @@
 	}
 	idle, busy := startServer(t, serve("queue=0", service)), startServer(t, serve("queue=100", 20*service))
 	sc := startSidecar(t, nil, idle, "127.0.0.1:1", func(c *config.Config) {
-		c.Known.Servers = append(c.Known.Servers, engine.Server{ID: "b", Addr: busy, Zone: "z"})
+		c.CachedList.Servers = append(c.CachedList.Servers, engine.Server{ID: "b", Addr: busy, Zone: "z"})
 		c.Settings.Config.ProbeTariff = 1e6      // only the first request causes probes
 		c.Settings.Config.Classes[1].Worth = 1e4 // so that the other classes accept a short queue only, well below their aim
 	})
@@ -629,7 +629,7 @@
 		hosts = append(hosts, engine.Server{ID: policy.ServerID(fmt.Sprint("u", i)), Addr: addr, Zone: "z"})
 	}
 	sc := startSidecar(t, nil, "127.0.0.1:1", "127.0.0.1:1", func(c *config.Config) {
-		c.Known.Servers = hosts
+		c.CachedList.Servers = hosts
 		c.Settings.Config.MayProbe = false
 	})
 	c := sc.connect(t)
@@ -651,7 +651,7 @@
 // clients are told that the connection closes.
 func TestIdleClientConnectionsAreLimited(t *testing.T) {
 	sc := startSidecar(t, nil, startServer(t, respondText(okResponse)), "127.0.0.1:1", func(c *config.Config) {
-		c.Sockets, c.Settings.Config.MayProbe = config.LeastSockets, false
+		c.Sockets, c.Settings.Config.MayProbe = config.MinSockets, false
 	})
 	const many = 20 // of 28 client connections
 	kept := 0
@@ -695,7 +695,7 @@
 			}
 			sc := startSidecar(t, nil, serve(load), "127.0.0.1:1", func(c *config.Config) {
 				for i := range 3 {
-					c.Known.Servers = append(c.Known.Servers, engine.Server{ID: policy.ServerID(fmt.Sprint("u", i)), Addr: serve(load), Zone: "z"})
+					c.CachedList.Servers = append(c.CachedList.Servers, engine.Server{ID: policy.ServerID(fmt.Sprint("u", i)), Addr: serve(load), Zone: "z"})
 				}
 			})
 			for range 3 {
--- a/internal/daemon/sites_test.go
+++ b/internal/daemon/sites_test.go
@@ -70,7 +70,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			cfg.Known = &known
+			cfg.CachedList = &known
 			s, err := New(cfg, config.Operator{Sites: &sites.Config{
 				Memory: 300 * time.Millisecond, Hold: 200 * time.Millisecond, Climb: 2 * time.Second, MostClimb: time.Minute, Spill: spill,
 			}}, slog.New(slog.DiscardHandler))
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -200,8 +200,8 @@
 // Metrics returns the handler for the metrics.
 func (m managedStandalone) Metrics() http.Handler { return telemetry.Handler(m) }
 
-// Waiting describes the requests that have waited for longer than d.
-func (m managedStandalone) Waiting(d time.Duration) []string {
+// PendingRequests describes the requests that have waited for longer than d.
+func (m managedStandalone) PendingRequests(d time.Duration) []string {
 	return formatWaiting(m.services.Waiting(d))
 }
 
@@ -212,9 +212,9 @@
 func (m managedStandalone) State() telemetry.State {
 	s := telemetry.State{Services: m.services.Figures(), Peers: m.peers.metrics()}
 	s.Descriptors[0], s.Descriptors[1] = m.sockets.InUse()
-	s.Places[0], s.Places[1] = m.sockets.Limits()
+	s.DescriptorLimits[0], s.DescriptorLimits[1] = m.sockets.Limits()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s.Out, s.Evacuated, s.Applied, s.Rejected = len(m.exclusions.Excluded), m.evacuated, m.applied, m.rejected
+	s.Excluded, s.Evacuated, s.ConfigsApplied, s.ConfigsRejected = len(m.exclusions.Excluded), m.evacuated, m.applied, m.rejected
 	return s
 }
