--- a/dns_source.go
+++ b/dns_source.go
@@ -43,7 +43,7 @@
 	}
 	s := dnslist.Source{
 		Resolver: dnslist.Client{Servers: d.o.Resolvers}, Kind: dnslist.Services, Name: d.name, Port: d.o.Port, Log: d.o.Log,
-		Rules: dnslist.Rules{Min: d.o.Min, Max: d.o.Max, KeepFor: d.o.KeepFor, EmptyCounts: d.o.EmptyCounts},
+		Cache: dnslist.CacheConfig{MinInterval: d.o.Min, MaxInterval: d.o.Max, KeepFor: d.o.KeepFor, EmptyThreshold: d.o.EmptyCounts},
 	}
 	if d.o.Port != 0 {
 		s.Kind = dnslist.Addresses
--- a/file_source.go
+++ b/file_source.go
@@ -23,7 +23,7 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	return file{filelist.Source{Path: path, Every: o.Every, MayBeNone: o.MayBeNone, Log: o.Log}}
+	return file{filelist.Source{Path: path, PollInterval: o.Every, AllowEmpty: o.MayBeNone, Log: o.Log}}
 }
 
 type file struct{ filelist.Source }
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -118,12 +118,12 @@
 		if !filepath.IsAbs(path) {
 			path = filepath.Join(dir, path)
 		}
-		m.Peers.SeedSource = filelist.Source{Path: path, MayBeNone: true, Log: log}
+		m.Peers.SeedSource = filelist.Source{Path: path, AllowEmpty: true, Log: log}
 	case t.SeedsDNS != nil:
 		d := t.SeedsDNS
 		s := dnslist.Source{
 			Resolver: dnslist.Client{Servers: d.Resolvers}, Kind: dnslist.Services, Name: d.Name, Port: d.Port, Log: log,
-			Rules: dnslist.Rules{Min: time.Duration(d.Min), Max: time.Duration(d.Max), KeepFor: time.Duration(d.KeepFor), EmptyCounts: d.EmptyCounts},
+			Cache: dnslist.CacheConfig{MinInterval: time.Duration(d.Min), MaxInterval: time.Duration(d.Max), KeepFor: time.Duration(d.KeepFor), EmptyThreshold: d.EmptyCounts},
 		}
 		if d.Port != 0 {
 			s.Kind = dnslist.Addresses
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -129,7 +129,7 @@
 		s.close()
 		return nil, err
 	}
-	s.sockets.OnShortage(func() bool { return s.transport.EvictIdle() || s.services.MakeRoom() }, func() bool { return s.server.Evict() || s.services.Evict() })
+	s.sockets.OnShortage(func() bool { return s.transport.EvictIdle() || s.services.EvictIdle() }, func() bool { return s.server.Evict() || s.services.EvictClient() })
 	if cfg.Shared != "" {
 		if s.dir, err = handover.Open(cfg.Shared); err != nil {
 			s.close()
--- a/internal/daemon/management.go
+++ b/internal/daemon/management.go
@@ -196,15 +196,15 @@
 
 // Waiting is a method of management.Operated.
 func (o operated) Waiting(d time.Duration) []string {
-	var all []services.Waiting
+	var all []services.PendingRequest
 	for _, w := range o.engine.PendingRequests(d) {
-		all = append(all, services.Waiting{Pool: "platform", PendingRequest: w})
+		all = append(all, services.PendingRequest{Pool: "platform", PendingRequest: w})
 	}
-	return linesOf(append(all, o.services.Waiting(d)...))
+	return linesOf(append(all, o.services.PendingRequests(d)...))
 }
 
 // linesOf tells requests that wait, one a line.
-func linesOf(all []services.Waiting) (lines []string) {
+func linesOf(all []services.PendingRequest) (lines []string) {
 	for _, w := range all {
 		lines = append(lines, fmt.Sprintf("%v pool=%s class=%s attempts=%d %q waits for %s", w.Age.Round(time.Millisecond), w.Pool, w.Class, w.Attempts, w.Description, w))
 	}
@@ -223,7 +223,7 @@
 		d := o.desk.Stats()
 		s.Orders = &d
 	}
-	s.Services = o.services.Figures()
+	s.Services = o.services.Stats()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	s.Out, s.Evacuated = len(o.state.Absences.Excluded), o.state.Evacuated
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -42,7 +42,7 @@
 	if o.services, err = services.New(op.Services, op.Routes, int64(cfg.MemoryMB)<<20/8, o.sockets, log); err != nil {
 		return nil, err
 	}
-	o.sockets.OnShortage(o.services.MakeRoom, o.services.Evict)
+	o.sockets.OnShortage(o.services.EvictIdle, o.services.EvictClient)
 	if o.peers, err = newPeers(op.Members, cfg.Name, 1, false, o.services.Engines, log); err != nil {
 		o.services.Close()
 		return nil, err
@@ -184,7 +184,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.away = is
-	o.services.Evacuate(is)
+	o.services.SetEvacuated(is)
 	return nil
 }
 
@@ -195,14 +195,14 @@
 func (o ownOperated) Metrics() http.Handler { return telemetry.Handler(o) }
 
 // Waiting is a method of management.Operated.
-func (o ownOperated) Waiting(d time.Duration) []string { return linesOf(o.services.Waiting(d)) }
+func (o ownOperated) Waiting(d time.Duration) []string { return linesOf(o.services.PendingRequests(d)) }
 
 // Counts is a method of telemetry.Source.
 func (o ownOperated) Counts() map[string]engine.Counts { return nil }
 
 // State is a method of telemetry.Source.
 func (o ownOperated) State() telemetry.State {
-	s := telemetry.State{Services: o.services.Figures(), Peers: o.peers.figures()}
+	s := telemetry.State{Services: o.services.Stats(), Peers: o.peers.figures()}
 	s.Descriptors[0], s.Descriptors[1] = o.sockets.InUse()
 	s.Places[0], s.Places[1] = o.sockets.Limits()
 	o.mu.Lock()
--- a/internal/dnslist/resolver.go
+++ b/internal/dnslist/resolver.go
@@ -69,7 +69,7 @@
 			continue
 		}
 		at, err := c.addresses(ctx, target, int(srv.Port))
-		if errors.Is(err, ErrNone) {
+		if errors.Is(err, ErrNoRecords) {
 			continue
 		}
 		if err != nil {
@@ -81,7 +81,7 @@
 		}
 	}
 	if len(a.Records) == 0 {
-		return a, fmt.Errorf("%w: no target of %s has an address", ErrNone, name)
+		return a, fmt.Errorf("%w: no target of %s has an address", ErrNoRecords, name)
 	}
 	return a, nil
 }
@@ -92,7 +92,7 @@
 	none := 0
 	for _, t := range []dnsmessage.Type{dnsmessage.TypeA, dnsmessage.TypeAAAA} {
 		found, ttl, err := c.ask(ctx, name, t)
-		if errors.Is(err, ErrNone) {
+		if errors.Is(err, ErrNoRecords) {
 			if none++; none == 2 {
 				return Answer{TTL: min(ttl, a.TTL)}, err
 			}
@@ -278,7 +278,7 @@
 			negative = min(r.Header.TTL, soa.MinTTL)
 		}
 	}
-	return nil, seconds(negative), fmt.Errorf("%w: %v %v", ErrNone, q.Name, q.Type)
+	return nil, seconds(negative), fmt.Errorf("%w: %v %v", ErrNoRecords, q.Name, q.Type)
 }
 
 // seconds is a TTL; one with its highest bit set counts as 0 (RFC 2181, section 8).
--- a/internal/dnslist/resolver_test.go
+++ b/internal/dnslist/resolver_test.go
@@ -55,10 +55,10 @@
 	}{
 		{Addresses, "boxes.example", "127.0.0.1:80/0/0 127.0.0.2:80/0/0 [::1]:80/0/0", 20 * time.Second, nil},
 		{Addresses, "ALIAS.example.", "127.0.0.1:80/0/0 127.0.0.2:80/0/0 [::1]:80/0/0", 5 * time.Second, nil},
-		{Addresses, "none.example", "", 7 * time.Second, ErrNone},
-		{Addresses, "loop.example", "", 0, ErrNone},
+		{Addresses, "none.example", "", 7 * time.Second, ErrNoRecords},
+		{Addresses, "loop.example", "", 0, ErrNoRecords},
 		{Services, "_order._tcp.example", "127.0.0.1:90/1/7 127.0.0.2:90/1/7 [::1]:90/1/7", 20 * time.Second, nil},
-		{Services, "_none._tcp.example", "", 60 * time.Second, ErrNone},
+		{Services, "_none._tcp.example", "", 60 * time.Second, ErrNoRecords},
 	} {
 		for _, trouble := range [][2]bool{{false, false}, {true, false}, {false, true}} {
 			d.Trouble(dnsmessage.RCodeSuccess, trouble[0], trouble[1])
@@ -69,7 +69,7 @@
 		}
 	}
 	d.Trouble(dnsmessage.RCodeServerFailure, false, false)
-	if a, err := c.Lookup(t.Context(), Addresses, "boxes.example", 80); err == nil || errors.Is(err, ErrNone) {
+	if a, err := c.Lookup(t.Context(), Addresses, "boxes.example", 80); err == nil || errors.Is(err, ErrNoRecords) {
 		t.Errorf("a server that fails: %v, %v", a, err)
 	}
 	d.Trouble(dnsmessage.RCodeSuccess, false, false)
@@ -98,7 +98,7 @@
 		d.Set("boxes.example.", dnsmessage.TypeA, 0, bodies...)
 	}
 	set(1)
-	s := Source{Resolver: c, Name: "boxes.example", Port: 80, Rules: Rules{Min: 10 * time.Millisecond, Max: 20 * time.Millisecond}, Log: slog.New(slog.DiscardHandler)}
+	s := Source{Resolver: c, Name: "boxes.example", Port: 80, Cache: CacheConfig{MinInterval: 10 * time.Millisecond, MaxInterval: 20 * time.Millisecond}, Log: slog.New(slog.DiscardHandler)}
 	lists := make(chan string, 100)
 	ctx, stop := context.WithCancel(t.Context())
 	over := make(chan error, 1)
@@ -163,14 +163,14 @@
 	if err != nil || len(a.Records) != all {
 		t.Fatalf("%d addresses, %v", len(a.Records), err)
 	}
-	k, err := NewKeeper(Rules{})
+	k, err := NewCache(CacheConfig{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if step := k.Answered(0, a, nil); !step.Changed || len(step.List) != all {
+	if step := k.Update(0, a, nil); !step.Changed || len(step.List) != all {
 		t.Errorf("%d are listed", len(step.List))
 	}
-	if step := k.Answered(time.Second, Answer{Records: a.Records[:1], TTL: time.Second}, nil); !step.Changed || len(step.List) != 1 {
+	if step := k.Update(time.Second, Answer{Records: a.Records[:1], TTL: time.Second}, nil); !step.Changed || len(step.List) != 1 {
 		t.Errorf("%d are listed", len(step.List))
 	}
 }
--- a/internal/dnslist/source.go
+++ b/internal/dnslist/source.go
@@ -17,7 +17,7 @@
 	Kind     Kind
 	Name     string
 	Port     int // of Addresses
-	Rules    Rules
+	Cache    CacheConfig
 	Log      *slog.Logger
 }
 
@@ -26,7 +26,7 @@
 	if s.Resolver == nil || s.Name == "" || s.Kind == Addresses && (s.Port < 1 || s.Port > 65535) {
 		return errors.New("dnslist: a resolver, a name and a port of 1 to 65535 are wanted")
 	}
-	_, err := s.Rules.withDefaults()
+	_, err := s.Cache.withDefaults()
 	return err
 }
 
@@ -35,7 +35,7 @@
 	if err := s.Check(); err != nil {
 		return err
 	}
-	k, err := NewKeeper(s.Rules)
+	k, err := NewCache(s.Cache)
 	if err != nil {
 		return err
 	}
@@ -45,9 +45,9 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		step := k.Answered(time.Since(began), a, err)
+		step := k.Update(time.Since(began), a, err)
 		if err != nil {
-			s.Log.Warn("DNS", "name", s.Name, "kept", step.Kept, "err", err)
+			s.Log.Warn("DNS", "name", s.Name, "kept", step.Stale, "err", err)
 		}
 		if step.Changed {
 			l := engine.List{Seq: engine.UnknownSeq, Full: true}
@@ -56,7 +56,7 @@
 			}
 			tell(l)
 		}
-		next := time.NewTimer(step.Next)
+		next := time.NewTimer(step.RefreshAfter)
 		select {
 		case <-ctx.Done():
 			next.Stop()
--- a/internal/filelist/filelist.go
+++ b/internal/filelist/filelist.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	// MostServers bounds a list.
-	MostServers = 10_000
-	// MostFile bounds a file, in bytes.
-	MostFile = 8 << 20
+	// MaxServers bounds a list.
+	MaxServers = 10_000
+	// MaxFileBytes bounds a file, in bytes.
+	MaxFileBytes = 8 << 20
 	// usualEvery is how often a file is looked at, leastEvery how often it may be.
 	usualEvery = 500 * time.Millisecond
 	leastEvery = 10 * time.Millisecond
@@ -43,11 +43,11 @@
 	Started time.Time // zero: long ago
 }
 
-// List checks a whole list. An error names the entry.
-func List(servers []Server) (engine.List, error) {
+// NewList checks a whole list. An error names the entry.
+func NewList(servers []Server) (engine.List, error) {
 	l := engine.List{Seq: engine.UnknownSeq, Full: true, Servers: make([]engine.Server, len(servers))}
-	if len(servers) > MostServers {
-		return l, fmt.Errorf("servers: %d of them, at most %d", len(servers), MostServers)
+	if len(servers) > MaxServers {
+		return l, fmt.Errorf("servers: %d of them, at most %d", len(servers), MaxServers)
 	}
 	seen := make(map[string]bool, len(servers))
 	for i, s := range servers {
@@ -76,10 +76,10 @@
 // name ends in .json, of id, addr, state ("ready" or "draining"), zone, cell and started (RFC 3339). A file that is gone, torn, empty, too
 // long or wrong in any entry changes nothing.
 type Source struct {
-	Path      string
-	Every     time.Duration // between two looks; 0: 500 ms
-	MayBeNone bool          // an empty list is one
-	Log       *slog.Logger  // tells what is wrong with the file, once for each writing of it
+	Path         string
+	PollInterval time.Duration // between two looks; 0: 500 ms
+	AllowEmpty   bool          // an empty list is one
+	Log          *slog.Logger  // tells what is wrong with the file, once for each writing of it
 }
 
 // Check returns what is wrong with s, or nil. It does not look at the file.
@@ -87,16 +87,16 @@
 	if s.Path == "" {
 		return errors.New("a file without a path")
 	}
-	if s.Every != 0 && s.Every < leastEvery {
-		return fmt.Errorf("%s is looked at every %v, at least %v", s.Path, s.Every, leastEvery)
+	if s.PollInterval != 0 && s.PollInterval < leastEvery {
+		return fmt.Errorf("%s is looked at every %v, at least %v", s.Path, s.PollInterval, leastEvery)
 	}
 	return nil
 }
 
 // Watch is the method of engine.Source. It ends with ctx only.
 func (s Source) Watch(ctx context.Context, _ int64, tell func(engine.List)) error {
-	w := watch{path: s.Path, none: s.MayBeNone}
-	tick := time.NewTicker(cmp.Or(s.Every, usualEvery))
+	w := watch{path: s.Path, none: s.AllowEmpty}
+	tick := time.NewTicker(cmp.Or(s.PollInterval, usualEvery))
 	defer tick.Stop()
 	for {
 		if err := w.look(tell); err != nil {
@@ -154,9 +154,9 @@
 	if now.same(w.taken) || !settled && !first {
 		return nil
 	}
-	if info.Size() > MostFile {
+	if info.Size() > MaxFileBytes {
 		w.taken = now
-		return fmt.Errorf("it has %d bytes, at most %d", info.Size(), MostFile)
+		return fmt.Errorf("it has %d bytes, at most %d", info.Size(), MaxFileBytes)
 	}
 	text, err := os.ReadFile(w.path)
 	if err != nil {
@@ -176,7 +176,7 @@
 	if len(servers) == 0 && !w.none {
 		return errors.New("it lists no server")
 	}
-	l, err := List(servers)
+	l, err := NewList(servers)
 	if err != nil {
 		return err
 	}
--- a/internal/filelist/filelist_test.go
+++ b/internal/filelist/filelist_test.go
@@ -20,16 +20,16 @@
 	} {
 		list, err := parse(tt.path, []byte(tt.text))
 		if err == nil {
-			_, err = List(list)
+			_, err = NewList(list)
 		}
 		if (err == nil) != (tt.want == "") || err != nil && !strings.Contains(err.Error(), tt.want) {
 			t.Errorf("%s: %v, want %q", tt.text, err, tt.want)
 		}
 	}
-	if l, err := List([]Server{{Addr: "a:1", Drain: true}}); err != nil || l.Servers[0].ID != "a:1" || l.Servers[0].State == 0 || !l.Full {
+	if l, err := NewList([]Server{{Addr: "a:1", Drain: true}}); err != nil || l.Servers[0].ID != "a:1" || l.Servers[0].State == 0 || !l.Full {
 		t.Errorf("%+v, %v", l, err)
 	}
-	if _, err := List(make([]Server, MostServers+1)); err == nil {
+	if _, err := NewList(make([]Server, MaxServers+1)); err == nil {
 		t.Error("a list without bound is taken")
 	}
 }
--- a/internal/index/index_test.go
+++ b/internal/index/index_test.go
@@ -21,7 +21,7 @@
 // TestOrder: an order does what a sorted slice does, also where hashes are equal.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var o Order[string]
+		var o RankedSet[string]
 		var plain []pair
 		for range rapid.IntRange(0, 200).Draw(t, "steps") {
 			p := pair{uint64(rapid.IntRange(0, 7).Draw(t, "hash")), fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "key"))}
@@ -30,7 +30,7 @@
 				t.Fatalf("rank %d %v, want %d %v", rank, is, i, has)
 			}
 			if rapid.Bool().Draw(t, "puts") {
-				if o.Put(p.key, p.hash) == has {
+				if o.Insert(p.key, p.hash) == has {
 					t.Fatalf("put %v: it is there %v", p, has)
 				}
 				if !has {
@@ -101,7 +101,7 @@
 		for _, k := range s.Sample(r, 3, nil) {
 			sampled[k]++
 		}
-		if k, has := s.Find(r, 100, func(k int) bool { return k%2 == 0 }); has {
+		if k, has := s.DrawMatching(r, 100, func(k int) bool { return k%2 == 0 }); has {
 			found[k]++
 		}
 	}
@@ -114,7 +114,7 @@
 			t.Errorf("%d is drawn %d times, sampled %d times, found %d times", k, drawn[k], sampled[k], found[k])
 		}
 	}
-	if _, has := s.Find(r, 3, func(int) bool { return false }); has {
+	if _, has := s.DrawMatching(r, 3, func(int) bool { return false }); has {
 		t.Error("what nothing holds for is found")
 	}
 }
@@ -124,7 +124,7 @@
 // TestDue: times do what a map that is walked does.
 func TestDue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var d Due[int]
+		var d TimerQueue[int]
 		plain := map[int]time.Duration{}
 		now := time.Duration(0)
 		for range rapid.IntRange(0, 200).Draw(t, "steps") {
@@ -132,7 +132,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
 				plain[k] = now + time.Duration(rapid.IntRange(0, 10).Draw(t, "at"))
-				d.Put(k, plain[k])
+				d.Schedule(k, plain[k])
 			case 2:
 				_, has := plain[k]
 				if d.Remove(k) != has {
@@ -141,7 +141,7 @@
 				delete(plain, k)
 			case 3:
 				now += time.Duration(rapid.IntRange(0, 3).Draw(t, "passes"))
-				for k, has := d.Pop(now); has; k, has = d.Pop(now) {
+				for k, has := d.PopDue(now); has; k, has = d.PopDue(now) {
 					if at, is := plain[k]; !is || at > now {
 						t.Fatalf("%d is due at %v, now %v", k, at, now)
 					}
@@ -155,14 +155,14 @@
 			}
 			earliest := time.Duration(-1)
 			for k, at := range plain {
-				if got, has := d.At(k); !has || got != at {
+				if got, has := d.TimeOf(k); !has || got != at {
 					t.Fatalf("%d is due at %v, want %v", k, got, at)
 				}
 				if earliest < 0 || at < earliest {
 					earliest = at
 				}
 			}
-			if _, at, has := d.Next(); has != (len(plain) > 0) || has && at != earliest || d.Len() != len(plain) {
+			if _, at, has := d.Earliest(); has != (len(plain) > 0) || has && at != earliest || d.Len() != len(plain) {
 				t.Fatalf("the earliest is %v, want %v", at, earliest)
 			}
 		}
@@ -179,15 +179,15 @@
 		}
 		r := rand.New(rand.NewPCG(1, 2))
 		b.Run(fmt.Sprintf("order/n=%d", n), func(b *testing.B) {
-			var o Order[string]
+			var o RankedSet[string]
 			for i, k := range keys {
-				o.Put(k, hashes[i])
+				o.Insert(k, hashes[i])
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				j := i % n
 				o.Remove(keys[j], hashes[j])
-				o.Put(keys[j], hashes[j])
+				o.Insert(keys[j], hashes[j])
 				o.At(j)
 			}
 		})
@@ -236,14 +236,14 @@
 			}
 		})
 		b.Run(fmt.Sprintf("due/n=%d", n), func(b *testing.B) {
-			var d Due[string]
+			var d TimerQueue[string]
 			for i, k := range keys {
-				d.Put(k, time.Duration(hashes[i]>>20))
+				d.Schedule(k, time.Duration(hashes[i]>>20))
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				d.Put(keys[i%n], time.Duration(mixed(uint64(i))>>20))
-				d.Next()
+				d.Schedule(keys[i%n], time.Duration(mixed(uint64(i))>>20))
+				d.Earliest()
 			}
 		})
 		b.Run(fmt.Sprintf("due-walked/n=%d", n), func(b *testing.B) {
--- a/internal/index/order.go
+++ b/internal/index/ranked_set.go
@@ -8,10 +8,10 @@
 // none is the index of no node.
 const none = -1
 
-// Order keeps keys in the order of their hashes, and of themselves where hashes are equal. Put, Remove, At and Rank take time logarithmic in
+// RankedSet keeps keys in the order of their hashes, and of themselves where hashes are equal. Put, Remove, At and Rank take time logarithmic in
 // the number of keys. It is a treap (Seidel and Aragon, Algorithmica 1996) whose priorities follow from hash and rank of arrival, with the
 // size of each subtree; nodes lie in one slice and are used again. The zero value is empty.
-type Order[K cmp.Ordered] struct {
+type RankedSet[K cmp.Ordered] struct {
 	nodes []node[K]
 	free  []int32
 	root  int32 // plus one: 0 is an empty order
@@ -27,9 +27,9 @@
 }
 
 // Len is how many keys there are.
-func (o *Order[K]) Len() int { return o.size(o.root - 1) }
+func (o *RankedSet[K]) Len() int { return o.size(o.root - 1) }
 
-func (o *Order[K]) size(n int32) int {
+func (o *RankedSet[K]) size(n int32) int {
 	if n == none {
 		return 0
 	}
@@ -37,13 +37,13 @@
 }
 
 // before reports whether the node n comes before (hash, key).
-func (o *Order[K]) before(n int32, hash uint64, key K) bool {
+func (o *RankedSet[K]) before(n int32, hash uint64, key K) bool {
 	m := &o.nodes[n]
 	return m.hash < hash || m.hash == hash && m.key < key
 }
 
-// Put adds a key under its hash, and reports whether it is new.
-func (o *Order[K]) Put(key K, hash uint64) bool {
+// Insert adds a key under its hash, and reports whether it is new.
+func (o *RankedSet[K]) Insert(key K, hash uint64) bool {
 	if _, has := o.Rank(key, hash); has {
 		return false
 	}
@@ -64,7 +64,7 @@
 }
 
 // Remove takes a key out that was put under hash, and reports whether it was there.
-func (o *Order[K]) Remove(key K, hash uint64) bool {
+func (o *RankedSet[K]) Remove(key K, hash uint64) bool {
 	if _, has := o.Rank(key, hash); !has {
 		return false
 	}
@@ -100,7 +100,7 @@
 }
 
 // At returns the key of that rank, from 0. It panics beyond Len.
-func (o *Order[K]) At(rank int) K {
+func (o *RankedSet[K]) At(rank int) K {
 	for at := o.root - 1; ; {
 		m := &o.nodes[at]
 		switch left := o.size(m.left); {
@@ -116,7 +116,7 @@
 }
 
 // Rank returns how many keys come before (hash, key), and whether it is there.
-func (o *Order[K]) Rank(key K, hash uint64) (rank int, has bool) {
+func (o *RankedSet[K]) Rank(key K, hash uint64) (rank int, has bool) {
 	for at := o.root - 1; at != none; {
 		m := &o.nodes[at]
 		switch {
@@ -133,7 +133,7 @@
 }
 
 // split divides a tree into what comes before (hash, key) and the rest.
-func (o *Order[K]) split(at int32, hash uint64, key K) (before, after int32) {
+func (o *RankedSet[K]) split(at int32, hash uint64, key K) (before, after int32) {
 	if at == none {
 		return none, none
 	}
@@ -150,7 +150,7 @@
 }
 
 // merge joins two trees of which all of a comes before all of b.
-func (o *Order[K]) merge(a, b int32) int32 {
+func (o *RankedSet[K]) merge(a, b int32) int32 {
 	switch {
 	case a == none:
 		return b
@@ -168,7 +168,7 @@
 	return b
 }
 
-func (o *Order[K]) measure(at int32) {
+func (o *RankedSet[K]) measure(at int32) {
 	m := &o.nodes[at]
 	m.size = int32(1 + o.size(m.left) + o.size(m.right))
 }
--- a/internal/index/set.go
+++ b/internal/index/set.go
@@ -66,9 +66,9 @@
 	return append(to, s.keys[:n]...)
 }
 
-// Find draws keys until ok holds for one, at most tries times, and returns it: a uniform choice among those for which it holds, where most do. has
+// DrawMatching draws keys until ok holds for one, at most tries times, and returns it: a uniform choice among those for which it holds, where most do. has
 // is false if none was found.
-func (s *Set[K]) Find(r Rand, tries int, ok func(K) bool) (key K, has bool) {
+func (s *Set[K]) DrawMatching(r Rand, tries int, ok func(K) bool) (key K, has bool) {
 	if len(s.keys) == 0 {
 		return key, false
 	}
--- a/internal/index/due.go
+++ b/internal/index/timer_queue.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Due keeps a time for each of its keys, and knows the earliest: what changes at a time is advanced to now rather than walked. Put and Remove
+// TimerQueue keeps a time for each of its keys, and knows the earliest: what changes at a time is advanced to now rather than walked. Put and Remove
 // take time logarithmic in the number of keys, the earliest none. The zero value is empty.
-type Due[K comparable] struct {
-	heap  []due[K]
+type TimerQueue[K comparable] struct {
+	heap  []timer[K]
 	where map[K]int32
 }
 
-type due[K comparable] struct {
+type timer[K comparable] struct {
 	at  time.Duration
 	key K
 }
 
 // Len is how many keys there are.
-func (d *Due[K]) Len() int { return len(d.heap) }
+func (d *TimerQueue[K]) Len() int { return len(d.heap) }
 
-// At returns a key's time.
-func (d *Due[K]) At(key K) (at time.Duration, has bool) {
+// TimeOf returns a key's time.
+func (d *TimerQueue[K]) TimeOf(key K) (at time.Duration, has bool) {
 	i, has := d.where[key]
 	if !has {
 		return 0, false
@@ -26,15 +26,15 @@
 	return d.heap[i].at, true
 }
 
-// Put gives a key its time, in place of the one before.
-func (d *Due[K]) Put(key K, at time.Duration) {
+// Schedule gives a key its time, in place of the one before.
+func (d *TimerQueue[K]) Schedule(key K, at time.Duration) {
 	i, has := d.where[key]
 	if !has {
 		if d.where == nil {
 			d.where = map[K]int32{}
 		}
 		i = int32(len(d.heap))
-		d.heap = append(d.heap, due[K]{at, key})
+		d.heap = append(d.heap, timer[K]{at, key})
 		d.where[key] = i
 		d.up(int(i))
 		return
@@ -48,14 +48,14 @@
 }
 
 // Remove takes a key out, and reports whether it was there.
-func (d *Due[K]) Remove(key K) bool {
+func (d *TimerQueue[K]) Remove(key K) bool {
 	i, has := d.where[key]
 	if !has {
 		return false
 	}
 	last := len(d.heap) - 1
 	d.swap(int(i), last)
-	d.heap[last] = due[K]{}
+	d.heap[last] = timer[K]{}
 	d.heap = d.heap[:last]
 	delete(d.where, key)
 	if int(i) < last {
@@ -65,16 +65,16 @@
 	return true
 }
 
-// Next returns the key whose time is the earliest.
-func (d *Due[K]) Next() (key K, at time.Duration, has bool) {
+// Earliest returns the key whose time is the earliest.
+func (d *TimerQueue[K]) Earliest() (key K, at time.Duration, has bool) {
 	if len(d.heap) == 0 {
 		return key, 0, false
 	}
 	return d.heap[0].key, d.heap[0].at, true
 }
 
-// Pop takes a key out whose time has come at now; has is false where none is left.
-func (d *Due[K]) Pop(now time.Duration) (key K, has bool) {
+// PopDue takes a key out whose time has come at now; has is false where none is left.
+func (d *TimerQueue[K]) PopDue(now time.Duration) (key K, has bool) {
 	if len(d.heap) == 0 || d.heap[0].at > now {
 		return key, false
 	}
@@ -83,7 +83,7 @@
 	return key, true
 }
 
-func (d *Due[K]) swap(i, j int) {
+func (d *TimerQueue[K]) swap(i, j int) {
 	if i == j {
 		return
 	}
@@ -91,7 +91,7 @@
 	d.where[d.heap[i].key], d.where[d.heap[j].key] = int32(i), int32(j)
 }
 
-func (d *Due[K]) up(i int) {
+func (d *TimerQueue[K]) up(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if d.heap[parent].at <= d.heap[i].at {
@@ -102,7 +102,7 @@
 	}
 }
 
-func (d *Due[K]) down(i int) {
+func (d *TimerQueue[K]) down(i int) {
 	for {
 		least := i
 		for child := 2*i + 1; child <= 2*i+2 && child < len(d.heap); child++ {
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -84,7 +84,7 @@
 	})
 	_, stopB := start(t, config("b", addrs[1], addrs[0]), Hooks{})
 	configC := config("c", addrs[2])
-	configC.SeedSource = filelist.Source{Path: file, Every: 10 * time.Millisecond, Log: slog.New(slog.DiscardHandler)}
+	configC.SeedSource = filelist.Source{Path: file, PollInterval: 10 * time.Millisecond, Log: slog.New(slog.DiscardHandler)}
 	hostC, _ := start(t, configC, Hooks{})
 	await(t, "two members", func() bool { return hostA.View().Live == 2 })
 	if err := os.WriteFile(file, []byte(fmt.Sprintf(`{"servers":[{"id":"s","addr":%q}]}`, addrs[1])), 0o600); err != nil {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -215,7 +215,7 @@
 		}
 		return l, nil
 	}
-	return filelist.List(c.Servers)
+	return filelist.NewList(c.Servers)
 }
 
 // source returns where the list comes from; nil: it is c's own.
@@ -228,7 +228,7 @@
 	case c.DNS != nil:
 		s := dnslist.Source{
 			Resolver: dnslist.Client{Servers: c.DNS.Resolvers}, Kind: dnslist.Services, Name: c.DNS.Name, Port: c.DNS.Port, Log: log,
-			Rules: dnslist.Rules{Min: c.DNS.Min, Max: c.DNS.Max, KeepFor: c.DNS.KeepFor, EmptyCounts: c.DNS.EmptyCounts},
+			Cache: dnslist.CacheConfig{MinInterval: c.DNS.Min, MaxInterval: c.DNS.Max, KeepFor: c.DNS.KeepFor, EmptyThreshold: c.DNS.EmptyCounts},
 		}
 		if c.DNS.Port != 0 {
 			s.Kind = dnslist.Addresses
--- a/internal/reloadplay/play.go
+++ b/internal/reloadplay/play.go
@@ -70,16 +70,16 @@
 	Reloads, Renames int
 	Slowest          time.Duration // until a head
 	Late             []Late
-	Refused          int            // 503
-	Idle             int            // of them, while a server had nothing to do
-	RefusedFor       map[string]int // what those that were refused were seen waiting for
-	Other            map[string]int // what else ended a request, by what it was
-	Spoilt           int            // answers that were not what their server sent
-	Twice            int            // POSTs that ran more than once
-	Lost             int            // POSTs that were answered as served and never ran
-	Denied           int            // POSTs that were refused, which says that nothing ran, and ran
-	Ended            services.Ends  // how pools that were taken out ended what they held
-	Goroutines       [2]int         // before and after, with the services at work
+	Refused          int                      // 503
+	Idle             int                      // of them, while a server had nothing to do
+	RefusedFor       map[string]int           // what those that were refused were seen waiting for
+	Other            map[string]int           // what else ended a request, by what it was
+	Spoilt           int                      // answers that were not what their server sent
+	Twice            int                      // POSTs that ran more than once
+	Lost             int                      // POSTs that were answered as served and never ran
+	Denied           int                      // POSTs that were refused, which says that nothing ran, and ran
+	Ended            services.RetirementStats // how pools that were taken out ended what they held
+	Goroutines       [2]int                   // before and after, with the services at work
 	Descriptors      [2]int
 	Broken           []string // what must not be, in words
 }
@@ -154,7 +154,7 @@
 		return err
 	}
 	defer p.services.Close()
-	budget.OnShortage(p.services.MakeRoom, p.services.Evict)
+	budget.OnShortage(p.services.EvictIdle, p.services.EvictClient)
 	if err := p.services.Listen(); err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 	watch.Wait()
 	tr.CloseIdleConnections()
 	for until := time.Now().Add(settleTime); ; time.Sleep(20 * time.Millisecond) { // while the services run
-		r.Goroutines[1], r.Descriptors[1], r.Ended = runtime.NumGoroutine(), descriptors(), p.services.Ends()
+		r.Goroutines[1], r.Descriptors[1], r.Ended = runtime.NumGoroutine(), descriptors(), p.services.RetirementStats()
 		if r.Goroutines[1] <= r.Goroutines[0] && r.Descriptors[1] <= r.Descriptors[0] || time.Now().After(until) {
 			return err
 		}
@@ -444,7 +444,7 @@
 			return
 		case <-tick.C:
 		}
-		for _, w := range p.services.Waiting(lookEvery) {
+		for _, w := range p.services.PendingRequests(lookEvery) {
 			p.mu.Lock()
 			m := p.waited[w.Description]
 			if m == nil {
--- a/internal/services/http.go
+++ b/internal/services/http.go
@@ -50,12 +50,12 @@
 
 	mu    sync.Mutex
 	pools map[string]*webPool
-	old   []*webPool // taken out, with requests that are still to end
-	ends  Ends       // of those that have ended
+	old   []*webPool      // taken out, with requests that are still to end
+	ends  RetirementStats // of those that have ended
 }
 
-// Ends counts how pools that were taken out have ended.
-type Ends struct {
+// RetirementStats counts how pools that were taken out have ended.
+type RetirementStats struct {
 	Pools uint64 // that have ended
 	Cut   uint64 // requests that were answered without a server's answer as their pool was over
 }
@@ -385,30 +385,30 @@
 	}
 }
 
-// Web is the pools that routes lead to without an address of their own, for a library.
-type Web struct{ web *web }
+// HTTPPools is the pools that routes lead to without an address of their own, for a library.
+type HTTPPools struct{ web *web }
 
-// OpenWeb opens the pools that list leads to, which have been checked. Bodies of requests may hold memory bytes in all.
-func OpenWeb(cfg config.Services, list []routes.Route, memory int64, b *sockets.Budget, log *slog.Logger) (*Web, error) {
+// OpenHTTPPools opens the pools that list leads to, which have been checked. Bodies of requests may hold memory bytes in all.
+func OpenHTTPPools(cfg config.Services, list []routes.Route, memory int64, b *sockets.Budget, log *slog.Logger) (*HTTPPools, error) {
 	w, err := newWeb(cfg, list, memory, b, log)
 	if err != nil {
 		return nil, err
 	}
 	b.OnShortage(func() bool { return w.makeRoom(nil) }, nil)
-	return &Web{w}, nil
+	return &HTTPPools{w}, nil
 }
 
 // Router says which pool takes a request.
-func (w *Web) Router() *router.Router { return w.web.router }
+func (w *HTTPPools) Router() *router.Router { return w.web.router }
 
 // Engines returns the engines of all pools.
-func (w *Web) Engines() []*engine.Engine { return w.web.engines() }
+func (w *HTTPPools) Engines() []*engine.Engine { return w.web.engines() }
 
 // Set takes over other routes and pools, which have been checked.
-func (w *Web) Set(cfg config.Services, list []routes.Route) error { return w.web.set(cfg, list) }
+func (w *HTTPPools) Set(cfg config.Services, list []routes.Route) error { return w.web.set(cfg, list) }
 
 // Drain takes no more requests, and waits until all that were taken have their answers or ctx ends.
-func (w *Web) Drain(ctx context.Context) error {
+func (w *HTTPPools) Drain(ctx context.Context) error {
 	for _, p := range w.web.all() {
 		if err := p.Drain(ctx); err != nil {
 			return err
@@ -418,29 +418,29 @@
 }
 
 // Close ends all pools at once.
-func (w *Web) Close() { w.web.close() }
+func (w *HTTPPools) Close() { w.web.close() }
 
 // figures returns those of all pools and routes.
-func (w *web) figures() (all []Figures) {
+func (w *web) figures() (all []Stats) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for name, p := range w.pools {
-		f := Figures{Kind: "pool", Name: name, Counts: p.Counts(), Pool: p.Snapshot(), Web: &WebFigures{}}
-		f.Web.Descriptors, _ = p.conns.Used()
-		f.Web.Bodies, _ = p.room.Used()
-		f.Web.Waits = p.conns.Waits()
+		f := Stats{Kind: "pool", Name: name, Counts: p.Counts(), Pool: p.Snapshot(), HTTP: &HTTPStats{}}
+		f.HTTP.Descriptors, _ = p.conns.Used()
+		f.HTTP.BodyBytes, _ = p.room.Used()
+		f.HTTP.DescriptorWaits = p.conns.Waits()
 		all = append(all, f)
 	}
 	return all
 }
 
-// WebFigures are what a pool of HTTP servers holds, or what comes in at an address of HTTP.
-type WebFigures struct {
-	Descriptors, Bodies int64                   // of a pool, taken of its share
-	Waits               sockets.Waits           // for descriptors of its share
-	Clients             httpfront.Stats         // of an address
-	Ends                Ends                    // of pools that were taken out; the same at each address
-	Routes              map[string]router.Stats // likewise; the same at each
+// HTTPStats are what a pool of HTTP servers holds, or what comes in at an address of HTTP.
+type HTTPStats struct {
+	Descriptors, BodyBytes int64                   // of a pool, taken of its share
+	DescriptorWaits        sockets.Waits           // for descriptors of its share
+	Clients                httpfront.Stats         // of an address
+	Retired                RetirementStats         // of pools that were taken out; the same at each address
+	Routes                 map[string]router.Stats // likewise; the same at each
 }
 
 // webFront is an address at which HTTP is served.
@@ -511,13 +511,13 @@
 	})
 }
 
-// Evict closes the connection of a client of HTTP that is missed least, and reports whether there was one.
-func (s *Services) Evict() bool {
+// EvictClient closes the connection of a client of HTTP that is missed least, and reports whether there was one.
+func (s *Services) EvictClient() bool {
 	return slices.ContainsFunc(s.all, func(v *service) bool { return v.clients != nil && v.clients.Evict() })
 }
 
-// Evacuate has all addresses of HTTP say that they are not ready, and close their connections; Rejoin ends it.
-func (s *Services) Evacuate(is bool) {
+// SetEvacuated has all addresses of HTTP say that they are not ready, and close their connections; Rejoin ends it.
+func (s *Services) SetEvacuated(is bool) {
 	for _, v := range s.all {
 		switch {
 		case v.clients == nil:
@@ -561,10 +561,10 @@
 }
 
 // waiting returns the requests of all pools that have waited for longer than d.
-func (w *web) waiting(d time.Duration) (all []Waiting) {
+func (w *web) waiting(d time.Duration) (all []PendingRequest) {
 	for _, p := range w.all() {
 		for _, r := range p.PendingRequests(d) {
-			all = append(all, Waiting{p.name, r})
+			all = append(all, PendingRequest{p.name, r})
 		}
 	}
 	return all
--- a/internal/services/http_hard_test.go
+++ b/internal/services/http_fault_test.go
@@ -755,7 +755,7 @@
 			})
 		}
 		until := time.Now().Add(patience)
-		for s.web.figures()[0].Web.Descriptors < s.web.conns.Total() && time.Now().Before(until) {
+		for s.web.figures()[0].HTTP.Descriptors < s.web.conns.Total() && time.Now().Before(until) {
 			time.Sleep(time.Millisecond)
 		}
 		closed := make(chan struct{})
--- a/internal/services/http_retire_test.go
+++ b/internal/services/http_retire_test.go
@@ -64,22 +64,22 @@
 		status, _ := get(t, webClient(t), addr)
 		done <- status
 	}()
-	for len(s.Waiting(0)) == 0 {
+	for len(s.PendingRequests(0)) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	reload(t, s, named("new", plain(t, "new"), ""))
 	if status, body := get(t, webClient(t), addr); status != 200 || body != "new" {
 		t.Errorf("%d %q of the new pool", status, body)
 	}
-	if all := s.Waiting(0); len(all) != 1 || all[0].Pool != "old" || all[0].Description != "GET /" || !strings.Contains(all[0].String(), "a list") {
+	if all := s.PendingRequests(0); len(all) != 1 || all[0].Pool != "old" || all[0].Description != "GET /" || !strings.Contains(all[0].String(), "a list") {
 		t.Errorf("what waits: %+v", all)
 	}
 	if status := <-done; status != http.StatusServiceUnavailable || time.Since(began) > graceTime+3*time.Second {
 		t.Errorf("%d after %v", status, time.Since(began))
 	}
-	for until := time.Now().Add(patience); s.Ends() != (Ends{Pools: 1, Cut: 1}); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(patience); s.RetirementStats() != (RetirementStats{Pools: 1, Cut: 1}); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("%+v", s.Ends())
+			t.Fatalf("%+v", s.RetirementStats())
 		}
 	}
 }
@@ -213,7 +213,7 @@
 	drained := make(chan struct{})
 	go func() {
 		defer close(drained)
-		if err := (&Web{s.web}).Drain(t.Context()); err != nil {
+		if err := (&HTTPPools{s.web}).Drain(t.Context()); err != nil {
 			t.Error(err)
 		}
 	}()
--- a/internal/services/http_test.go
+++ b/internal/services/http_test.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	budget.OnShortage(s.MakeRoom, s.Evict)
+	budget.OnShortage(s.EvictIdle, s.EvictClient)
 	if err := s.Listen(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// MakeRoom closes one idle connection to a server, and reports whether there was one.
-func (s *Services) MakeRoom() bool {
+// EvictIdle closes one idle connection to a server, and reports whether there was one.
+func (s *Services) EvictIdle() bool {
 	return slices.ContainsFunc(s.all, func(v *service) bool { return v.makeRoom() })
 }
 
@@ -297,28 +297,28 @@
 	return c
 }
 
-// Figures are what a service does, for telemetry.
-type Figures struct {
+// Stats are what a service does, for telemetry.
+type Stats struct {
 	Kind, Name string
 	Counts     map[string]engine.Counts // by class
 	Pool       engine.Snapshot
 	Stream     *stream.Stats // of a stream
-	Web        *WebFigures   // of HTTP: a pool, or an address
+	HTTP       *HTTPStats    // of HTTP: a pool, or an address
 	MySQL      *proxy.Stats  // of a MySQL service
 }
 
-// Figures returns the present figures of all services.
-func (s *Services) Figures() []Figures {
-	var all []Figures
+// Stats returns the present figures of all services.
+func (s *Services) Stats() []Stats {
+	var all []Stats
 	if s.web != nil {
 		all = s.web.figures()
 	}
 	for _, v := range s.all {
 		if v.clients != nil {
-			all = append(all, Figures{Kind: v.kind, Name: v.name, Web: &WebFigures{Clients: v.clients.Stats(), Routes: s.web.router.Stats(), Ends: s.Ends()}})
+			all = append(all, Stats{Kind: v.kind, Name: v.name, HTTP: &HTTPStats{Clients: v.clients.Stats(), Routes: s.web.router.Stats(), Retired: s.RetirementStats()}})
 			continue
 		}
-		f := Figures{Kind: v.kind, Name: v.name, Counts: v.pool.Counts(), Pool: v.pool.Snapshot()}
+		f := Stats{Kind: v.kind, Name: v.name, Counts: v.pool.Counts(), Pool: v.pool.Snapshot()}
 		if v.streams != nil {
 			st := v.streams()
 			f.Stream = &st
@@ -332,14 +332,14 @@
 	return all
 }
 
-// Waiting is a request that waits at a service or a pool.
-type Waiting struct {
+// PendingRequest is a request that waits at a service or a pool.
+type PendingRequest struct {
 	Pool string
 	engine.PendingRequest
 }
 
-// Waiting returns the requests of all services and pools that have waited for longer than d, pools that are being ended among them.
-func (s *Services) Waiting(d time.Duration) (all []Waiting) {
+// PendingRequests returns the requests of all services and pools that have waited for longer than d, pools that are being ended among them.
+func (s *Services) PendingRequests(d time.Duration) (all []PendingRequest) {
 	if s.web != nil {
 		all = s.web.waiting(d)
 	}
@@ -348,16 +348,16 @@
 			continue
 		}
 		for _, r := range v.pool.PendingRequests(d) {
-			all = append(all, Waiting{v.poolName, r})
+			all = append(all, PendingRequest{v.poolName, r})
 		}
 	}
 	return all
 }
 
-// Ends returns how pools that were taken out have ended so far.
-func (s *Services) Ends() Ends {
+// RetirementStats returns how pools that were taken out have ended so far.
+func (s *Services) RetirementStats() RetirementStats {
 	if s.web == nil {
-		return Ends{}
+		return RetirementStats{}
 	}
 	s.web.mu.Lock()
 	defer s.web.mu.Unlock()
--- a/internal/services/services_test.go
+++ b/internal/services/services_test.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	budget.OnShortage(s.MakeRoom, nil)
+	budget.OnShortage(s.EvictIdle, nil)
 	if err := s.Listen(); err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +182,7 @@
 	if restart, err := s.Reload(load(t, dir, strings.Replace(changed, `class = "open"`, "class = \"open\"\nidle = \"7s\"", 1)).Services, nil); !restart || err != nil {
 		t.Errorf("another idle time: %v, %v", restart, err)
 	}
-	figures := s.Figures()
+	figures := s.Stats()
 	if len(figures) != 2 || figures[0].Stream.Bytes != [2]uint64{7, 7} || figures[1].MySQL.Statements["served"] != 11 {
 		t.Errorf("%+v %+v", figures[0].Stream, figures[1].MySQL)
 	}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -32,7 +32,7 @@
 	Descriptors       [2]int
 	Places            [2]int        // descriptors that may be taken, in all and by clients
 	Orders            *orders.Stats // nil: nothing is noted of orders
-	Services          []services.Figures
+	Services          []services.Stats
 	Peers             *peering.Metrics // nil: there are no other processes
 }
 
@@ -229,7 +229,7 @@
 }
 
 // tellService tells the figures of one service.
-func tellService(f services.Figures, total func(*prometheus.Desc, uint64, ...string), gauge func(*prometheus.Desc, float64, ...string)) {
+func tellService(f services.Stats, total func(*prometheus.Desc, uint64, ...string), gauge func(*prometheus.Desc, float64, ...string)) {
 	for class, n := range f.Counts {
 		for kind, name := range []string{"served", "refused", "failed", "dropped"} {
 			total(serviceEnded, n.Results[kind], f.Name, class, name)
@@ -263,17 +263,17 @@
 		}
 		gauge(mysqlIdle, float64(c.Idle), f.Name)
 	}
-	if st := f.Web; st != nil {
+	if st := f.HTTP; st != nil {
 		if f.Kind == "pool" {
 			gauge(poolPlaces, float64(st.Descriptors), f.Name)
-			gauge(poolBodies, float64(st.Bodies), f.Name)
-			total(poolWaits, st.Waits.Acquired, f.Name, "got")
-			total(poolWaits, st.Waits.TimedOut, f.Name, "none")
+			gauge(poolBodies, float64(st.BodyBytes), f.Name)
+			total(poolWaits, st.DescriptorWaits.Acquired, f.Name, "got")
+			total(poolWaits, st.DescriptorWaits.TimedOut, f.Name, "none")
 			return
 		}
 		g.Current = st.Clients.Open
-		total(poolsEnded, st.Ends.Pools, f.Name)
-		total(poolsCut, st.Ends.Cut, f.Name)
+		total(poolsEnded, st.Retired.Pools, f.Name)
+		total(poolsCut, st.Retired.Cut, f.Name)
 		for route, n := range st.Routes {
 			total(routeRequests, n.Requests, f.Name, route)
 			gauge(routeKeys, float64(n.PinnedKeys), f.Name, route)
--- a/pools.go
+++ b/pools.go
@@ -40,7 +40,7 @@
 // Pools send any HTTP request to the pool of servers that its route says. Their methods may be called from many goroutines at once.
 type Pools struct {
 	path string
-	web  *services.Web
+	web  *services.HTTPPools
 
 	closing sync.Once
 }
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	// All are for servers: there are no clients' connections.
-	w, err := services.OpenWeb(op.Services, op.Routes, poolsBodies, sockets.NewForServers(connections), o.log)
+	w, err := services.OpenHTTPPools(op.Services, op.Routes, poolsBodies, sockets.NewForServers(connections), o.log)
 	if err != nil {
 		return nil, fmt.Errorf("quillfront: %w", err)
 	}
--- a/services.go
+++ b/services.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("quillfront: %w", err)
 	}
-	budget.OnShortage(all.MakeRoom, all.Evict)
+	budget.OnShortage(all.EvictIdle, all.EvictClient)
 	if err := all.Listen(); err != nil {
 		all.Close()
 		return nil, fmt.Errorf("quillfront: %w", err)
--- a/sources_test.go
+++ b/sources_test.go
@@ -43,7 +43,7 @@
 	eventually(t, "the list is taken", listed(2))
 	for _, bad := range []string{
 		"", both[:len(both)-3], both + entry(servers[1]), "[[servers]]\nid = \"x\"\n", both + "[[servers]]\naddr = \"a:1\"\nstate = \"asleep\"\n",
-		both + "[other]\nkey = 1\n", strings.Repeat("# nothing\n", filelist.MostFile/10+1),
+		both + "[other]\nkey = 1\n", strings.Repeat("# nothing\n", filelist.MaxFileBytes/10+1),
 	} {
 		write(bad)
 		time.Sleep(60 * time.Millisecond) // some looks
