--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -132,7 +132,7 @@
 		s.close()
 		return nil, err
 	}
-	s.sockets.OnShortage(func() bool { return s.transport.EvictIdle() || s.services.MakeRoom() }, func() bool { return s.server.Evict() || s.services.Evict() })
+	s.sockets.OnShortage(func() bool { return s.transport.EvictIdle() || s.services.EvictIdle() }, func() bool { return s.server.Evict() || s.services.EvictClient() })
 	if cfg.SharedDir != "" {
 		if s.handoverDir, err = handover.Open(cfg.SharedDir); err != nil {
 			s.close()
--- a/internal/daemon/management.go
+++ b/internal/daemon/management.go
@@ -203,15 +203,15 @@
 
 // PendingRequests describes the requests that have waited for longer than d.
 func (m managedSidecar) PendingRequests(d time.Duration) []string {
-	var waiting []services.Waiting
+	var waiting []services.PendingRequest
 	for _, r := range m.engine.PendingRequests(d) {
-		waiting = append(waiting, services.Waiting{Pool: "platform", PendingRequest: r})
+		waiting = append(waiting, services.PendingRequest{Pool: "platform", PendingRequest: r})
 	}
-	return formatWaiting(append(waiting, m.services.Waiting(d)...))
+	return formatWaiting(append(waiting, m.services.PendingRequests(d)...))
 }
 
 // formatWaiting describes waiting requests, one per line.
-func formatWaiting(waiting []services.Waiting) (lines []string) {
+func formatWaiting(waiting []services.PendingRequest) (lines []string) {
 	for _, w := range waiting {
 		lines = append(lines, fmt.Sprintf("%v pool=%s class=%s attempts=%d %q waits for %s", w.Age.Round(time.Millisecond), w.Pool, w.Class, w.Attempts, w.Description, w))
 	}
@@ -230,7 +230,7 @@
 		stats := m.orders.Stats()
 		s.Orders = &stats
 	}
-	s.Services = m.services.Figures()
+	s.Services = m.services.Stats()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s.Excluded, s.Evacuated = len(m.operatorState.Exclusions.Excluded), m.operatorState.Evacuated
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -43,7 +43,7 @@
 	if s.services, err = services.New(op.Services, op.Routes, int64(cfg.MemoryMB)<<20/8, s.sockets, log); err != nil {
 		return nil, err
 	}
-	s.sockets.OnShortage(s.services.MakeRoom, s.services.Evict)
+	s.sockets.OnShortage(s.services.EvictIdle, s.services.EvictClient)
 	if s.peers, err = newMembership(op.Members, cfg.Name, 1, false, s.services.Engines, log); err != nil {
 		s.services.Close()
 		return nil, err
@@ -190,7 +190,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.evacuated = evacuated
-	m.services.Evacuate(evacuated)
+	m.services.SetEvacuated(evacuated)
 	return nil
 }
 
@@ -202,7 +202,7 @@
 
 // PendingRequests describes the requests that have waited for longer than d.
 func (m managedStandalone) PendingRequests(d time.Duration) []string {
-	return formatWaiting(m.services.Waiting(d))
+	return formatWaiting(m.services.PendingRequests(d))
 }
 
 // Counts returns nil, as there is no front for the platform.
@@ -210,7 +210,7 @@
 
 // State returns the current values of the metrics.
 func (m managedStandalone) State() telemetry.State {
-	s := telemetry.State{Services: m.services.Figures(), Peers: m.peers.metrics()}
+	s := telemetry.State{Services: m.services.Stats(), Peers: m.peers.metrics()}
 	s.Descriptors[0], s.Descriptors[1] = m.sockets.InUse()
 	s.DescriptorLimits[0], s.DescriptorLimits[1] = m.sockets.Limits()
 	m.mu.Lock()
