--- a/internal/orders/config.go
+++ b/internal/orders/config.go
@@ -16,12 +16,13 @@
 
 // Durability levels.
 const (
-	// Sync: once it is synced to disk. It survives a power loss.
+	// Sync requires an intent to be synced to disk. It survives a power loss.
 	Sync Durability = "sync"
-	// Batched: once it is written to the file system. It survives a crash of the process, and a
-	// power loss once Config.SyncEvery has passed.
+	// Batched requires an intent to be written to the file system, and syncs every
+	// Config.SyncEvery. It survives a crash of the process, and a power loss after the next sync.
 	Batched Durability = "batched"
-	// Buffered: once it is written to the file system, which syncs it to disk at any later time.
+	// Buffered requires an intent to be written to the file system, which writes it to disk
+	// whenever it decides to.
 	Buffered Durability = "buffered"
 )
 
@@ -68,19 +69,19 @@
 	const year = 366 * 24 * time.Hour
 	switch {
 	case c.Durability != Sync && c.Durability != Batched && c.Durability != Buffered:
-		return invalid("durability", "%q is none of sync, batched and buffered", c.Durability)
+		return invalid("durability", "%q is not sync, batched or buffered", c.Durability)
 	case c.SyncEvery < time.Millisecond || c.SyncEvery > time.Minute:
-		return invalid("sync_every", "%v is outside 1ms to 1m", c.SyncEvery)
+		return invalid("sync_every", "%v is not between 1ms and 1m", c.SyncEvery)
 	case c.Retention < time.Second || c.Retention > year:
-		return invalid("retention", "%v is outside 1s to %v", c.Retention, year)
+		return invalid("retention", "%v is not between 1s and %v", c.Retention, year)
 	case c.MostBytes < 1<<20 || c.MostBytes > math.MaxInt64/2:
-		return invalid("most_bytes", "%d is below 1 MiB", c.MostBytes)
+		return invalid("most_bytes", "%d is not between 1 MiB and 4 EiB", c.MostBytes)
 	case c.MostOrders < 1 || c.MostOrders > 1<<30:
-		return invalid("most_orders", "%d is below 1", c.MostOrders)
+		return invalid("most_orders", "%d is not between 1 and 2^30", c.MostOrders)
 	}
 	for class, d := range c.ByClass {
 		if d < time.Second || d > c.Retention {
-			return invalid("retention_by_class."+class, "%v is outside 1s to retention, which is %v", d, c.Retention)
+			return invalid("retention_by_class."+class, "%v is not between 1s and retention (%v)", d, c.Retention)
 		}
 	}
 	return c, nil
--- a/internal/orders/coordinator.go
+++ b/internal/orders/coordinator.go
@@ -217,12 +217,12 @@
 // waiterMargin is how long before its deadline a waiting request is answered.
 const waiterMargin = 20 * time.Millisecond
 
-// process handles r as the ledger decides, when there is no open leader to wait for. deferred tells
+// process handles r as the ledger decides, when there is no open leader to wait for. deferred says
 // that r was already submitted to the engine as a deferred request.
 func (o *order) process(r *engine.Request, print [32]byte, received policy.Time, deferred bool) error {
 	c, e := o.coordinator, o.coordinator.options.Engine
 	now := c.options.Clock()
-	v := ledger.Decide(o.class, o.entry, print, now, margin, c.retention(o.class.Name))
+	decision := ledger.Decide(o.class, o.entry, print, now, margin, c.retention(o.class.Name))
 	resolve := func(result engine.Result) error {
 		if !deferred {
 			if err := e.SubmitDeferred(r); err != nil {
@@ -232,7 +232,7 @@
 		e.ResolveDeferred(r, result)
 		return nil
 	}
-	switch v.Action {
+	switch decision.Action {
 	case ledger.Mismatch:
 		c.count(&c.stats.Mismatched)
 		return ErrMismatch
@@ -252,15 +252,15 @@
 	}
 	if err := c.writeError(); err != nil {
 		c.count(&c.stats.Unwritable)
-		return resolve(engine.Result{Kind: unwritableResult(v), RetryAfter: retryAfter, MayHaveRun: v.Action == ledger.Resend})
+		return resolve(engine.Result{Kind: unwritableResult(decision), RetryAfter: retryAfter, MayHaveRun: decision.Action == ledger.Resend})
 	}
-	if v.Action == ledger.Fresh && (o.entry == nil || o.entry.Fingerprint != print || len(o.entry.Attempts) > 0 || o.entry.Served) {
+	if decision.Action == ledger.Fresh && (o.entry == nil || o.entry.Fingerprint != print || len(o.entry.Attempts) > 0 || o.entry.Served) {
 		o.entry = &ledger.Entry{Fingerprint: print, FirstSeen: now}
 	}
 	becomeLeader := func() {
 		l := &leader{}
 		o.leader = l
-		r.PriorAttempts, r.Order = v.PriorAttempts, o
+		r.PriorAttempts, r.Order = decision.PriorAttempts, o
 		r.OnEnd = func(result engine.Result, withdrawn bool) { o.leaderEnded(l, result, withdrawn) }
 	}
 	if deferred {
@@ -277,8 +277,8 @@
 
 // unwritableResult returns the result of a request that cannot be recorded: refused, or failed if
 // an earlier attempt may have run.
-func unwritableResult(v ledger.Decision) engine.ResultKind {
-	if v.Action == ledger.Resend {
+func unwritableResult(d ledger.Decision) engine.ResultKind {
+	if d.Action == ledger.Resend {
 		return engine.Failed
 	}
 	return engine.Refused
--- a/internal/orders/coordinator_test.go
+++ b/internal/orders/coordinator_test.go
@@ -81,12 +81,12 @@
 	list.Full = true
 	e := engine.New(engine.Options{Config: cfg, Module: m, Transport: Transport(w.servers), CachedList: &list, Log: log})
 	w.Coordinator = New(Options{Engine: e, Store: store, Codec: textCodec{}, Clock: w.now, Retention: func(string) time.Duration { return time.Hour }, Log: log})
-	t.Cleanup(w.close)
+	t.Cleanup(w.shutdown)
 	return w
 }
 
-// close closes the engine and the coordinator, as at the end of the process.
-func (w *fixture) close() {
+// shutdown closes the engine and the coordinator, as at the end of the process.
+func (w *fixture) shutdown() {
 	w.options.Engine.Close()
 	w.Close()
 }
@@ -151,7 +151,7 @@
 	if _, err := w.submit("order", "k", 2); !errors.Is(err, ErrMismatch) {
 		t.Errorf("key used for a different request: %v", err)
 	}
-	w.close()
+	w.shutdown()
 	after := newFixture(t, noClose{store})
 	if got := after.do("order", "k", 1); !got.Replayed {
 		t.Errorf("after a restart: %+v", got)
@@ -181,7 +181,7 @@
 		w.checkSent(3)
 		first := w.servers.Sent()[1]
 		if restart {
-			w.close()
+			w.shutdown()
 			w = newFixture(t, noClose{store})
 		} else {
 			w.servers.SetEnd(nil)
@@ -245,11 +245,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone, err := w.submit("order", "left", 1)
+	disconnected, err := w.submit("order", "left", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.options.Engine.Withdraw(gone)
+	w.options.Engine.Withdraw(disconnected)
 	pay, other := start("pay", "left")
 	w.options.Engine.Withdraw(pay)
 	if got := w.result(other); got.Kind != engine.Failed || !got.MayHaveRun {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -91,8 +91,8 @@
 )
 
 // String returns the name of the action.
-func (k Action) String() string {
-	return [...]string{"fresh", "again", "replay", "mismatch", "unknown", "done"}[k]
+func (a Action) String() string {
+	return [...]string{"fresh", "again", "replay", "mismatch", "unknown", "done"}[a]
 }
 
 // Decision is the result of Decide.
@@ -128,15 +128,15 @@
 	case c.Effect != policy.Keyed || len(e.Attempts) >= MaxAttempts:
 		return Decision{Action: Unknown}
 	}
-	v := Decision{Action: Resend}
+	d := Decision{Action: Resend}
 	for _, a := range e.Attempts {
 		age, known := now.Since(a.At)
 		if !known || age >= c.KeyTTL-margin {
 			return Decision{Action: Unknown}
 		}
-		v.PriorAttempts = append(v.PriorAttempts, policy.PriorAttempt{Zone: a.Zone, Cell: a.Cell, Age: age})
+		d.PriorAttempts = append(d.PriorAttempts, policy.PriorAttempt{Zone: a.Zone, Cell: a.Cell, Age: age})
 	}
-	return v
+	return d
 }
 
 // approximateAge returns the time elapsed since then, for uses that need not be exact. It uses the
--- a/store/memfs_test.go
+++ b/store/memfs_test.go
@@ -15,7 +15,7 @@
 	mu        sync.Mutex
 	files     map[string]*memFile // as the process sees them
 	names     map[string]*memFile // as durable in the directory
-	steps     int                 // bytes and calls until the power is lost; negative: unlimited
+	steps     int                 // bytes and calls until the power is lost; below 0: unlimited
 	powerLost bool                // all further changes fail
 	full      bool                // writes fail for lack of space
 	failSync  bool                // syncs fail
--- a/store/record.go
+++ b/store/record.go
@@ -18,7 +18,7 @@
 // The value of a copied record begins with the time at which it was first written.
 //
 // Durable is the latest sequence known to be durable when the record was written. It distinguishes
-// a flipped bit from a truncated end: only behind a flipped bit can there be a record which states
+// a flipped bit from a truncated end: only after a flipped bit can there be a record which states
 // that the damaged one was durable. Sequences increase by one from record to record, within a
 // segment and from one segment to the next. A record whose checksum, lengths or sequence do not
 // match is invalid.
--- a/store/store.go
+++ b/store/store.go
@@ -209,9 +209,9 @@
 			return
 		case <-tick.C:
 			s.mu.Lock()
-			behind := s.durableSeq < s.lastSeq
+			unsynced := s.durableSeq < s.lastSeq
 			s.mu.Unlock()
-			if behind {
+			if unsynced {
 				s.Sync()
 			}
 		}
