--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -151,7 +151,8 @@
 				s.engine.Learn(learned.Policy)
 				s.engine.RestoreSites(learned.Sites)
 			}
-			s.engine.Refresh() // the platform takes lists sent to the older process as known to this one
+			// The platform takes lists sent to the older process as known to this one.
+			s.engine.Refresh()
 		}
 	}
 	engines := func() []*engine.Engine { return append(s.services.Engines(), s.engine) }
@@ -344,7 +345,8 @@
 			s.transitionTimer = time.AfterFunc(settingsTransition, func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				if s.settingsVersion != version { // fired during a later change, which takes precedence
+				// The timer may have fired during a later change, which takes precedence.
+				if s.settingsVersion != version {
 					return
 				}
 				if err := s.engine.Reconfigure(change.Final); err != nil {
--- a/internal/daemon/discovery_test.go
+++ b/internal/daemon/discovery_test.go
@@ -217,7 +217,7 @@
 		all.WriteString("\n\n")
 	}
 	c.writeHead()
-	c.writeMessage(all.String()) // whole
+	c.writeMessage(all.String()) // in one write
 	for range 3 {
 		receive(t, "list", m.lists)
 	}
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -57,7 +57,8 @@
 	select {
 	case err := <-sc.done:
 		t.Fatalf("the sidecar ended with open requests: %v", err)
-	case <-time.After(connectWindow + 200*time.Millisecond): // requests still have their time after the window
+	case <-time.After(connectWindow + 200*time.Millisecond):
+		// Open requests still have time after the window.
 	}
 	close(g.gate)
 	for _, c := range []*testClient{busy, late, fresh} {
@@ -117,7 +118,8 @@
 		c.write(plainGet)
 		clients = append(clients, c)
 	}
-	for _, c := range clients { // each stays open, so idle connections must be evicted for waiting ones
+	// Each connection stays open, so idle ones must be evicted for waiting ones.
+	for _, c := range clients {
 		if resp, _ := c.read(t); resp.StatusCode != http.StatusOK {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -41,6 +41,7 @@
 	timers         chan string
 }
 
+// listEvent is a call of UpdateServers.
 type listEvent struct {
 	kind    policy.ListKind
 	servers []policy.Server
@@ -243,6 +244,7 @@
 	return &testClient{c, bufio.NewReader(c)}
 }
 
+// testClient is a client connection.
 type testClient struct {
 	net.Conn
 	r *bufio.Reader
@@ -347,6 +349,7 @@
 	watches chan *watchConn
 }
 
+// watchConn is the connection of a watch.
 type watchConn struct {
 	net.Conn
 	query       string
--- a/internal/daemon/interleaving_test.go
+++ b/internal/daemon/interleaving_test.go
@@ -165,7 +165,8 @@
 	if _, err := idle.r.ReadByte(); err != io.EOF {
 		t.Errorf("read from an idle connection: %v, want EOF", err)
 	}
-	time.Sleep(900 * time.Millisecond) // a deadline of 1 s from now is after the exit, which is 1.65 s after SIGTERM
+	// A deadline of 1 s from now is after the exit, which is 1.65 s after SIGTERM.
+	time.Sleep(900 * time.Millisecond)
 	slow.write("\n")
 	resp, err := http.ReadResponse(slow.r, nil)
 	if err != nil {
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -32,6 +32,7 @@
 	limiter *rate.Limiter
 }
 
+// Handle implements slog.Handler.
 func (h rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
 	if !h.limiter.Allow() {
 		return nil
@@ -39,10 +40,12 @@
 	return h.Handler.Handle(ctx, r)
 }
 
+// WithAttrs implements slog.Handler.
 func (h rateLimitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return rateLimitedHandler{h.Handler.WithAttrs(attrs), h.limiter}
 }
 
+// WithGroup implements slog.Handler.
 func (h rateLimitedHandler) WithGroup(name string) slog.Handler {
 	return rateLimitedHandler{h.Handler.WithGroup(name), h.limiter}
 }
--- a/internal/daemon/management.go
+++ b/internal/daemon/management.go
@@ -88,7 +88,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.handoverDir != nil {
-		state = s.handoverDir.State() // of two concurrent calls, the second applies the changes of both
+		// Of two concurrent calls, the second applies the changes of both.
+		state = s.handoverDir.State()
 	}
 	if !state.Absences.Equal(&s.operatorState.Absences) {
 		s.engine.SetAbsences(state.Absences.Clone())
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -295,7 +295,8 @@
 func TestIdleClientConnectionsAreClosed(t *testing.T) {
 	sc := startSidecar(t, newScriptedModule(), startServer(t, respondText(okResponse)), "127.0.0.1:1")
 	c := sc.connect(t)
-	began := time.Now() // before the connection becomes idle, so that the limit below holds on a slow machine
+	// Taken before the connection becomes idle, so that the limit below holds on a slow machine.
+	began := time.Now()
 	c.write(plainGet)
 	c.read(t)
 	if _, err := c.r.ReadByte(); err != io.EOF {
@@ -519,7 +520,9 @@
 // because the server drawn for it has a long queue while another one is known to have none.
 func TestIdleServerIsPreferredToBusyOne(t *testing.T) {
 	const service = 20 * time.Millisecond
-	learned := make(chan struct{}) // closed once the idle server has responded: until then the other report would set the scale
+	// learned is closed once the idle server has responded: until then the other report would set
+	// the scale.
+	learned := make(chan struct{})
 	serve := func(report string, takes time.Duration) func(int, net.Conn) {
 		return respondWith(func(q *http.Request, c net.Conn) {
 			text := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -534,8 +537,9 @@
 	idle, busy := startServer(t, serve("queue=0", service)), startServer(t, serve("queue=100", 20*service))
 	sc := startSidecar(t, nil, idle, "127.0.0.1:1", func(c *config.Config) {
 		c.Known.Servers = append(c.Known.Servers, engine.Server{ID: "b", Addr: busy, Zone: "z"})
-		c.Settings.Config.ProbeTariff = 1e6      // only the first request causes probes
-		c.Settings.Config.Classes[1].Worth = 1e4 // so that the other classes accept a short queue only, well below their aim
+		c.Settings.Config.ProbeTariff = 1e6 // only the first request causes probes
+		// With this, the other classes accept a short queue only, well below their aim.
+		c.Settings.Config.Classes[1].Worth = 1e4
 	})
 	if resp, _ := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK {
 		t.Fatalf("first request: status %d", resp.StatusCode)
@@ -571,8 +575,9 @@
 	}))
 	sc := startSidecar(t, nil, addr, "127.0.0.1:1", func(c *config.Config) {
 		c.Settings.Config.MaxRetryAfter = time.Second
-		c.Settings.Config.ProbeTariff = 1e6      // only the first request causes probes
-		c.Settings.Config.Classes[1].Worth = 1e4 // so that the other classes accept a short queue only
+		c.Settings.Config.ProbeTariff = 1e6 // only the first request causes probes
+		// With this, the other classes accept a short queue only.
+		c.Settings.Config.Classes[1].Worth = 1e4
 	})
 	if resp, _ := sc.roundTrip(t, plainGet); resp.StatusCode != http.StatusOK {
 		t.Fatalf("first request: status %d", resp.StatusCode)
--- a/internal/daemon/site_reload_test.go
+++ b/internal/daemon/site_reload_test.go
@@ -100,7 +100,8 @@
 	if got := siteStates(successor); got != "a dark, b healthy" {
 		t.Errorf("after loading the state of an old version: %s", got)
 	}
-	newSiteSidecar(t, nil).engine.RestoreSites(sites.Learned{RequestRate: 1}) // without monitoring of sites
+	// Restoring has no effect without monitoring of sites.
+	newSiteSidecar(t, nil).engine.RestoreSites(sites.Learned{RequestRate: 1})
 	if s, err := New(s.Config(), config.Operator{Sites: &sites.Config{Spill: -1}}, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "[sites]: spill") {
 		t.Errorf("invalid settings: %v, %v", s, err)
 	}
--- a/internal/daemon/site_return_test.go
+++ b/internal/daemon/site_return_test.go
@@ -33,7 +33,8 @@
 // servers of one site are killed, the list is updated three seconds later, and new servers come
 // back cold. docs/design/sites.md has results at 1,300 requests per second.
 func TestSiteOnSockets(t *testing.T) {
-	if *siteRate == 0 { // how far a site recovers in a given time depends on the machine, so not in CI
+	// Not run in CI: how far a site recovers in a given time depends on the machine.
+	if *siteRate == 0 {
 		t.Skip("run manually, with -site.rate")
 	}
 	t.Parallel()
--- a/internal/daemon/stream_test.go
+++ b/internal/daemon/stream_test.go
@@ -146,7 +146,8 @@
 	if o := receive(t, "outcome", m.outcomes); o.Status != policy.OK || !o.Final {
 		t.Errorf("outcome %+v, want OK: a client's disconnect is no evidence against the server", o)
 	}
-	eventually(t, "all descriptors are released", func() bool { return sc.inUse() == 1 }) // reserved for the next client
+	// One descriptor is reserved for the next client.
+	eventually(t, "all descriptors are released", func() bool { return sc.inUse() == 1 })
 }
 
 // postHead returns the head of a request with a body of n bytes, or with a chunked body if n is
--- a/internal/daemon/upstream_test.go
+++ b/internal/daemon/upstream_test.go
@@ -166,7 +166,8 @@
 	if o := receive(t, "outcome", m.outcomes); o.Status != policy.Reset {
 		t.Errorf("outcome %v, want Reset", o.Status)
 	}
-	sc.roundTrip(t, strings.Replace(plainGet, "ID: 1", "ID: 3", 1)) // a repeated request would have arrived by now
+	// A repeated request would arrive before this one.
+	sc.roundTrip(t, strings.Replace(plainGet, "ID: 1", "ID: 3", 1))
 	var got []string
 	for range 3 {
 		got = append(got, receive(t, "request", requests))
