--- a/config.go
+++ b/config.go
@@ -278,7 +278,7 @@
 	if err != nil {
 		return resolvedConfig{}, fmt.Errorf("quillfront: %w", err)
 	}
-	p := resolvedConfig{settings: c.Settings, cachedList: c.Known, seed: c.Seed, source: silentSource{}}
+	p := resolvedConfig{settings: c.Settings, cachedList: c.CachedList, seed: c.Seed, source: silentSource{}}
 	if c.Discovery != "" {
 		if p.source, _, err = Discovery(c.Discovery).prepare(); err != nil {
 			return resolvedConfig{}, err
--- a/internal/daemon/interleaving_test.go
+++ b/internal/daemon/interleaving_test.go
@@ -123,7 +123,7 @@
 	}
 	t.Run("a client descriptor", func(t *testing.T) { // clients disconnect in the accept queue
 		g := newGatedServer(t)
-		sc := startSidecar(t, newScriptedModule(), g.addr, "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.LeastSockets })
+		sc := startSidecar(t, newScriptedModule(), g.addr, "127.0.0.1:1", func(c *config.Config) { c.Sockets = config.MinSockets })
 		busy := sc.clientLimit()
 		for range busy {
 			c := sc.connect(t)
--- a/internal/daemon/management.go
+++ b/internal/daemon/management.go
@@ -76,7 +76,7 @@
 			continue
 		}
 		if l, ok := s.engine.Learned(); ok {
-			if err := s.handoverDir.Note(learnedState{l, s.engine.SiteMemory()}); err != nil {
+			if err := s.handoverDir.SaveLearned(learnedState{l, s.engine.SiteMemory()}); err != nil {
 				s.log.Warn("handover: cannot save the learned state", "err", err)
 			}
 		}
@@ -91,8 +91,8 @@
 		// Of two concurrent calls, the second applies the changes of both.
 		state = s.handoverDir.State()
 	}
-	if !state.Absences.Equal(&s.operatorState.Absences) {
-		s.engine.SetAbsences(state.Absences.Clone())
+	if !state.Exclusions.Equal(&s.operatorState.Exclusions) {
+		s.engine.SetAbsences(state.Exclusions.Clone())
 	}
 	if state.Evacuated != s.operatorState.Evacuated {
 		if state.Evacuated {
@@ -129,7 +129,7 @@
 
 // divideLimits divides the limits on memory and file descriptors among the processes of the
 // sidecar, which share them.
-func (s *Sidecar) divideLimits(others handover.Others) {
+func (s *Sidecar) divideLimits(others handover.ProcessCounts) {
 	processes := 1 + others.Older + others.Newer
 	s.newerProcesses.Store(int32(others.Newer))
 	s.sockets.SetFraction(1 / float64(processes))
@@ -144,7 +144,7 @@
 	if s.handoverDir == nil || s.cfg.AcceptFD == 0 {
 		return false
 	}
-	others, err := s.handoverDir.Others()
+	others, err := s.handoverDir.CountOthers()
 	return err == nil && others.Newer > 0
 }
 
@@ -172,14 +172,14 @@
 // Exclude takes a server out of service.
 func (m managedSidecar) Exclude(id policy.ServerID) error {
 	return m.updateOperatorState(func(state *handover.State) error {
-		return state.Absences.Exclude(id, m.engine.ListEntry, time.Now().UnixMilli())
+		return state.Exclusions.Exclude(id, m.engine.ListEntry, time.Now().UnixMilli())
 	})
 }
 
 // Include puts an excluded server back into service.
 func (m managedSidecar) Include(id policy.ServerID) error {
 	return m.updateOperatorState(func(state *handover.State) error {
-		return state.Absences.Include(id, m.engine.ListEntry, time.Now().UnixMilli())
+		return state.Exclusions.Include(id, m.engine.ListEntry, time.Now().UnixMilli())
 	})
 }
 
@@ -202,17 +202,17 @@
 // Metrics returns the handler for the metrics.
 func (m managedSidecar) Metrics() http.Handler { return telemetry.Handler(m) }
 
-// Waiting describes the requests that have waited for longer than d.
-func (m managedSidecar) Waiting(d time.Duration) []string {
-	var waiting []services.Waiting
+// PendingRequests describes the requests that have waited for longer than d.
+func (m managedSidecar) PendingRequests(d time.Duration) []string {
+	var waiting []services.PendingRequest
 	for _, r := range m.engine.PendingRequests(d) {
-		waiting = append(waiting, services.Waiting{Pool: "platform", PendingRequest: r})
+		waiting = append(waiting, services.PendingRequest{Pool: "platform", PendingRequest: r})
 	}
-	return formatWaiting(append(waiting, m.services.Waiting(d)...))
+	return formatWaiting(append(waiting, m.services.PendingRequests(d)...))
 }
 
 // formatWaiting describes waiting requests, one per line.
-func formatWaiting(waiting []services.Waiting) (lines []string) {
+func formatWaiting(waiting []services.PendingRequest) (lines []string) {
 	for _, w := range waiting {
 		lines = append(lines, fmt.Sprintf("%v pool=%s class=%s attempts=%d %q waits for %s", w.Age.Round(time.Millisecond), w.Pool, w.Class, w.Attempts, w.Description, w))
 	}
@@ -226,15 +226,15 @@
 func (m managedSidecar) State() telemetry.State {
 	s := telemetry.State{Engine: m.engine.Snapshot(), Peers: m.peers.metrics()}
 	s.Descriptors[0], s.Descriptors[1] = m.sockets.InUse()
-	s.Places[0], s.Places[1] = m.sockets.Limits()
+	s.DescriptorLimits[0], s.DescriptorLimits[1] = m.sockets.Limits()
 	if m.orders != nil {
 		stats := m.orders.Stats()
 		s.Orders = &stats
 	}
-	s.Services = m.services.Figures()
+	s.Services = m.services.Stats()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s.Out, s.Evacuated = len(m.operatorState.Absences.Excluded), m.operatorState.Evacuated
-	s.Applied, s.Rejected = m.reloads.applied, m.reloads.rejected
+	s.Excluded, s.Evacuated = len(m.operatorState.Exclusions.Excluded), m.operatorState.Evacuated
+	s.ConfigsApplied, s.ConfigsRejected = m.reloads.applied, m.reloads.rejected
 	return s
 }
--- a/internal/daemon/management_test.go
+++ b/internal/daemon/management_test.go
@@ -117,7 +117,7 @@
 // other too, and that both share the descriptors until one ends.
 func TestTwoProcesses(t *testing.T) {
 	shared := t.TempDir() + "/shared"
-	share := func(c *config.Config) { c.Shared = shared }
+	share := func(c *config.Config) { c.SharedDir = shared }
 	older := startSidecar(t, newScriptedModule(), "127.0.0.1:1", "127.0.0.1:1", share)
 	all := older.limit()
 	newer := startSidecar(t, newScriptedModule(), "127.0.0.1:1", "127.0.0.1:1", share)
@@ -131,7 +131,7 @@
 	applied := func(sc *testSidecar) bool {
 		sc.mu.Lock()
 		defer sc.mu.Unlock()
-		_, ok := sc.operatorState.Absences.Excluded["a"]
+		_, ok := sc.operatorState.Exclusions.Excluded["a"]
 		return ok && sc.operatorState.Evacuated
 	}
 	eventually(t, "both changes apply to both processes", func() bool { return applied(older) && applied(newer) })
@@ -156,12 +156,12 @@
 		calls.Go(func() {
 			sc.updateOperatorState(func(s *handover.State) error {
 				runtime.Gosched()
-				return s.Absences.Exclude(policy.ServerID(fmt.Sprint(i)), func(id policy.ServerID) (exclusion.Entry, bool) { return exclusion.Entry{ID: id}, true }, 1)
+				return s.Exclusions.Exclude(policy.ServerID(fmt.Sprint(i)), func(id policy.ServerID) (exclusion.Entry, bool) { return exclusion.Entry{ID: id}, true }, 1)
 			})
 		})
 	}
 	calls.Wait()
-	if n := len(sc.operatorState.Absences.Excluded); n != 100 {
+	if n := len(sc.operatorState.Exclusions.Excluded); n != 100 {
 		t.Errorf("%d of 100 changes are applied", n)
 	}
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -35,8 +35,8 @@
 	}
 	m := &membership{cfg: *cfg, retryBind: retryBind, log: log, departing: make(chan policy.ServerID, maxQueuedHints)}
 	var hooks peering.Hooks
-	if cfg.Share {
-		sharing := cfg.Sharing
+	if cfg.EstimateGroup {
+		sharing := cfg.Estimator
 		sharing.Configured = base
 		hooks.Estimator = &sharing
 		hooks.GroupChanged = func(group int) {
@@ -48,7 +48,7 @@
 			log.Info("members: number of processes changed", "group", group)
 		}
 	}
-	if cfg.Hints {
+	if cfg.ExchangeHints {
 		hooks.HintReceived = func(server string) {
 			for _, e := range engines() {
 				e.HintDraining(policy.ServerID(server))
@@ -72,7 +72,7 @@
 		return
 	}
 	for _, e := range engines {
-		if m.cfg.Hints {
+		if m.cfg.ExchangeHints {
 			e.OnLeaving(func(id policy.ServerID) {
 				select {
 				case m.departing <- id:
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -225,7 +225,7 @@
 // responds.
 func TestShutdownWithFewDescriptors(t *testing.T) {
 	h := newHangingServer(t)
-	sc := startSidecar(t, nil, h.addr, "127.0.0.1:1", withDeadline(longDeadline), func(c *config.Config) { c.Sockets = config.LeastSockets })
+	sc := startSidecar(t, nil, h.addr, "127.0.0.1:1", withDeadline(longDeadline), func(c *config.Config) { c.Sockets = config.MinSockets })
 	var clients []*testClient
 	for range 2 * sc.clientLimit() {
 		c := sc.connect(t)
@@ -398,7 +398,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		cfg.Shared = shared
+		cfg.SharedDir = shared
 		if cfg.AcceptFD, err = syscall.Dup(int(socket.Fd())); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -43,7 +43,7 @@
 	if s.services, err = services.New(op.Services, op.Routes, int64(cfg.MemoryMB)<<20/8, s.sockets, log); err != nil {
 		return nil, err
 	}
-	s.sockets.OnShortage(s.services.MakeRoom, s.services.Evict)
+	s.sockets.OnShortage(s.services.EvictIdle, s.services.EvictClient)
 	if s.peers, err = newMembership(op.Members, cfg.Name, 1, false, s.services.Engines, log); err != nil {
 		s.services.Close()
 		return nil, err
@@ -190,7 +190,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.evacuated = evacuated
-	m.services.Evacuate(evacuated)
+	m.services.SetEvacuated(evacuated)
 	return nil
 }
 
@@ -200,9 +200,9 @@
 // Metrics returns the handler for the metrics.
 func (m managedStandalone) Metrics() http.Handler { return telemetry.Handler(m) }
 
-// Waiting describes the requests that have waited for longer than d.
-func (m managedStandalone) Waiting(d time.Duration) []string {
-	return formatWaiting(m.services.Waiting(d))
+// PendingRequests describes the requests that have waited for longer than d.
+func (m managedStandalone) PendingRequests(d time.Duration) []string {
+	return formatWaiting(m.services.PendingRequests(d))
 }
 
 // Counts returns nil, as there is no front for the platform.
@@ -210,11 +210,11 @@
 
 // State returns the current values of the metrics.
 func (m managedStandalone) State() telemetry.State {
-	s := telemetry.State{Services: m.services.Figures(), Peers: m.peers.metrics()}
+	s := telemetry.State{Services: m.services.Stats(), Peers: m.peers.metrics()}
 	s.Descriptors[0], s.Descriptors[1] = m.sockets.InUse()
-	s.Places[0], s.Places[1] = m.sockets.Limits()
+	s.DescriptorLimits[0], s.DescriptorLimits[1] = m.sockets.Limits()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s.Out, s.Evacuated, s.Applied, s.Rejected = len(m.exclusions.Excluded), m.evacuated, m.applied, m.rejected
+	s.Excluded, s.Evacuated, s.ConfigsApplied, s.ConfigsRejected = len(m.exclusions.Excluded), m.evacuated, m.applied, m.rejected
 	return s
 }
