--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -98,7 +98,7 @@
 }
 
 func newSidecar(cfg config.Config, op config.Operator, module engine.Module, log *slog.Logger) (*Sidecar, error) {
-	var book orders.EntryStore
+	var orderStore orders.EntryStore
 	var retention func(string) time.Duration
 	var err error
 	if op.Sites != nil {
@@ -107,7 +107,7 @@
 		}
 	}
 	if op.Store != nil {
-		if book, retention, err = op.Store.Open(); err != nil {
+		if orderStore, retention, err = op.Store.Open(); err != nil {
 			return nil, fmt.Errorf("[store]: %w", err)
 		}
 	}
@@ -116,7 +116,7 @@
 	setMemoryLimit(cfg.MemoryMB, 1)
 	s.transport = upstream.New(cfg.Settings, s.sockets, log)
 	var transport engine.Transport = s.transport
-	if book != nil {
+	if orderStore != nil {
 		transport = orders.Transport(transport)
 	}
 	options := engine.Options{
@@ -124,8 +124,8 @@
 		CachedList: cfg.CachedList, Sites: op.Sites, Log: log,
 	}
 	s.engine = engine.New(options)
-	if book != nil {
-		s.orders = orders.New(orders.Options{Engine: s.engine, Store: book, Codec: httpmsg.Codec{}, Retention: retention, Log: log})
+	if orderStore != nil {
+		s.orders = orders.New(orders.Options{Engine: s.engine, Store: orderStore, Codec: httpmsg.Codec{}, Retention: retention, Log: log})
 	}
 	s.server = httpfront.New(s.engine, s.orders, s.bodyBudget, s.sockets, log)
 	if s.services, err = services.New(op.Services, op.Routes, int64(cfg.MemoryMB)<<20/8, s.sockets, log); err != nil {
@@ -157,7 +157,7 @@
 	}
 	engines := func() []*engine.Engine { return append(s.services.Engines(), s.engine) }
 	members, err := op.Members.ForPlatform(&cfg)
-	if err != nil { // the platform does not allow it: the sidecar serves without members
+	if err != nil { // the platform's settings do not allow members: serve without
 		log.Warn("members: disabled", "why", err)
 	}
 	if s.peers, err = newMembership(members, cfg.Name, cfg.Settings.Config.GroupSize, s.takeover, engines, log); err != nil {
--- a/internal/daemon/management.go
+++ b/internal/daemon/management.go
@@ -149,7 +149,7 @@
 }
 
 // managedSidecar provides the management API and the metrics of a Sidecar. It implements
-// management.Operated and telemetry.Source.
+// management.Target and telemetry.Source.
 type managedSidecar struct{ *Sidecar }
 
 // Ready returns nil if the sidecar is ready. A process that takes over is ready once it has the
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -135,7 +135,7 @@
 }
 
 // managedStandalone provides the management API and the metrics of a Standalone. It implements
-// management.Operated and telemetry.Source.
+// management.Target and telemetry.Source.
 type managedStandalone struct{ *Standalone }
 
 // Ready returns nil if the process serves and is not drained.
