--- a/internal/daemon/management.go
+++ b/internal/daemon/management.go
@@ -88,7 +88,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.handoverDir != nil {
-		state = s.handoverDir.State() // of two concurrent calls, the second applies the changes of both
+		// Of two concurrent calls, the second applies the changes of both.
+		state = s.handoverDir.State()
 	}
 	if !state.Exclusions.Equal(&s.operatorState.Exclusions) {
 		s.engine.SetAbsences(state.Exclusions.Clone())
@@ -148,7 +149,7 @@
 }
 
 // managedSidecar provides the management API and the metrics of a Sidecar. It implements
-// management.Operated and telemetry.Source.
+// management.Target and telemetry.Source.
 type managedSidecar struct{ *Sidecar }
 
 // Ready returns nil if the sidecar is ready. A process that takes over is ready once it has the
