--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -33,7 +33,7 @@
 	Descriptors                     [2]int        // in use, in total and by clients
 	DescriptorLimits                [2]int        // the limits of Descriptors
 	Orders                          *orders.Stats // nil if there is no store of orders
-	Services                        []services.Figures
+	Services                        []services.Stats
 	Peers                           *peering.Metrics // nil without membership of a cluster
 }
 
@@ -230,7 +230,7 @@
 }
 
 // collectService emits the metrics of one service.
-func collectService(f services.Figures, total func(*prometheus.Desc, uint64, ...string), gauge func(*prometheus.Desc, float64, ...string)) {
+func collectService(f services.Stats, total func(*prometheus.Desc, uint64, ...string), gauge func(*prometheus.Desc, float64, ...string)) {
 	for class, n := range f.Counts {
 		for kind, name := range []string{"served", "refused", "failed", "dropped"} {
 			total(serviceRequests, n.Results[kind], f.Name, class, name)
@@ -264,17 +264,17 @@
 		}
 		gauge(mysqlIdleConns, float64(c.Idle), f.Name)
 	}
-	if st := f.Web; st != nil {
+	if st := f.HTTP; st != nil {
 		if f.Kind == "pool" {
 			gauge(poolDescriptors, float64(st.Descriptors), f.Name)
-			gauge(poolBodyBytes, float64(st.Bodies), f.Name)
-			total(poolDescriptorWaits, st.Waits.Acquired, f.Name, "got")
-			total(poolDescriptorWaits, st.Waits.TimedOut, f.Name, "none")
+			gauge(poolBodyBytes, float64(st.BodyBytes), f.Name)
+			total(poolDescriptorWaits, st.DescriptorWaits.Acquired, f.Name, "got")
+			total(poolDescriptorWaits, st.DescriptorWaits.TimedOut, f.Name, "none")
 			return
 		}
 		g.Current = st.Clients.Open
-		total(poolsEnded, st.Ends.Pools, f.Name)
-		total(poolsEndedRequests, st.Ends.Cut, f.Name)
+		total(poolsEnded, st.Retired.Pools, f.Name)
+		total(poolsEndedRequests, st.Retired.Cut, f.Name)
 		for route, n := range st.Routes {
 			total(routeRequests, n.Requests, f.Name, route)
 			gauge(routePinnedKeys, float64(n.PinnedKeys), f.Name, route)
