--- a/internal/account/recorder.go
+++ b/internal/account/recorder.go
@@ -10,7 +10,7 @@
 
 // Second holds the counts of one sidecar for one second. The JSON keys are those of the log.
 type Second struct {
-	StartMs   int64             `json:"t"` // Unix time of its start, in milliseconds
+	StartMs   int64             `json:"t"` // its start, in milliseconds since 1970
 	UpSeconds int               `json:"b"` // uptime of the sidecar at its start, in seconds
 	Classes   map[string]*Class `json:"c,omitempty"`
 
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -29,6 +29,7 @@
 	ExchangeHints bool
 }
 
+// membersTable is the table [members] of the operator's file.
 type membersTable struct {
 	Cluster   string    `toml:"cluster"`
 	Listen    string    `toml:"listen"`
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -48,6 +48,7 @@
 	Members *membersTable `toml:"members"`
 }
 
+// storeTable is the table [store] of the operator's file.
 type storeTable struct {
 	Path             string              `toml:"path"`
 	Durability       string              `toml:"durability"`
@@ -58,6 +59,7 @@
 	MostOrders       int                 `toml:"most_orders"`
 }
 
+// sitesTable is the table [sites] of the operator's file.
 type sitesTable struct {
 	Prefer    []string         `toml:"prefer"`
 	Rules     []sitesRuleTable `toml:"rules"`
@@ -74,12 +76,14 @@
 	Changes   int              `toml:"changes"`
 }
 
+// sitesRuleTable is a table [[sites.rules]].
 type sitesRuleTable struct {
 	Classes []string         `toml:"classes"`
 	Tenants []string         `toml:"tenants"`
 	Tiers   []sitesTierTable `toml:"tiers"`
 }
 
+// sitesTierTable is an entry of tiers in [[sites.rules]].
 type sitesTierTable struct {
 	Sites []string `toml:"sites"`
 	Most  float64  `toml:"most"`
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -18,6 +18,7 @@
 	Cores      int    // GOMAXPROCS; 0: all cores, or 1 with a platform
 }
 
+// processTable is the table [process]. Its fields must match those of Process for the conversion.
 type processTable struct {
 	Name       string `toml:"name"`
 	Management string `toml:"management"`
@@ -34,6 +35,7 @@
 	Rate  int // sustained rate, in lines a second
 }
 
+// logTable is the table [log].
 type logTable struct {
 	Level  string `toml:"level"`
 	Format string `toml:"format"`
