--- a/internal/config/services_test.go
+++ b/internal/config/services_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestRoutesPageExamples checks that the example configurations on the operators' page are complete.
+// TestRoutesPageExamples checks that the configurations on the operators' page are complete.
 func TestRoutesPageExamples(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "operate", "routes.md"))
 	if err != nil {
