--- a/internal/account/read.go
+++ b/internal/account/read.go
@@ -12,19 +12,20 @@
 	"time"
 )
 
-// logPrefix is how a Second stands in a log.
+// logPrefix precedes the quoted JSON of a Second in a log line.
 const logPrefix = "msg=account second="
 
-// maxLineBytes bounds a line of a log that is read, in bytes.
+// maxLineBytes limits a line of a log that is read.
 const maxLineBytes = 1 << 20
 
-// Encode is s as the value of the log's key second.
+// Encode returns s as JSON, the value of the log key second.
 func (s Second) Encode() string {
-	text, _ := json.Marshal(s) // of plain figures, which cannot fail
+	text, _ := json.Marshal(s) // cannot fail for these types
 	return string(text)
 }
 
-// Read calls f with each Second in a log, and returns how many lines are marked as accounts and cannot be read.
+// Read calls f with each Second in a log. It returns the number of lines that have the prefix of a
+// Second and cannot be decoded.
 func Read(log io.Reader, f func(Second)) (bad int, err error) {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, maxLineBytes)
@@ -44,32 +45,34 @@
 	return bad, lines.Err()
 }
 
-// Phase is a part of a day, over all sidecars.
+// Phase is the sum of the seconds of all sidecars in an interval.
 type Phase struct {
-	From, To     time.Duration // from the first second of any log
-	Total        Second        // Unix, Ready and Young mean nothing in it
-	Sidecars     int           // most that were heard of in a second
+	From, To     time.Duration // since the first second of any log
+	Total        Second        // without StartMs, ReadyServers and ColdServers
+	Sidecars     int           // the most that logged the same second
 	ByServerAge  [len(AgeNames)]Server
 	Startup      Startup
-	PerServer    map[string]*Server // Queue is the mean of what was reported, -1 where nothing was
+	PerServer    map[string]*Server // Queue is the mean of the reported ones, -1 for none
 	queueReports map[string]int
 }
 
-// Startup sums up what sidecars did in the first startupSeconds seconds of their lives.
+// Startup is the sum of the first startupSeconds seconds of each sidecar.
 type Startup struct {
-	Seconds   int // of sidecars
+	Seconds   int // seconds that are summed up, over all sidecars
 	Classes   Class
 	Sends     Sends
 	ListCalls int
 }
 
-// startupSeconds is how long, in seconds, a sidecar counts as just begun: it believes nothing, and its list may be an old one.
+// startupSeconds is how long a sidecar counts as starting up: it knows nothing about the servers
+// yet, and its list may be outdated.
 const startupSeconds = 3
 
-// AgeNames names the ages of servers by which sends are counted apart.
+// AgeNames names the age ranges of Phase.ByServerAge.
 var AgeNames = [...]string{"under 2 s", "2 to 5 s", "5 to 10 s", "older"}
 
-func ageOf(s float64) int {
+// ageBucket returns the index in AgeNames of an age in seconds; 0 is an unknown age.
+func ageBucket(s float64) int {
 	switch {
 	case s == 0 || s >= 10:
 		return 3
@@ -81,7 +84,8 @@
 	return 2
 }
 
-// SumPhases sums up seconds between the given instants, counted from the first second of all.
+// SumPhases sums up the seconds of each phase. cuts are the ends of all phases but the last, since
+// the first second of all.
 func SumPhases(seconds []Second, cuts []time.Duration) []Phase {
 	if len(seconds) == 0 {
 		return nil
@@ -91,7 +95,7 @@
 	bounds := append([]time.Duration{0}, cuts...)
 	bounds = append(bounds, time.Duration(last-first+1000)*time.Millisecond)
 	phases := make([]Phase, len(bounds)-1)
-	heard := map[int64]int{}
+	sidecars := map[int64]int{}
 	for i := range phases {
 		phases[i] = Phase{From: bounds[i], To: bounds[i+1], PerServer: map[string]*Server{}, queueReports: map[string]int{}}
 		phases[i].Total = Second{Classes: map[string]*Class{}, AttemptResults: map[string]int{}, ProbeResults: map[string]int{}}
@@ -100,8 +104,8 @@
 		at := time.Duration(s.StartMs-first) * time.Millisecond
 		for i := range phases {
 			if p := &phases[i]; at >= p.From && at < p.To {
-				heard[s.StartMs]++
-				p.Sidecars = max(p.Sidecars, heard[s.StartMs])
+				sidecars[s.StartMs]++
+				p.Sidecars = max(p.Sidecars, sidecars[s.StartMs])
 				p.add(s)
 			}
 		}
@@ -118,8 +122,8 @@
 		}
 		sum.add(c)
 	}
-	addMap(p.Total.AttemptResults, s.AttemptResults)
-	addMap(p.Total.ProbeResults, s.ProbeResults)
+	addCounts(p.Total.AttemptResults, s.AttemptResults)
+	addCounts(p.Total.ProbeResults, s.ProbeResults)
 	p.Total.ListUpdates += s.ListUpdates
 	p.Total.ListCalls += s.ListCalls
 	p.Total.Dials += s.Dials
@@ -146,7 +150,7 @@
 			}
 			sum.Queue += (v.Queue - sum.Queue) / float64(p.queueReports[id])
 		}
-		p.ByServerAge[ageOf(v.Age)].add(v)
+		p.ByServerAge[ageBucket(v.Age)].add(v)
 	}
 }
 
@@ -163,7 +167,7 @@
 }
 
 func (c *Class) add(o *Class) {
-	c.Accepted += o.Accepted
+	c.Requests += o.Requests
 	c.InTime += o.InTime
 	c.Late += o.Late
 	c.RefusedAtOnce += o.RefusedAtOnce
@@ -182,13 +186,13 @@
 	v.Age = max(v.Age, o.Age)
 }
 
-func addMap(to, from map[string]int) {
+func addCounts(to, from map[string]int) {
 	for k, n := range from {
 		to[k] += n
 	}
 }
 
-// Print writes phases as tables in Markdown; servers adds a line for each server.
+// Print writes phases as Markdown tables, and with servers set a line for each server as well.
 func Print(w io.Writer, phases []Phase, servers bool) {
 	for _, p := range phases {
 		sec := (p.To - p.From).Seconds()
@@ -198,19 +202,19 @@
 		fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 		for _, name := range slices.Sorted(maps.Keys(p.Total.Classes)) {
 			c := p.Total.Classes[name]
-			fmt.Fprintf(w, "| %s | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.2f |\n", name, rate(c.Accepted), rate(c.InTime),
+			fmt.Fprintf(w, "| %s | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.2f |\n", name, rate(c.Requests), rate(c.InTime),
 				rate(c.Late), rate(c.RefusedAtOnce), rate(c.RefusedAfterProbe), rate(c.RefusedAfterSend), rate(c.Failed), c.LostWork/max(c.Work, 1e-9))
 		}
 		s := p.Total.Sends
 		fmt.Fprintf(w, "\nsends: first %.0f, further %.0f; to cold %.0f, erring %.0f, dark %.0f; figures never %.0f, fresh %.0f, of a second %.0f, older %.0f\n",
 			rate(s.FirstAttempts), rate(s.Resends), rate(s.ToCold), rate(s.ToErroring), rate(s.ToUnreachable), rate(s.NoReport), rate(s.FreshReport), rate(s.RecentReport), rate(s.StaleReport))
-		fmt.Fprintf(w, "endings: %s; probes: %s; connects %.0f; lists %.0f, calls %.0f, failed %.0f\n", rates(p.Total.AttemptResults, rate), rates(p.Total.ProbeResults, rate),
+		fmt.Fprintf(w, "endings: %s; probes: %s; connects %.0f; lists %.0f, calls %.0f, failed %.0f\n", formatRates(p.Total.AttemptResults, rate), formatRates(p.Total.ProbeResults, rate),
 			rate(int(p.Total.Dials)), rate(p.Total.ListUpdates), rate(p.Total.ListCalls), rate(p.Total.FailedListCalls))
 		if b := p.Startup; b.Seconds > 0 {
 			each := func(n int) float64 { return float64(n) / float64(b.Seconds) }
 			c, s := b.Classes, b.Sends
 			fmt.Fprintf(w, "sidecars in their first %d s, each a second: tries %.1f, in time %.1f, late %.1f, refused %.1f, failed %.1f; sends %.1f, to cold %.1f, erring %.1f, dark %.1f, no figures %.1f; calls %.2f\n",
-				startupSeconds, each(c.Accepted), each(c.InTime), each(c.Late), each(c.RefusedAtOnce+c.RefusedAfterProbe+c.RefusedAfterSend), each(c.Failed),
+				startupSeconds, each(c.Requests), each(c.InTime), each(c.Late), each(c.RefusedAtOnce+c.RefusedAfterProbe+c.RefusedAfterSend), each(c.Failed),
 				each(s.FirstAttempts+s.Resends), each(s.ToCold), each(s.ToErroring), each(s.ToUnreachable), each(s.NoReport), each(b.ListCalls))
 		}
 		fmt.Fprint(w, "by the server's age:")
@@ -227,7 +231,7 @@
 	}
 }
 
-func rates(m map[string]int, rate func(int) float64) string {
+func formatRates(m map[string]int, rate func(int) float64) string {
 	var b strings.Builder
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		fmt.Fprintf(&b, "%s %.0f ", k, rate(m[k]))
