--- a/internal/dnslist/cache.go
+++ b/internal/dnslist/cache.go
@@ -1,5 +1,6 @@
-// Package dnslist takes the list of servers from DNS: the addresses of a name (A and AAAA, RFC 1035 and 3596) or its services (SRV,
-// RFC 2782). What is kept and when to ask again is decided by a Keeper, which has no clock and does no I/O.
+// Package dnslist resolves lists of servers from DNS: the addresses of a name (A and AAAA records,
+// RFC 1035 and RFC 3596) or its services (SRV records, RFC 2782). A Cache, which has no clock and
+// does no I/O, decides which list to use and when to query again.
 package dnslist
 
 import (
@@ -10,108 +11,117 @@
 	"time"
 )
 
-// MaxServers bounds a list. Of a longer answer the first in the order of their addresses are taken, so that every instance takes the
-// same.
+// MaxServers is the maximum number of servers in a list. A longer answer is cut after sorting by
+// address, so that every instance uses the same servers.
 const MaxServers = 10_000
 
-// Record is one server of an answer.
+// Record is one server in an answer.
 type Record struct {
 	Addr     string // host:port
 	Weight   uint16 // SRV
-	Priority uint16 // SRV: only those of the lowest are used
+	Priority uint16 // SRV: only the records with the lowest value are used
 }
 
-// Answer is what a resolver has found.
+// Answer is the result of a lookup.
 type Answer struct {
 	Records []Record
-	TTL     time.Duration // the least of all records; of a negative answer that of RFC 2308
+	TTL     time.Duration // the smallest of all records, or the negative TTL of RFC 2308
 }
 
-// ErrNoRecords is matched by the error of a resolver that was told, by whoever knows, that there is nothing of that name or kind. Its
-// Answer has the TTL.
-var ErrNoRecords = errors.New("dnslist: there is no such record")
+// ErrNoRecords is matched by the error of a Resolver that got a negative answer: the name does not
+// exist or has no records of that kind. The Answer returned with it holds the TTL.
+var ErrNoRecords = errors.New("dnslist: no such records")
 
-// CacheConfig say how a list is kept. Zero values take the defaults.
+// CacheConfig configures a Cache. Zero values select the defaults.
 type CacheConfig struct {
-	MinInterval time.Duration // between two questions, whatever the TTL; 1 s
-	MaxInterval time.Duration // the same; 1 min
-	KeepFor     time.Duration // how long a list that was good stays while answers fail or are empty; 1 h. Negative: for ever
-	// EmptyThreshold takes an answer without records for the truth once it has come that often in a row; 0: never. Guards against a zone
-	// that is published empty by mistake, which would empty the fleet of all instances at once.
+	// MinInterval and MaxInterval bound the time between two queries, whatever the TTL. They
+	// default to 1 s and 1 min.
+	MinInterval time.Duration
+	MaxInterval time.Duration
+	// KeepFor is how long the last good list stays in use while lookups fail or return no records.
+	// It defaults to 1 h. Negative: forever.
+	KeepFor time.Duration
+	// EmptyThreshold is the number of consecutive answers without records after which the list
+	// becomes empty. 0: they never empty it before KeepFor has passed. It guards against a zone
+	// that is published empty by mistake, which would empty the list of every instance at once.
 	EmptyThreshold int
 }
 
-func (r CacheConfig) withDefaults() (CacheConfig, error) {
-	r.MinInterval = cmp.Or(r.MinInterval, time.Second)
-	r.MaxInterval = cmp.Or(r.MaxInterval, time.Minute)
-	r.KeepFor = cmp.Or(r.KeepFor, time.Hour)
-	if r.MinInterval < 10*time.Millisecond || r.MaxInterval < r.MinInterval || r.MaxInterval > 24*time.Hour || r.EmptyThreshold < 0 {
-		return r, fmt.Errorf("dnslist: between %v and %v, after %d empty answers: want 10ms to 24h, and no fewer than 0", r.MinInterval, r.MaxInterval, r.EmptyThreshold)
+// withDefaults fills in the defaults and validates the result.
+func (c CacheConfig) withDefaults() (CacheConfig, error) {
+	c.MinInterval = cmp.Or(c.MinInterval, time.Second)
+	c.MaxInterval = cmp.Or(c.MaxInterval, time.Minute)
+	c.KeepFor = cmp.Or(c.KeepFor, time.Hour)
+	if c.MinInterval < 10*time.Millisecond || c.MaxInterval < c.MinInterval || c.MaxInterval > 24*time.Hour || c.EmptyThreshold < 0 {
+		return c, fmt.Errorf("dnslist: min interval %v, max interval %v, empty threshold %d: want 10ms <= min <= max <= 24h and a threshold of at least 0", c.MinInterval, c.MaxInterval, c.EmptyThreshold)
 	}
-	return r, nil
+	return c, nil
 }
 
-// Cache holds the list as it is to be used. Times are the caller's and never run backwards.
+// Cache holds the list that is in use. The caller passes the time, which must not go backwards.
 type Cache struct {
-	rules CacheConfig
-	list  []Record
-	good  bool          // list came from an answer, and still holds
-	since time.Duration // the latest answer that confirmed it
-	fails int           // failures in a row, empty answers among them
-	empty int           // empty answers in a row
+	config      CacheConfig
+	list        []Record
+	valid       bool          // list came from an answer and has not expired
+	confirmedAt time.Duration // time of the latest answer with records
+	failures    int           // consecutive failures, empty answers included
+	empty       int           // consecutive empty answers
 }
 
-// NewCache returns a keeper without a list.
-func NewCache(r CacheConfig) (*Cache, error) {
-	r, err := r.withDefaults()
+// NewCache returns a Cache without a list.
+func NewCache(config CacheConfig) (*Cache, error) {
+	config, err := config.withDefaults()
 	if err != nil {
 		return nil, err
 	}
-	return &Cache{rules: r}, nil
+	return &Cache{config: config}, nil
 }
 
-// Result is what follows from an answer.
+// Result is the outcome of an Update.
 type Result struct {
-	List         []Record      // the list to use from now on, in the order of addresses
-	Changed      bool          // it is another than before
-	RefreshAfter time.Duration // when to ask again, from now
-	Stale        bool          // the list stands on an earlier answer
+	List         []Record      // the list to use from now on, sorted by address
+	Changed      bool          // List differs from the previous one
+	RefreshAfter time.Duration // when to query again, from now
+	Stale        bool          // List comes from an earlier answer
 }
 
-// Update takes what a resolver has returned. An answer with records replaces the list. One without, or a failure, leaves the list
-// that was good for KeepFor; the next question comes after a pause that doubles from Min to Max, or the negative answer's TTL if
-// that is longer. A list that flips between answers is told as it flips: to smooth it would send to servers that are gone.
-func (k *Cache) Update(now time.Duration, a Answer, err error) Result {
-	if err == nil && len(a.Records) > 0 {
-		list := chosen(a.Records)
-		changed := !k.good || !slices.Equal(list, k.list)
-		k.list, k.good, k.since, k.fails, k.empty = list, true, now, 0, 0
-		return Result{List: k.list, Changed: changed, RefreshAfter: min(max(a.TTL, k.rules.MinInterval), k.rules.MaxInterval)}
+// Update processes the result of a lookup. An answer with records replaces the list. After an
+// answer without records or a failure, the last good list stays in use for KeepFor. The next query
+// then follows after a backoff that doubles from MinInterval to MaxInterval, or after the negative
+// TTL, up to MaxInterval, if that is longer. A list that alternates between answers is reported
+// each time: smoothing it would send requests to servers that are gone.
+func (c *Cache) Update(now time.Duration, answer Answer, err error) Result {
+	if err == nil && len(answer.Records) > 0 {
+		list := selectRecords(answer.Records)
+		changed := !c.valid || !slices.Equal(list, c.list)
+		c.list, c.valid, c.confirmedAt, c.failures, c.empty = list, true, now, 0, 0
+		return Result{List: c.list, Changed: changed, RefreshAfter: min(max(answer.TTL, c.config.MinInterval), c.config.MaxInterval)}
 	}
-	none := err == nil || errors.Is(err, ErrNoRecords)
-	if none {
-		k.empty++
+	noRecords := err == nil || errors.Is(err, ErrNoRecords)
+	if noRecords {
+		c.empty++
 	} else {
-		k.empty = 0
+		c.empty = 0
 	}
-	k.fails++
-	pause := k.rules.MinInterval << min(k.fails-1, 20)
-	if pause > k.rules.MaxInterval || pause <= 0 {
-		pause = k.rules.MaxInterval
+	c.failures++
+	backoff := c.config.MinInterval << min(c.failures-1, 20)
+	if backoff > c.config.MaxInterval || backoff <= 0 {
+		backoff = c.config.MaxInterval
 	}
-	if none {
-		pause = min(max(pause, a.TTL), k.rules.MaxInterval)
+	if noRecords {
+		backoff = min(max(backoff, answer.TTL), c.config.MaxInterval)
 	}
-	over := k.rules.KeepFor >= 0 && now-k.since >= k.rules.KeepFor || none && k.rules.EmptyThreshold > 0 && k.empty >= k.rules.EmptyThreshold
-	if k.good && over {
-		k.list, k.good = nil, false
-		return Result{Changed: true, RefreshAfter: pause}
+	expired := c.config.KeepFor >= 0 && now-c.confirmedAt >= c.config.KeepFor || noRecords && c.config.EmptyThreshold > 0 && c.empty >= c.config.EmptyThreshold
+	if c.valid && expired {
+		c.list, c.valid = nil, false
+		return Result{Changed: true, RefreshAfter: backoff}
 	}
-	return Result{List: k.list, RefreshAfter: pause, Stale: k.good}
+	return Result{List: c.list, RefreshAfter: backoff, Stale: c.valid}
 }
 
-// chosen returns the records to use, each address once, in order.
-func chosen(records []Record) []Record {
+// selectRecords returns the records to use: those of the lowest priority, sorted by address, with
+// each address once and at most MaxServers in all.
+func selectRecords(records []Record) []Record {
 	lowest := records[0].Priority
 	for _, r := range records {
 		lowest = min(lowest, r.Priority)
--- a/internal/dnslist/resolver.go
+++ b/internal/dnslist/resolver.go
@@ -16,67 +16,71 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// Kind is which records are asked for.
+// Kind selects the record types of a lookup.
 type Kind int
 
-// The kinds.
+// The kinds of lookups.
 const (
 	Addresses Kind = iota // A and AAAA
-	Services              // SRV, and the addresses of their targets
+	Services              // SRV, and A and AAAA of the targets
 )
 
-// Resolver asks for the records of a name. Its errors match ErrNone where there are none by whoever knows.
+// Resolver looks up the records of a name.
 type Resolver interface {
+	// Lookup returns the servers that name stands for. port is that of the servers with kind
+	// Addresses. The error of a negative answer matches ErrNoRecords.
 	Lookup(ctx context.Context, kind Kind, name string, port int) (Answer, error)
 }
 
 const (
-	// tryTime is how long one server has for one answer.
-	tryTime = 2 * time.Second
-	// mostDatagram is what a server may send in a datagram (RFC 6891, and what dnsflagday.net advises).
-	mostDatagram = 1232
-	// mostMessage is the longest message there is, over TCP (RFC 1035, 4.2.2).
-	mostMessage = 64 << 10
-	// mostTargets bounds the targets of an SRV answer that are asked for.
-	mostTargets = 1000
-	// mostAliases bounds a chain of CNAMEs.
-	mostAliases = 8
+	// queryTimeout limits a query to one DNS server, over UDP and TCP together.
+	queryTimeout = 2 * time.Second
+	// maxDatagram is the UDP payload size advertised by EDNS (RFC 6891): 1232 bytes, as recommended
+	// by dnsflagday.net.
+	maxDatagram = 1232
+	// maxMessage is the maximum size of a message over TCP (RFC 1035, section 4.2.2).
+	maxMessage = 64 << 10
+	// maxTargets is the maximum number of targets of an SRV answer that are resolved.
+	maxTargets = 1000
+	// maxAliases is the maximum length of a chain of CNAME records.
+	maxAliases = 8
 )
 
-// Client is a stub resolver (RFC 1035): it asks the servers that it is given, in turn, by UDP and where an answer was cut by TCP. It
-// believes an answer only from the address that it asked, under the id and to the question that it asked.
+// Client is a stub resolver (RFC 1035). It queries the configured servers in turn until one
+// answers, over UDP and, if the answer was truncated, over TCP. It accepts an answer only from the
+// address that it queried and only if ID and question match the query.
 type Client struct {
 	Servers []string // host:port
 }
 
-// Lookup is the method of Resolver.
+// Lookup implements Resolver.
 func (c Client) Lookup(ctx context.Context, kind Kind, name string, port int) (Answer, error) {
 	if kind == Addresses {
-		return c.addresses(ctx, name, port)
+		return c.lookupAddresses(ctx, name, port)
 	}
-	found, ttl, err := c.ask(ctx, name, dnsmessage.TypeSRV)
+	found, ttl, err := c.query(ctx, name, dnsmessage.TypeSRV)
 	if err != nil {
 		return Answer{TTL: ttl}, err
 	}
 	a := Answer{TTL: ttl}
-	for _, r := range found[:min(len(found), mostTargets)] {
+	for _, r := range found[:min(len(found), maxTargets)] {
 		srv, ok := r.Body.(*dnsmessage.SRVResource)
 		target := ""
 		if ok {
 			target = srv.Target.String()
 		}
-		if !ok || target == "." { // the service is decidedly not there (RFC 2782)
+		if !ok || target == "." { // "." says that the service is not available (RFC 2782)
 			continue
 		}
-		at, err := c.addresses(ctx, target, int(srv.Port))
+		addrs, err := c.lookupAddresses(ctx, target, int(srv.Port))
 		if errors.Is(err, ErrNoRecords) {
 			continue
 		}
 		if err != nil {
 			return Answer{}, fmt.Errorf("the target %s: %w", target, err)
 		}
-		a.TTL = min(a.TTL, at.TTL)
-		for _, r := range at.Records {
+		a.TTL = min(a.TTL, addrs.TTL)
+		for _, r := range addrs.Records {
 			a.Records = append(a.Records, Record{r.Addr, srv.Weight, srv.Priority})
 		}
 	}
@@ -86,14 +90,14 @@
 	return a, nil
 }
 
-// addresses asks for A and AAAA. One of the two may lack.
-func (c Client) addresses(ctx context.Context, name string, port int) (Answer, error) {
+// lookupAddresses queries A and AAAA records. Either type may be missing, but not both.
+func (c Client) lookupAddresses(ctx context.Context, name string, port int) (Answer, error) {
 	a := Answer{TTL: 1 << 62}
-	none := 0
+	missing := 0
 	for _, t := range []dnsmessage.Type{dnsmessage.TypeA, dnsmessage.TypeAAAA} {
-		found, ttl, err := c.ask(ctx, name, t)
+		found, ttl, err := c.query(ctx, name, t)
 		if errors.Is(err, ErrNoRecords) {
-			if none++; none == 2 {
+			if missing++; missing == 2 {
 				return Answer{TTL: min(ttl, a.TTL)}, err
 			}
 			a.TTL = min(a.TTL, ttl)
@@ -119,8 +123,9 @@
 	return a, nil
 }
 
-// ask asks the servers in turn until one answers, and returns the records of that type and their least TTL.
-func (c Client) ask(ctx context.Context, name string, t dnsmessage.Type) ([]dnsmessage.Resource, time.Duration, error) {
+// query queries the servers in turn until one answers, and returns the records of type t and their
+// smallest TTL.
+func (c Client) query(ctx context.Context, name string, t dnsmessage.Type) ([]dnsmessage.Resource, time.Duration, error) {
 	if !strings.HasSuffix(name, ".") {
 		name += "."
 	}
@@ -129,11 +134,11 @@
 		return nil, 0, fmt.Errorf("dnslist: %s: %w", name, err)
 	}
 	q := dnsmessage.Question{Name: n, Type: t, Class: dnsmessage.ClassINET}
-	errs := []error{errors.New("dnslist: no server answered")}
+	errs := []error{errors.New("dnslist: no DNS server answered")}
 	for _, server := range c.Servers {
 		m, err := exchange(ctx, server, q)
 		if err == nil {
-			return read(m, q)
+			return answerRecords(m, q)
 		}
 		errs = append(errs, fmt.Errorf("%s: %w", server, err))
 		if ctx.Err() != nil {
@@ -143,14 +148,14 @@
 	return nil, 0, errors.Join(errs...)
 }
 
-// exchange asks one server.
+// exchange sends the question to one server and returns the response.
 func exchange(ctx context.Context, server string, q dnsmessage.Question) (*dnsmessage.Message, error) {
-	ctx, cancel := context.WithTimeout(ctx, tryTime)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	id := uint16(rand.Uint32())
 	b := dnsmessage.NewBuilder(nil, dnsmessage.Header{ID: id, RecursionDesired: true})
 	var opt dnsmessage.ResourceHeader
-	err := errors.Join(b.StartQuestions(), b.Question(q), b.StartAdditionals(), opt.SetEDNS0(mostDatagram, dnsmessage.RCodeSuccess, false),
+	err := errors.Join(b.StartQuestions(), b.Question(q), b.StartAdditionals(), opt.SetEDNS0(maxDatagram, dnsmessage.RCodeSuccess, false),
 		b.OPTResource(opt, dnsmessage.OPTResource{}))
 	if err != nil {
 		return nil, err
@@ -159,9 +164,9 @@
 	if err != nil {
 		return nil, err
 	}
-	m, err := overUDP(ctx, server, query, id, q)
+	m, err := exchangeUDP(ctx, server, query, id, q)
 	if err == nil && m.Truncated {
-		m, err = overTCP(ctx, server, query, id, q)
+		m, err = exchangeTCP(ctx, server, query, id, q)
 	}
 	if err != nil {
 		return nil, err
@@ -172,7 +177,8 @@
 	return m, nil
 }
 
-func overUDP(ctx context.Context, server string, query []byte, id uint16, q dnsmessage.Question) (*dnsmessage.Message, error) {
+// exchangeUDP sends query over UDP and waits for the response that matches it.
+func exchangeUDP(ctx context.Context, server string, query []byte, id uint16, q dnsmessage.Question) (*dnsmessage.Message, error) {
 	c, err := dial(ctx, "udp", server)
 	if err != nil {
 		return nil, err
@@ -181,19 +187,20 @@
 	if _, err := c.Write(query); err != nil {
 		return nil, err
 	}
-	b := make([]byte, mostDatagram)
+	b := make([]byte, maxDatagram)
 	for {
 		n, err := c.Read(b)
 		if err != nil {
 			return nil, err
 		}
-		if m, err := parse(b[:n], id, q); err == nil { // others are not the answer, whoever sent them
+		if m, err := parse(b[:n], id, q); err == nil { // anything else is ignored, as it may be forged
 			return m, nil
 		}
 	}
 }
 
-func overTCP(ctx context.Context, server string, query []byte, id uint16, q dnsmessage.Question) (*dnsmessage.Message, error) {
+// exchangeTCP sends query over TCP and reads one response.
+func exchangeTCP(ctx context.Context, server string, query []byte, id uint16, q dnsmessage.Question) (*dnsmessage.Message, error) {
 	c, err := dial(ctx, "tcp", server)
 	if err != nil {
 		return nil, err
@@ -213,24 +220,26 @@
 	return parse(b, id, q)
 }
 
+// dial connects to server with the deadline of ctx set on the connection.
 func dial(ctx context.Context, network, server string) (net.Conn, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, network, server)
 	if err != nil {
 		return nil, err
 	}
-	if until, ok := ctx.Deadline(); ok {
-		c.SetDeadline(until)
+	if deadline, ok := ctx.Deadline(); ok {
+		c.SetDeadline(deadline)
 	}
 	return c, nil
 }
 
-var errNotAsked = errors.New("dnslist: not the answer to the question")
+// errMismatch is the error of a message that does not answer the query.
+var errMismatch = errors.New("dnslist: response does not match the query")
 
-// parse reads a message that answers q under id.
+// parse decodes a message and checks that it answers q with the given ID.
 func parse(b []byte, id uint16, q dnsmessage.Question) (*dnsmessage.Message, error) {
-	if len(b) > mostMessage {
-		return nil, errNotAsked
+	if len(b) > maxMessage {
+		return nil, errMismatch
 	}
 	var m dnsmessage.Message
 	if err := m.Unpack(b); err != nil {
@@ -238,17 +247,19 @@
 	}
 	if m.ID != id || !m.Response || len(m.Questions) != 1 || !equalNames(m.Questions[0].Name, q.Name) ||
 		m.Questions[0].Type != q.Type || m.Questions[0].Class != q.Class {
-		return nil, errNotAsked
+		return nil, errMismatch
 	}
 	return &m, nil
 }
 
+// equalNames compares domain names without regard to case.
 func equalNames(a, b dnsmessage.Name) bool { return strings.EqualFold(a.String(), b.String()) }
 
-// read returns the records of an answer that belong to the question, along its aliases, and their least TTL.
-func read(m *dnsmessage.Message, q dnsmessage.Question) ([]dnsmessage.Resource, time.Duration, error) {
+// answerRecords returns the records of m that answer q, following CNAME records, and their smallest
+// TTL. Without such records it returns the negative TTL and an error that matches ErrNoRecords.
+func answerRecords(m *dnsmessage.Message, q dnsmessage.Question) ([]dnsmessage.Resource, time.Duration, error) {
 	name, ttl := q.Name, uint32(1<<31-1)
-	for range mostAliases {
+	for range maxAliases {
 		var found []dnsmessage.Resource
 		var alias *dnsmessage.CNAMEResource
 		for _, r := range m.Answers {
@@ -272,16 +283,17 @@
 		}
 		name = alias.CNAME
 	}
-	negative := uint32(0) // RFC 2308, section 5
+	negativeTTL := uint32(0) // RFC 2308, section 5
 	for _, r := range m.Authorities {
 		if soa, ok := r.Body.(*dnsmessage.SOAResource); ok {
-			negative = min(r.Header.TTL, soa.MinTTL)
+			negativeTTL = min(r.Header.TTL, soa.MinTTL)
 		}
 	}
-	return nil, seconds(negative), fmt.Errorf("%w: %v %v", ErrNoRecords, q.Name, q.Type)
+	return nil, seconds(negativeTTL), fmt.Errorf("%w: %v %v", ErrNoRecords, q.Name, q.Type)
 }
 
-// seconds is a TTL; one with its highest bit set counts as 0 (RFC 2181, section 8).
+// seconds converts a TTL to a duration. A TTL with the highest bit set counts as 0 (RFC 2181,
+// section 8).
 func seconds(ttl uint32) time.Duration {
 	if ttl > 1<<31-1 {
 		return 0
--- a/internal/dnslist/resolver_test.go
+++ b/internal/dnslist/resolver_test.go
@@ -18,7 +18,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func server(t *testing.T) (*standin.DNS, Client) {
+// startDNS starts a DNS server and returns it with a client for it.
+func startDNS(t *testing.T) (*standin.DNS, Client) {
 	d, err := standin.NewDNS()
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +28,8 @@
 	return d, Client{Servers: []string{d.Addr()}}
 }
 
-func addrs(a Answer) string {
+// formatRecords formats the records of an answer as addr/priority/weight.
+func formatRecords(a Answer) string {
 	var parts []string
 	for _, r := range a.Records {
 		parts = append(parts, fmt.Sprintf("%s/%d/%d", r.Addr, r.Priority, r.Weight))
@@ -35,9 +37,10 @@
 	return strings.Join(parts, " ")
 }
 
-// TestLookup: addresses of both kinds, aliases and services; what there is none of is told from what cannot be found out.
+// TestLookup covers addresses of both types, CNAME and SRV records, over UDP and TCP and with
+// forged datagrams. A negative answer must be distinguishable from a failed lookup.
 func TestLookup(t *testing.T) {
-	d, c := server(t)
+	d, c := startDNS(t)
 	d.Set("boxes.example.", dnsmessage.TypeA, 30, &dnsmessage.AResource{A: [4]byte{127, 0, 0, 1}}, &dnsmessage.AResource{A: [4]byte{127, 0, 0, 2}})
 	d.Set("boxes.example.", dnsmessage.TypeAAAA, 20, &dnsmessage.AAAAResource{AAAA: [16]byte{15: 1}})
 	d.Set("alias.example.", dnsmessage.TypeCNAME, 5, &dnsmessage.CNAMEResource{CNAME: dnsmessage.MustNewName("boxes.example.")})
@@ -60,17 +63,17 @@
 		{Services, "_order._tcp.example", "127.0.0.1:90/1/7 127.0.0.2:90/1/7 [::1]:90/1/7", 20 * time.Second, nil},
 		{Services, "_none._tcp.example", "", 60 * time.Second, ErrNoRecords},
 	} {
-		for _, trouble := range [][2]bool{{false, false}, {true, false}, {false, true}} {
-			d.Trouble(dnsmessage.RCodeSuccess, trouble[0], trouble[1])
+		for _, fault := range [][2]bool{{false, false}, {true, false}, {false, true}} {
+			d.Trouble(dnsmessage.RCodeSuccess, fault[0], fault[1])
 			a, err := c.Lookup(t.Context(), tt.kind, tt.name, 80)
-			if !errors.Is(err, tt.err) || addrs(a) != tt.want || a.TTL != tt.ttl {
-				t.Errorf("%s, cut and lie %v: %s for %v, %v", tt.name, trouble, addrs(a), a.TTL, err)
+			if !errors.Is(err, tt.err) || formatRecords(a) != tt.want || a.TTL != tt.ttl {
+				t.Errorf("%s, with truncated and forged datagrams %v: %s with TTL %v, %v", tt.name, fault, formatRecords(a), a.TTL, err)
 			}
 		}
 	}
 	d.Trouble(dnsmessage.RCodeServerFailure, false, false)
 	if a, err := c.Lookup(t.Context(), Addresses, "boxes.example", 80); err == nil || errors.Is(err, ErrNoRecords) {
-		t.Errorf("a server that fails: %v, %v", a, err)
+		t.Errorf("lookup at a failing server: %v, %v", a, err)
 	}
 	d.Trouble(dnsmessage.RCodeSuccess, false, false)
 	dead, err := standin.NewDNS()
@@ -80,16 +83,17 @@
 	dead.Close()
 	c.Servers = []string{dead.Addr(), d.Addr()}
 	if a, err := c.Lookup(t.Context(), Addresses, "boxes.example", 80); err != nil || len(a.Records) != 3 {
-		t.Errorf("by the second server: %v, %v", a, err)
+		t.Errorf("lookup at the second server: %v, %v", a, err)
 	}
 	if _, err := c.Lookup(t.Context(), Addresses, strings.Repeat("x", 300), 80); err == nil {
-		t.Error("a name that cannot be is found")
+		t.Error("looked up an invalid name")
 	}
 }
 
-// TestSource: lists follow the records, flip with them, and stay while there are none.
+// TestSource checks that lists follow the records, also back and forth, and that the last list
+// stays while there are no records.
 func TestSource(t *testing.T) {
-	d, c := server(t)
+	d, c := startDNS(t)
 	set := func(last ...byte) {
 		var bodies []dnsmessage.ResourceBody
 		for _, b := range last {
@@ -100,10 +104,10 @@
 	set(1)
 	s := Source{Resolver: c, Name: "boxes.example", Port: 80, Cache: CacheConfig{MinInterval: 10 * time.Millisecond, MaxInterval: 20 * time.Millisecond}, Log: slog.New(slog.DiscardHandler)}
 	lists := make(chan string, 100)
-	ctx, stop := context.WithCancel(t.Context())
-	over := make(chan error, 1)
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan error, 1)
 	go func() {
-		over <- s.Watch(ctx, engine.UnknownSeq, func(l engine.List) {
+		done <- s.Watch(ctx, engine.UnknownSeq, func(l engine.List) {
 			var ids []string
 			for _, s := range l.Servers {
 				ids = append(ids, string(s.ID))
@@ -122,7 +126,7 @@
 				t.Errorf("%s, want %s", got, tt.want)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("never %s", tt.want)
+			t.Fatalf("timed out waiting for the list %s", tt.want)
 		}
 	}
 	set()
@@ -130,24 +134,24 @@
 		time.Sleep(time.Millisecond)
 	}
 	if len(lists) > 0 {
-		t.Errorf("without records the list is %q", <-lists)
+		t.Errorf("reported the list %q without records", <-lists)
 	}
-	stop()
-	if err := <-over; !errors.Is(err, context.Canceled) {
-		t.Errorf("it ended with %v", err)
+	cancel()
+	if err := <-done; !errors.Is(err, context.Canceled) {
+		t.Errorf("Watch returned %v", err)
 	}
 	if err := (Source{Resolver: c, Name: "x"}).Check(); err == nil {
-		t.Error("no port is taken")
+		t.Error("accepted a source without a port")
 	}
 }
 
-// TestManyAddresses: 10,000 addresses, of a service with three targets as one answer holds no more than some 4,000, make a list; they come by
-// TCP, and the next list may have a single one.
+// TestManyAddresses resolves 10,000 addresses over TCP and then a single one. They belong to three
+// targets of a service, because one answer holds about 4,000 addresses.
 func TestManyAddresses(t *testing.T) {
-	const all = 10_000
-	d, c := server(t)
+	const total = 10_000
+	d, c := startDNS(t)
 	var targets []dnsmessage.ResourceBody
-	ends := []int{0, 3333, 6666, all}
+	ends := []int{0, 3333, 6666, total}
 	for n := range 3 {
 		name := fmt.Sprintf("t%d.example.", n)
 		targets = append(targets, &dnsmessage.SRVResource{Port: 90, Target: dnsmessage.MustNewName(name)})
@@ -160,17 +164,17 @@
 	d.Set("_many._tcp.example.", dnsmessage.TypeSRV, 1, targets...)
 	d.Trouble(dnsmessage.RCodeSuccess, true, false)
 	a, err := c.Lookup(t.Context(), Services, "_many._tcp.example", 0)
-	if err != nil || len(a.Records) != all {
+	if err != nil || len(a.Records) != total {
 		t.Fatalf("%d addresses, %v", len(a.Records), err)
 	}
-	k, err := NewCache(CacheConfig{})
+	cache, err := NewCache(CacheConfig{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if step := k.Update(0, a, nil); !step.Changed || len(step.List) != all {
-		t.Errorf("%d are listed", len(step.List))
+	if result := cache.Update(0, a, nil); !result.Changed || len(result.List) != total {
+		t.Errorf("%d servers listed", len(result.List))
 	}
-	if step := k.Update(time.Second, Answer{Records: a.Records[:1], TTL: time.Second}, nil); !step.Changed || len(step.List) != 1 {
-		t.Errorf("%d are listed", len(step.List))
+	if result := cache.Update(time.Second, Answer{Records: a.Records[:1], TTL: time.Second}, nil); !result.Changed || len(result.List) != 1 {
+		t.Errorf("%d servers listed", len(result.List))
 	}
 }
--- a/internal/filelist/filelist.go
+++ b/internal/filelist/filelist.go
@@ -1,4 +1,5 @@
-// Package filelist reads lists of servers that operators write: in a file that is watched, or as they stand in a configuration.
+// Package filelist builds server lists that an operator writes, either in a configuration or in a
+// file of its own that is polled for changes.
 package filelist
 
 import (
@@ -24,83 +25,85 @@
 )
 
 const (
-	// MaxServers bounds a list.
+	// MaxServers is the maximum number of servers in a list.
 	MaxServers = 10_000
-	// MaxFileBytes bounds a file, in bytes.
+	// MaxFileBytes is the maximum size of a list file.
 	MaxFileBytes = 8 << 20
-	// usualEvery is how often a file is looked at, leastEvery how often it may be.
-	usualEvery = 500 * time.Millisecond
-	leastEvery = 10 * time.Millisecond
+	// defaultPollInterval and minPollInterval are the default and the shortest time between two
+	// checks of a file.
+	defaultPollInterval = 500 * time.Millisecond
+	minPollInterval     = 10 * time.Millisecond
 )
 
-// Server is an entry of a list.
+// Server is one entry of a server list.
 type Server struct {
-	ID      string // empty: the address
+	ID      string // defaults to Addr
 	Addr    string // host:port
-	Drain   bool   // it finishes what it has, and gets nothing new
+	Drain   bool   // it finishes its requests and gets no new ones
 	Zone    string
 	Cell    int
-	Started time.Time // zero: long ago
+	Started time.Time // zero: it has been running for a long time
 }
 
-// NewList checks a whole list. An error names the entry.
+// NewList validates servers and returns them as a full list. An error names the invalid entry.
 func NewList(servers []Server) (engine.List, error) {
-	l := engine.List{Seq: engine.UnknownSeq, Full: true, Servers: make([]engine.Server, len(servers))}
+	list := engine.List{Seq: engine.UnknownSeq, Full: true, Servers: make([]engine.Server, len(servers))}
 	if len(servers) > MaxServers {
-		return l, fmt.Errorf("servers: %d of them, at most %d", len(servers), MaxServers)
+		return list, fmt.Errorf("servers: %d of them, at most %d", len(servers), MaxServers)
 	}
 	seen := make(map[string]bool, len(servers))
 	for i, s := range servers {
 		s.ID = cmp.Or(s.ID, s.Addr)
 		_, port, err := net.SplitHostPort(s.Addr)
-		if n, perr := strconv.ParseUint(port, 10, 16); err != nil || perr != nil || n == 0 {
-			return l, fmt.Errorf("servers: %q is no host:port", s.Addr)
+		if n, portErr := strconv.ParseUint(port, 10, 16); err != nil || portErr != nil || n == 0 {
+			return list, fmt.Errorf("servers: %q is no host:port", s.Addr)
 		}
 		if seen[s.ID] {
-			return l, fmt.Errorf("servers: %q is there twice", s.ID)
+			return list, fmt.Errorf("servers: %q is there twice", s.ID)
 		}
 		seen[s.ID] = true
-		e := engine.Server{ID: policy.ServerID(s.ID), Addr: s.Addr, Zone: s.Zone, Cell: s.Cell, Weight: 1}
+		entry := engine.Server{ID: policy.ServerID(s.ID), Addr: s.Addr, Zone: s.Zone, Cell: s.Cell, Weight: 1}
 		if s.Drain {
-			e.State = policy.Draining
+			entry.State = policy.Draining
 		}
 		if !s.Started.IsZero() {
-			e.StartedMs = s.Started.UnixMilli()
+			entry.StartedMs = s.Started.UnixMilli()
 		}
-		l.Servers[i] = e
+		list.Servers[i] = entry
 	}
-	return l, nil
+	return list, nil
 }
 
-// Source implements engine.Source over a file that is watched: TOML with [[servers]] tables, or JSON with an array "servers" where its
-// name ends in .json, of id, addr, state ("ready" or "draining"), zone, cell and started (RFC 3339). A file that is gone, torn, empty, too
-// long or wrong in any entry changes nothing.
+// Source implements engine.Source by polling a file. The file is TOML with [[servers]] tables or,
+// if its name ends in .json, JSON with an array "servers". An entry has id, addr, state ("ready"
+// or "draining"), zone, cell and started (RFC 3339). The last valid list stays in use while the
+// file is missing, partly written, empty, too large or invalid in any entry.
 type Source struct {
 	Path         string
-	PollInterval time.Duration // between two looks; 0: 500 ms
-	AllowEmpty   bool          // an empty list is one
-	Log          *slog.Logger  // tells what is wrong with the file, once for each writing of it
+	PollInterval time.Duration // defaults to 500 ms, at least 10 ms
+	AllowEmpty   bool          // accept a file without servers as a valid list
+	Log          *slog.Logger  // gets one error for each invalid version of the file
 }
 
-// Check returns what is wrong with s, or nil. It does not look at the file.
+// Check validates the settings of s. It does not read the file.
 func (s Source) Check() error {
 	if s.Path == "" {
-		return errors.New("a file without a path")
+		return errors.New("server list file: no path")
 	}
-	if s.PollInterval != 0 && s.PollInterval < leastEvery {
-		return fmt.Errorf("%s is looked at every %v, at least %v", s.Path, s.PollInterval, leastEvery)
+	if s.PollInterval != 0 && s.PollInterval < minPollInterval {
+		return fmt.Errorf("server list file %s: poll interval %v is below %v", s.Path, s.PollInterval, minPollInterval)
 	}
 	return nil
 }
 
-// Watch is the method of engine.Source. It ends with ctx only.
-func (s Source) Watch(ctx context.Context, _ int64, tell func(engine.List)) error {
-	w := watch{path: s.Path, none: s.AllowEmpty}
-	tick := time.NewTicker(cmp.Or(s.PollInterval, usualEvery))
+// Watch implements engine.Source. It returns only when ctx ends.
+func (s Source) Watch(ctx context.Context, _ int64, report func(engine.List)) error {
+	w := watcher{path: s.Path, allowEmpty: s.AllowEmpty}
+	tick := time.NewTicker(cmp.Or(s.PollInterval, defaultPollInterval))
 	defer tick.Stop()
 	for {
-		if err := w.look(tell); err != nil {
-			s.Log.Error("the list's file cannot be used, the list before stays", "path", s.Path, "err", err)
+		if err := w.poll(report); err != nil {
+			s.Log.Error("server list file is unusable, keeping the previous list", "path", s.Path, "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -110,83 +113,84 @@
 	}
 }
 
-// watch is what is known of a file.
-type watch struct {
-	path string
-	none bool // it may list no server
+// watcher is the state of polling one file.
+type watcher struct {
+	path       string
+	allowEmpty bool
 
-	seen   stamp // at the latest look
-	taken  stamp // of what was last judged, for good or bad
-	inside []byte
-	gone   bool
+	seen     version // as of the latest poll
+	examined version // the latest one that was read or rejected for its size
+	content  []byte  // of the list in use
+	missing  bool
 }
 
-// stamp tells one writing of a file from another.
-type stamp struct {
+// version distinguishes one version of a file from another.
+type version struct {
 	size  int64
 	mtime time.Time
-	id    any // which file it is; by os.SameFile
+	id    any // an fs.FileInfo, compared by os.SameFile; nil: no file
 }
 
-func (s stamp) same(t stamp) bool {
-	a, ok := s.id.(fs.FileInfo)
-	b, ok2 := t.id.(fs.FileInfo)
-	return ok && ok2 && s.size == t.size && s.mtime.Equal(t.mtime) && os.SameFile(a, b)
+func (v version) equal(o version) bool {
+	a, ok := v.id.(fs.FileInfo)
+	b, ok2 := o.id.(fs.FileInfo)
+	return ok && ok2 && v.size == o.size && v.mtime.Equal(o.mtime) && os.SameFile(a, b)
 }
 
-// look reads the file if it is another than the one judged last, and has not changed since the look before. It returns each
-// mistake once.
-func (w *watch) look(tell func(engine.List)) error {
+// poll reads the file if it differs from the version examined last and has not changed since the
+// previous poll, which keeps it from reading a file that is still being written. It returns the
+// error of each invalid version once.
+func (w *watcher) poll(report func(engine.List)) error {
 	info, err := os.Stat(w.path)
 	if err != nil {
-		first := !w.gone
-		w.gone, w.seen = true, stamp{}
+		first := !w.missing
+		w.missing, w.seen = true, version{}
 		if first {
 			return err
 		}
 		return nil
 	}
-	w.gone = false
-	now := stamp{info.Size(), info.ModTime(), info}
-	settled := now.same(w.seen)
-	first := w.seen.id == nil && w.taken.id == nil // at the start nobody waits longer than need be
+	w.missing = false
+	now := version{info.Size(), info.ModTime(), info}
+	settled := now.equal(w.seen)
+	first := w.seen.id == nil && w.examined.id == nil // do not delay the initial list by a poll
 	w.seen = now
-	if now.same(w.taken) || !settled && !first {
+	if now.equal(w.examined) || !settled && !first {
 		return nil
 	}
 	if info.Size() > MaxFileBytes {
-		w.taken = now
-		return fmt.Errorf("it has %d bytes, at most %d", info.Size(), MaxFileBytes)
+		w.examined = now
+		return fmt.Errorf("file has %d bytes, more than %d", info.Size(), MaxFileBytes)
 	}
 	text, err := os.ReadFile(w.path)
 	if err != nil {
 		return err
 	}
-	if int64(len(text)) != info.Size() { // it is being written: the next look will see it
+	if int64(len(text)) != info.Size() { // it is being written: the next poll sees the change
 		return nil
 	}
-	w.taken = now
-	if bytes.Equal(text, w.inside) {
+	w.examined = now
+	if bytes.Equal(text, w.content) {
 		return nil
 	}
 	servers, err := parse(w.path, text)
 	if err != nil {
 		return err
 	}
-	if len(servers) == 0 && !w.none {
-		return errors.New("it lists no server")
+	if len(servers) == 0 && !w.allowEmpty {
+		return errors.New("file lists no servers")
 	}
-	l, err := NewList(servers)
+	list, err := NewList(servers)
 	if err != nil {
 		return err
 	}
-	tell(l)
-	w.inside = text
+	report(list)
+	w.content = text
 	return nil
 }
 
-// entry is an entry as it stands in a file.
-type entry struct {
+// fileEntry is the file representation of a Server.
+type fileEntry struct {
 	ID      string    `toml:"id" json:"id"`
 	Addr    string    `toml:"addr" json:"addr"`
 	State   string    `toml:"state" json:"state"`
@@ -195,10 +199,11 @@
 	Started time.Time `toml:"started" json:"started"`
 }
 
-// parse reads the text of a list, strictly.
+// parse decodes the text of a list file, as JSON or TOML by the extension of path. It rejects
+// unknown keys.
 func parse(path string, text []byte) ([]Server, error) {
 	var file struct {
-		Servers []entry `toml:"servers" json:"servers"`
+		Servers []fileEntry `toml:"servers" json:"servers"`
 	}
 	if strings.EqualFold(filepath.Ext(path), ".json") {
 		d := json.NewDecoder(bytes.NewReader(text))
@@ -207,7 +212,7 @@
 			return nil, err
 		}
 		if d.More() {
-			return nil, errors.New("something stands behind the list")
+			return nil, errors.New("unexpected data after the list")
 		}
 	} else {
 		meta, err := toml.Decode(string(text), &file)
@@ -218,10 +223,10 @@
 			return nil, fmt.Errorf("unknown key %s", unknown[0])
 		}
 	}
-	draining := map[string]bool{"": false, "ready": false, "draining": true}
+	drainByState := map[string]bool{"": false, "ready": false, "draining": true}
 	servers := make([]Server, len(file.Servers))
 	for i, s := range file.Servers {
-		drain, known := draining[s.State]
+		drain, known := drainByState[s.State]
 		if !known {
 			return nil, fmt.Errorf("servers[%d].state: %q is neither ready nor draining", i, s.State)
 		}
--- a/internal/filelist/filelist_test.go
+++ b/internal/filelist/filelist_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
-// TestParse: what a file says, and what is wrong with it.
+// TestParse checks that valid files are accepted in both formats, and that the error for an invalid
+// one names the fault.
 func TestParse(t *testing.T) {
 	for _, tt := range []struct{ path, text, want string }{
 		{"x.JSON", `{"servers":[{"addr":"a:1","state":"draining"}]}`, ""},
 		{"x.toml", "[[servers]]\naddr = \"a:1\"\nstarted = 2026-01-02T03:04:05Z\n", ""},
-		{"x.json", `{"servers":[]} x`, "behind the list"},
+		{"x.json", `{"servers":[]} x`, "data after the list"},
 		{"x.json", `{"server":[]}`, "server"},
 		{"x.json", `{`, "EOF"},
 		{"x.toml", "[[servers]]\naddr = \"a:1\"\nstate = \"asleep\"\n", `servers[0].state: "asleep"`},
@@ -30,6 +31,6 @@
 		t.Errorf("%+v, %v", l, err)
 	}
 	if _, err := NewList(make([]Server, MaxServers+1)); err == nil {
-		t.Error("a list without bound is taken")
+		t.Error("a list above MaxServers was accepted")
 	}
 }
--- a/internal/index/set.go
+++ b/internal/index/set.go
@@ -1,40 +1,41 @@
 package index
 
-// Rand draws a number from 0 to n-1, as math/rand/v2's Rand does.
+// Rand returns random numbers in [0, n). *rand.Rand of math/rand/v2 implements it.
 type Rand interface{ IntN(n int) int }
 
-// Set is a set that draws from its keys uniformly, without walking them. The zero value is empty.
+// Set is a set of keys that can be sampled uniformly without iterating over it. The zero value is
+// empty.
 type Set[K comparable] struct {
-	keys  []K
-	where map[K]int32
+	keys     []K
+	position map[K]int32 // of each key in keys
 }
 
-// Len is how many keys there are.
+// Len returns the number of keys.
 func (s *Set[K]) Len() int { return len(s.keys) }
 
-// Has reports whether a key is in the set.
+// Has reports whether key is in the set.
 func (s *Set[K]) Has(key K) bool {
-	_, has := s.where[key]
-	return has
+	_, ok := s.position[key]
+	return ok
 }
 
-// Add adds a key, and reports whether it is new.
+// Add adds key and reports whether it was added: it is not if it was present.
 func (s *Set[K]) Add(key K) bool {
 	if s.Has(key) {
 		return false
 	}
-	if s.where == nil {
-		s.where = map[K]int32{}
+	if s.position == nil {
+		s.position = map[K]int32{}
 	}
-	s.where[key] = int32(len(s.keys))
+	s.position[key] = int32(len(s.keys))
 	s.keys = append(s.keys, key)
 	return true
 }
 
-// Remove takes a key out, and reports whether it was there.
+// Remove removes key and reports whether it was present.
 func (s *Set[K]) Remove(key K) bool {
-	i, has := s.where[key]
-	if !has {
+	i, ok := s.position[key]
+	if !ok {
 		return false
 	}
 	last := len(s.keys) - 1
@@ -42,7 +43,7 @@
 	var zero K
 	s.keys[last] = zero
 	s.keys = s.keys[:last]
-	delete(s.where, key)
+	delete(s.position, key)
 	return true
 }
 
@@ -51,29 +52,31 @@
 		return
 	}
 	s.keys[i], s.keys[j] = s.keys[j], s.keys[i]
-	s.where[s.keys[i]], s.where[s.keys[j]] = int32(i), int32(j)
+	s.position[s.keys[i]], s.position[s.keys[j]] = int32(i), int32(j)
 }
 
-// Draw returns a key, each alike often. It panics where there is none.
+// Draw returns a key chosen uniformly at random. It panics if the set is empty.
 func (s *Set[K]) Draw(r Rand) K { return s.keys[r.IntN(len(s.keys))] }
 
-// Sample appends n different keys to to, or all where there are fewer, each choice alike often. Its time grows with n alone.
-func (s *Set[K]) Sample(r Rand, n int, to []K) []K {
+// Sample appends n distinct keys, or all if there are fewer, to dst and returns it. Every
+// combination of keys is equally likely. The time taken depends on n alone.
+func (s *Set[K]) Sample(r Rand, n int, dst []K) []K {
 	n = min(n, len(s.keys))
-	for i := range n { // the first steps of Fisher and Yates
+	for i := range n { // the first n steps of a Fisher-Yates shuffle
 		s.swap(i, i+r.IntN(len(s.keys)-i))
 	}
-	return append(to, s.keys[:n]...)
+	return append(dst, s.keys[:n]...)
 }
 
-// DrawMatching draws keys until ok holds for one, at most tries times, and returns it: a uniform choice among those for which it holds, where most do. has
-// is false if none was found.
-func (s *Set[K]) DrawMatching(r Rand, tries int, ok func(K) bool) (key K, has bool) {
+// DrawMatching draws up to maxDraws keys and returns the first that matches: a uniform choice among
+// the matching keys. It suits predicates that most keys match. found is false if no drawn key
+// matched.
+func (s *Set[K]) DrawMatching(r Rand, maxDraws int, match func(K) bool) (key K, found bool) {
 	if len(s.keys) == 0 {
 		return key, false
 	}
-	for range tries {
-		if k := s.Draw(r); ok(k) {
+	for range maxDraws {
+		if k := s.Draw(r); match(k) {
 			return k, true
 		}
 	}
--- a/internal/index/timer_queue.go
+++ b/internal/index/timer_queue.go
@@ -2,118 +2,120 @@
 
 import "time"
 
-// TimerQueue keeps a time for each of its keys, and knows the earliest: what changes at a time is advanced to now rather than walked. Put and Remove
-// take time logarithmic in the number of keys, the earliest none. The zero value is empty.
+// TimerQueue is an indexed binary heap of keys, each with the time at which it is due. A caller
+// pops the keys that are due instead of scanning all of them. Schedule, Remove and PopDue take
+// logarithmic time in the number of keys, Earliest constant time. The zero value is empty.
 type TimerQueue[K comparable] struct {
-	heap  []timer[K]
-	where map[K]int32
+	heap     []timer[K]
+	position map[K]int32 // of each key in heap
 }
 
+// timer is a key in the heap and the time at which it is due.
 type timer[K comparable] struct {
 	at  time.Duration
 	key K
 }
 
-// Len is how many keys there are.
-func (d *TimerQueue[K]) Len() int { return len(d.heap) }
+// Len returns the number of keys.
+func (q *TimerQueue[K]) Len() int { return len(q.heap) }
 
-// TimeOf returns a key's time.
-func (d *TimerQueue[K]) TimeOf(key K) (at time.Duration, has bool) {
-	i, has := d.where[key]
-	if !has {
+// TimeOf returns the time at which key is due, and reports whether key is in the queue.
+func (q *TimerQueue[K]) TimeOf(key K) (at time.Duration, ok bool) {
+	i, ok := q.position[key]
+	if !ok {
 		return 0, false
 	}
-	return d.heap[i].at, true
+	return q.heap[i].at, true
 }
 
-// Schedule gives a key its time, in place of the one before.
-func (d *TimerQueue[K]) Schedule(key K, at time.Duration) {
-	i, has := d.where[key]
-	if !has {
-		if d.where == nil {
-			d.where = map[K]int32{}
+// Schedule sets the time at which key is due, replacing an earlier one.
+func (q *TimerQueue[K]) Schedule(key K, at time.Duration) {
+	i, ok := q.position[key]
+	if !ok {
+		if q.position == nil {
+			q.position = map[K]int32{}
 		}
-		i = int32(len(d.heap))
-		d.heap = append(d.heap, timer[K]{at, key})
-		d.where[key] = i
-		d.up(int(i))
+		i = int32(len(q.heap))
+		q.heap = append(q.heap, timer[K]{at, key})
+		q.position[key] = i
+		q.siftUp(int(i))
 		return
 	}
-	before := d.heap[i].at
-	if d.heap[i].at = at; at < before {
-		d.up(int(i))
+	previous := q.heap[i].at
+	if q.heap[i].at = at; at < previous {
+		q.siftUp(int(i))
 	} else {
-		d.down(int(i))
+		q.siftDown(int(i))
 	}
 }
 
-// Remove takes a key out, and reports whether it was there.
-func (d *TimerQueue[K]) Remove(key K) bool {
-	i, has := d.where[key]
-	if !has {
+// Remove removes key and reports whether it was in the queue.
+func (q *TimerQueue[K]) Remove(key K) bool {
+	i, ok := q.position[key]
+	if !ok {
 		return false
 	}
-	last := len(d.heap) - 1
-	d.swap(int(i), last)
-	d.heap[last] = timer[K]{}
-	d.heap = d.heap[:last]
-	delete(d.where, key)
+	last := len(q.heap) - 1
+	q.swap(int(i), last)
+	q.heap[last] = timer[K]{}
+	q.heap = q.heap[:last]
+	delete(q.position, key)
 	if int(i) < last {
-		d.up(int(i))
-		d.down(int(i))
+		q.siftUp(int(i))
+		q.siftDown(int(i))
 	}
 	return true
 }
 
-// Earliest returns the key whose time is the earliest.
-func (d *TimerQueue[K]) Earliest() (key K, at time.Duration, has bool) {
-	if len(d.heap) == 0 {
+// Earliest returns the key that is due first. ok is false if the queue is empty.
+func (q *TimerQueue[K]) Earliest() (key K, at time.Duration, ok bool) {
+	if len(q.heap) == 0 {
 		return key, 0, false
 	}
-	return d.heap[0].key, d.heap[0].at, true
+	return q.heap[0].key, q.heap[0].at, true
 }
 
-// PopDue takes a key out whose time has come at now; has is false where none is left.
-func (d *TimerQueue[K]) PopDue(now time.Duration) (key K, has bool) {
-	if len(d.heap) == 0 || d.heap[0].at > now {
+// PopDue removes and returns the earliest key if it is due at now. ok is false if no key is due.
+func (q *TimerQueue[K]) PopDue(now time.Duration) (key K, ok bool) {
+	if len(q.heap) == 0 || q.heap[0].at > now {
 		return key, false
 	}
-	key = d.heap[0].key
-	d.Remove(key)
+	key = q.heap[0].key
+	q.Remove(key)
 	return key, true
 }
 
-func (d *TimerQueue[K]) swap(i, j int) {
+func (q *TimerQueue[K]) swap(i, j int) {
 	if i == j {
 		return
 	}
-	d.heap[i], d.heap[j] = d.heap[j], d.heap[i]
-	d.where[d.heap[i].key], d.where[d.heap[j].key] = int32(i), int32(j)
+	q.heap[i], q.heap[j] = q.heap[j], q.heap[i]
+	q.position[q.heap[i].key], q.position[q.heap[j].key] = int32(i), int32(j)
 }
 
-func (d *TimerQueue[K]) up(i int) {
+func (q *TimerQueue[K]) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
-		if d.heap[parent].at <= d.heap[i].at {
+		if q.heap[parent].at <= q.heap[i].at {
 			return
 		}
-		d.swap(i, parent)
+		q.swap(i, parent)
 		i = parent
 	}
 }
 
-func (d *TimerQueue[K]) down(i int) {
+func (q *TimerQueue[K]) siftDown(i int) {
 	for {
-		least := i
-		for child := 2*i + 1; child <= 2*i+2 && child < len(d.heap); child++ {
-			if d.heap[child].at < d.heap[least].at {
-				least = child
+		smallest := i
+		for child := 2*i + 1; child <= 2*i+2 && child < len(q.heap); child++ {
+			if q.heap[child].at < q.heap[smallest].at {
+				smallest = child
 			}
 		}
-		if least == i {
+		if smallest == i {
 			return
 		}
-		d.swap(i, least)
-		i = least
+		q.swap(i, smallest)
+		i = smallest
 	}
 }
--- a/internal/services/http_bench_test.go
+++ b/internal/services/http_bench_test.go
@@ -32,13 +32,13 @@
 		return strings.TrimPrefix(srv.URL, "http://")
 	}},
 	{"quillfront", func(t testing.TB, server string) string {
-		_, addr := serveHTTP(t, httpText("", server))
+		_, addr := serveHTTP(t, httpConfig("", server))
 		return addr
 	}},
 }
 
-// plainServer answers small requests at once, /long with as many bytes as it can send, and reads all that it is sent.
-func plainServer(w http.ResponseWriter, q *http.Request) {
+// benchmarkHandler answers small requests at once, /long with as many bytes as it can send, and reads all that it is sent.
+func benchmarkHandler(w http.ResponseWriter, q *http.Request) {
 	if q.URL.Path == "/long" {
 		piece := make([]byte, 64<<10)
 		for q.Context().Err() == nil {
@@ -54,7 +54,7 @@
 
 // BenchmarkSmall asks for little by four connections that are kept.
 func BenchmarkSmall(b *testing.B) {
-	srv := httptest.NewServer(http.HandlerFunc(plainServer))
+	srv := httptest.NewServer(http.HandlerFunc(benchmarkHandler))
 	defer srv.Close()
 	for _, p := range proxies {
 		b.Run(p.name, func(b *testing.B) {
@@ -88,7 +88,7 @@
 
 // BenchmarkLong takes a long answer, and sends a long body, by one connection.
 func BenchmarkLong(b *testing.B) {
-	srv := httptest.NewServer(http.HandlerFunc(plainServer))
+	srv := httptest.NewServer(http.HandlerFunc(benchmarkHandler))
 	defer srv.Close()
 	const size = 256 << 20
 	for _, way := range []string{"down", "up"} {
@@ -102,7 +102,7 @@
 					ctx, cancel := context.WithCancel(context.Background())
 					q, _ := http.NewRequestWithContext(ctx, "GET", "http://"+addr+"/long", nil)
 					if way == "up" {
-						q, _ = http.NewRequest("PUT", "http://"+addr+"/up", io.LimitReader(zeroes{}, size))
+						q, _ = http.NewRequest("PUT", "http://"+addr+"/up", io.LimitReader(zeroReader{}, size))
 						q.ContentLength = size
 					}
 					resp, err := (&http.Client{Transport: tr}).Do(q)
@@ -122,14 +122,14 @@
 	}
 }
 
-type zeroes struct{}
+type zeroReader struct{}
 
-func (zeroes) Read(p []byte) (int, error) { return len(p), nil }
+func (zeroReader) Read(p []byte) (int, error) { return len(p), nil }
 
 // TestManyStreams: a process with a front of HTTP that passes 100 long answers on, to clients that take them slowly, stays under 32 MB.
 func TestManyStreams(t *testing.T) {
 	if addr := os.Getenv("QUILLFRONT_STREAMS_OF"); addr != "" { // the process that is looked at
-		_, front := serveHTTP(t, httpText("", addr))
+		_, front := serveHTTP(t, httpConfig("", addr))
 		os.Stdout.WriteString("at " + front + "\n")
 		io.Copy(io.Discard, os.Stdin)
 		return
@@ -137,7 +137,7 @@
 	if raceEnabled {
 		t.Skip("the race detector's own memory would be measured")
 	}
-	srv := httptest.NewServer(http.HandlerFunc(plainServer))
+	srv := httptest.NewServer(http.HandlerFunc(benchmarkHandler))
 	defer srv.Close()
 	cmd := exec.Command(os.Args[0], "-test.run=^TestManyStreams$", "-test.v")
 	cmd.Env = append(os.Environ(), "QUILLFRONT_STREAMS_OF="+strings.TrimPrefix(srv.URL, "http://"))
--- a/internal/services/http_disconnect_test.go
+++ b/internal/services/http_disconnect_test.go
@@ -11,8 +11,8 @@
 	"quillfront/internal/engine"
 )
 
-// fullServer is the address of a server whose queue of connections is full, so that none comes up.
-func fullServer(t *testing.T) string {
+// startFullServer is the address of a server whose queue of connections is full, so that none comes up.
+func startFullServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -36,16 +36,16 @@
 	}
 }
 
-// TestClientLeavesBehindWhatItWrote: a client that leaves while its request waits is noticed, also where the next request, or a body that
+// TestClientDisconnectWithUnreadData: a client that leaves while its request waits is noticed, also where the next request, or a body that
 // is not yet read, stands before the end of its connection.
-func TestClientLeavesBehindWhatItWrote(t *testing.T) {
+func TestClientDisconnectWithUnreadData(t *testing.T) {
 	for name, text := range map[string]string{
 		"the next request, at once": "GET /a HTTP/1.1\nHost: s\n\nGET /b HTTP/1.1\nHost: s\n\n",
 		"the next request, later":   "GET /a HTTP/1.1\nHost: s\n\n|GET /b HTTP/1.1\nHost: s\n\n",
 		"a body":                    "PUT /a HTTP/1.1\nHost: s\nTransfer-Encoding: chunked\n\n4\nbody\n4\nmore\n0\nX-Trailer: t\n\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, addr := serveHTTP(t, strings.Replace(httpText("", fullServer(t)), `dial = "1s"`, `dial = "8s"`, 1))
+			s, addr := serveHTTP(t, strings.Replace(httpConfig("", startFullServer(t)), `dial = "1s"`, `dial = "8s"`, 1))
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Fatal(err)
@@ -54,26 +54,26 @@
 			first, later, _ := strings.Cut(strings.ReplaceAll(text, "\n", "\r\n"), "|")
 			io.WriteString(c, first)
 			e := s.Engines()[0]
-			until(t, func() bool {
+			waitUntil(t, func() bool {
 				all := e.PendingRequests(0)
 				return len(all) == 1 && len(all[0].OpenAttempts) == 1 && all[0].OpenAttempts[0].Stage == engine.StageConnect
 			})
 			io.WriteString(c, later)
 			c.Close()
-			until(t, func() bool {
+			waitUntil(t, func() bool {
 				n := uint64(0)
 				for _, c := range e.Counts() {
 					n += c.Withdrawn
 				}
 				return n == 1
 			})
-			until(t, func() bool { return e.Snapshot().Retained == 0 })
+			waitUntil(t, func() bool { return e.Snapshot().Retained == 0 })
 		})
 	}
 }
 
-// until waits until ok.
-func until(t *testing.T, ok func() bool) {
+// waitUntil waits waitUntil ok.
+func waitUntil(t *testing.T, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
--- a/internal/services/http_fault_test.go
+++ b/internal/services/http_fault_test.go
@@ -25,8 +25,8 @@
 	"quillfront/internal/standin"
 )
 
-// scripted is a server that does what its script says with each connection, once the head of a request has come.
-func scripted(t testing.TB, script func(c net.Conn, r *bufio.Reader, q *http.Request)) string {
+// startScriptedServer is a server that does what its script says with each connection, once the head of a request has come.
+func startScriptedServer(t testing.TB, script func(c net.Conn, r *bufio.Reader, q *http.Request)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,7 +42,7 @@
 			}
 			work.Go(func() {
 				defer c.Close()
-				c.SetDeadline(time.Now().Add(patience))
+				c.SetDeadline(time.Now().Add(testTimeout))
 				r := bufio.NewReader(c)
 				if q, err := http.ReadRequest(r); err == nil {
 					script(c, r, q)
@@ -53,20 +53,20 @@
 	return ln.Addr().String()
 }
 
-func reset(c net.Conn) {
+func resetConn(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-func webClient(t testing.TB) *http.Client {
-	tr := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 200, ExpectContinueTimeout: patience}
+func newClient(t testing.TB) *http.Client {
+	tr := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 200, ExpectContinueTimeout: testTimeout}
 	t.Cleanup(tr.CloseIdleConnections)
-	return &http.Client{Transport: tr, Timeout: patience}
+	return &http.Client{Transport: tr, Timeout: testTimeout}
 }
 
-// TestBrokenAnswers: a server that ends an answer where it should not. What has not begun to go to the client is tried again if that is
+// TestTruncatedResponses: a server that ends an answer where it should not. What has not begun to go to the client is tried again if that is
 // harmless; what has begun ends so that nobody takes it for whole; and nothing that may have run is sent twice.
-func TestBrokenAnswers(t *testing.T) {
+func TestTruncatedResponses(t *testing.T) {
 	for _, tt := range []struct {
 		name, method string
 		script       string // what the server writes before it resets
@@ -92,17 +92,17 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			var sent, good atomic.Int32
-			bad := scripted(t, func(c net.Conn, r *bufio.Reader, q *http.Request) {
+			bad := startScriptedServer(t, func(c net.Conn, r *bufio.Reader, q *http.Request) {
 				sent.Add(1)
 				io.Copy(io.Discard, q.Body)
 				io.WriteString(c, tt.script)
 				time.Sleep(20 * time.Millisecond) // a reset overtakes what was written
-				reset(c)
+				resetConn(c)
 			})
 			well := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { good.Add(1); io.WriteString(w, "fine") }))
 			defer well.Close()
-			s, addr := serveHTTP(t, httpText("", bad))
-			client := webClient(t)
+			s, addr := serveHTTP(t, httpConfig("", bad))
+			client := newClient(t)
 			do := func() (int, error) {
 				q, _ := http.NewRequest(tt.method, "http://"+addr+"/x", strings.NewReader(map[string]string{"POST": "body"}[tt.method]))
 				resp, err := client.Do(q)
@@ -114,12 +114,12 @@
 				return resp.StatusCode, err
 			}
 			// A second server is listed once the first is known, so that the first attempt goes to the first.
-			o := load(t, t.TempDir(), httpText("", bad, strings.TrimPrefix(well.URL, "http://")))
-			drained := load(t, t.TempDir(), strings.Replace(httpText("", bad, strings.TrimPrefix(well.URL, "http://")), `id = "s1",`, `id = "s1", drain = true,`, 1))
+			o := loadConfig(t, t.TempDir(), httpConfig("", bad, strings.TrimPrefix(well.URL, "http://")))
+			drained := loadConfig(t, t.TempDir(), strings.Replace(httpConfig("", bad, strings.TrimPrefix(well.URL, "http://")), `id = "s1",`, `id = "s1", drain = true,`, 1))
 			if _, err := s.Reload(drained.Services, drained.Routes); err != nil {
 				t.Fatal(err)
 			}
-			until := time.Now().Add(patience)
+			until := time.Now().Add(testTimeout)
 			for sent.Load() == 0 {
 				status, err := do()
 				if tt.status != 200 || !tt.whole || tt.name == "after the end" {
@@ -150,8 +150,8 @@
 	}
 }
 
-// TestUnsafeOnce: however a server fails, an unsafe request comes to servers once, and one that they prove not to have run may come again.
-func TestUnsafeOnce(t *testing.T) {
+// TestUnsafeRequestsRunOnce: however a server fails, an unsafe request comes to servers once, and one that they prove not to have run may come again.
+func TestUnsafeRequestsRunOnce(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]int{}
 	rng := rand.New(rand.NewPCG(17, 17))
@@ -186,8 +186,8 @@
 		defer srv.Close()
 		servers = append(servers, strings.TrimPrefix(srv.URL, "http://"))
 	}
-	_, addr := serveHTTP(t, httpText("", servers...))
-	client := webClient(t)
+	_, addr := serveHTTP(t, httpConfig("", servers...))
+	client := newClient(t)
 	var work sync.WaitGroup
 	var refusedRan atomic.Int32
 	for w := range 8 {
@@ -220,13 +220,13 @@
 	}
 }
 
-// pattern gives bytes of which no two are alike for long.
-type pattern struct {
+// patternReader gives bytes of which no two are alike for long.
+type patternReader struct {
 	left int64
 	at   byte
 }
 
-func (p *pattern) Read(b []byte) (int, error) {
+func (p *patternReader) Read(b []byte) (int, error) {
 	if p.left == 0 {
 		return 0, io.EOF
 	}
@@ -253,15 +253,15 @@
 		fmt.Fprintf(w, "%x", sum.Sum(nil))
 	}))
 	defer srv.Close()
-	_, addr := serveHTTP(t, httpText("", strings.TrimPrefix(srv.URL, "http://")))
-	client := webClient(t)
+	_, addr := serveHTTP(t, httpConfig("", strings.TrimPrefix(srv.URL, "http://")))
+	client := newClient(t)
 	for _, size := range []int64{1, 70_000, 3 << 20, 48 << 20} {
 		sum := sha256.New()
-		io.Copy(sum, &pattern{left: size})
+		io.Copy(sum, &patternReader{left: size})
 		want := fmt.Sprintf("%x", sum.Sum(nil))
 		for _, told := range []int64{size, -1} {
 			for _, path := range []string{"/sum", "/echo"} {
-				q, _ := http.NewRequest("PUT", "http://"+addr+path, io.NopCloser(&pattern{left: size}))
+				q, _ := http.NewRequest("PUT", "http://"+addr+path, io.NopCloser(&patternReader{left: size}))
 				q.ContentLength = told
 				resp, err := client.Do(q)
 				if err != nil {
@@ -269,7 +269,7 @@
 				}
 				got := sha256.New()
 				var text bytes.Buffer
-				n, err := io.Copy(io.MultiWriter(got, &limited{&text}), resp.Body)
+				n, err := io.Copy(io.MultiWriter(got, &limitedBuffer{&text}), resp.Body)
 				resp.Body.Close()
 				if path == "/echo" && (n != size || fmt.Sprintf("%x", got.Sum(nil)) != want) || path == "/sum" && text.String() != want || err != nil {
 					t.Errorf("%s %d of %d: %d bytes, %d, %v", path, told, size, n, resp.StatusCode, err)
@@ -279,25 +279,25 @@
 	}
 }
 
-type limited struct{ *bytes.Buffer }
+type limitedBuffer struct{ *bytes.Buffer }
 
-func (l *limited) Write(p []byte) (int, error) {
+func (l *limitedBuffer) Write(p []byte) (int, error) {
 	l.Buffer.Write(p[:min(len(p), max(0, 100-l.Len()))])
 	return len(p), nil
 }
 
-// TestEarlyAnswer: a server answers before it has read the body, and goes on or closes.
-func TestEarlyAnswer(t *testing.T) {
+// TestResponseBeforeRequestBody: a server answers before it has read the body, and goes on or closes.
+func TestResponseBeforeRequestBody(t *testing.T) {
 	for _, closes := range []bool{true, false} {
-		addr := scripted(t, func(c net.Conn, r *bufio.Reader, q *http.Request) {
+		addr := startScriptedServer(t, func(c net.Conn, r *bufio.Reader, q *http.Request) {
 			io.WriteString(c, "HTTP/1.1 413 No\r\nContent-Length: 3\r\n\r\nbig")
 			if !closes {
 				io.Copy(io.Discard, r)
 			}
 		})
-		_, front := serveHTTP(t, httpText("", addr))
-		q, _ := http.NewRequest("POST", "http://"+front+"/x", io.NopCloser(&pattern{left: 8 << 20}))
-		resp, err := webClient(t).Do(q)
+		_, front := serveHTTP(t, httpConfig("", addr))
+		q, _ := http.NewRequest("POST", "http://"+front+"/x", io.NopCloser(&patternReader{left: 8 << 20}))
+		resp, err := newClient(t).Do(q)
 		if err != nil {
 			t.Fatal(closes, err)
 		}
@@ -309,8 +309,8 @@
 	}
 }
 
-// TestExpect: the server says no, says nothing, or says yes once the body has begun; the client is told what the server says.
-func TestExpect(t *testing.T) {
+// TestExpectContinue: the server says no, says nothing, or says yes once the body has begun; the client is told what the server says.
+func TestExpectContinue(t *testing.T) {
 	read := func(c net.Conn, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -337,13 +337,13 @@
 		}, 200, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			_, front := serveHTTP(t, httpText("expect = \"100ms\"", scripted(t, tt.script)))
+			_, front := serveHTTP(t, httpConfig("expect = \"100ms\"", startScriptedServer(t, tt.script)))
 			c, err := net.Dial("tcp", front)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			io.WriteString(c, "POST /x HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 			r := bufio.NewReader(c)
 			resp, err := http.ReadResponse(r, nil)
@@ -367,9 +367,9 @@
 	}
 }
 
-// TestStillPeers: what stands still ends: a client that takes nothing of a long answer, one whose body stops, and one that trickles its
+// TestStalledClients: what stands still ends: a client that takes nothing of a long answer, one whose body stops, and one that trickles its
 // body keeps its place as long as it brings enough.
-func TestStillPeers(t *testing.T) {
+func TestStalledClients(t *testing.T) {
 	var broke atomic.Bool
 	ended := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -388,21 +388,21 @@
 		}
 	}))
 	defer srv.Close()
-	_, addr := serveHTTP(t, httpText("stall = \"400ms\"\nleast_rate = 10", strings.TrimPrefix(srv.URL, "http://")))
+	_, addr := serveHTTP(t, httpConfig("stall = \"400ms\"\nleast_rate = 10", strings.TrimPrefix(srv.URL, "http://")))
 	dial := func(text string) (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		io.WriteString(c, text)
 		return c, bufio.NewReader(c)
 	}
 	dial("GET /long HTTP/1.1\r\nHost: a\r\n\r\n")
 	select {
 	case <-ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("a client that takes nothing of 1 GiB is still waited for")
 	}
 	if !broke.Load() {
@@ -423,8 +423,8 @@
 	}
 }
 
-// TestEvents: server-sent events go on as they come, and a client that leaves is noticed though nothing is there to be written.
-func TestEvents(t *testing.T) {
+// TestServerSentEvents: server-sent events go on as they come, and a client that leaves is noticed though nothing is there to be written.
+func TestServerSentEvents(t *testing.T) {
 	next, left := make(chan string), make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -441,10 +441,10 @@
 		}
 	}))
 	defer srv.Close()
-	_, addr := serveHTTP(t, httpText("", strings.TrimPrefix(srv.URL, "http://")))
+	_, addr := serveHTTP(t, httpConfig("", strings.TrimPrefix(srv.URL, "http://")))
 	ctx, cancel := context.WithCancel(context.Background())
 	q, _ := http.NewRequestWithContext(ctx, "GET", "http://"+addr+"/events", nil)
-	resp, err := webClient(t).Do(q)
+	resp, err := newClient(t).Do(q)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -460,16 +460,16 @@
 	cancel()
 	select {
 	case <-left:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the server was not told that the client has left")
 	}
 }
 
-// TestEdgeOfRoutes: what is no request, or goes round in a loop, and what is not served, is told so.
-func TestEdgeOfRoutes(t *testing.T) {
-	srv := httptest.NewServer(http.HandlerFunc(origin))
+// TestRejectedRequests: what is no request, or goes round in a loop, and what is not served, is told so.
+func TestRejectedRequests(t *testing.T) {
+	srv := httptest.NewServer(http.HandlerFunc(originHandler))
 	defer srv.Close()
-	_, addr := serveHTTP(t, httpText("most_body = 100", strings.TrimPrefix(srv.URL, "http://")))
+	_, addr := serveHTTP(t, httpConfig("most_body = 100", strings.TrimPrefix(srv.URL, "http://")))
 	for text, want := range map[string]int{
 		"GET / HTTP/1.1\r\n":                                                     200,
 		"GET http://other.example/x?y HTTP/1.1\r\n":                              200,
@@ -498,7 +498,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(c, strings.Repeat("GET /sizes?size=9 HTTP/1.1\r\nHost: a\r\n\r\n", 5))
 	r := bufio.NewReader(c)
 	for i := range 5 {
@@ -512,9 +512,9 @@
 	}
 }
 
-// TestReloads: routes and pools change under load, again and again, while requests, retries and a stream go on; nothing is lost, a stream
+// TestReloadUnderLoad: routes and pools change under load, again and again, while requests, retries and a stream go on; nothing is lost, a stream
 // ends where it began, and pools that are gone leave nothing behind.
-func TestReloads(t *testing.T) {
+func TestReloadUnderLoad(t *testing.T) {
 	dir := t.TempDir()
 	hold := make(chan struct{})
 	var slow atomic.Int32
@@ -544,7 +544,7 @@
 		return all + fmt.Sprintf("[[routes]]\nname = \"all\"\nclass = \"any\"\npool = %q\ntrust_idempotency_key = true\n[[http]]\nname = \"front\"\nlisten = \"127.0.0.1:0\"\n", pool)
 	}
 	s, addr := serveHTTP(t, text("a"))
-	client := webClient(t)
+	client := newClient(t)
 	resp, err := client.Get("http://" + addr + "/stream")
 	if err != nil {
 		t.Fatal(err)
@@ -587,7 +587,7 @@
 		})
 	}
 	for i := range 20 {
-		o := load(t, dir, text([]string{"b", "a"}[i%2]))
+		o := loadConfig(t, dir, text([]string{"b", "a"}[i%2]))
 		if err := s.Check(o.Services, o.Routes); err != nil {
 			t.Fatal(err)
 		}
@@ -596,7 +596,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	o := load(t, dir, text("b"))
+	o := loadConfig(t, dir, text("b"))
 	if _, err := s.Reload(o.Services, o.Routes); err != nil {
 		t.Fatal(err)
 	}
@@ -609,11 +609,11 @@
 	if string(body) != "aa" || err != nil {
 		t.Errorf("the stream: %q, %v", body, err)
 	}
-	until := time.Now().Add(patience)
+	until := time.Now().Add(testTimeout)
 	for left := 1; left > 0; {
-		s.web.mu.Lock()
-		left = len(s.web.old)
-		s.web.mu.Unlock()
+		s.httpPools.mu.Lock()
+		left = len(s.httpPools.retiring)
+		s.httpPools.mu.Unlock()
 		if time.Now().After(until) {
 			t.Fatalf("%d pools have not ended", left)
 		}
@@ -628,18 +628,18 @@
 // began, once.
 func TestReloadBetweenAttempts(t *testing.T) {
 	came, fail := make(chan struct{}, 9), make(chan struct{})
-	bad := scripted(t, func(c net.Conn, r *bufio.Reader, q *http.Request) {
+	bad := startScriptedServer(t, func(c net.Conn, r *bufio.Reader, q *http.Request) {
 		came <- struct{}{}
 		<-fail
 	})
 	var others atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { others.Add(1) }))
 	defer srv.Close()
-	text := httpText("", bad)
+	text := httpConfig("", bad)
 	s, addr := serveHTTP(t, text)
 	done := make(chan int, 1)
 	go func() {
-		resp, err := webClient(t).Get("http://" + addr)
+		resp, err := newClient(t).Get("http://" + addr)
 		if err != nil {
 			t.Error(err)
 			done <- 0
@@ -649,7 +649,7 @@
 		done <- resp.StatusCode
 	}()
 	<-came
-	o := load(t, t.TempDir(), strings.ReplaceAll(httpText("", strings.TrimPrefix(srv.URL, "http://")), `"web"`, `"other"`))
+	o := loadConfig(t, t.TempDir(), strings.ReplaceAll(httpConfig("", strings.TrimPrefix(srv.URL, "http://")), `"web"`, `"other"`))
 	if _, err := s.Reload(o.Services, o.Routes); err != nil {
 		t.Fatal(err)
 	}
@@ -657,19 +657,19 @@
 	if status := <-done; status < 500 || others.Load() != 0 {
 		t.Errorf("%d, and %d requests came to the other pool", status, others.Load())
 	}
-	if resp, err := webClient(t).Get("http://" + addr); err != nil || resp.StatusCode != 200 {
+	if resp, err := newClient(t).Get("http://" + addr); err != nil || resp.StatusCode != 200 {
 		t.Errorf("a new request: %v, %v", resp, err)
 	} else {
 		resp.Body.Close()
 	}
 }
 
-// TestLinesOfItsOwn: ids are made where they lack and kept where they come; what goes along is told as the file says.
-func TestLinesOfItsOwn(t *testing.T) {
+// TestAddedHeaders: ids are made where they lack and kept where they come; what goes along is told as the file says.
+func TestAddedHeaders(t *testing.T) {
 	heads := make(chan http.Header, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { heads <- q.Header }))
 	defer srv.Close()
-	_, addr := serveHTTP(t, httpText("forwarded = true\ntrace = true\nvia = \"edge-7\"", strings.TrimPrefix(srv.URL, "http://")))
+	_, addr := serveHTTP(t, httpConfig("forwarded = true\ntrace = true\nvia = \"edge-7\"", strings.TrimPrefix(srv.URL, "http://")))
 	exchange(addr, "GET / HTTP/1.1\r\nX-Forwarded-For: 10.0.0.1\r\nX-Forwarded-For: 10.0.0.2\r\nVia: 1.0 fred\r\n")
 	h := <-heads
 	trace := strings.Split(h.Get("Traceparent"), "-")
@@ -684,9 +684,9 @@
 	}
 }
 
-// TestPoolsShare: a pool whose servers never answer takes what nobody else wants, and no more: another one is served as before.
-func TestPoolsShare(t *testing.T) {
-	silent := scripted(t, func(c net.Conn, r *bufio.Reader, q *http.Request) { io.Copy(io.Discard, r) })
+// TestPoolIsolation: a pool whose servers never answer takes what nobody else wants, and no more: another one is served as before.
+func TestPoolIsolation(t *testing.T) {
+	silent := startScriptedServer(t, func(c net.Conn, r *bufio.Reader, q *http.Request) { io.Copy(io.Discard, r) })
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { io.Copy(io.Discard, q.Body) }))
 	defer srv.Close()
 	one := func(name, addr string) string {
@@ -709,7 +709,7 @@
 `)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	client := webClient(t)
+	client := newClient(t)
 	var work sync.WaitGroup
 	defer work.Wait()
 	defer cancel()
@@ -730,7 +730,7 @@
 			t.Fatal(err)
 		}
 		resp.Body.Close()
-		if resp.StatusCode != 200 || time.Since(began) > patience/2 {
+		if resp.StatusCode != 200 || time.Since(began) > testTimeout/2 {
 			t.Fatalf("%d after %v beside a pool in trouble", resp.StatusCode, time.Since(began))
 		}
 	}
@@ -738,9 +738,9 @@
 
 // TestCloseUnderPressure: services end at once although attempts of a pool wait for descriptors that another one has.
 func TestCloseUnderPressure(t *testing.T) {
-	silent := scripted(t, func(c net.Conn, r *bufio.Reader, q *http.Request) { io.Copy(io.Discard, r) })
+	silent := startScriptedServer(t, func(c net.Conn, r *bufio.Reader, q *http.Request) { io.Copy(io.Discard, r) })
 	for range 5 {
-		s, addr := serveWith(t, httpText("", silent), 200)
+		s, addr := serveHTTPWithDescriptors(t, httpConfig("", silent), 200)
 		var work sync.WaitGroup
 		for range 100 {
 			work.Go(func() {
@@ -749,23 +749,23 @@
 					return
 				}
 				defer c.Close()
-				c.SetDeadline(time.Now().Add(patience))
+				c.SetDeadline(time.Now().Add(testTimeout))
 				io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 				io.Copy(io.Discard, c)
 			})
 		}
-		until := time.Now().Add(patience)
-		for s.web.figures()[0].HTTP.Descriptors < s.web.conns.Total() && time.Now().Before(until) {
+		until := time.Now().Add(testTimeout)
+		for s.httpPools.stats()[0].HTTP.Descriptors < s.httpPools.connQuota.Total() && time.Now().Before(until) {
 			time.Sleep(time.Millisecond)
 		}
 		closed := make(chan struct{})
-		s.web.mu.Lock() // so that the end comes before the attempts, which ask for room every 10 ms
-		go func() { s.web.close(); close(closed) }()
+		s.httpPools.mu.Lock() // so that the end comes before the attempts, which ask for room every 10 ms
+		go func() { s.httpPools.close(); close(closed) }()
 		time.Sleep(50 * time.Millisecond)
-		s.web.mu.Unlock()
+		s.httpPools.mu.Unlock()
 		select {
 		case <-closed:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("the pools do not end")
 		}
 		s.Close()
@@ -773,22 +773,22 @@
 	}
 }
 
-// TestOwnWords: what a client is told where no server has answered.
-func TestOwnWords(t *testing.T) {
+// TestStatusWithoutResponse: what a client is told where no server has answered.
+func TestStatusWithoutResponse(t *testing.T) {
 	nobody, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	refuses := nobody.Addr().String()
 	nobody.Close()
-	silent := scripted(t, func(c net.Conn, r *bufio.Reader, q *http.Request) { io.Copy(io.Discard, r) })
+	silent := startScriptedServer(t, func(c net.Conn, r *bufio.Reader, q *http.Request) { io.Copy(io.Discard, r) })
 	for _, tt := range []struct {
 		server, method string
 		want           int
 	}{{refuses, "POST", 503}, {refuses, "GET", 503}, {silent, "POST", 504}} {
-		_, addr := serveHTTP(t, strings.Replace(httpText("", tt.server), `pool = "web"`, "pool = \"web\"\ntimeout = \"300ms\"", 1))
+		_, addr := serveHTTP(t, strings.Replace(httpConfig("", tt.server), `pool = "web"`, "pool = \"web\"\ntimeout = \"300ms\"", 1))
 		q, _ := http.NewRequest(tt.method, "http://"+addr+"/", nil)
-		resp, err := webClient(t).Do(q)
+		resp, err := newClient(t).Do(q)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -799,8 +799,8 @@
 	}
 }
 
-// TestSourcesOfPools: a pool goes by a file, or by DNS, however it changes; one that is torn or an answer that is empty changes nothing.
-func TestSourcesOfPools(t *testing.T) {
+// TestServerListSources: a pool goes by a file, or by DNS, however it changes; one that is torn or an answer that is empty changes nothing.
+func TestServerListSources(t *testing.T) {
 	var addrs []string
 	for i := range 2 {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { fmt.Fprint(w, i) }))
@@ -838,9 +838,9 @@
 		"dns":  fmt.Sprintf("dns = {name = \"_web._tcp.example\", resolvers = [%q], min = \"10ms\", max = \"10ms\"}", d.Addr()),
 	} {
 		tell[name](0)
-		_, addr := serveHTTP(t, strings.Replace(httpText(""), "servers = []", source, 1))
-		client := webClient(t)
-		until := time.Now().Add(patience)
+		_, addr := serveHTTP(t, strings.Replace(httpConfig(""), "servers = []", source, 1))
+		client := newClient(t)
+		until := time.Now().Add(testTimeout)
 		await := func(want string) {
 			for {
 				resp, err := client.Get("http://" + addr)
@@ -867,9 +867,9 @@
 	}
 }
 
-// TestRetryAfterOfServers: a server that asks to be left alone is, where its route says so, and is used again once its time is over; where
+// TestServerRetryAfter: a server that asks to be left alone is, where its route says so, and is used again once its time is over; where
 // all ask, half are used all the same.
-func TestRetryAfterOfServers(t *testing.T) {
+func TestServerRetryAfter(t *testing.T) {
 	var shy, hits [2]atomic.Int64
 	var addrs []string
 	for i := range 2 {
@@ -883,8 +883,8 @@
 		defer srv.Close()
 		addrs = append(addrs, strings.TrimPrefix(srv.URL, "http://"))
 	}
-	_, addr := serveHTTP(t, strings.Replace(httpText("", addrs...), `pool = "web"`, "pool = \"web\"\nanswers = {retry_after = \"avoid\"}", 1))
-	client := webClient(t)
+	_, addr := serveHTTP(t, strings.Replace(httpConfig("", addrs...), `pool = "web"`, "pool = \"web\"\nanswers = {retry_after = \"avoid\"}", 1))
+	client := newClient(t)
 	ask := func() int {
 		resp, err := client.Get("http://" + addr)
 		if err != nil {
@@ -893,7 +893,7 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	until := time.Now().Add(patience)
+	until := time.Now().Add(testTimeout)
 	await := func(what string, is func() bool) {
 		t.Helper()
 		for !is() {
@@ -923,9 +923,9 @@
 	await("both ask, and one is used all the same", func() bool { return hits[0].Load() > n+3 || hits[1].Load() > m+3 })
 }
 
-// TestBadRoutes: what routes, pools and addresses of HTTP do not agree on is an error that names it.
-func TestBadRoutes(t *testing.T) {
-	good := httpText("", "127.0.0.1:1")
+// TestInvalidConfig: what routes, pools and addresses of HTTP do not agree on is an error that names it.
+func TestInvalidConfig(t *testing.T) {
+	good := httpConfig("", "127.0.0.1:1")
 	for _, tt := range []struct{ old, new, want string }{
 		{`pool = "web"`, `pool = "none"`, `[[routes]] all: pool: there is no [[pools]] "none"`},
 		{`effect = "by-request"`, `effect = "unsafe"`, `[[routes]] all: class: pool "web" has no class "any" with effect "by-request"`},
--- a/internal/services/http_shutdown_test.go
+++ b/internal/services/http_shutdown_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// TestShutdownOfRoutes: what an address of HTTP has read as its process is to end is answered within its patience, though the server
+// TestShutdownAnswersOpenRequests: what an address of HTTP has read as its process is to end is answered within its patience, though the server
 // hangs: what was open before, what comes in part and is never whole, and what comes after the last was forwarded.
-func TestShutdownOfRoutes(t *testing.T) {
+func TestShutdownAnswersOpenRequests(t *testing.T) {
 	const patience = 800 * time.Millisecond
 	arrived, over := make(chan string, 10), make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) {
@@ -27,7 +27,7 @@
 	}))
 	defer srv.Close()
 	defer close(over)
-	s, addr := serveHTTP(t, httpText(`patience = "800ms"`, srv.Listener.Addr().String()))
+	s, addr := serveHTTP(t, httpConfig(`patience = "800ms"`, srv.Listener.Addr().String()))
 	connect := func() (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -76,15 +76,15 @@
 	}
 }
 
-// TestShutdownByAContext: a context that ends before the patience bounds it, and the answers come before that too.
-func TestShutdownByAContext(t *testing.T) {
+// TestShutdownContextBeforePatience: a context that ends before the patience bounds it, and the answers come before that too.
+func TestShutdownContextBeforePatience(t *testing.T) {
 	arrived := make(chan struct{}, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) {
 		arrived <- struct{}{}
 		<-q.Context().Done()
 	}))
 	defer srv.Close()
-	s, addr := serveHTTP(t, httpText(`patience = "1m"`, srv.Listener.Addr().String()))
+	s, addr := serveHTTP(t, httpConfig(`patience = "1m"`, srv.Listener.Addr().String()))
 	answer := make(chan error, 1)
 	go func() {
 		resp, err := http.Get("http://" + addr + "/")
--- a/internal/services/http_test.go
+++ b/internal/services/http_test.go
@@ -20,8 +20,8 @@
 	"quillfront/internal/sockets"
 )
 
-// httpText is an operator's file with one address, one route to all and a pool of the servers given.
-func httpText(extra string, servers ...string) string {
+// httpConfig is an operator's file with one address, one route to all and a pool of the servers given.
+func httpConfig(extra string, servers ...string) string {
 	var list []string
 	for i, s := range servers {
 		list = append(list, fmt.Sprintf(`{id = "s%d", addr = %q}`, i, s))
@@ -51,12 +51,14 @@
 }
 
 // serveHTTP runs the services of a file until the test ends, and returns them and where they listen.
-func serveHTTP(t testing.TB, text string) (*Services, string) { return serveWith(t, text, 900) }
+func serveHTTP(t testing.TB, text string) (*Services, string) {
+	return serveHTTPWithDescriptors(t, text, 900)
+}
 
-// serveWith is serveHTTP in a process that may hold so many descriptors.
-func serveWith(t testing.TB, text string, descriptors int) (*Services, string) {
+// serveHTTPWithDescriptors is serveHTTP in a process that may hold so many descriptors.
+func serveHTTPWithDescriptors(t testing.TB, text string, descriptors int) (*Services, string) {
 	t.Helper()
-	o := load(t, t.TempDir(), text)
+	o := loadConfig(t, t.TempDir(), text)
 	budget := sockets.New(descriptors)
 	s, err := New(o.Services, o.Routes, 16<<20, budget, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -77,8 +79,8 @@
 	return s, s.Addr("front")
 }
 
-// origin answers as the request asks it to: the status by the path, the rest by the query.
-func origin(w http.ResponseWriter, q *http.Request) {
+// originHandler answers as the request asks it to: the status by the path, the rest by the query.
+func originHandler(w http.ResponseWriter, q *http.Request) {
 	status, err := strconv.Atoi(strings.TrimPrefix(q.URL.Path, "/status/"))
 	if err != nil {
 		status = http.StatusOK
@@ -134,8 +136,8 @@
 	}
 }
 
-// exchanges are requests as they stand on the wire, without the lines that tell host and end of the connection.
-func exchanges() (all []string) {
+// exchangeCorpus are requests as they stand on the wire, without the lines that tell host and end of the connection.
+func exchangeCorpus() (all []string) {
 	add := func(method, target string, lines ...string) {
 		all = append(all, method+" "+target+" HTTP/1.1\r\n"+strings.Join(append(lines, ""), "\r\n"))
 	}
@@ -185,8 +187,8 @@
 	return all
 }
 
-// exchanged is what came back.
-type exchanged struct {
+// exchangeResult is what came back.
+type exchangeResult struct {
 	status  int
 	interim []int
 	header  http.Header
@@ -196,13 +198,13 @@
 }
 
 // exchange sends one request as it stands and reads what comes back.
-func exchange(addr, text string) (x exchanged) {
-	c, err := net.DialTimeout("tcp", addr, patience)
+func exchange(addr, text string) (x exchangeResult) {
+	c, err := net.DialTimeout("tcp", addr, testTimeout)
 	if err != nil {
-		return exchanged{err: err}
+		return exchangeResult{err: err}
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	line, rest, _ := strings.Cut(text, "\r\n")
 	method, _, _ := strings.Cut(line, " ")
 	go io.WriteString(c, line+"\r\nHost: fleet.example\r\nConnection: close\r\n"+rest+"\r\n")
@@ -225,8 +227,8 @@
 	}
 }
 
-// wanted are the differences from httputil.ReverseProxy that are meant: what of an exchange, by its text, and why.
-var wanted = []struct{ of, why string }{
+// intendedDifferences are the differences from httputil.ReverseProxy that are meant: what of an exchange, by its text, and why.
+var intendedDifferences = []struct{ of, why string }{
 	{"/a%00b", "a target with an escaped control is not read alike by all servers: the edge turns it away"},
 	{"/a%2Fb", "an escaped slash in the first part of a path is not read alike by all servers: the edge turns it away"},
 	{"/a?%zz", "a query that cannot be read goes on as it stands; ReverseProxy takes it out"},
@@ -235,10 +237,10 @@
 	{"/\xc3\xa4", "bytes beyond ASCII stand in no target (RFC 3986); ReverseProxy escapes them"},
 }
 
-// TestBesideReverseProxy sends a corpus of exchanges through httputil.ReverseProxy and through a front of HTTP to one server, and what comes
+// TestMatchesReverseProxy sends a corpus of exchanges through httputil.ReverseProxy and through a front of HTTP to one server, and what comes
 // back is the same.
-func TestBesideReverseProxy(t *testing.T) {
-	srv := httptest.NewServer(http.HandlerFunc(origin))
+func TestMatchesReverseProxy(t *testing.T) {
+	srv := httptest.NewServer(http.HandlerFunc(originHandler))
 	defer srv.Close()
 	to, _ := url.Parse(srv.URL)
 	proxy := &httputil.ReverseProxy{Rewrite: func(p *httputil.ProxyRequest) { p.SetURL(to); p.Out.Host = p.In.Host }, FlushInterval: -1}
@@ -248,8 +250,8 @@
 	proxy.ErrorLog = slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)
 	beside := httptest.NewServer(proxy)
 	defer beside.Close()
-	_, addr := serveHTTP(t, httpText("", strings.TrimPrefix(srv.URL, "http://")))
-	corpus := exchanges()
+	_, addr := serveHTTP(t, httpConfig("", strings.TrimPrefix(srv.URL, "http://")))
+	corpus := exchangeCorpus()
 	if len(corpus) < 200 {
 		t.Fatalf("%d exchanges", len(corpus))
 	}
@@ -263,7 +265,7 @@
 	}
 	for _, text := range corpus {
 		name := strings.SplitN(text, "\r\n", 2)[0]
-		if slices.ContainsFunc(wanted, func(w struct{ of, why string }) bool { return strings.Contains(text, w.of) }) {
+		if slices.ContainsFunc(intendedDifferences, func(w struct{ of, why string }) bool { return strings.Contains(text, w.of) }) {
 			continue
 		}
 		want, got := exchange(strings.TrimPrefix(beside.URL, "http://"), text), exchange(addr, text)
@@ -286,7 +288,7 @@
 			t.Errorf("%s: Date %q, Via %q", name, got.header.Get("Date"), got.header.Get("Via"))
 		}
 	}
-	t.Logf("%d exchanges, %d differences that are meant", len(corpus), len(wanted))
+	t.Logf("%d exchanges, %d differences that are meant", len(corpus), len(intendedDifferences))
 }
 
 func keys(h http.Header) func(func(string) bool) {
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -29,10 +29,10 @@
 
 // Services are all that run.
 type Services struct {
-	budget *sockets.Budget
-	log    *slog.Logger
-	all    []*service
-	web    *web // nil: no HTTP is served
+	budget    *sockets.Budget
+	log       *slog.Logger
+	services  []*service
+	httpPools *httpPoolSet // nil: no HTTP is served
 
 	once sync.Once // of Close
 
@@ -40,8 +40,8 @@
 	cfg config.Services
 }
 
-// front is what listens.
-type front interface {
+// frontend is what listens.
+type frontend interface {
 	Serve(net.Listener) error
 	Shutdown(context.Context) error
 	Close()
@@ -52,13 +52,13 @@
 	kind, name, listen string
 	pool               *pool.Pool
 	poolName           string
-	front              front
-	makeRoom           func() bool
+	frontend           frontend
+	evictIdle          func() bool
 	close              func() // of the transport
 	setUsers           func([]proxy.User)
-	clients            *httpfront.Server // of HTTP; nil: of none. Its pools are the web's
-	streams            func() stream.Stats
-	mysql              func() proxy.Stats
+	httpServer         *httpfront.Server // of HTTP; nil: of none. Its pools are the web's
+	streamStats        func() stream.Stats
+	mysqlStats         func() proxy.Stats
 	ln                 net.Listener
 }
 
@@ -68,21 +68,21 @@
 	s := &Services{budget: b, log: log, cfg: cfg}
 	if len(cfg.HTTP) > 0 {
 		var err error
-		if s.web, err = newWeb(cfg, list, memory, b, log); err != nil {
+		if s.httpPools, err = newHTTPPoolSet(cfg, list, memory, b, log); err != nil {
 			return nil, err
 		}
 	}
 	for _, c := range cfg.HTTP {
-		s.http(c)
+		s.addHTTP(c)
 	}
 	for _, c := range cfg.Streams {
-		if err := s.stream(c, cfg.Pool(c.Pool)); err != nil {
+		if err := s.addStream(c, cfg.Pool(c.Pool)); err != nil {
 			s.Close()
 			return nil, fmt.Errorf("[[streams]] %s: %w", c.Name, err)
 		}
 	}
 	for _, c := range cfg.MySQL {
-		if err := s.mysql(c, cfg.Pool(c.Pool)); err != nil {
+		if err := s.addMySQL(c, cfg.Pool(c.Pool)); err != nil {
 			s.Close()
 			return nil, fmt.Errorf("[[mysql]] %s: %w", c.Name, err)
 		}
@@ -90,8 +90,8 @@
 	return s, nil
 }
 
-// prober asks servers for their load at a port beside; nil where they have none.
-func (s *Services) prober(p pool.Config) *upstream.Transport {
+// loadTransport asks servers for their load at a port beside; nil where they have none.
+func (s *Services) loadTransport(p pool.Config) *upstream.Transport {
 	if p.LoadPort == 0 {
 		return nil
 	}
@@ -100,10 +100,10 @@
 	}, s.budget, s.log)
 }
 
-func (s *Services) stream(c stream.Config, p pool.Config) error {
+func (s *Services) addStream(c stream.Config, p pool.Config) error {
 	log := s.log.With("stream", c.Name)
 	var asks pool.Prober
-	beside := s.prober(p)
+	beside := s.loadTransport(p)
 	if beside != nil {
 		asks = beside
 	}
@@ -113,17 +113,17 @@
 		return err
 	}
 	f := stream.New(c, opened.Engine, s.budget, s.log)
-	s.all = append(s.all, &service{
-		kind: "stream", name: c.Name, listen: c.Listen, pool: opened, poolName: p.Name, front: f, streams: f.Stats,
-		makeRoom: roomOf(beside, nil), close: closing(beside, nil),
+	s.services = append(s.services, &service{
+		kind: "stream", name: c.Name, listen: c.Listen, pool: opened, poolName: p.Name, frontend: f, streamStats: f.Stats,
+		evictIdle: evictIdleFunc(beside, nil), close: closeFunc(beside, nil),
 	})
 	return nil
 }
 
-func (s *Services) mysql(c proxy.Config, p pool.Config) error {
+func (s *Services) addMySQL(c proxy.Config, p pool.Config) error {
 	log := s.log.With("mysql", c.Name)
 	var asks pool.Prober
-	beside := s.prober(p)
+	beside := s.loadTransport(p)
 	if beside != nil {
 		asks = beside
 	}
@@ -134,18 +134,18 @@
 		return err
 	}
 	f := proxy.New(c, opened, t, s.budget, s.log)
-	s.all = append(s.all, &service{
-		kind: "mysql", name: c.Name, listen: c.Listen, pool: opened, poolName: p.Name, front: f, setUsers: f.SetUsers, mysql: f.Stats,
-		makeRoom: roomOf(beside, t.MakeRoom), close: closing(beside, t.Close),
+	s.services = append(s.services, &service{
+		kind: "mysql", name: c.Name, listen: c.Listen, pool: opened, poolName: p.Name, frontend: f, setUsers: f.SetUsers, mysqlStats: f.Stats,
+		evictIdle: evictIdleFunc(beside, t.MakeRoom), close: closeFunc(beside, t.Close),
 	})
 	return nil
 }
 
-func roomOf(beside *upstream.Transport, other func() bool) func() bool {
+func evictIdleFunc(beside *upstream.Transport, other func() bool) func() bool {
 	return func() bool { return other != nil && other() || beside != nil && beside.EvictIdle() }
 }
 
-func closing(beside *upstream.Transport, other func()) func() {
+func closeFunc(beside *upstream.Transport, other func()) func() {
 	return func() {
 		if other != nil {
 			other()
@@ -158,15 +158,15 @@
 
 // EvictIdle closes one idle connection to a server, and reports whether there was one.
 func (s *Services) EvictIdle() bool {
-	return slices.ContainsFunc(s.all, func(v *service) bool { return v.makeRoom() })
+	return slices.ContainsFunc(s.services, func(v *service) bool { return v.evictIdle() })
 }
 
 // Listen opens all addresses, or none. An error names the service.
 func (s *Services) Listen() error {
-	for _, v := range s.all {
+	for _, v := range s.services {
 		ln, err := net.Listen("tcp", v.listen)
 		if err != nil {
-			for _, o := range s.all {
+			for _, o := range s.services {
 				if o.ln != nil {
 					o.ln.Close()
 					o.ln = nil
@@ -176,7 +176,7 @@
 		}
 		v.ln = ln
 	}
-	for _, v := range s.all {
+	for _, v := range s.services {
 		s.log.Info("service", "kind", v.kind, "name", v.name, "at", v.ln.Addr().String(), "pool", v.poolName)
 	}
 	return nil
@@ -184,7 +184,7 @@
 
 // Addr returns where a service listens, once Listen has opened its address.
 func (s *Services) Addr(name string) string {
-	for _, v := range s.all {
+	for _, v := range s.services {
 		if v.name == name && v.ln != nil {
 			return v.ln.Addr().String()
 		}
@@ -195,10 +195,10 @@
 // Serve serves until all services have been shut down or closed. Listen comes before it.
 func (s *Services) Serve() error {
 	var work sync.WaitGroup
-	errs := make([]error, len(s.all))
-	for i, v := range s.all {
+	errs := make([]error, len(s.services))
+	for i, v := range s.services {
 		work.Go(func() {
-			if err := v.front.Serve(v.ln); err != nil && !errors.Is(err, net.ErrClosed) {
+			if err := v.frontend.Serve(v.ln); err != nil && !errors.Is(err, net.ErrClosed) {
 				errs[i] = fmt.Errorf("%s %s: %w", v.kind, v.name, err)
 			}
 		})
@@ -210,8 +210,8 @@
 // Shutdown ends all services as each is to end, at once, and returns once they have. What is left when ctx ends is cut off.
 func (s *Services) Shutdown(ctx context.Context) {
 	var work sync.WaitGroup
-	for _, v := range s.all {
-		work.Go(func() { v.front.Shutdown(ctx) })
+	for _, v := range s.services {
+		work.Go(func() { v.frontend.Shutdown(ctx) })
 	}
 	work.Wait()
 }
@@ -219,27 +219,27 @@
 // Close ends all that New has made.
 func (s *Services) Close() {
 	s.once.Do(func() {
-		for _, v := range s.all {
-			v.front.Close()
+		for _, v := range s.services {
+			v.frontend.Close()
 			if v.pool != nil {
 				v.pool.Close()
 			}
 			v.close()
 		}
-		if s.web != nil {
-			s.web.close()
+		if s.httpPools != nil {
+			s.httpPools.close()
 		}
 	})
 }
 
 // Check tells what of cfg and list could not be taken over.
 func (s *Services) Check(cfg config.Services, list []routes.Route) error {
-	if s.web != nil {
+	if s.httpPools != nil {
 		if err := router.Check(list, cfg.Pools); err != nil {
 			return err
 		}
 	}
-	for _, v := range s.all {
+	for _, v := range s.services {
 		if p := cfg.Pool(v.poolName); p.Name != "" {
 			if err := p.Check(); err != nil {
 				return fmt.Errorf("[[pools]] %s: %w", p.Name, err)
@@ -254,12 +254,12 @@
 func (s *Services) Reload(cfg config.Services, list []routes.Route) (restart bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.web != nil {
-		if err := s.web.set(cfg, list); err != nil {
+	if s.httpPools != nil {
+		if err := s.httpPools.reload(cfg, list); err != nil {
 			return false, err
 		}
 	}
-	for _, v := range s.all {
+	for _, v := range s.services {
 		if v.pool == nil {
 			continue
 		}
@@ -277,19 +277,19 @@
 		restart = restart || p.LoadPort != before.LoadPort || p.Dial != before.Dial || p.Idle != before.Idle
 	}
 	for _, c := range cfg.MySQL {
-		for _, v := range s.all {
+		for _, v := range s.services {
 			if v.name == c.Name && v.setUsers != nil {
 				v.setUsers(c.Users)
 			}
 		}
 	}
-	restart = restart || !reflect.DeepEqual(still(cfg), still(s.cfg))
+	restart = restart || !reflect.DeepEqual(restartOnly(cfg), restartOnly(s.cfg))
 	s.cfg = cfg
 	return restart, nil
 }
 
-// still is what a reload does not take over.
-func still(c config.Services) config.Services {
+// restartOnly is what a reload does not take over.
+func restartOnly(c config.Services) config.Services {
 	c.Pools, c.MySQL = nil, slices.Clone(c.MySQL)
 	for i := range c.MySQL {
 		c.MySQL[i].Users, c.MySQL[i].TLS, c.MySQL[i].ServerTLS = nil, nil, nil
@@ -310,21 +310,21 @@
 // Stats returns the present figures of all services.
 func (s *Services) Stats() []Stats {
 	var all []Stats
-	if s.web != nil {
-		all = s.web.figures()
+	if s.httpPools != nil {
+		all = s.httpPools.stats()
 	}
-	for _, v := range s.all {
-		if v.clients != nil {
-			all = append(all, Stats{Kind: v.kind, Name: v.name, HTTP: &HTTPStats{Clients: v.clients.Stats(), Routes: s.web.router.Stats(), Retired: s.RetirementStats()}})
+	for _, v := range s.services {
+		if v.httpServer != nil {
+			all = append(all, Stats{Kind: v.kind, Name: v.name, HTTP: &HTTPStats{Clients: v.httpServer.Stats(), Routes: s.httpPools.router.Stats(), Retired: s.RetirementStats()}})
 			continue
 		}
 		f := Stats{Kind: v.kind, Name: v.name, Counts: v.pool.Counts(), Pool: v.pool.Snapshot()}
-		if v.streams != nil {
-			st := v.streams()
+		if v.streamStats != nil {
+			st := v.streamStats()
 			f.Stream = &st
 		}
-		if v.mysql != nil {
-			st := v.mysql()
+		if v.mysqlStats != nil {
+			st := v.mysqlStats()
 			f.MySQL = &st
 		}
 		all = append(all, f)
@@ -340,10 +340,10 @@
 
 // PendingRequests returns the requests of all services and pools that have waited for longer than d, pools that are being ended among them.
 func (s *Services) PendingRequests(d time.Duration) (all []PendingRequest) {
-	if s.web != nil {
-		all = s.web.waiting(d)
+	if s.httpPools != nil {
+		all = s.httpPools.pendingRequests(d)
 	}
-	for _, v := range s.all {
+	for _, v := range s.services {
 		if v.pool == nil {
 			continue
 		}
@@ -356,10 +356,10 @@
 
 // RetirementStats returns how pools that were taken out have ended so far.
 func (s *Services) RetirementStats() RetirementStats {
-	if s.web == nil {
+	if s.httpPools == nil {
 		return RetirementStats{}
 	}
-	s.web.mu.Lock()
-	defer s.web.mu.Unlock()
-	return s.web.ends
+	s.httpPools.mu.Lock()
+	defer s.httpPools.mu.Unlock()
+	return s.httpPools.retired
 }
--- a/internal/services/services_test.go
+++ b/internal/services/services_test.go
@@ -25,9 +25,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-func echo(t *testing.T) string {
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,7 @@
 	return ln.Addr().String()
 }
 
-func load(t testing.TB, dir, text string) config.Operator {
+func loadConfig(t testing.TB, dir, text string) config.Operator {
 	t.Helper()
 	path := filepath.Join(dir, "quillfront.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -86,7 +86,7 @@
 		}
 	}
 	users("secret")
-	meter := echo(t)
+	meter := startEchoServer(t)
 	text := fmt.Sprintf(`
 [[pools]]
 name = "meters"
@@ -120,7 +120,7 @@
 account = {user = "sidecar", password_file = "inner"}
 `, meter, port, ledgers[0].Addr(), ledgers[1].Addr())
 	budget := sockets.New(500)
-	s, err := New(load(t, dir, text).Services, nil, 1<<20, budget, slog.New(slog.DiscardHandler))
+	s, err := New(loadConfig(t, dir, text).Services, nil, 1<<20, budget, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,7 +134,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(c, "reading")
 	c.(*net.TCPConn).CloseWrite()
 	if b, err := io.ReadAll(c); string(b) != "reading" || err != nil {
@@ -155,14 +155,14 @@
 	}
 	users("changed")
 	changed := strings.Replace(text, `id = "l0",`, `id = "l0", drain = true,`, 1)
-	next := load(t, dir, changed).Services
+	next := loadConfig(t, dir, changed).Services
 	if err := s.Check(next, nil); err != nil {
 		t.Error(err)
 	}
 	if restart, err := s.Reload(next, nil); restart || err != nil {
 		t.Errorf("%v, %v", restart, err)
 	}
-	for end := time.Now().Add(patience); s.all[1].pool.ServerUsable("l0"); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); s.services[1].pool.ServerUsable("l0"); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the drain is not taken over")
 		}
@@ -179,7 +179,7 @@
 	if ledgers[0].Statements.Load() != before {
 		t.Error("statements go to the server that drains")
 	}
-	if restart, err := s.Reload(load(t, dir, strings.Replace(changed, `class = "open"`, "class = \"open\"\nidle = \"7s\"", 1)).Services, nil); !restart || err != nil {
+	if restart, err := s.Reload(loadConfig(t, dir, strings.Replace(changed, `class = "open"`, "class = \"open\"\nidle = \"7s\"", 1)).Services, nil); !restart || err != nil {
 		t.Errorf("another idle time: %v, %v", restart, err)
 	}
 	figures := s.Stats()
@@ -207,7 +207,7 @@
 		return fmt.Sprintf("[[streams]]\nname = %q\nlisten = %q\npool = \"p\"\nclass = \"open\"\n", name, addr)
 	}
 	var log bytes.Buffer
-	s, err := New(load(t, t.TempDir(), head+one("first", "127.0.0.1:0")+one("second", taken.Addr().String())).Services, nil, 1<<20, sockets.New(100), slog.New(slog.NewTextHandler(&log, nil)))
+	s, err := New(loadConfig(t, t.TempDir(), head+one("first", "127.0.0.1:0")+one("second", taken.Addr().String())).Services, nil, 1<<20, sockets.New(100), slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
