--- a/internal/filelist/filelist.go
+++ b/internal/filelist/filelist.go
@@ -80,7 +80,7 @@
 // file is missing, partly written, empty, too large or invalid in any entry.
 type Source struct {
 	Path         string
-	PollInterval time.Duration // defaults to 500 ms, at least 10 ms
+	PollInterval time.Duration // 0: 500 ms; otherwise at least 10 ms
 	AllowEmpty   bool          // accept a file without servers as a valid list
 	Log          *slog.Logger  // gets one error for each invalid version of the file
 }
--- a/internal/services/http.go
+++ b/internal/services/http.go
@@ -28,75 +28,78 @@
 )
 
 const (
-	// acceptGracePeriod is how long connections may go on coming once a listener is to end.
+	// acceptGracePeriod is how long a listener that shuts down still accepts queued connections.
 	acceptGracePeriod = 100 * time.Millisecond
-	// retirePollInterval is how often a pool that has been taken out is looked at for its last requests.
+	// retirePollInterval is how often a retiring pool is checked for its last requests.
 	retirePollInterval = 20 * time.Millisecond
-	// retireGracePeriod is how long what a pool had taken when it was taken out may still be sent and tried again there: nothing new may come to a
-	// server later than 2 s after it was to get none. What is not out at a server by then is answered at once.
+	// retireGracePeriod is how long a retiring pool may still send and retry the requests that it
+	// accepted before. A server must get nothing later than 2 s after it was removed. Requests that
+	// are not at a server by the end of the period are answered at once.
 	retireGracePeriod = 1500 * time.Millisecond
 )
 
-// httpPoolSet is the pools that serve HTTP by routes, and the router between them and their fronts.
+// httpPoolSet holds the pools that routes lead to, and the router that selects among them.
 type httpPoolSet struct {
 	log       *slog.Logger
 	budget    *sockets.Budget
-	connQuota *sockets.Quota // descriptors for servers
-	bodyQuota *sockets.Quota // memory
+	connQuota *sockets.Quota // descriptors for connections to servers
+	bodyQuota *sockets.Quota // bytes for request bodies
 	router    *router.Router
-	ctx       context.Context // ends with close
+	ctx       context.Context // canceled by close
 	cancel    context.CancelFunc
-	wg        sync.WaitGroup // pools that end
+	wg        sync.WaitGroup // goroutines that retire routes and pools
 
 	mu       sync.Mutex
 	pools    map[string]*httpPool
-	retiring []*httpPool     // taken out, with requests that are still to end
-	retired  RetirementStats // of those that have ended
+	retiring []*httpPool     // retired from the routes, with requests that are still open
+	retired  RetirementStats // counts of pools that have ended
 }
 
-// RetirementStats counts how pools that were taken out have ended.
+// RetirementStats counts how retired pools have ended.
 type RetirementStats struct {
-	Pools uint64 // that have ended
-	Cut   uint64 // requests that were answered without a server's answer as their pool was over
+	Pools uint64 // pools that have ended
+	Cut   uint64 // requests that ended without a server's response because their pool was retired
 }
 
 // httpPool is a pool of HTTP servers.
 type httpPool struct {
 	*pool.Pool
 	name           string
-	cfg            pool.Config // as it was taken over last
+	cfg            pool.Config // as applied last
 	transport      *httpTransport
 	connShare      *sockets.Share
 	bodyShare      *sockets.Share
 	route          *router.Pool
-	retiringRoutes []retiringRoute // under which requests may still be on their way to the engine
+	retiringRoutes []retiringRoute
 }
 
-// retiringRoute is a description of a pool that was replaced by another, with what requests go by that were routed before.
+// retiringRoute is what remains of a router pool whose configuration was replaced: requests that
+// were routed by it may still need its classes.
 type retiringRoute struct {
 	classes []pool.Class
-	drained <-chan struct{} // closed once all those have come to the engine
+	drained <-chan struct{} // closed once all of those requests have reached the engine
 }
 
-// httpTransport counts what each server has of this process, which is its load where it does not tell it.
+// httpTransport counts the requests that this process has in flight at each server. The count
+// serves as the load of servers without a load port.
 type httpTransport struct {
 	*upstream.Transport
 	cfg      atomic.Pointer[pool.Config]
 	inFlight pool.InFlight
 }
 
-// Do is a method of engine.Transport.
+// Do implements engine.Transport.
 func (t *httpTransport) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	t.inFlight.Add(a.Server, 1)
-	end := t.Transport.Do(a, to)
+	result := t.Transport.Do(a, to)
 	t.inFlight.Add(a.Server, -1)
 	if t.cfg.Load().LoadPort == 0 {
-		end.Load = t.inFlight.Load(a.Server)
+		result.Load = t.inFlight.Load(a.Server)
 	}
-	return end
+	return result
 }
 
-// Probe is a method of engine.Transport.
+// Probe implements engine.Transport.
 func (t *httpTransport) Probe(ctx context.Context, to engine.Endpoint) (policy.Status, *policy.Load) {
 	c := t.cfg.Load()
 	if c.LoadPort == 0 {
@@ -106,24 +109,25 @@
 	return t.Transport.Probe(ctx, to)
 }
 
-// newHTTPPoolSet returns the pools that the routes lead to; none where there is no [[http]].
+// newHTTPPoolSet opens the pools that list leads to.
 func newHTTPPoolSet(cfg config.Services, list []routes.Route, memory int64, b *sockets.Budget, log *slog.Logger) (*httpPoolSet, error) {
-	w := &httpPoolSet{
+	s := &httpPoolSet{
 		log: log, budget: b, connQuota: b.ServerQuota(), bodyQuota: sockets.NewQuota(max(memory, 1<<20)), pools: map[string]*httpPool{},
 	}
-	w.ctx, w.cancel = context.WithCancel(context.Background())
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	var err error
-	if w.router, err = router.New(nil, nil); err == nil {
-		err = w.reload(cfg, list)
+	if s.router, err = router.New(nil, nil); err == nil {
+		err = s.reload(cfg, list)
 	}
 	if err != nil {
-		w.close()
+		s.close()
 		return nil, err
 	}
-	return w, nil
+	return s, nil
 }
 
-// routedPools returns the pools that routes lead to.
+// routedPools returns the configurations of the pools that list leads to, with the classes that
+// the routes need.
 func routedPools(cfg config.Services, list []routes.Route) []pool.Config {
 	names := map[string]bool{}
 	for _, r := range list {
@@ -139,33 +143,34 @@
 	return all
 }
 
-// reload takes over routes and the pools that they lead to: one that is the same goes on with all that it has, one whose list, classes or times
-// have changed takes them over, and one that is gone ends once its last request has. cfg and list have been checked.
-func (w *httpPoolSet) reload(cfg config.Services, list []routes.Route) error {
-	fresh, err := w.applyConfig(cfg, list)
+// reload applies routes and the pools that they lead to. An unchanged pool keeps its state, a pool
+// with another list, classes or timeouts applies them, and a pool that no route leads to any more
+// is retired. cfg and list must have been validated.
+func (s *httpPoolSet) reload(cfg config.Services, list []routes.Route) error {
+	opened, err := s.applyConfig(cfg, list)
 	if err != nil {
-		for _, p := range fresh { // without the lock: see end
-			w.closePool(p)
+		for _, p := range opened { // without the lock: see closePool
+			s.closePool(p)
 		}
 	}
 	return err
 }
 
-// applyConfig is set. With an error the pools that it has opened are the caller's to end.
-func (w *httpPoolSet) applyConfig(cfg config.Services, list []routes.Route) (fresh []*httpPool, err error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// applyConfig is reload without the cleanup: after an error, the caller closes the pools in opened.
+func (s *httpPoolSet) applyConfig(cfg config.Services, list []routes.Route) (opened []*httpPool, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	next := map[string]*httpPool{}
 	wanted := routedPools(cfg, list)
 	for _, c := range wanted {
-		p := w.pools[c.Name]
+		p := s.pools[c.Name]
 		if p == nil || p.cfg.HasStaticList() != c.HasStaticList() {
-			opened, err := w.open(c)
+			created, err := s.open(c)
 			if err != nil {
-				return fresh, fmt.Errorf("[[pools]] %s: %w", c.Name, err)
+				return opened, fmt.Errorf("[[pools]] %s: %w", c.Name, err)
 			}
-			p = opened
-			fresh = append(fresh, p)
+			p = created
+			opened = append(opened, p)
 		}
 		next[c.Name] = p
 	}
@@ -175,53 +180,55 @@
 			continue
 		}
 		if err := p.applyConfig(c); err != nil {
-			return fresh, fmt.Errorf("[[pools]] %s: %w", c.Name, err)
+			return opened, fmt.Errorf("[[pools]] %s: %w", c.Name, err)
 		}
 		p.transport.Reconfigure(settingsOf(c))
 		p.transport.cfg.Store(&c)
 		p.cfg = c
 	}
-	lead, replaced := map[string]*router.Pool{}, map[*httpPool]*router.Pool{}
+	routed, replaced := map[string]*router.Pool{}, map[*httpPool]*router.Pool{}
 	for name, p := range next {
-		lead[name] = p.route
+		routed[name] = p.route
 		if p.route == nil || !reflect.DeepEqual(p.route.Config, p.cfg) {
-			lead[name] = &router.Pool{Engine: p.Engine, Config: p.cfg, BodyBudget: p.bodyShare}
+			routed[name] = &router.Pool{Engine: p.Engine, Config: p.cfg, BodyBudget: p.bodyShare}
 			replaced[p] = p.route
 		}
 	}
-	if err := w.router.Set(list, lead); err != nil {
-		return fresh, err
+	if err := s.router.Set(list, routed); err != nil {
+		return opened, err
 	}
-	for p, before := range replaced {
-		p.route = lead[p.name]
-		if before != nil {
-			w.retireRoute(p, before)
+	for p, previous := range replaced {
+		p.route = routed[p.name]
+		if previous != nil {
+			s.retireRoute(p, previous)
 		}
 	}
-	places, bytes := map[*sockets.Share]int64{}, map[*sockets.Share]int64{}
-	for name, p := range w.pools {
-		if next[name] != p { // else those that come and those that go would be promised all there is, and nobody could borrow
-			places[p.connShare], bytes[p.bodyShare] = 0, 0
-			w.retire(p)
+	descriptors, bytes := map[*sockets.Share]int64{}, map[*sockets.Share]int64{}
+	for name, p := range s.pools {
+		// A retired pool loses its guarantees. Otherwise new and retired pools together would be
+		// guaranteed the whole quota, and no pool could borrow.
+		if next[name] != p {
+			descriptors[p.connShare], bytes[p.bodyShare] = 0, 0
+			s.retire(p)
 		}
 	}
 	for _, c := range wanted {
 		p := next[c.Name]
-		places[p.connShare] = positiveOr(int64(c.Descriptors), w.connQuota.Total()/2/int64(len(wanted)))
-		bytes[p.bodyShare] = positiveOr(c.Memory, w.bodyQuota.Total()/2/int64(len(wanted)))
+		descriptors[p.connShare] = positiveOr(int64(c.Descriptors), s.connQuota.Total()/2/int64(len(wanted)))
+		bytes[p.bodyShare] = positiveOr(c.Memory, s.bodyQuota.Total()/2/int64(len(wanted)))
 	}
-	w.connQuota.SetGuarantees(places)
-	w.bodyQuota.SetGuarantees(bytes)
-	w.pools = next
-	return fresh, nil
+	s.connQuota.SetGuarantees(descriptors)
+	s.bodyQuota.SetGuarantees(bytes)
+	s.pools = next
+	return opened, nil
 }
 
-// applyConfig makes c what p is from now on. Classes that c lacks stay for requests that are on their way by a former description, as far as there
-// is room for them. Called with the lock of its web held.
+// applyConfig reloads p with c. Classes that c lacks are kept, up to pool.MaxClasses, for requests
+// that were routed by an earlier configuration. The caller holds the lock of the httpPoolSet.
 func (p *httpPool) applyConfig(c pool.Config) error {
 	c.Classes = slices.Clone(c.Classes)
-	for _, f := range p.retiringRoutes {
-		c.Classes = addClasses(c.Classes, f.classes)
+	for _, r := range p.retiringRoutes {
+		c.Classes = addClasses(c.Classes, r.classes)
 	}
 	if p.route != nil && !reflect.DeepEqual(p.route.Config, c) {
 		c.Classes = addClasses(c.Classes, p.route.Config.Classes)
@@ -229,37 +236,38 @@
 	return p.Reload(c)
 }
 
-// addClasses adds those of more whose names are not there, up to as many as a pool may have.
-func addClasses(to, more []pool.Class) []pool.Class {
-	for _, k := range more {
-		if len(to) < pool.MaxClasses && !slices.ContainsFunc(to, func(o pool.Class) bool { return o.Name == k.Name }) {
-			to = append(to, k)
+// addClasses appends the classes of more whose names are not in classes, up to pool.MaxClasses.
+func addClasses(classes, more []pool.Class) []pool.Class {
+	for _, class := range more {
+		if len(classes) < pool.MaxClasses && !slices.ContainsFunc(classes, func(c pool.Class) bool { return c.Name == class.Name }) {
+			classes = append(classes, class)
 		}
 	}
-	return to
+	return classes
 }
 
-// retireRoute lets nothing new in by a former description of p, and forgets its classes once all that was routed by it has come to the engine.
-// Called with the lock held.
-func (w *httpPoolSet) retireRoute(p *httpPool, before *router.Pool) {
-	f := retiringRoute{before.Config.Classes, before.Retire()}
-	p.retiringRoutes = append(p.retiringRoutes, f)
-	w.wg.Go(func() {
-		if !wait(w, f.drained) {
+// retireRoute stops routing by previous, an earlier configuration of p, and drops its classes once
+// all requests that were routed by it have reached the engine. The caller holds the lock.
+func (s *httpPoolSet) retireRoute(p *httpPool, previous *router.Pool) {
+	r := retiringRoute{previous.Config.Classes, previous.Retire()}
+	p.retiringRoutes = append(p.retiringRoutes, r)
+	s.wg.Go(func() {
+		if !wait(s, r.drained) {
 			return
 		}
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		p.retiringRoutes = slices.DeleteFunc(p.retiringRoutes, func(o retiringRoute) bool { return o.drained == f.drained })
-		if w.pools[p.name] != p {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		p.retiringRoutes = slices.DeleteFunc(p.retiringRoutes, func(o retiringRoute) bool { return o.drained == r.drained })
+		if s.pools[p.name] != p {
 			return
 		}
-		if err := p.applyConfig(p.cfg); err != nil { // it was taken over before, with more
-			w.log.Error("pool", "pool", p.cfg.Name, "err", err)
+		if err := p.applyConfig(p.cfg); err != nil { // the pool accepted it with more classes
+			s.log.Error("cannot remove retired classes from pool", "pool", p.cfg.Name, "err", err)
 		}
 	})
 }
 
+// isClosed reports whether c is closed.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
@@ -269,31 +277,34 @@
 	}
 }
 
-// wait waits for done, and reports false if everything ends before.
-func wait[T any](w *httpPoolSet, done <-chan T) bool {
+// wait waits for done, and reports false if s is closed first.
+func wait[T any](s *httpPoolSet, done <-chan T) bool {
 	select {
 	case <-done:
 		return true
-	case <-w.ctx.Done():
+	case <-s.ctx.Done():
 		return false
 	}
 }
 
-func positiveOr(n, otherwise int64) int64 {
+// positiveOr returns n if it is positive, else fallback.
+func positiveOr(n, fallback int64) int64 {
 	if n > 0 {
 		return n
 	}
-	return otherwise
+	return fallback
 }
 
+// settingsOf returns the settings of the transport of pool c.
 func settingsOf(c pool.Config) settings.Settings {
 	return settings.Settings{Config: policy.Config{DialTimeout: c.DialTimeout(), ConnIdleTimeout: c.IdleTimeout()}, LoadFields: c.ReportFields()}
 }
 
-func (w *httpPoolSet) open(c pool.Config) (*httpPool, error) {
-	log := w.log.With("pool", c.Name)
-	p := &httpPool{name: c.Name, cfg: c, connShare: w.connQuota.NewShare(), bodyShare: w.bodyQuota.NewShare()}
-	lender := w.budget.ForPool(p.connShare, w.evictIdleFor(p))
+// open creates the pool of c with its transport and its shares of the quotas.
+func (s *httpPoolSet) open(c pool.Config) (*httpPool, error) {
+	log := s.log.With("pool", c.Name)
+	p := &httpPool{name: c.Name, cfg: c, connShare: s.connQuota.NewShare(), bodyShare: s.bodyQuota.NewShare()}
+	lender := s.budget.ForPool(p.connShare, s.evictIdleFor(p))
 	p.transport = &httpTransport{Transport: upstream.New(settingsOf(c), lender, log)}
 	p.transport.SetMaxHeaderBytes(config.ServerHead)
 	p.transport.cfg.Store(&c)
@@ -307,18 +318,19 @@
 	return p, nil
 }
 
-// evictIdleFor returns what closes an idle connection of another pool than p.
-func (w *httpPoolSet) evictIdleFor(p *httpPool) func() bool {
-	return func() bool { return w.evictIdle(p) }
+// evictIdleFor returns a function that closes an idle connection of a pool other than p.
+func (s *httpPoolSet) evictIdleFor(p *httpPool) func() bool {
+	return func() bool { return s.evictIdle(p) }
 }
 
-// evictIdle closes one idle connection to a server, and reports whether there was one. Where it is for a pool, it is another one's that has more
-// than it was promised: what that gives back within its promise is nobody else's to take.
-func (w *httpPoolSet) evictIdle(but *httpPool) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, p := range w.allLocked() {
-		if used, promised := p.connShare.Used(); but != nil && (p == but || used <= promised) {
+// evictIdle closes one idle connection to a server and reports whether there was one. If requester
+// is set, the connection belongs to another pool that uses more than its guarantee: a descriptor
+// that a pool frees within its guarantee is available to that pool only.
+func (s *httpPoolSet) evictIdle(requester *httpPool) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, p := range s.allLocked() {
+		if used, guaranteed := p.connShare.Used(); requester != nil && (p == requester || used <= guaranteed) {
 			continue
 		}
 		if p.transport.EvictIdle() {
@@ -328,90 +340,94 @@
 	return false
 }
 
-// retire ends a pool that no route leads to any more, once its last request has ended: its servers get nothing but what it had taken, for
-// graceTime at most, and open requests end where they began. Called with the lock held.
-func (w *httpPoolSet) retire(p *httpPool) {
-	w.log.Info("pool ends", "pool", p.cfg.Name, "held", p.RetainedRequests())
-	w.retiring = append(w.retiring, p)
-	through := []<-chan struct{}{p.route.Retire()}
-	for _, f := range p.retiringRoutes {
-		through = append(through, f.drained)
+// retire closes a pool that no route leads to any more once its last request has ended. Its
+// servers get only requests that it accepted before, for at most retireGracePeriod, and open
+// requests end in this pool. The caller holds the lock.
+func (s *httpPoolSet) retire(p *httpPool) {
+	s.log.Info("retiring pool", "pool", p.cfg.Name, "held", p.RetainedRequests())
+	s.retiring = append(s.retiring, p)
+	drained := []<-chan struct{}{p.route.Retire()}
+	for _, r := range p.retiringRoutes {
+		drained = append(drained, r.drained)
 	}
-	w.wg.Go(func() {
-		over := time.Now().Add(retireGracePeriod)
+	s.wg.Go(func() {
+		deadline := time.Now().Add(retireGracePeriod)
 		tick := time.NewTicker(retirePollInterval)
 		defer tick.Stop()
-		until := func(done func() bool) {
-			for !done() && wait(w, tick.C) {
+		waitUntil := func(done func() bool) {
+			for !done() && wait(s, tick.C) {
 			}
 		}
-		until(func() bool {
-			through = slices.DeleteFunc(through, isClosed)
-			return len(through) == 0 && p.OpenRequests() == 0 || time.Now().After(over)
+		waitUntil(func() bool {
+			drained = slices.DeleteFunc(drained, isClosed)
+			return len(drained) == 0 && p.OpenRequests() == 0 || time.Now().After(deadline)
 		})
 		p.Retire()
-		p.transport.Close() // what is idle is of no use any more
-		for _, t := range through {
-			wait(w, t)
+		p.transport.Close() // closes the idle connections, which have no further use
+		for _, d := range drained {
+			wait(s, d)
 		}
-		until(func() bool { return p.RetainedRequests() == 0 })
-		w.closePool(p)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.retiring = slices.DeleteFunc(w.retiring, func(o *httpPool) bool { return o == p })
-		w.retired.Pools++
-		w.retired.Cut += p.UnservedSinceRetire()
+		waitUntil(func() bool { return p.RetainedRequests() == 0 })
+		s.closePool(p)
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.retiring = slices.DeleteFunc(s.retiring, func(o *httpPool) bool { return o == p })
+		s.retired.Pools++
+		s.retired.Cut += p.UnservedSinceRetire()
 	})
 }
 
-// closePool ends a pool at once. It waits for attempts, which may be waiting for makeRoom: the lock must not be held.
-func (w *httpPoolSet) closePool(p *httpPool) {
+// closePool closes a pool at once. It waits for attempts, which may be waiting for evictIdle, so
+// the lock must not be held.
+func (s *httpPoolSet) closePool(p *httpPool) {
 	p.Close()
 	p.transport.Close()
 	p.connShare.Close()
 	p.bodyShare.Close()
 }
 
-// close ends all pools.
-func (w *httpPoolSet) close() {
-	w.cancel()
-	w.wg.Wait()
-	w.mu.Lock()
-	pools := w.pools
-	w.pools = nil
-	w.mu.Unlock()
+// close closes all pools.
+func (s *httpPoolSet) close() {
+	s.cancel()
+	s.wg.Wait()
+	s.mu.Lock()
+	pools := s.pools
+	s.pools = nil
+	s.mu.Unlock()
 	for _, p := range pools {
-		w.closePool(p)
+		s.closePool(p)
 	}
 }
 
-// HTTPPools is the pools that routes lead to without an address of their own, for a library.
+// HTTPPools holds the pools that routes lead to, for a program that uses the library and has no
+// HTTP services.
 type HTTPPools struct{ pools *httpPoolSet }
 
-// OpenHTTPPools opens the pools that list leads to, which have been checked. Bodies of requests may hold memory bytes in all.
+// OpenHTTPPools opens the pools that list leads to. cfg and list must have been validated. memory
+// is the limit in bytes for all buffered request bodies.
 func OpenHTTPPools(cfg config.Services, list []routes.Route, memory int64, b *sockets.Budget, log *slog.Logger) (*HTTPPools, error) {
-	w, err := newHTTPPoolSet(cfg, list, memory, b, log)
+	pools, err := newHTTPPoolSet(cfg, list, memory, b, log)
 	if err != nil {
 		return nil, err
 	}
-	b.OnShortage(func() bool { return w.evictIdle(nil) }, nil)
-	return &HTTPPools{w}, nil
+	b.OnShortage(func() bool { return pools.evictIdle(nil) }, nil)
+	return &HTTPPools{pools}, nil
 }
 
-// Router says which pool takes a request.
-func (w *HTTPPools) Router() *router.Router { return w.pools.router }
+// Router returns the router that selects the pool of a request.
+func (h *HTTPPools) Router() *router.Router { return h.pools.router }
 
 // Engines returns the engines of all pools.
-func (w *HTTPPools) Engines() []*engine.Engine { return w.pools.engines() }
+func (h *HTTPPools) Engines() []*engine.Engine { return h.pools.engines() }
 
-// Set takes over other routes and pools, which have been checked.
-func (w *HTTPPools) Set(cfg config.Services, list []routes.Route) error {
-	return w.pools.reload(cfg, list)
+// Set applies other routes and pools, which must have been validated.
+func (h *HTTPPools) Set(cfg config.Services, list []routes.Route) error {
+	return h.pools.reload(cfg, list)
 }
 
-// Drain takes no more requests, and waits until all that were taken have their answers or ctx ends.
-func (w *HTTPPools) Drain(ctx context.Context) error {
-	for _, p := range w.pools.all() {
+// Drain rejects new requests and waits until all accepted requests have ended or ctx ends.
+func (h *HTTPPools) Drain(ctx context.Context) error {
+	for _, p := range h.pools.all() {
 		if err := p.Drain(ctx); err != nil {
 			return err
 		}
@@ -419,14 +435,14 @@
 	return nil
 }
 
-// Close ends all pools at once.
-func (w *HTTPPools) Close() { w.pools.close() }
+// Close closes all pools at once.
+func (h *HTTPPools) Close() { h.pools.close() }
 
-// stats returns those of all pools and routes.
-func (w *httpPoolSet) stats() (all []Stats) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for name, p := range w.pools {
+// stats returns the telemetry of all pools that routes lead to.
+func (s *httpPoolSet) stats() (all []Stats) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for name, p := range s.pools {
 		f := Stats{Kind: "pool", Name: name, Counts: p.Counts(), Pool: p.Snapshot(), HTTP: &HTTPStats{}}
 		f.HTTP.Descriptors, _ = p.connShare.Used()
 		f.HTTP.BodyBytes, _ = p.bodyShare.Used()
@@ -436,42 +452,43 @@
 	return all
 }
 
-// HTTPStats are what a pool of HTTP servers holds, or what comes in at an address of HTTP.
+// HTTPStats holds the telemetry of a pool of HTTP servers or of an HTTP service.
 type HTTPStats struct {
-	Descriptors, BodyBytes int64                   // of a pool, taken of its share
-	DescriptorWaits        sockets.Waits           // for descriptors of its share
-	Clients                httpfront.Stats         // of an address
-	Retired                RetirementStats         // of pools that were taken out; the same at each address
-	Routes                 map[string]router.Stats // likewise; the same at each
+	Descriptors, BodyBytes int64                   // of a pool: what it uses of its shares
+	DescriptorWaits        sockets.Waits           // of a pool: waits for a descriptor
+	Clients                httpfront.Stats         // of a service
+	Retired                RetirementStats         // of all retired pools; the same for each service
+	Routes                 map[string]router.Stats // by route; the same for each service
 }
 
-// httpFrontend is an address at which HTTP is served.
+// httpFrontend is the frontend of an HTTP service.
 type httpFrontend struct {
 	*httpfront.Server
 	patience time.Duration
 
 	mu     sync.Mutex
-	ln     *sockets.DrainableListener // nil: it has not begun
+	ln     *sockets.DrainableListener // nil before Serve
 	closed bool
 }
 
-// Serve is a method of front.
+// Serve implements frontend.
 func (f *httpFrontend) Serve(ln net.Listener) error {
-	b := sockets.NewDrainableListener(ln.(*net.TCPListener))
+	drainable := sockets.NewDrainableListener(ln.(*net.TCPListener))
 	f.mu.Lock()
-	f.ln = b
-	ended := f.closed
+	f.ln = drainable
+	closed := f.closed
 	f.mu.Unlock()
-	if ended {
+	if closed {
 		ln.Close()
 		return net.ErrClosed
 	}
-	return f.Server.Serve(b)
+	return f.Server.Serve(drainable)
 }
 
-// Shutdown is a method of front: connections that are quiet are closed, answers say that theirs ends, and what is not
-// answered shortly before the patience is over is given up, with an answer that says so. An answer that is still coming
-// then is cut off in a way that its client can tell.
+// Shutdown implements frontend. It closes idle connections and adds Connection: close to responses.
+// Requests that have no response shortly before the patience is over get an error response. A
+// response that is still being sent at the end of the patience is aborted in a way that its client
+// can detect.
 func (f *httpFrontend) Shutdown(ctx context.Context) error {
 	f.Drain(shutdown.WithinContext(ctx, f.patience))
 	defer context.AfterFunc(ctx, f.CloseAll)()
@@ -479,9 +496,9 @@
 	ln := f.ln
 	f.closed = true
 	f.mu.Unlock()
-	if ln == nil { // it has not begun
+	if ln == nil { // Serve was not called
 		f.CloseAll()
-	} else { // what waits there has been accepted by the machine: it is served
+	} else { // the kernel has accepted the queued connections, so they are served
 		ln.Drain(time.Now().Add(acceptGracePeriod))
 	}
 	if !f.Wait() {
@@ -490,10 +507,10 @@
 	return nil
 }
 
-// errCutOff tells that connections with requests or answers on them were closed at the end of the patience.
-var errCutOff = errors.New("not all had ended as the patience was over")
+// errCutOff is returned if connections with open requests were closed at the end of the patience.
+var errCutOff = errors.New("connections with open requests were closed at the end of the shutdown patience")
 
-// Close is a method of front.
+// Close implements frontend.
 func (f *httpFrontend) Close() {
 	f.mu.Lock()
 	if f.closed = true; f.ln != nil {
@@ -503,27 +520,30 @@
 	f.Server.Close()
 }
 
+// addHTTP adds the HTTP service c.
 func (s *Services) addHTTP(c config.HTTP) {
-	whole := c.Whole
-	whole.Router = s.httpPools.router
-	f := &httpFrontend{Server: httpfront.NewProxy(whole, s.budget, s.log.With("http", c.Name)), patience: c.Patience}
+	proxyConfig := c.Whole
+	proxyConfig.Router = s.httpPools.router
+	f := &httpFrontend{Server: httpfront.NewProxy(proxyConfig, s.budget, s.log.With("http", c.Name)), patience: c.Patience}
 	s.services = append(s.services, &service{
 		kind: "http", name: c.Name, listen: c.Listen, frontend: f, evictIdle: func() bool { return s.httpPools.evictIdle(nil) }, close: func() {},
 		httpServer: f.Server,
 	})
 }
 
-// EvictClient closes the connection of a client of HTTP that is missed least, and reports whether there was one.
+// EvictClient closes the HTTP client connection whose loss matters least, and reports whether there
+// was one.
 func (s *Services) EvictClient() bool {
 	return slices.ContainsFunc(s.services, func(v *service) bool { return v.httpServer != nil && v.httpServer.Evict() })
 }
 
-// SetEvacuated has all addresses of HTTP say that they are not ready, and close their connections; Rejoin ends it.
-func (s *Services) SetEvacuated(is bool) {
+// SetEvacuated sets whether all HTTP services report that they are not ready and close their
+// client connections.
+func (s *Services) SetEvacuated(evacuated bool) {
 	for _, v := range s.services {
 		switch {
 		case v.httpServer == nil:
-		case is:
+		case evacuated:
 			v.httpServer.Evacuate()
 		default:
 			v.httpServer.Rejoin()
@@ -531,7 +551,7 @@
 	}
 }
 
-// Engines returns the engines of all pools that are at work.
+// Engines returns the engines of all pools, including those that are being retired.
 func (s *Services) Engines() (all []*engine.Engine) {
 	for _, v := range s.services {
 		if v.pool != nil {
@@ -544,29 +564,30 @@
 	return all
 }
 
-// engines returns those of all pools: what is taken out may still send what it had taken.
-func (w *httpPoolSet) engines() (all []*engine.Engine) {
-	for _, p := range w.all() {
+// engines returns the engines of all pools. Retiring pools are included, as they may still send
+// requests that they accepted before.
+func (s *httpPoolSet) engines() (all []*engine.Engine) {
+	for _, p := range s.all() {
 		all = append(all, p.Engine)
 	}
 	return all
 }
 
-// allLocked returns all pools, those that still end among them. Called with the lock held.
-func (w *httpPoolSet) allLocked() []*httpPool {
-	return slices.Concat(slices.Collect(maps.Values(w.pools)), w.retiring)
+// allLocked returns all pools, including those that are being retired. The caller holds the lock.
+func (s *httpPoolSet) allLocked() []*httpPool {
+	return slices.Concat(slices.Collect(maps.Values(s.pools)), s.retiring)
 }
 
-// all is both without the lock.
-func (w *httpPoolSet) all() []*httpPool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.allLocked()
+// all is allLocked for a caller that does not hold the lock.
+func (s *httpPoolSet) all() []*httpPool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.allLocked()
 }
 
 // pendingRequests returns the requests of all pools that have waited for longer than d.
-func (w *httpPoolSet) pendingRequests(d time.Duration) (all []PendingRequest) {
-	for _, p := range w.all() {
+func (s *httpPoolSet) pendingRequests(d time.Duration) (all []PendingRequest) {
+	for _, p := range s.all() {
 		for _, r := range p.PendingRequests(d) {
 			all = append(all, PendingRequest{p.name, r})
 		}
--- a/internal/services/http_retire_test.go
+++ b/internal/services/http_retire_test.go
@@ -186,8 +186,8 @@
 }
 
 // bodyBytesInUse is what bodies hold of all pools, those that end among them.
-func (w *httpPoolSet) bodyBytesInUse() (sum int64) {
-	for _, p := range w.all() {
+func (s *httpPoolSet) bodyBytesInUse() (sum int64) {
+	for _, p := range s.all() {
 		used, _ := p.bodyShare.Used()
 		sum += used
 	}
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -1,5 +1,7 @@
-// Package services puts the operator's own pools together with what listens for them, and owns their start, reload and planned end.
-// Each service has a pool of its own, even where two name the same: what one learns of a server by its protocol says little to the other.
+// Package services assembles the operator's services, each a listener with the pool that it
+// forwards to, and handles their start, reload and shutdown. Every stream and MySQL service has a
+// pool of its own, even if two name the same one: what is learned about a server over one protocol
+// says little about it over another. The HTTP services share the pools that the routes lead to.
 package services
 
 import (
@@ -27,43 +29,44 @@
 	"quillfront/routes"
 )
 
-// Services are all that run.
+// Services is the set of services of one process.
 type Services struct {
 	budget    *sockets.Budget
 	log       *slog.Logger
 	services  []*service
-	httpPools *httpPoolSet // nil: no HTTP is served
+	httpPools *httpPoolSet // nil without HTTP services
 
-	once sync.Once // of Close
+	closeOnce sync.Once
 
 	mu  sync.Mutex
 	cfg config.Services
 }
 
-// frontend is what listens.
+// frontend accepts and serves the connections of a service.
 type frontend interface {
 	Serve(net.Listener) error
 	Shutdown(context.Context) error
 	Close()
 }
 
-// service is one that listens, with its pool.
+// service is a frontend with its address and its pool.
 type service struct {
 	kind, name, listen string
 	pool               *pool.Pool
 	poolName           string
 	frontend           frontend
 	evictIdle          func() bool
-	close              func() // of the transport
+	close              func() // closes the transports
 	setUsers           func([]proxy.User)
-	httpServer         *httpfront.Server // of HTTP; nil: of none. Its pools are the web's
+	httpServer         *httpfront.Server // nil unless it is an HTTP service
 	streamStats        func() stream.Stats
 	mysqlStats         func() proxy.Stats
 	ln                 net.Listener
 }
 
-// New makes all services of cfg, which has been checked, and the pools that list leads to where HTTP is served. Bodies of requests may hold
-// memory bytes in all. It opens no socket.
+// New creates the services of cfg and, if there are HTTP services, the pools that list leads to.
+// cfg and list must have been validated. memory is the limit in bytes for all buffered request
+// bodies. New opens no listener.
 func New(cfg config.Services, list []routes.Route, memory int64, b *sockets.Budget, log *slog.Logger) (*Services, error) {
 	s := &Services{budget: b, log: log, cfg: cfg}
 	if len(cfg.HTTP) > 0 {
@@ -90,7 +93,8 @@
 	return s, nil
 }
 
-// loadTransport asks servers for their load at a port beside; nil where they have none.
+// loadTransport returns a transport that queries the load of servers at a separate port, or nil if
+// the pool has no such port.
 func (s *Services) loadTransport(p pool.Config) *upstream.Transport {
 	if p.LoadPort == 0 {
 		return nil
@@ -100,14 +104,15 @@
 	}, s.budget, s.log)
 }
 
+// addStream adds the stream service c with its pool.
 func (s *Services) addStream(c stream.Config, p pool.Config) error {
 	log := s.log.With("stream", c.Name)
-	var asks pool.Prober
-	beside := s.loadTransport(p)
-	if beside != nil {
-		asks = beside
+	var prober pool.Prober
+	loads := s.loadTransport(p)
+	if loads != nil {
+		prober = loads
 	}
-	t := stream.NewTransport(p.DialTimeout(), s.budget, p.LoadAddr, asks, log)
+	t := stream.NewTransport(p.DialTimeout(), s.budget, p.LoadAddr, prober, log)
 	opened, err := p.Open(t, log)
 	if err != nil {
 		return err
@@ -115,19 +120,20 @@
 	f := stream.New(c, opened.Engine, s.budget, s.log)
 	s.services = append(s.services, &service{
 		kind: "stream", name: c.Name, listen: c.Listen, pool: opened, poolName: p.Name, frontend: f, streamStats: f.Stats,
-		evictIdle: evictIdleFunc(beside, nil), close: closeFunc(beside, nil),
+		evictIdle: evictIdleFunc(loads, nil), close: closeFunc(loads, nil),
 	})
 	return nil
 }
 
+// addMySQL adds the MySQL service c with its pool.
 func (s *Services) addMySQL(c proxy.Config, p pool.Config) error {
 	log := s.log.With("mysql", c.Name)
-	var asks pool.Prober
-	beside := s.loadTransport(p)
-	if beside != nil {
-		asks = beside
+	var prober pool.Prober
+	loads := s.loadTransport(p)
+	if loads != nil {
+		prober = loads
 	}
-	t := proxy.NewTransport(c, p.DialTimeout(), p.IdleTimeout(), s.budget, p.LoadAddr, asks, log)
+	t := proxy.NewTransport(c, p.DialTimeout(), p.IdleTimeout(), s.budget, p.LoadAddr, prober, log)
 	opened, err := p.Open(t, log)
 	if err != nil {
 		t.Close()
@@ -136,32 +142,35 @@
 	f := proxy.New(c, opened, t, s.budget, s.log)
 	s.services = append(s.services, &service{
 		kind: "mysql", name: c.Name, listen: c.Listen, pool: opened, poolName: p.Name, frontend: f, setUsers: f.SetUsers, mysqlStats: f.Stats,
-		evictIdle: evictIdleFunc(beside, t.MakeRoom), close: closeFunc(beside, t.Close),
+		evictIdle: evictIdleFunc(loads, t.MakeRoom), close: closeFunc(loads, t.Close),
 	})
 	return nil
 }
 
-func evictIdleFunc(beside *upstream.Transport, other func() bool) func() bool {
-	return func() bool { return other != nil && other() || beside != nil && beside.EvictIdle() }
+// evictIdleFunc returns a function that closes an idle connection, with evict or one of loads. Both
+// may be nil.
+func evictIdleFunc(loads *upstream.Transport, evict func() bool) func() bool {
+	return func() bool { return evict != nil && evict() || loads != nil && loads.EvictIdle() }
 }
 
-func closeFunc(beside *upstream.Transport, other func()) func() {
+// closeFunc returns a function that calls closeTransport and closes loads. Both may be nil.
+func closeFunc(loads *upstream.Transport, closeTransport func()) func() {
 	return func() {
-		if other != nil {
-			other()
+		if closeTransport != nil {
+			closeTransport()
 		}
-		if beside != nil {
-			beside.Close()
+		if loads != nil {
+			loads.Close()
 		}
 	}
 }
 
-// EvictIdle closes one idle connection to a server, and reports whether there was one.
+// EvictIdle closes one idle connection to a server and reports whether there was one.
 func (s *Services) EvictIdle() bool {
 	return slices.ContainsFunc(s.services, func(v *service) bool { return v.evictIdle() })
 }
 
-// Listen opens all addresses, or none. An error names the service.
+// Listen opens the listeners of all services, or none of them. An error names the service.
 func (s *Services) Listen() error {
 	for _, v := range s.services {
 		ln, err := net.Listen("tcp", v.listen)
@@ -177,12 +186,12 @@
 		v.ln = ln
 	}
 	for _, v := range s.services {
-		s.log.Info("service", "kind", v.kind, "name", v.name, "at", v.ln.Addr().String(), "pool", v.poolName)
+		s.log.Info("service is listening", "kind", v.kind, "name", v.name, "at", v.ln.Addr().String(), "pool", v.poolName)
 	}
 	return nil
 }
 
-// Addr returns where a service listens, once Listen has opened its address.
+// Addr returns the address at which a service listens, or "" before Listen.
 func (s *Services) Addr(name string) string {
 	for _, v := range s.services {
 		if v.name == name && v.ln != nil {
@@ -192,33 +201,34 @@
 	return ""
 }
 
-// Serve serves until all services have been shut down or closed. Listen comes before it.
+// Serve serves until all services are shut down or closed. Listen must have been called.
 func (s *Services) Serve() error {
-	var work sync.WaitGroup
+	var wg sync.WaitGroup
 	errs := make([]error, len(s.services))
 	for i, v := range s.services {
-		work.Go(func() {
+		wg.Go(func() {
 			if err := v.frontend.Serve(v.ln); err != nil && !errors.Is(err, net.ErrClosed) {
 				errs[i] = fmt.Errorf("%s %s: %w", v.kind, v.name, err)
 			}
 		})
 	}
-	work.Wait()
+	wg.Wait()
 	return errors.Join(errs...)
 }
 
-// Shutdown ends all services as each is to end, at once, and returns once they have. What is left when ctx ends is cut off.
+// Shutdown shuts all services down gracefully and concurrently, and returns once all have ended.
+// Connections that are still open when ctx ends are closed.
 func (s *Services) Shutdown(ctx context.Context) {
-	var work sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, v := range s.services {
-		work.Go(func() { v.frontend.Shutdown(ctx) })
+		wg.Go(func() { v.frontend.Shutdown(ctx) })
 	}
-	work.Wait()
+	wg.Wait()
 }
 
-// Close ends all that New has made.
+// Close ends all services and pools at once.
 func (s *Services) Close() {
-	s.once.Do(func() {
+	s.closeOnce.Do(func() {
 		for _, v := range s.services {
 			v.frontend.Close()
 			if v.pool != nil {
@@ -232,7 +242,7 @@
 	})
 }
 
-// Check tells what of cfg and list could not be taken over.
+// Check returns an error if Reload could not apply cfg and list.
 func (s *Services) Check(cfg config.Services, list []routes.Route) error {
 	if s.httpPools != nil {
 		if err := router.Check(list, cfg.Pools); err != nil {
@@ -249,8 +259,9 @@
 	return nil
 }
 
-// Reload takes over the routes, the pools' lists, classes and times, and the users. What else has changed is for the next start, which restart
-// reports. cfg has passed Check.
+// Reload applies the routes, the lists, classes and timeouts of pools, and the MySQL users. restart
+// reports that cfg has other changes, which take effect only at the next start. cfg must have
+// passed Check.
 func (s *Services) Reload(cfg config.Services, list []routes.Route) (restart bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -263,18 +274,18 @@
 		if v.pool == nil {
 			continue
 		}
-		before, p := s.cfg.Pool(v.poolName), cfg.Pool(v.poolName)
-		if p.Name == "" || p.HasStaticList() != before.HasStaticList() {
+		previous, p := s.cfg.Pool(v.poolName), cfg.Pool(v.poolName)
+		if p.Name == "" || p.HasStaticList() != previous.HasStaticList() {
 			restart = true
 			continue
 		}
-		if reflect.DeepEqual(p, before) {
+		if reflect.DeepEqual(p, previous) {
 			continue
 		}
 		if err := v.pool.Reload(p); err != nil {
 			return restart, fmt.Errorf("[[pools]] %s: %w", p.Name, err)
 		}
-		restart = restart || p.LoadPort != before.LoadPort || p.Dial != before.Dial || p.Idle != before.Idle
+		restart = restart || p.LoadPort != previous.LoadPort || p.Dial != previous.Dial || p.Idle != previous.Idle
 	}
 	for _, c := range cfg.MySQL {
 		for _, v := range s.services {
@@ -288,7 +299,7 @@
 	return restart, nil
 }
 
-// restartOnly is what a reload does not take over.
+// restartOnly returns the part of c that a reload does not apply.
 func restartOnly(c config.Services) config.Services {
 	c.Pools, c.MySQL = nil, slices.Clone(c.MySQL)
 	for i := range c.MySQL {
@@ -297,17 +308,17 @@
 	return c
 }
 
-// Stats are what a service does, for telemetry.
+// Stats holds the telemetry of a service, or of a pool of HTTP servers.
 type Stats struct {
 	Kind, Name string
 	Counts     map[string]engine.Counts // by class
 	Pool       engine.Snapshot
-	Stream     *stream.Stats // of a stream
-	HTTP       *HTTPStats    // of HTTP: a pool, or an address
-	MySQL      *proxy.Stats  // of a MySQL service
+	Stream     *stream.Stats // nil unless it is a stream service
+	HTTP       *HTTPStats    // nil unless it is an HTTP service or a pool of HTTP servers
+	MySQL      *proxy.Stats  // nil unless it is a MySQL service
 }
 
-// Stats returns the present figures of all services.
+// Stats returns the telemetry of all services and of all pools that routes lead to.
 func (s *Services) Stats() []Stats {
 	var all []Stats
 	if s.httpPools != nil {
@@ -320,25 +331,26 @@
 		}
 		f := Stats{Kind: v.kind, Name: v.name, Counts: v.pool.Counts(), Pool: v.pool.Snapshot()}
 		if v.streamStats != nil {
-			st := v.streamStats()
-			f.Stream = &st
+			stats := v.streamStats()
+			f.Stream = &stats
 		}
 		if v.mysqlStats != nil {
-			st := v.mysqlStats()
-			f.MySQL = &st
+			stats := v.mysqlStats()
+			f.MySQL = &stats
 		}
 		all = append(all, f)
 	}
 	return all
 }
 
-// PendingRequest is a request that waits at a service or a pool.
+// PendingRequest is a request that waits in a pool.
 type PendingRequest struct {
 	Pool string
 	engine.PendingRequest
 }
 
-// PendingRequests returns the requests of all services and pools that have waited for longer than d, pools that are being ended among them.
+// PendingRequests returns the requests that have waited for longer than d in any pool, including
+// the pools that are being retired.
 func (s *Services) PendingRequests(d time.Duration) (all []PendingRequest) {
 	if s.httpPools != nil {
 		all = s.httpPools.pendingRequests(d)
@@ -354,7 +366,7 @@
 	return all
 }
 
-// RetirementStats returns how pools that were taken out have ended so far.
+// RetirementStats returns the counts of pools that have been retired so far.
 func (s *Services) RetirementStats() RetirementStats {
 	if s.httpPools == nil {
 		return RetirementStats{}
