--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -29,8 +29,8 @@
 	Process Process
 	Log     Log
 	Members *Members
-	// Account has the log tell each second what was done. It is a flag's, not the file's.
-	Account bool
+	// LogAccount has the log tell each second what was done. It is a flag's, not the file's.
+	LogAccount bool
 }
 
 // operatorFile is the file as it stands.
@@ -80,16 +80,16 @@
 }
 
 type sitesTier struct {
-	Sites    []string `toml:"sites"`
-	MaxShare float64  `toml:"most"`
+	Sites []string `toml:"sites"`
+	Most  float64  `toml:"most"`
 }
 
 // config returns what the table says, not yet checked.
 func (t *sitesTable) config() *sites.Config {
 	c := sites.Config{
-		Prefer: t.Prefer, HealthyThreshold: t.Clear, DegradedThreshold: t.Doubt, DownThreshold: t.Dark, EvidenceHalfLife: time.Duration(t.Memory), HoldTime: time.Duration(t.Hold),
-		InitialShare: t.First, MaxSpill: t.Spill, LostSiteHalfLife: time.Duration(t.Fade), RecoveryTime: time.Duration(t.Climb), MaxRecoveryTime: time.Duration(t.MostClimb),
-		MaxImprovements: t.Changes,
+		Prefer: t.Prefer, Clear: t.Clear, Doubt: t.Doubt, Dark: t.Dark, Memory: time.Duration(t.Memory), Hold: time.Duration(t.Hold),
+		First: t.First, Spill: t.Spill, Fade: time.Duration(t.Fade), Climb: time.Duration(t.Climb), MostClimb: time.Duration(t.MostClimb),
+		Changes: t.Changes,
 	}
 	for _, r := range t.Rules {
 		rule := sites.Rule{Classes: r.Classes, Tenants: r.Tenants}
@@ -118,7 +118,7 @@
 // file, line and key. With an empty path all is off.
 func LoadOperator(path string) (Operator, error) {
 	if path == "" {
-		return Operator{Log: Log{Rate: usualLogRate}}, nil
+		return Operator{Log: Log{Rate: defaultLogRate}}, nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/services/http.go
+++ b/internal/services/http.go
@@ -306,7 +306,7 @@
 	p := &httpPool{name: c.Name, cfg: c, connShare: s.connQuota.NewShare(), bodyShare: s.bodyQuota.NewShare()}
 	lender := s.budget.ForPool(p.connShare, s.evictIdleFor(p))
 	p.transport = &httpTransport{Transport: upstream.New(settingsOf(c), lender, log)}
-	p.transport.SetMaxHeaderBytes(config.ServerHead)
+	p.transport.SetMaxHeaderBytes(config.MaxResponseHead)
 	p.transport.cfg.Store(&c)
 	var err error
 	if p.Pool, err = c.Open(p.transport, log); err != nil {
@@ -522,9 +522,9 @@
 
 // addHTTP adds the HTTP service c.
 func (s *Services) addHTTP(c config.HTTP) {
-	proxyConfig := c.Whole
+	proxyConfig := c.Proxy
 	proxyConfig.Router = s.httpPools.router
-	f := &httpFrontend{Server: httpfront.NewProxy(proxyConfig, s.budget, s.log.With("http", c.Name)), patience: c.Patience}
+	f := &httpFrontend{Server: httpfront.NewProxy(proxyConfig, s.budget, s.log.With("http", c.Name)), patience: c.ShutdownTimeout}
 	s.services = append(s.services, &service{
 		kind: "http", name: c.Name, listen: c.Listen, frontend: f, evictIdle: func() bool { return s.httpPools.evictIdle(nil) }, close: func() {},
 		httpServer: f.Server,
