--- a/internal/services/http_bench_test.go
+++ b/internal/services/http_bench_test.go
@@ -18,7 +18,8 @@
 	"time"
 )
 
-// proxies are what a request may pass through on its way to a server: each begins to listen and returns its address.
+// proxies lists what stands between client and server in a benchmark. start starts the proxy and
+// returns its address.
 var proxies = []struct {
 	name  string
 	start func(t testing.TB, server string) string
@@ -37,12 +38,13 @@
 	}},
 }
 
-// benchmarkHandler answers small requests at once, /long with as many bytes as it can send, and reads all that it is sent.
+// benchmarkHandler answers /long with bytes until the client disconnects. It reads the body of any
+// other request and answers it with a small response.
 func benchmarkHandler(w http.ResponseWriter, q *http.Request) {
 	if q.URL.Path == "/long" {
-		piece := make([]byte, 64<<10)
+		chunk := make([]byte, 64<<10)
 		for q.Context().Err() == nil {
-			if _, err := w.Write(piece); err != nil {
+			if _, err := w.Write(chunk); err != nil {
 				return
 			}
 		}
@@ -52,8 +54,8 @@
 	io.WriteString(w, "fine")
 }
 
-// BenchmarkSmall asks for little by four connections that are kept.
-func BenchmarkSmall(b *testing.B) {
+// BenchmarkSmallResponse measures small requests over four persistent connections.
+func BenchmarkSmallResponse(b *testing.B) {
 	srv := httptest.NewServer(http.HandlerFunc(benchmarkHandler))
 	defer srv.Close()
 	for _, p := range proxies {
@@ -61,10 +63,10 @@
 			addr := p.start(b, strings.TrimPrefix(srv.URL, "http://"))
 			text := []byte("GET /small HTTP/1.1\r\nHost: a\r\nAccept: */*\r\nUser-Agent: bench\r\n\r\n")
 			b.ResetTimer()
-			var work sync.WaitGroup
+			var wg sync.WaitGroup
 			const clients = 4
 			for i := range clients {
-				work.Go(func() {
+				wg.Go(func() {
 					c, err := net.Dial("tcp", addr)
 					if err != nil {
 						b.Error(err)
@@ -81,19 +83,20 @@
 					}
 				})
 			}
-			work.Wait()
+			wg.Wait()
 		})
 	}
 }
 
-// BenchmarkLong takes a long answer, and sends a long body, by one connection.
-func BenchmarkLong(b *testing.B) {
+// BenchmarkLargeBody measures a large response (down) and a large request body (up) over one
+// connection.
+func BenchmarkLargeBody(b *testing.B) {
 	srv := httptest.NewServer(http.HandlerFunc(benchmarkHandler))
 	defer srv.Close()
 	const size = 256 << 20
-	for _, way := range []string{"down", "up"} {
+	for _, direction := range []string{"down", "up"} {
 		for _, p := range proxies {
-			b.Run(way+"/"+p.name, func(b *testing.B) {
+			b.Run(direction+"/"+p.name, func(b *testing.B) {
 				addr := p.start(b, strings.TrimPrefix(srv.URL, "http://"))
 				tr := &http.Transport{DisableCompression: true}
 				defer tr.CloseIdleConnections()
@@ -101,7 +104,7 @@
 				for b.Loop() {
 					ctx, cancel := context.WithCancel(context.Background())
 					q, _ := http.NewRequestWithContext(ctx, "GET", "http://"+addr+"/long", nil)
-					if way == "up" {
+					if direction == "up" {
 						q, _ = http.NewRequest("PUT", "http://"+addr+"/up", io.LimitReader(zeroReader{}, size))
 						q.ContentLength = size
 					}
@@ -109,7 +112,7 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					if way == "down" {
+					if direction == "down" {
 						if _, err := io.CopyN(io.Discard, resp.Body, size); err != nil {
 							b.Fatal(err)
 						}
@@ -122,20 +125,22 @@
 	}
 }
 
+// zeroReader reads as an endless sequence of zero bytes.
 type zeroReader struct{}
 
 func (zeroReader) Read(p []byte) (int, error) { return len(p), nil }
 
-// TestManyStreams: a process with a front of HTTP that passes 100 long answers on, to clients that take them slowly, stays under 32 MB.
+// TestManyStreams checks that a process with an HTTP service that forwards 100 long responses to
+// slow clients uses less than 32 MB of memory.
 func TestManyStreams(t *testing.T) {
-	if addr := os.Getenv("QUILLFRONT_STREAMS_OF"); addr != "" { // the process that is looked at
+	if addr := os.Getenv("QUILLFRONT_STREAMS_OF"); addr != "" { // the process that is measured
 		_, front := serveHTTP(t, httpConfig("", addr))
 		os.Stdout.WriteString("at " + front + "\n")
 		io.Copy(io.Discard, os.Stdin)
 		return
 	}
 	if raceEnabled {
-		t.Skip("the race detector's own memory would be measured")
+		t.Skip("the race detector uses memory of its own")
 	}
 	srv := httptest.NewServer(http.HandlerFunc(benchmarkHandler))
 	defer srv.Close()
@@ -162,8 +167,8 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var work sync.WaitGroup
-	defer work.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer cancel()
 	tr := &http.Transport{DisableCompression: true, ReadBufferSize: 4096}
 	defer tr.CloseIdleConnections()
@@ -173,7 +178,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		work.Go(func() {
+		wg.Go(func() {
 			defer resp.Body.Close()
 			for ctx.Err() == nil {
 				if _, err := io.CopyN(io.Discard, resp.Body, 64<<10); err != nil {
@@ -188,19 +193,19 @@
 	if err != nil {
 		t.Skip(err)
 	}
-	most := 0
+	peak := 0
 	for line := range strings.SplitSeq(string(text), "\n") {
 		if rest, ok := strings.CutPrefix(line, "VmHWM:"); ok {
 			for _, c := range strings.TrimSpace(rest) {
 				if c < '0' || c > '9' {
 					break
 				}
-				most = most*10 + int(c-'0')
+				peak = peak*10 + int(c-'0')
 			}
 		}
 	}
-	t.Logf("100 streams: %d kB at the most, on %s", most, runtime.Version())
-	if most == 0 || most > 32<<10 {
-		t.Errorf("100 streams take %d kB, at most %d", most, 32<<10)
+	t.Logf("100 streams: peak of %d kB, with %s", peak, runtime.Version())
+	if peak == 0 || peak > 32<<10 {
+		t.Errorf("100 streams: peak of %d kB, want at most %d", peak, 32<<10)
 	}
 }
--- a/internal/services/http_disconnect_test.go
+++ b/internal/services/http_disconnect_test.go
@@ -11,7 +11,8 @@
 	"quillfront/internal/engine"
 )
 
-// startFullServer is the address of a server whose queue of connections is full, so that none comes up.
+// startFullServer returns the address of a listener whose accept queue is full, so that connecting
+// to it blocks.
 func startFullServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -36,13 +37,13 @@
 	}
 }
 
-// TestClientDisconnectWithUnreadData: a client that leaves while its request waits is noticed, also where the next request, or a body that
-// is not yet read, stands before the end of its connection.
+// TestClientDisconnectWithUnreadData checks that the disconnect of a client whose request waits is
+// detected even if unread data, a pipelined request or a body, precedes the end of the connection.
 func TestClientDisconnectWithUnreadData(t *testing.T) {
 	for name, text := range map[string]string{
-		"the next request, at once": "GET /a HTTP/1.1\nHost: s\n\nGET /b HTTP/1.1\nHost: s\n\n",
-		"the next request, later":   "GET /a HTTP/1.1\nHost: s\n\n|GET /b HTTP/1.1\nHost: s\n\n",
-		"a body":                    "PUT /a HTTP/1.1\nHost: s\nTransfer-Encoding: chunked\n\n4\nbody\n4\nmore\n0\nX-Trailer: t\n\n",
+		"pipelined request, at once": "GET /a HTTP/1.1\nHost: s\n\nGET /b HTTP/1.1\nHost: s\n\n",
+		"pipelined request, later":   "GET /a HTTP/1.1\nHost: s\n\n|GET /b HTTP/1.1\nHost: s\n\n",
+		"body":                       "PUT /a HTTP/1.1\nHost: s\nTransfer-Encoding: chunked\n\n4\nbody\n4\nmore\n0\nX-Trailer: t\n\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, addr := serveHTTP(t, strings.Replace(httpConfig("", startFullServer(t)), `dial = "1s"`, `dial = "8s"`, 1))
@@ -77,7 +78,7 @@
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it never happens")
+			t.Fatal("timed out waiting for the condition")
 		}
 	}
 }
--- a/internal/services/http_fault_test.go
+++ b/internal/services/http_fault_test.go
@@ -25,22 +25,23 @@
 	"quillfront/internal/standin"
 )
 
-// startScriptedServer is a server that does what its script says with each connection, once the head of a request has come.
+// startScriptedServer starts a server that calls script for each connection once it has read the
+// head of a request, and returns its address.
 func startScriptedServer(t testing.TB, script func(c net.Conn, r *bufio.Reader, q *http.Request)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var work sync.WaitGroup
-	t.Cleanup(func() { ln.Close(); work.Wait() })
-	work.Go(func() {
+	var wg sync.WaitGroup
+	t.Cleanup(func() { ln.Close(); wg.Wait() })
+	wg.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			work.Go(func() {
+			wg.Go(func() {
 				defer c.Close()
 				c.SetDeadline(time.Now().Add(testTimeout))
 				r := bufio.NewReader(c)
@@ -53,26 +54,30 @@
 	return ln.Addr().String()
 }
 
+// resetConn closes c with a TCP reset.
 func resetConn(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
+// newClient returns an HTTP client that waits for 100 Continue and does not request compression.
 func newClient(t testing.TB) *http.Client {
 	tr := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 200, ExpectContinueTimeout: testTimeout}
 	t.Cleanup(tr.CloseIdleConnections)
 	return &http.Client{Transport: tr, Timeout: testTimeout}
 }
 
-// TestTruncatedResponses: a server that ends an answer where it should not. What has not begun to go to the client is tried again if that is
-// harmless; what has begun ends so that nobody takes it for whole; and nothing that may have run is sent twice.
-func TestTruncatedResponses(t *testing.T) {
+// TestBrokenResponses covers servers that truncate a response or send an invalid one. A request
+// whose response has not reached the client yet is retried if that is safe. A response that was
+// started ends so that the client detects the truncation. A request that may have run is never sent
+// twice.
+func TestBrokenResponses(t *testing.T) {
 	for _, tt := range []struct {
 		name, method string
-		script       string // what the server writes before it resets
+		script       string // what the server writes before it resets the connection
 		status       int
-		whole        bool  // the client gets an answer that is whole
-		sent         int32 // times, of the broken server
+		complete     bool  // the client gets a complete response
+		sent         int32 // requests to the broken server
 	}{
 		{"before the head", "GET", "", 200, true, 1},
 		{"before the head, unsafe", "POST", "", 502, true, 1},
@@ -83,24 +88,24 @@
 		{"before the last chunk", "GET", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n01234\r\n", 200, false, 1},
 		{"within the trailer", "GET", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n01234\r\n0\r\nX-Sum: ", 200, false, 1},
 		{"after the end", "GET", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n01234\r\n0\r\n\r\n", 200, true, 1},
-		{"a failure, unsafe", "POST", "HTTP/1.1 500 Oh\r\nContent-Length: 3\r\n\r\nbad", 500, true, 1},
-		{"a failure", "GET", "HTTP/1.1 500 Oh\r\nContent-Length: 3\r\n\r\nbad", 200, true, 1},
-		{"proof that nothing ran, unsafe", "POST", "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", 200, true, 1},
-		{"a switch that nobody asked for", "GET", "HTTP/1.1 101 Switch\r\n\r\n", 200, true, 1},
-		{"two lengths", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 200, true, 1},
+		{"status 500, unsafe", "POST", "HTTP/1.1 500 Oh\r\nContent-Length: 3\r\n\r\nbad", 500, true, 1},
+		{"status 500", "GET", "HTTP/1.1 500 Oh\r\nContent-Length: 3\r\n\r\nbad", 200, true, 1},
+		{"not processed, unsafe", "POST", "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", 200, true, 1},
+		{"unrequested protocol switch", "GET", "HTTP/1.1 101 Switch\r\n\r\n", 200, true, 1},
+		{"two Content-Length headers", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 200, true, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			var sent, good atomic.Int32
+			var badRequests, goodRequests atomic.Int32
 			bad := startScriptedServer(t, func(c net.Conn, r *bufio.Reader, q *http.Request) {
-				sent.Add(1)
+				badRequests.Add(1)
 				io.Copy(io.Discard, q.Body)
 				io.WriteString(c, tt.script)
-				time.Sleep(20 * time.Millisecond) // a reset overtakes what was written
+				time.Sleep(20 * time.Millisecond) // a reset may discard data that the proxy has not read yet
 				resetConn(c)
 			})
-			well := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { good.Add(1); io.WriteString(w, "fine") }))
-			defer well.Close()
+			good := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { goodRequests.Add(1); io.WriteString(w, "fine") }))
+			defer good.Close()
 			s, addr := serveHTTP(t, httpConfig("", bad))
 			client := newClient(t)
 			do := func() (int, error) {
@@ -113,36 +118,38 @@
 				_, err = io.ReadAll(resp.Body)
 				return resp.StatusCode, err
 			}
-			// A second server is listed once the first is known, so that the first attempt goes to the first.
-			o := loadConfig(t, t.TempDir(), httpConfig("", bad, strings.TrimPrefix(well.URL, "http://")))
-			drained := loadConfig(t, t.TempDir(), strings.Replace(httpConfig("", bad, strings.TrimPrefix(well.URL, "http://")), `id = "s1",`, `id = "s1", drain = true,`, 1))
+			// The good server is listed as draining at first, so that attempts go to the broken
+			// one.
+			ready := loadConfig(t, t.TempDir(), httpConfig("", bad, strings.TrimPrefix(good.URL, "http://")))
+			drained := loadConfig(t, t.TempDir(), strings.Replace(httpConfig("", bad, strings.TrimPrefix(good.URL, "http://")), `id = "s1",`, `id = "s1", drain = true,`, 1))
 			if _, err := s.Reload(drained.Services, drained.Routes); err != nil {
 				t.Fatal(err)
 			}
-			until := time.Now().Add(testTimeout)
-			for sent.Load() == 0 {
+			deadline := time.Now().Add(testTimeout)
+			for badRequests.Load() == 0 {
 				status, err := do()
-				if tt.status != 200 || !tt.whole || tt.name == "after the end" {
-					if (err == nil) != tt.whole || err == nil && status != tt.status {
-						t.Fatalf("%d, %v; want %d, whole %v", status, err, tt.status, tt.whole)
+				if tt.status != 200 || !tt.complete || tt.name == "after the end" {
+					if (err == nil) != tt.complete || err == nil && status != tt.status {
+						t.Fatalf("status %d, %v; want %d, complete %v", status, err, tt.status, tt.complete)
 					}
 				} else if err != nil {
 					t.Fatal(err)
 				}
-				if time.Now().After(until) {
-					t.Fatal("nothing was sent")
+				if time.Now().After(deadline) {
+					t.Fatal("the broken server got no request")
 				}
 			}
-			if tt.status == 200 && tt.whole && tt.name != "after the end" { // with another server it is served by that one
-				if _, err := s.Reload(o.Services, o.Routes); err != nil {
+			// Once the good server is ready, it serves the request.
+			if tt.status == 200 && tt.complete && tt.name != "after the end" {
+				if _, err := s.Reload(ready.Services, ready.Routes); err != nil {
 					t.Fatal(err)
 				}
-				for good.Load() == 0 {
+				for goodRequests.Load() == 0 {
 					if status, err := do(); err != nil || status != 200 && status < 500 {
 						t.Fatal(status, err)
 					}
-					if time.Now().After(until) {
-						t.Fatal("the other server was never asked")
+					if time.Now().After(deadline) {
+						t.Fatal("the good server got no request")
 					}
 				}
 			}
@@ -150,7 +157,8 @@
 	}
 }
 
-// TestUnsafeRequestsRunOnce: however a server fails, an unsafe request comes to servers once, and one that they prove not to have run may come again.
+// TestUnsafeRequestsRunOnce checks that an unsafe request runs at most once however servers fail.
+// Only a request that a server proves not to have run may be sent again.
 func TestUnsafeRequestsRunOnce(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]int{}
@@ -161,12 +169,12 @@
 			return
 		}
 		mu.Lock()
-		kind := rng.IntN(6)
-		if kind != 0 {
+		fault := rng.IntN(6)
+		if fault != 0 {
 			ran[string(body)]++
 		}
 		mu.Unlock()
-		switch kind {
+		switch fault {
 		case 0:
 			w.Header().Set("X-Not-Processed", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -188,10 +196,10 @@
 	}
 	_, addr := serveHTTP(t, httpConfig("", servers...))
 	client := newClient(t)
-	var work sync.WaitGroup
-	var refusedRan atomic.Int32
+	var wg sync.WaitGroup
+	var refusedButRan atomic.Int32
 	for w := range 8 {
-		work.Go(func() {
+		wg.Go(func() {
 			for i := range 60 {
 				id := fmt.Sprintf("%d-%d", w, i)
 				resp, err := client.Post("http://"+addr+"/order", "text/plain", strings.NewReader(id))
@@ -203,43 +211,44 @@
 				resp.Body.Close()
 				mu.Lock()
 				if resp.StatusCode == http.StatusServiceUnavailable && ran[id] > 0 {
-					refusedRan.Add(1)
+					refusedButRan.Add(1)
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	work.Wait()
+	wg.Wait()
 	for id, n := range ran {
 		if n > 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
-	if refusedRan.Load() > 0 {
-		t.Errorf("%d were refused though they had run", refusedRan.Load())
+	if refusedButRan.Load() > 0 {
+		t.Errorf("%d requests were refused although they had run", refusedButRan.Load())
 	}
 }
 
-// patternReader gives bytes of which no two are alike for long.
+// patternReader reads as a sequence of bytes without long repetitions.
 type patternReader struct {
-	left int64
-	at   byte
+	remaining int64
+	next      byte
 }
 
 func (p *patternReader) Read(b []byte) (int, error) {
-	if p.left == 0 {
+	if p.remaining == 0 {
 		return 0, io.EOF
 	}
-	n := int(min(int64(len(b)), p.left))
+	n := int(min(int64(len(b)), p.remaining))
 	for i := range n {
-		b[i] = p.at
-		p.at += 7
+		b[i] = p.next
+		p.next += 7
 	}
-	p.left -= int64(n)
+	p.remaining -= int64(n)
 	return n, nil
 }
 
-// TestLargeBodies: bodies of any length go through whole both ways, told or in chunks, and what is echoed as it comes does too.
+// TestLargeBodies checks that bodies of any size arrive complete in both directions, with a
+// Content-Length or chunked, also if the server echoes the body while it reads it.
 func TestLargeBodies(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path == "/echo" {
@@ -257,12 +266,12 @@
 	client := newClient(t)
 	for _, size := range []int64{1, 70_000, 3 << 20, 48 << 20} {
 		sum := sha256.New()
-		io.Copy(sum, &patternReader{left: size})
+		io.Copy(sum, &patternReader{remaining: size})
 		want := fmt.Sprintf("%x", sum.Sum(nil))
-		for _, told := range []int64{size, -1} {
+		for _, length := range []int64{size, -1} {
 			for _, path := range []string{"/sum", "/echo"} {
-				q, _ := http.NewRequest("PUT", "http://"+addr+path, io.NopCloser(&patternReader{left: size}))
-				q.ContentLength = told
+				q, _ := http.NewRequest("PUT", "http://"+addr+path, io.NopCloser(&patternReader{remaining: size}))
+				q.ContentLength = length
 				resp, err := client.Do(q)
 				if err != nil {
 					t.Fatalf("%s %d: %v", path, size, err)
@@ -272,13 +281,14 @@
 				n, err := io.Copy(io.MultiWriter(got, &limitedBuffer{&text}), resp.Body)
 				resp.Body.Close()
 				if path == "/echo" && (n != size || fmt.Sprintf("%x", got.Sum(nil)) != want) || path == "/sum" && text.String() != want || err != nil {
-					t.Errorf("%s %d of %d: %d bytes, %d, %v", path, told, size, n, resp.StatusCode, err)
+					t.Errorf("%s with Content-Length %d of %d: got %d bytes, status %d, %v", path, length, size, n, resp.StatusCode, err)
 				}
 			}
 		}
 	}
 }
 
+// limitedBuffer keeps the first 100 bytes written to it.
 type limitedBuffer struct{ *bytes.Buffer }
 
 func (l *limitedBuffer) Write(p []byte) (int, error) {
@@ -286,7 +296,8 @@
 	return len(p), nil
 }
 
-// TestResponseBeforeRequestBody: a server answers before it has read the body, and goes on or closes.
+// TestResponseBeforeRequestBody covers a server that responds before it has read the body, and then
+// reads the rest or closes the connection.
 func TestResponseBeforeRequestBody(t *testing.T) {
 	for _, closes := range []bool{true, false} {
 		addr := startScriptedServer(t, func(c net.Conn, r *bufio.Reader, q *http.Request) {
@@ -296,7 +307,7 @@
 			}
 		})
 		_, front := serveHTTP(t, httpConfig("", addr))
-		q, _ := http.NewRequest("POST", "http://"+front+"/x", io.NopCloser(&patternReader{left: 8 << 20}))
+		q, _ := http.NewRequest("POST", "http://"+front+"/x", io.NopCloser(&patternReader{remaining: 8 << 20}))
 		resp, err := newClient(t).Do(q)
 		if err != nil {
 			t.Fatal(closes, err)
@@ -309,9 +320,10 @@
 	}
 }
 
-// TestExpectContinue: the server says no, says nothing, or says yes once the body has begun; the client is told what the server says.
+// TestExpectContinue covers a server that rejects Expect: 100-continue, ignores it, or sends 100
+// Continue at once or late. The client must get what the server sends.
 func TestExpectContinue(t *testing.T) {
-	read := func(c net.Conn, q *http.Request) {
+	echoBody := func(c net.Conn, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
@@ -319,21 +331,21 @@
 		name   string
 		script func(c net.Conn, r *bufio.Reader, q *http.Request)
 		status int
-		asked  bool // the client is told to send its body
+		asked  bool // the client gets 100 Continue
 	}{
-		{"no", func(c net.Conn, r *bufio.Reader, q *http.Request) {
+		{"rejected", func(c net.Conn, r *bufio.Reader, q *http.Request) {
 			io.WriteString(c, "HTTP/1.1 417 No\r\nContent-Length: 0\r\n\r\n")
 			io.Copy(io.Discard, r)
 		}, 417, false},
-		{"yes", func(c net.Conn, r *bufio.Reader, q *http.Request) {
+		{"accepted", func(c net.Conn, r *bufio.Reader, q *http.Request) {
 			io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
-			read(c, q)
+			echoBody(c, q)
 		}, 200, true},
-		{"nothing", func(c net.Conn, r *bufio.Reader, q *http.Request) { read(c, q) }, 200, true},
-		{"yes, late", func(c net.Conn, r *bufio.Reader, q *http.Request) {
+		{"ignored", func(c net.Conn, r *bufio.Reader, q *http.Request) { echoBody(c, q) }, 200, true},
+		{"accepted late", func(c net.Conn, r *bufio.Reader, q *http.Request) {
 			r.Peek(1)
 			io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
-			read(c, q)
+			echoBody(c, q)
 		}, 200, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -361,16 +373,17 @@
 			}
 			body, _ := io.ReadAll(resp.Body)
 			if asked != tt.asked || resp.StatusCode != tt.status || asked && string(body) != "abcd" {
-				t.Errorf("asked %v, %d %q", asked, resp.StatusCode, body)
+				t.Errorf("100 Continue %v, status %d %q", asked, resp.StatusCode, body)
 			}
 		})
 	}
 }
 
-// TestStalledClients: what stands still ends: a client that takes nothing of a long answer, one whose body stops, and one that trickles its
-// body keeps its place as long as it brings enough.
+// TestStalledClients checks that a client that stops reading a long response or stops sending its
+// body is disconnected, and that one that sends its body slowly, but above the minimum rate, is
+// served.
 func TestStalledClients(t *testing.T) {
-	var broke atomic.Bool
+	var writeFailed atomic.Bool
 	ended := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		switch q.URL.Path {
@@ -378,7 +391,7 @@
 			defer close(ended)
 			for range 1 << 10 {
 				if _, err := w.Write(make([]byte, 1<<20)); err != nil {
-					broke.Store(true)
+					writeFailed.Store(true)
 					return
 				}
 			}
@@ -403,29 +416,30 @@
 	select {
 	case <-ended:
 	case <-time.After(testTimeout):
-		t.Error("a client that takes nothing of 1 GiB is still waited for")
+		t.Error("a client that reads nothing of 1 GiB is still connected")
 	}
-	if !broke.Load() {
-		t.Error("1 GiB went to a client that takes nothing")
+	if !writeFailed.Load() {
+		t.Error("1 GiB was sent to a client that reads nothing")
 	}
 	c, r := dial("POST /up HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n")
-	for range 15 { // longer than a standstill may last
+	for range 15 { // longer than the stall timeout
 		io.WriteString(c, "2\r\nab\r\n")
 		time.Sleep(50 * time.Millisecond)
 	}
 	io.WriteString(c, "0\r\n\r\n")
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 {
-		t.Error("a trickle:", resp, err)
+		t.Error("a slow body:", resp, err)
 	}
 	_, r = dial("POST /up HTTP/1.1\r\nHost: a\r\nContent-Length: 5000000\r\n\r\nab")
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != http.StatusRequestTimeout {
-		t.Error("a body that stops:", resp, err)
+		t.Error("a stalled body:", resp, err)
 	}
 }
 
-// TestServerSentEvents: server-sent events go on as they come, and a client that leaves is noticed though nothing is there to be written.
+// TestServerSentEvents checks that server-sent events are forwarded at once, and that a client
+// disconnect is detected although there is nothing to write.
 func TestServerSentEvents(t *testing.T) {
-	next, left := make(chan string), make(chan struct{})
+	next, disconnected := make(chan string), make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.(http.Flusher).Flush()
@@ -435,7 +449,7 @@
 				io.WriteString(w, text)
 				w.(http.Flusher).Flush()
 			case <-q.Context().Done():
-				close(left)
+				close(disconnected)
 				return
 			}
 		}
@@ -459,13 +473,14 @@
 	}
 	cancel()
 	select {
-	case <-left:
+	case <-disconnected:
 	case <-time.After(testTimeout):
-		t.Error("the server was not told that the client has left")
+		t.Error("the request at the server was not canceled after the client disconnected")
 	}
 }
 
-// TestRejectedRequests: what is no request, or goes round in a loop, and what is not served, is told so.
+// TestRejectedRequests checks the status of invalid, looping and unsupported requests next to valid
+// ones, and that pipelined requests are answered in order.
 func TestRejectedRequests(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(originHandler))
 	defer srv.Close()
@@ -493,7 +508,7 @@
 			t.Errorf("%.80q: %d, %v; want %d", text, got.status, got.err, want)
 		}
 	}
-	c, err := net.Dial("tcp", addr) // one behind the other on one connection, of which the first is slow
+	c, err := net.Dial("tcp", addr) // pipelined requests on one connection
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -512,11 +527,12 @@
 	}
 }
 
-// TestReloadUnderLoad: routes and pools change under load, again and again, while requests, retries and a stream go on; nothing is lost, a stream
-// ends where it began, and pools that are gone leave nothing behind.
+// TestReloadUnderLoad replaces routes and pools repeatedly while requests, retries and a stream are
+// open. No request may fail, the stream ends at the server where it began, and retired pools must
+// end.
 func TestReloadUnderLoad(t *testing.T) {
 	dir := t.TempDir()
-	hold := make(chan struct{})
+	finish := make(chan struct{})
 	var slow atomic.Int32
 	server := func(name string) string {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -525,7 +541,7 @@
 				io.WriteString(w, name)
 				w.(http.Flusher).Flush()
 				slow.Add(1)
-				<-hold
+				<-finish
 			case "/slow":
 				slow.Add(1)
 				time.Sleep(100 * time.Millisecond)
@@ -537,10 +553,10 @@
 	}
 	a, b := server("a"), server("b")
 	text := func(pool string) string {
-		one := func(name, addr string) string {
+		poolText := func(name, addr string) string {
 			return fmt.Sprintf("[[pools]]\nname = %q\nservers = [{addr = %q}]\n[[pools.classes]]\nname = \"any\"\neffect = \"by-request\"\naim = \"8s\"\ndeadline = \"9s\"\nwindow = \"30s\"\n", name, addr)
 		}
-		all := map[string]string{"a": one("a", a), "b": one("b", b)}[pool]
+		all := map[string]string{"a": poolText("a", a), "b": poolText("b", b)}[pool]
 		return all + fmt.Sprintf("[[routes]]\nname = \"all\"\nclass = \"any\"\npool = %q\ntrust_idempotency_key = true\n[[http]]\nname = \"front\"\nlisten = \"127.0.0.1:0\"\n", pool)
 	}
 	s, addr := serveHTTP(t, text("a"))
@@ -549,7 +565,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	keyed := func(want int) string {
+	sendKeyed := func(want int) string {
 		q, _ := http.NewRequest("POST", "http://"+addr+"/order", strings.NewReader("x"))
 		q.Header.Set("Idempotency-Key", "k1")
 		resp, err := client.Do(q)
@@ -559,18 +575,18 @@
 		defer resp.Body.Close()
 		body, _ := io.ReadAll(resp.Body)
 		if resp.StatusCode != want {
-			t.Errorf("a keyed order: %d, want %d", resp.StatusCode, want)
+			t.Errorf("request with an idempotency key: status %d, want %d", resp.StatusCode, want)
 		}
 		return string(body)
 	}
-	if got := keyed(200); got != "a" {
-		t.Errorf("a keyed order went to %s", got)
+	if got := sendKeyed(200); got != "a" {
+		t.Errorf("request with an idempotency key went to %s", got)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var work sync.WaitGroup
-	var done atomic.Int64
+	var wg sync.WaitGroup
+	var served atomic.Int64
 	for range 8 {
-		work.Go(func() {
+		wg.Go(func() {
 			for ctx.Err() == nil {
 				resp, err := client.Get("http://" + addr + "/slow")
 				if err != nil {
@@ -580,9 +596,9 @@
 				io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
 				if resp.StatusCode != 200 {
-					t.Errorf("%d during a reload", resp.StatusCode)
+					t.Errorf("status %d during a reload", resp.StatusCode)
 				}
-				done.Add(1)
+				served.Add(1)
 			}
 		})
 	}
@@ -600,40 +616,40 @@
 	if _, err := s.Reload(o.Services, o.Routes); err != nil {
 		t.Fatal(err)
 	}
-	keyed(http.StatusBadGateway) // its pool has gone, and it may have run there
+	sendKeyed(http.StatusBadGateway) // its pool is retired, and it may have run there
 	cancel()
-	work.Wait()
-	close(hold)
+	wg.Wait()
+	close(finish)
 	body, err := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	if string(body) != "aa" || err != nil {
 		t.Errorf("the stream: %q, %v", body, err)
 	}
-	until := time.Now().Add(testTimeout)
-	for left := 1; left > 0; {
+	deadline := time.Now().Add(testTimeout)
+	for remaining := 1; remaining > 0; {
 		s.httpPools.mu.Lock()
-		left = len(s.httpPools.retiring)
+		remaining = len(s.httpPools.retiring)
 		s.httpPools.mu.Unlock()
-		if time.Now().After(until) {
-			t.Fatalf("%d pools have not ended", left)
+		if time.Now().After(deadline) {
+			t.Fatalf("%d retired pools have not ended", remaining)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if done.Load() == 0 {
-		t.Error("nothing was served")
+	if served.Load() == 0 {
+		t.Error("no request was served")
 	}
 }
 
-// TestReloadBetweenAttempts: a request whose server fails after its route has moved to another pool is not tried there: it ends where it
-// began, once.
+// TestReloadBetweenAttempts checks that a request whose server fails after its route was changed to
+// another pool is not retried in that pool, but ends in its own.
 func TestReloadBetweenAttempts(t *testing.T) {
-	came, fail := make(chan struct{}, 9), make(chan struct{})
+	arrived, fail := make(chan struct{}, 9), make(chan struct{})
 	bad := startScriptedServer(t, func(c net.Conn, r *bufio.Reader, q *http.Request) {
-		came <- struct{}{}
+		arrived <- struct{}{}
 		<-fail
 	})
-	var others atomic.Int32
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { others.Add(1) }))
+	var otherRequests atomic.Int32
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { otherRequests.Add(1) }))
 	defer srv.Close()
 	text := httpConfig("", bad)
 	s, addr := serveHTTP(t, text)
@@ -648,14 +664,14 @@
 		resp.Body.Close()
 		done <- resp.StatusCode
 	}()
-	<-came
+	<-arrived
 	o := loadConfig(t, t.TempDir(), strings.ReplaceAll(httpConfig("", strings.TrimPrefix(srv.URL, "http://")), `"web"`, `"other"`))
 	if _, err := s.Reload(o.Services, o.Routes); err != nil {
 		t.Fatal(err)
 	}
 	close(fail)
-	if status := <-done; status < 500 || others.Load() != 0 {
-		t.Errorf("%d, and %d requests came to the other pool", status, others.Load())
+	if status := <-done; status < 500 || otherRequests.Load() != 0 {
+		t.Errorf("status %d, and %d requests reached the other pool", status, otherRequests.Load())
 	}
 	if resp, err := newClient(t).Get("http://" + addr); err != nil || resp.StatusCode != 200 {
 		t.Errorf("a new request: %v, %v", resp, err)
@@ -664,7 +680,8 @@
 	}
 }
 
-// TestAddedHeaders: ids are made where they lack and kept where they come; what goes along is told as the file says.
+// TestAddedHeaders checks the request ID, trace and forwarding headers that are added to a request,
+// and that an ID and a trace from the client are kept.
 func TestAddedHeaders(t *testing.T) {
 	heads := make(chan http.Header, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { heads <- q.Header }))
@@ -684,25 +701,26 @@
 	}
 }
 
-// TestPoolIsolation: a pool whose servers never answer takes what nobody else wants, and no more: another one is served as before.
+// TestPoolIsolation checks that a pool whose servers never respond does not use up the descriptors
+// and memory guaranteed to another pool, which must be served as before.
 func TestPoolIsolation(t *testing.T) {
 	silent := startScriptedServer(t, func(c net.Conn, r *bufio.Reader, q *http.Request) { io.Copy(io.Discard, r) })
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { io.Copy(io.Discard, q.Body) }))
 	defer srv.Close()
-	one := func(name, addr string) string {
+	poolText := func(name, addr string) string {
 		return fmt.Sprintf("[[pools]]\nname = %q\nservers = [{addr = %q}]\ndescriptors = 20\nmemory = 100000\n[[pools.classes]]\nname = \"any\"\neffect = \"by-request\"\naim = \"10s\"\ndeadline = \"20s\"\n", name, addr)
 	}
-	_, addr := serveHTTP(t, one("ill", silent)+one("well", strings.TrimPrefix(srv.URL, "http://"))+`
+	_, addr := serveHTTP(t, poolText("silent", silent)+poolText("healthy", strings.TrimPrefix(srv.URL, "http://"))+`
 [[routes]]
-name = "ill"
-path = "/ill"
+name = "silent"
+path = "/silent"
 class = "any"
-pool = "ill"
+pool = "silent"
 [[routes]]
-name = "well"
-path = "/well"
+name = "healthy"
+path = "/healthy"
 class = "any"
-pool = "well"
+pool = "healthy"
 [[http]]
 name = "front"
 listen = "127.0.0.1:0"
@@ -710,12 +728,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	client := newClient(t)
-	var work sync.WaitGroup
-	defer work.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer cancel()
 	for range 380 {
-		work.Go(func() {
-			q, _ := http.NewRequestWithContext(ctx, "PUT", "http://"+addr+"/ill", strings.NewReader(strings.Repeat("x", 30_000)))
+		wg.Go(func() {
+			q, _ := http.NewRequestWithContext(ctx, "PUT", "http://"+addr+"/silent", strings.NewReader(strings.Repeat("x", 30_000)))
 			if resp, err := client.Do(q); err == nil {
 				resp.Body.Close()
 			}
@@ -723,27 +741,28 @@
 	}
 	time.Sleep(300 * time.Millisecond)
 	for range 50 {
-		began := time.Now()
-		q, _ := http.NewRequest("PUT", "http://"+addr+"/well", strings.NewReader(strings.Repeat("x", 30_000)))
+		start := time.Now()
+		q, _ := http.NewRequest("PUT", "http://"+addr+"/healthy", strings.NewReader(strings.Repeat("x", 30_000)))
 		resp, err := client.Do(q)
 		if err != nil {
 			t.Fatal(err)
 		}
 		resp.Body.Close()
-		if resp.StatusCode != 200 || time.Since(began) > testTimeout/2 {
-			t.Fatalf("%d after %v beside a pool in trouble", resp.StatusCode, time.Since(began))
+		if resp.StatusCode != 200 || time.Since(start) > testTimeout/2 {
+			t.Fatalf("status %d after %v next to a pool of silent servers", resp.StatusCode, time.Since(start))
 		}
 	}
 }
 
-// TestCloseUnderPressure: services end at once although attempts of a pool wait for descriptors that another one has.
+// TestCloseUnderPressure guards against a deadlock: Close waits for attempts that wait for
+// descriptors, and evicting an idle connection for them needs the lock of the pools.
 func TestCloseUnderPressure(t *testing.T) {
 	silent := startScriptedServer(t, func(c net.Conn, r *bufio.Reader, q *http.Request) { io.Copy(io.Discard, r) })
 	for range 5 {
 		s, addr := serveHTTPWithDescriptors(t, httpConfig("", silent), 200)
-		var work sync.WaitGroup
+		var wg sync.WaitGroup
 		for range 100 {
-			work.Go(func() {
+			wg.Go(func() {
 				c, err := net.Dial("tcp", addr)
 				if err != nil {
 					return
@@ -754,38 +773,38 @@
 				io.Copy(io.Discard, c)
 			})
 		}
-		until := time.Now().Add(testTimeout)
-		for s.httpPools.stats()[0].HTTP.Descriptors < s.httpPools.connQuota.Total() && time.Now().Before(until) {
+		deadline := time.Now().Add(testTimeout)
+		for s.httpPools.stats()[0].HTTP.Descriptors < s.httpPools.connQuota.Total() && time.Now().Before(deadline) {
 			time.Sleep(time.Millisecond)
 		}
 		closed := make(chan struct{})
-		s.httpPools.mu.Lock() // so that the end comes before the attempts, which ask for room every 10 ms
+		s.httpPools.mu.Lock() // so that close starts before the attempts, which try to evict every 10 ms
 		go func() { s.httpPools.close(); close(closed) }()
 		time.Sleep(50 * time.Millisecond)
 		s.httpPools.mu.Unlock()
 		select {
 		case <-closed:
 		case <-time.After(testTimeout):
-			t.Fatal("the pools do not end")
+			t.Fatal("close did not return")
 		}
 		s.Close()
-		work.Wait()
+		wg.Wait()
 	}
 }
 
-// TestStatusWithoutResponse: what a client is told where no server has answered.
+// TestStatusWithoutResponse checks the status that a client gets if no server has responded.
 func TestStatusWithoutResponse(t *testing.T) {
-	nobody, err := net.Listen("tcp", "127.0.0.1:0")
+	closedListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	refuses := nobody.Addr().String()
-	nobody.Close()
+	refusing := closedListener.Addr().String()
+	closedListener.Close()
 	silent := startScriptedServer(t, func(c net.Conn, r *bufio.Reader, q *http.Request) { io.Copy(io.Discard, r) })
 	for _, tt := range []struct {
 		server, method string
 		want           int
-	}{{refuses, "POST", 503}, {refuses, "GET", 503}, {silent, "POST", 504}} {
+	}{{refusing, "POST", 503}, {refusing, "GET", 503}, {silent, "POST", 504}} {
 		_, addr := serveHTTP(t, strings.Replace(httpConfig("", tt.server), `pool = "web"`, "pool = \"web\"\ntimeout = \"300ms\"", 1))
 		q, _ := http.NewRequest(tt.method, "http://"+addr+"/", nil)
 		resp, err := newClient(t).Do(q)
@@ -799,7 +818,8 @@
 	}
 }
 
-// TestServerListSources: a pool goes by a file, or by DNS, however it changes; one that is torn or an answer that is empty changes nothing.
+// TestServerListSources checks that a pool follows its list in a file or in DNS, and that a
+// truncated file or an empty DNS answer changes nothing.
 func TestServerListSources(t *testing.T) {
 	var addrs []string
 	for i := range 2 {
@@ -819,7 +839,7 @@
 	}
 	defer d.Close()
 	d.Set("here.example.", dnsmessage.TypeA, 1, &dnsmessage.AResource{A: [4]byte{127, 0, 0, 1}})
-	tell := map[string]func(i int){
+	publish := map[string]func(i int){
 		"file": func(i int) {
 			write("[[servers]]\naddr = \"" + addrs[i] + "\"\n")
 		},
@@ -829,7 +849,7 @@
 			d.Set("_web._tcp.example.", dnsmessage.TypeSRV, 0, &dnsmessage.SRVResource{Port: uint16(n), Target: dnsmessage.MustNewName("here.example.")})
 		},
 	}
-	spoil := map[string]func(){
+	corrupt := map[string]func(){
 		"file": func() { write("[[servers]]\naddr = ") },
 		"dns":  func() { d.Set("_web._tcp.example.", dnsmessage.TypeSRV, 0) },
 	}
@@ -837,10 +857,10 @@
 		"file": fmt.Sprintf("file = %q", dir+"/list.toml"),
 		"dns":  fmt.Sprintf("dns = {name = \"_web._tcp.example\", resolvers = [%q], min = \"10ms\", max = \"10ms\"}", d.Addr()),
 	} {
-		tell[name](0)
+		publish[name](0)
 		_, addr := serveHTTP(t, strings.Replace(httpConfig(""), "servers = []", source, 1))
 		client := newClient(t)
-		until := time.Now().Add(testTimeout)
+		deadline := time.Now().Add(testTimeout)
 		await := func(want string) {
 			for {
 				resp, err := client.Get("http://" + addr)
@@ -852,30 +872,31 @@
 				if string(body) == want {
 					return
 				}
-				if time.Now().After(until) {
+				if time.Now().After(deadline) {
 					t.Fatalf("%s: %d %q, want %s", name, resp.StatusCode, body, want)
 				}
 				time.Sleep(5 * time.Millisecond)
 			}
 		}
 		await("0")
-		tell[name](1)
+		publish[name](1)
 		await("1")
-		spoil[name]()
+		corrupt[name]()
 		time.Sleep(100 * time.Millisecond)
 		await("1")
 	}
 }
 
-// TestServerRetryAfter: a server that asks to be left alone is, where its route says so, and is used again once its time is over; where
-// all ask, half are used all the same.
+// TestServerRetryAfter checks that, with answers.retry_after set to avoid, a server that responds
+// with Retry-After is avoided and is used again after that time. If all servers do, half of them
+// are still used.
 func TestServerRetryAfter(t *testing.T) {
-	var shy, hits [2]atomic.Int64
+	var overloaded, hits [2]atomic.Int64
 	var addrs []string
 	for i := range 2 {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 			hits[i].Add(1)
-			if shy[i].Load() > 0 {
+			if overloaded[i].Load() > 0 {
 				w.Header().Set("Retry-After", "1")
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
@@ -885,7 +906,7 @@
 	}
 	_, addr := serveHTTP(t, strings.Replace(httpConfig("", addrs...), `pool = "web"`, "pool = \"web\"\nanswers = {retry_after = \"avoid\"}", 1))
 	client := newClient(t)
-	ask := func() int {
+	request := func() int {
 		resp, err := client.Get("http://" + addr)
 		if err != nil {
 			t.Fatal(err)
@@ -893,37 +914,38 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	until := time.Now().Add(testTimeout)
-	await := func(what string, is func() bool) {
+	deadline := time.Now().Add(testTimeout)
+	await := func(what string, ok func() bool) {
 		t.Helper()
-		for !is() {
-			if ask(); time.Now().After(until) {
+		for !ok() {
+			if request(); time.Now().After(deadline) {
 				t.Fatal(what)
 			}
 		}
 	}
-	await("both are used", func() bool { return hits[0].Load() > 0 && hits[1].Load() > 0 })
-	shy[0].Store(1)
+	await("not both servers are used", func() bool { return hits[0].Load() > 0 && hits[1].Load() > 0 })
+	overloaded[0].Store(1)
 	n := hits[0].Load()
-	await("the first asks to be left alone", func() bool { return hits[0].Load() > n })
-	n, began := hits[0].Load(), time.Now()
-	for time.Since(began) < 500*time.Millisecond {
-		if status := ask(); status != 200 {
-			t.Fatalf("%d though another server is there", status)
+	await("the first server got no request", func() bool { return hits[0].Load() > n })
+	n, start := hits[0].Load(), time.Now()
+	for time.Since(start) < 500*time.Millisecond {
+		if status := request(); status != 200 {
+			t.Fatalf("status %d although another server is available", status)
 		}
 	}
 	if got := hits[0].Load(); got > n {
-		t.Errorf("%d requests to a server that is to be left alone", got-n)
+		t.Errorf("%d requests to a server that is to be avoided", got-n)
 	}
-	shy[0].Store(0)
-	await("the first is used again", func() bool { return hits[0].Load() > n })
-	shy[0].Store(1)
-	shy[1].Store(1)
+	overloaded[0].Store(0)
+	await("the first server is not used again", func() bool { return hits[0].Load() > n })
+	overloaded[0].Store(1)
+	overloaded[1].Store(1)
 	n, m := hits[0].Load(), hits[1].Load()
-	await("both ask, and one is used all the same", func() bool { return hits[0].Load() > n+3 || hits[1].Load() > m+3 })
+	await("no server is used while both send Retry-After", func() bool { return hits[0].Load() > n+3 || hits[1].Load() > m+3 })
 }
 
-// TestInvalidConfig: what routes, pools and addresses of HTTP do not agree on is an error that names it.
+// TestInvalidConfig checks that the error for an inconsistent configuration of routes, pools and
+// HTTP services names the fault.
 func TestInvalidConfig(t *testing.T) {
 	good := httpConfig("", "127.0.0.1:1")
 	for _, tt := range []struct{ old, new, want string }{
--- a/internal/services/http_retire_test.go
+++ b/internal/services/http_retire_test.go
@@ -14,13 +14,14 @@
 	"time"
 )
 
-// singlePoolConfig is a file with one pool of that name and one server, and text in the pool's table; what is in it counts as safe.
-func singlePoolConfig(pool, addr, text string) string {
+// singlePoolConfig returns an operator's file with one HTTP service, one route and one pool of one
+// server. extra is added to the [[pools]] table.
+func singlePoolConfig(pool, addr, extra string) string {
 	return fmt.Sprintf("[[pools]]\nname = %q\nservers = [{id = \"s\", addr = %q}]\n%s\n[[pools.classes]]\nname = \"any\"\neffect = \"by-request\"\naim = \"8s\"\ndeadline = \"9s\"\n"+
-		"[[routes]]\nname = \"all\"\nclass = \"any\"\npool = %q\n[[http]]\nname = \"front\"\nlisten = \"127.0.0.1:0\"\nstall = \"9s\"\nhead_time = \"9s\"\n", pool, addr, text, pool)
+		"[[routes]]\nname = \"all\"\nclass = \"any\"\npool = %q\n[[http]]\nname = \"front\"\nlisten = \"127.0.0.1:0\"\nstall = \"9s\"\nhead_time = \"9s\"\n", pool, addr, extra, pool)
 }
 
-// reload has s take over a file.
+// reload checks the text of an operator's file and applies it to s.
 func reload(t *testing.T, s *Services, text string) {
 	t.Helper()
 	o := loadConfig(t, t.TempDir(), text)
@@ -32,7 +33,7 @@
 	}
 }
 
-// startNamedServer is a server that tells its name.
+// startNamedServer starts a server that responds with its name.
 func startNamedServer(t *testing.T, name string) string {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		io.Copy(io.Discard, q.Body)
@@ -42,7 +43,7 @@
 	return strings.TrimPrefix(srv.URL, "http://")
 }
 
-// get asks for / and returns status and body.
+// get requests / and returns status and body.
 func get(t *testing.T, c *http.Client, addr string) (int, string) {
 	resp, err := c.Get("http://" + addr)
 	if err != nil {
@@ -54,12 +55,13 @@
 	return resp.StatusCode, string(body)
 }
 
-// TestRetireFailsRequestWithoutServer: a request that waits for a list with a server, in a pool that is taken out, is refused once the pool's time is up,
-// long before its own; until then it is told what it waits for.
+// TestRetireFailsRequestWithoutServer checks that a request that waits for a usable server in a
+// retired pool is refused when the grace period of the pool ends, long before its own deadline.
+// Until then it is reported as pending.
 func TestRetireFailsRequestWithoutServer(t *testing.T) {
 	text := strings.Replace(singlePoolConfig("old", "127.0.0.1:1", ""), "}]", ", drain = true}]", 1)
 	s, addr := serveHTTP(t, text)
-	began, done := time.Now(), make(chan int, 1)
+	start, done := time.Now(), make(chan int, 1)
 	go func() {
 		status, _ := get(t, newClient(t), addr)
 		done <- status
@@ -69,13 +71,13 @@
 	}
 	reload(t, s, singlePoolConfig("new", startNamedServer(t, "new"), ""))
 	if status, body := get(t, newClient(t), addr); status != 200 || body != "new" {
-		t.Errorf("%d %q of the new pool", status, body)
+		t.Errorf("status %d %q from the new pool", status, body)
 	}
 	if all := s.PendingRequests(0); len(all) != 1 || all[0].Pool != "old" || all[0].Description != "GET /" || !strings.Contains(all[0].String(), "a list") {
-		t.Errorf("what waits: %+v", all)
+		t.Errorf("pending requests: %+v", all)
 	}
-	if status := <-done; status != http.StatusServiceUnavailable || time.Since(began) > retireGracePeriod+3*time.Second {
-		t.Errorf("%d after %v", status, time.Since(began))
+	if status := <-done; status != http.StatusServiceUnavailable || time.Since(start) > retireGracePeriod+3*time.Second {
+		t.Errorf("status %d after %v", status, time.Since(start))
 	}
 	for until := time.Now().Add(testTimeout); s.RetirementStats() != (RetirementStats{Pools: 1, Cut: 1}); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
@@ -84,48 +86,49 @@
 	}
 }
 
-// TestRetireDuringLoadQuery: a request that waits for a load report when its pool is taken out is still sent there, and one whose attempt fails
-// then is tried again there.
+// TestRetireDuringLoadQuery checks that a request that waits for a load report when its pool is
+// retired is still sent to that pool, and is retried there if its attempt fails.
 func TestRetireDuringLoadQuery(t *testing.T) {
-	asked, tell := make(chan struct{}, 9), make(chan struct{})
+	queried, respond := make(chan struct{}, 9), make(chan struct{})
 	load := startScriptedServer(t, func(c net.Conn, r *bufio.Reader, q *http.Request) {
-		asked <- struct{}{}
-		<-tell
+		queried <- struct{}{}
+		<-respond
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nTEXT queue=0")
 	})
 	_, port, _ := net.SplitHostPort(load)
-	var came atomic.Int32
-	resets := func(c net.Conn, r *bufio.Reader, q *http.Request) {
-		if came.Add(1) == 1 {
+	var attempts atomic.Int32
+	resetFirst := func(c net.Conn, r *bufio.Reader, q *http.Request) {
+		if attempts.Add(1) == 1 {
 			resetConn(c)
 			return
 		}
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nold")
 	}
-	text := singlePoolConfig("old", startScriptedServer(t, resets), "load_port = "+port)
-	s, addr := serveHTTP(t, strings.Replace(text, "}]", fmt.Sprintf("}, {id = \"t\", addr = %q}]", startScriptedServer(t, resets)), 1))
+	text := singlePoolConfig("old", startScriptedServer(t, resetFirst), "load_port = "+port)
+	s, addr := serveHTTP(t, strings.Replace(text, "}]", fmt.Sprintf("}, {id = \"t\", addr = %q}]", startScriptedServer(t, resetFirst)), 1))
 	done := make(chan string, 1)
 	go func() {
 		status, body := get(t, newClient(t), addr)
 		done <- fmt.Sprint(status, body)
 	}()
-	<-asked
+	<-queried
 	reload(t, s, singlePoolConfig("new", startNamedServer(t, "new"), ""))
-	close(tell)
-	if got := <-done; got != "200old" || came.Load() != 2 {
-		t.Errorf("%s after %d attempts", got, came.Load())
+	close(respond)
+	if got := <-done; got != "200old" || attempts.Load() != 2 {
+		t.Errorf("%s after %d attempts", got, attempts.Load())
 	}
 }
 
-// TestRetireReleasesGuarantees: pools that are taken out while a stream of each goes on keep nothing of the descriptors but what they use.
+// TestRetireReleasesGuarantees checks that retired pools, each with a streaming response still
+// open, give up their guarantee of descriptors, so that new pools are served.
 func TestRetireReleasesGuarantees(t *testing.T) {
-	hold := make(chan struct{})
-	release := sync.OnceFunc(func() { close(hold) })
+	finish := make(chan struct{})
+	release := sync.OnceFunc(func() { close(finish) })
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path == "/stream" {
 			io.WriteString(w, "a")
 			w.(http.Flusher).Flush()
-			<-hold
+			<-finish
 		}
 	}))
 	defer srv.Close()
@@ -140,16 +143,17 @@
 		}
 		defer resp.Body.Close()
 		if resp.StatusCode != 200 {
-			t.Fatalf("%d with %d pools that have streams", resp.StatusCode, i)
+			t.Fatalf("status %d with %d retired pools that have an open stream", resp.StatusCode, i)
 		}
 		reload(t, s, singlePoolConfig(fmt.Sprint("p", i+1), server, ""))
 		if status, _ := get(t, client, addr); status != 200 {
-			t.Errorf("%d with %d pools that have streams", status, i+1)
+			t.Errorf("status %d with %d retired pools that have an open stream", status, i+1)
 		}
 	}
 }
 
-// TestReloadWhileReadingBody: a request whose body is still on its way when its pool, or its class, is taken out goes by the new table.
+// TestReloadWhileReadingBody checks that a request whose body is still being read when its pool or
+// its class is replaced is routed by the new table.
 func TestReloadWhileReadingBody(t *testing.T) {
 	old, fresh := startNamedServer(t, "old"), startNamedServer(t, "new")
 	for _, tt := range []struct{ name, text, want string }{
@@ -164,7 +168,7 @@
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(testTimeout))
 		io.WriteString(c, "PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\n01234")
-		for s.httpPools.bodyBytesInUse() == 0 { // it is being read
+		for s.httpPools.bodyBytesInUse() == 0 { // the body is being read
 			time.Sleep(time.Millisecond)
 		}
 		reload(t, s, tt.text)
@@ -179,13 +183,13 @@
 		resp.Body.Close()
 		for until := time.Now().Add(testTimeout); s.httpPools.bodyBytesInUse() != 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
-				t.Fatalf("%s: %d bytes of bodies are left", tt.name, s.httpPools.bodyBytesInUse())
+				t.Fatalf("%s: %d bytes of bodies are still in use", tt.name, s.httpPools.bodyBytesInUse())
 			}
 		}
 	}
 }
 
-// bodyBytesInUse is what bodies hold of all pools, those that end among them.
+// bodyBytesInUse returns the bytes that request bodies use in all pools, including retiring ones.
 func (s *httpPoolSet) bodyBytesInUse() (sum int64) {
 	for _, p := range s.all() {
 		used, _ := p.bodyShare.Used()
@@ -194,12 +198,13 @@
 	return sum
 }
 
-// TestDrainWaitsForRetiredPools: a drain waits for requests of pools that were taken out before, too.
+// TestDrainWaitsForRetiredPools checks that Drain also waits for requests of pools that were
+// retired before.
 func TestDrainWaitsForRetiredPools(t *testing.T) {
-	came, goOn := make(chan struct{}), make(chan struct{})
+	arrived, respond := make(chan struct{}), make(chan struct{})
 	slow := startScriptedServer(t, func(c net.Conn, r *bufio.Reader, q *http.Request) {
-		close(came)
-		<-goOn
+		close(arrived)
+		<-respond
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 	})
 	s, addr := serveHTTP(t, singlePoolConfig("old", slow, ""))
@@ -208,7 +213,7 @@
 		status, _ := get(t, newClient(t), addr)
 		done <- status
 	}()
-	<-came
+	<-arrived
 	reload(t, s, singlePoolConfig("new", startNamedServer(t, "new"), ""))
 	drained := make(chan struct{})
 	go func() {
@@ -219,17 +224,18 @@
 	}()
 	select {
 	case <-drained:
-		t.Error("drained with a request that is open")
+		t.Error("Drain returned while a request was open")
 	case <-time.After(50 * time.Millisecond):
 	}
-	close(goOn)
+	close(respond)
 	<-drained
 	if status := <-done; status != 200 {
 		t.Error(status)
 	}
 }
 
-// TestReloadKeepsRemovedStream: a stream whose pool is no longer in the file goes on with it until the next start, and so do new ones.
+// TestReloadKeepsRemovedStream checks that a stream service that was removed from the file keeps
+// serving, also new connections, until the next start.
 func TestReloadKeepsRemovedStream(t *testing.T) {
 	web := singlePoolConfig("web", startNamedServer(t, "web"), "")
 	text := web + fmt.Sprintf("[[pools]]\nname = \"meters\"\nservers = [{addr = %q}]\n[[pools.classes]]\nname = \"meter\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"2s\"\n"+
--- a/internal/services/http_test.go
+++ b/internal/services/http_test.go
@@ -20,7 +20,8 @@
 	"quillfront/internal/sockets"
 )
 
-// httpConfig is an operator's file with one address, one route to all and a pool of the servers given.
+// httpConfig returns an operator's file with one HTTP service, one route for all requests and a
+// pool of the given servers. extra is added to the [[http]] table.
 func httpConfig(extra string, servers ...string) string {
 	var list []string
 	for i, s := range servers {
@@ -50,12 +51,13 @@
 `, strings.Join(list, ", "), extra)
 }
 
-// serveHTTP runs the services of a file until the test ends, and returns them and where they listen.
+// serveHTTP runs the services of a file until the test ends. It returns them and the address of the
+// service "front".
 func serveHTTP(t testing.TB, text string) (*Services, string) {
 	return serveHTTPWithDescriptors(t, text, 900)
 }
 
-// serveHTTPWithDescriptors is serveHTTP in a process that may hold so many descriptors.
+// serveHTTPWithDescriptors is serveHTTP with a limit on descriptors.
 func serveHTTPWithDescriptors(t testing.TB, text string, descriptors int) (*Services, string) {
 	t.Helper()
 	o := loadConfig(t, t.TempDir(), text)
@@ -79,7 +81,8 @@
 	return s, s.Addr("front")
 }
 
-// originHandler answers as the request asks it to: the status by the path, the rest by the query.
+// originHandler answers as the request specifies: the path selects the status, the query the rest.
+// Response headers report what it received.
 func originHandler(w http.ResponseWriter, q *http.Request) {
 	status, err := strconv.Atoi(strings.TrimPrefix(q.URL.Path, "/status/"))
 	if err != nil {
@@ -136,7 +139,8 @@
 	}
 }
 
-// exchangeCorpus are requests as they stand on the wire, without the lines that tell host and end of the connection.
+// exchangeCorpus returns requests in wire format, without the Host and Connection headers, which
+// exchange adds.
 func exchangeCorpus() (all []string) {
 	add := func(method, target string, lines ...string) {
 		all = append(all, method+" "+target+" HTTP/1.1\r\n"+strings.Join(append(lines, ""), "\r\n"))
@@ -187,7 +191,7 @@
 	return all
 }
 
-// exchangeResult is what came back.
+// exchangeResult is the response to a request.
 type exchangeResult struct {
 	status  int
 	interim []int
@@ -197,7 +201,7 @@
 	err     error
 }
 
-// exchange sends one request as it stands and reads what comes back.
+// exchange sends one request in wire format and reads the response.
 func exchange(addr, text string) (x exchangeResult) {
 	c, err := net.DialTimeout("tcp", addr, testTimeout)
 	if err != nil {
@@ -221,24 +225,25 @@
 			x.header.Set("Content-Length", fmt.Sprint(resp.ContentLength))
 			return x
 		}
-		if resp.StatusCode != http.StatusContinue { // each may send that one by itself
+		if resp.StatusCode != http.StatusContinue { // 100 Continue may come from the server or the proxy
 			x.interim = append(x.interim, resp.StatusCode)
 		}
 	}
 }
 
-// intendedDifferences are the differences from httputil.ReverseProxy that are meant: what of an exchange, by its text, and why.
-var intendedDifferences = []struct{ of, why string }{
-	{"/a%00b", "a target with an escaped control is not read alike by all servers: the edge turns it away"},
-	{"/a%2Fb", "an escaped slash in the first part of a path is not read alike by all servers: the edge turns it away"},
-	{"/a?%zz", "a query that cannot be read goes on as it stands; ReverseProxy takes it out"},
-	{"bytes=2-3,5-7", "the server draws a boundary for each answer"},
-	{"/trail", "trailers of requests go on; ReverseProxy announces them and does not send them"},
-	{"/\xc3\xa4", "bytes beyond ASCII stand in no target (RFC 3986); ReverseProxy escapes them"},
+// intendedDifferences lists the intended differences from httputil.ReverseProxy: a text that the
+// request contains, and the reason.
+var intendedDifferences = []struct{ request, reason string }{
+	{"/a%00b", "servers disagree on a target with an escaped control character, so the proxy rejects it"},
+	{"/a%2Fb", "servers disagree on an escaped slash in the first segment of a path, so the proxy rejects it"},
+	{"/a?%zz", "an invalid query is forwarded unchanged; ReverseProxy removes it"},
+	{"bytes=2-3,5-7", "the server generates a new boundary for each response"},
+	{"/trail", "request trailers are forwarded; ReverseProxy announces them but does not send them"},
+	{"/\xc3\xa4", "a target must not contain non-ASCII bytes (RFC 3986), so the proxy rejects it; ReverseProxy escapes them"},
 }
 
-// TestMatchesReverseProxy sends a corpus of exchanges through httputil.ReverseProxy and through a front of HTTP to one server, and what comes
-// back is the same.
+// TestMatchesReverseProxy sends a corpus of requests to one server through httputil.ReverseProxy
+// and through an HTTP service, and checks that the responses are the same.
 func TestMatchesReverseProxy(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(originHandler))
 	defer srv.Close()
@@ -248,27 +253,27 @@
 	defer transport.CloseIdleConnections()
 	proxy.Transport = transport
 	proxy.ErrorLog = slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)
-	beside := httptest.NewServer(proxy)
-	defer beside.Close()
+	reference := httptest.NewServer(proxy)
+	defer reference.Close()
 	_, addr := serveHTTP(t, httpConfig("", strings.TrimPrefix(srv.URL, "http://")))
 	corpus := exchangeCorpus()
 	if len(corpus) < 200 {
 		t.Fatalf("%d exchanges", len(corpus))
 	}
-	// Either writes these by itself, or they tell of the connection.
-	own := []string{"Date", "Via", "Keep-Alive", "Connection", "Content-Length"}
-	differs := func(text, key string) bool { // a body in chunks that is held goes on with its length
-		if key == "Retry-After" { // what is safe, and all servers have failed at, may be asked for again: it is told when
+	// Headers that each proxy generates itself or that belong to the connection.
+	ignored := []string{"Date", "Via", "Keep-Alive", "Connection", "Content-Length"}
+	differs := func(text, key string) bool { // a buffered chunked body is sent with its length
+		if key == "Retry-After" { // added to the response if all servers failed a safe request
 			return strings.Contains(text, "/status/5")
 		}
 		return key == "X-Length" && strings.Contains(text, "Transfer-Encoding: chunked")
 	}
 	for _, text := range corpus {
 		name := strings.SplitN(text, "\r\n", 2)[0]
-		if slices.ContainsFunc(intendedDifferences, func(w struct{ of, why string }) bool { return strings.Contains(text, w.of) }) {
+		if slices.ContainsFunc(intendedDifferences, func(d struct{ request, reason string }) bool { return strings.Contains(text, d.request) }) {
 			continue
 		}
-		want, got := exchange(strings.TrimPrefix(beside.URL, "http://"), text), exchange(addr, text)
+		want, got := exchange(strings.TrimPrefix(reference.URL, "http://"), text), exchange(addr, text)
 		if want.err != nil {
 			t.Errorf("%s: ReverseProxy: %v", name, want.err)
 			continue
@@ -279,7 +284,7 @@
 		}
 		for _, h := range []struct{ got, want http.Header }{{got.header, want.header}, {got.trailer, want.trailer}} {
 			for _, key := range append(slices.Collect(keys(h.got)), slices.Collect(keys(h.want))...) {
-				if !differs(text, key) && !slices.Contains(own, textproto.CanonicalMIMEHeaderKey(key)) && !slices.Equal(h.got[key], h.want[key]) {
+				if !differs(text, key) && !slices.Contains(ignored, textproto.CanonicalMIMEHeaderKey(key)) && !slices.Equal(h.got[key], h.want[key]) {
 					t.Errorf("%.200q: %s is %q, want %q", text, key, h.got[key], h.want[key])
 				}
 			}
@@ -288,9 +293,10 @@
 			t.Errorf("%s: Date %q, Via %q", name, got.header.Get("Date"), got.header.Get("Via"))
 		}
 	}
-	t.Logf("%d exchanges, %d differences that are meant", len(corpus), len(intendedDifferences))
+	t.Logf("%d exchanges, %d intended differences", len(corpus), len(intendedDifferences))
 }
 
+// keys returns an iterator over the names of the headers in h.
 func keys(h http.Header) func(func(string) bool) {
 	return func(yield func(string) bool) {
 		for k := range h {
--- a/internal/services/services_test.go
+++ b/internal/services/services_test.go
@@ -25,8 +25,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// testTimeout limits each step of a test that waits for something.
 const testTimeout = 20 * time.Second
 
+// startEchoServer starts a TCP server that echoes what it reads, and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,6 +51,7 @@
 	return ln.Addr().String()
 }
 
+// loadConfig writes text to a file in dir and loads it as the operator's configuration.
 func loadConfig(t testing.TB, dir, text string) config.Operator {
 	t.Helper()
 	path := filepath.Join(dir, "quillfront.toml")
@@ -62,31 +65,32 @@
 	return o
 }
 
-// TestServices: what the operator's file says runs, takes over a change of its servers and users, tells its figures, and ends.
+// TestServices runs a stream and a MySQL service from an operator's file, reloads servers and
+// users, and checks the telemetry and that Close releases all descriptors.
 func TestServices(t *testing.T) {
 	dir, db := t.TempDir(), standin.NewDatabase()
-	var ledgers []*standin.Server
+	var databases []*standin.Server
 	for i := range 2 {
 		s, err := standin.Start(standin.Config{Name: fmt.Sprint("l", i), Database: db, Users: map[string]string{"sidecar": "inner"}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer s.Close()
-		ledgers = append(ledgers, s)
+		databases = append(databases, s)
 	}
-	beside := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { io.WriteString(w, "TEXT queue=3") }))
-	defer beside.Close()
-	_, port, _ := net.SplitHostPort(beside.Listener.Addr().String())
+	loadServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { io.WriteString(w, "TEXT queue=3") }))
+	defer loadServer.Close()
+	_, port, _ := net.SplitHostPort(loadServer.Listener.Addr().String())
 	if err := os.WriteFile(filepath.Join(dir, "inner"), []byte("inner\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	users := func(password string) {
+	writeUsers := func(password string) {
 		if err := os.WriteFile(filepath.Join(dir, "users"), fmt.Appendf(nil, "[[users]]\nname = \"app\"\npassword = %q\n", password), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	users("secret")
-	meter := startEchoServer(t)
+	writeUsers("secret")
+	echoAddr := startEchoServer(t)
 	text := fmt.Sprintf(`
 [[pools]]
 name = "meters"
@@ -118,7 +122,7 @@
 auth = "users"
 users = "users"
 account = {user = "sidecar", password_file = "inner"}
-`, meter, port, ledgers[0].Addr(), ledgers[1].Addr())
+`, echoAddr, port, databases[0].Addr(), databases[1].Addr())
 	budget := sockets.New(500)
 	s, err := New(loadConfig(t, dir, text).Services, nil, 1<<20, budget, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -141,7 +145,7 @@
 		t.Errorf("%q, %v", b, err)
 	}
 	c.Close()
-	where := func(password string) (string, error) {
+	queryServer := func(password string) (string, error) {
 		db, err := sql.Open("mysql", fmt.Sprintf("app:%s@tcp(%s)/", password, s.Addr("ledger")))
 		if err != nil {
 			t.Fatal(err)
@@ -150,64 +154,65 @@
 		var v string
 		return v, db.QueryRow("SELECT SERVER()").Scan(&v)
 	}
-	if _, err := where("secret"); err != nil {
+	if _, err := queryServer("secret"); err != nil {
 		t.Error(err)
 	}
-	users("changed")
+	writeUsers("changed")
 	changed := strings.Replace(text, `id = "l0",`, `id = "l0", drain = true,`, 1)
 	next := loadConfig(t, dir, changed).Services
 	if err := s.Check(next, nil); err != nil {
 		t.Error(err)
 	}
 	if restart, err := s.Reload(next, nil); restart || err != nil {
-		t.Errorf("%v, %v", restart, err)
+		t.Errorf("restart %v, %v", restart, err)
 	}
 	for end := time.Now().Add(testTimeout); s.services[1].pool.ServerUsable("l0"); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the drain is not taken over")
+			t.Fatal("timed out waiting for the drained server to become unusable")
 		}
 	}
-	before := ledgers[0].Statements.Load()
+	before := databases[0].Statements.Load()
 	for range 10 {
-		if _, err := where("changed"); err != nil {
+		if _, err := queryServer("changed"); err != nil {
 			t.Error(err)
 		}
 	}
-	if _, err := where("secret"); err == nil {
-		t.Error("the old password is taken")
+	if _, err := queryServer("secret"); err == nil {
+		t.Error("the old password is still accepted")
 	}
-	if ledgers[0].Statements.Load() != before {
-		t.Error("statements go to the server that drains")
+	if databases[0].Statements.Load() != before {
+		t.Error("statements were sent to the draining server")
 	}
 	if restart, err := s.Reload(loadConfig(t, dir, strings.Replace(changed, `class = "open"`, "class = \"open\"\nidle = \"7s\"", 1)).Services, nil); !restart || err != nil {
-		t.Errorf("another idle time: %v, %v", restart, err)
+		t.Errorf("reload with another idle timeout: restart %v, %v", restart, err)
 	}
-	figures := s.Stats()
-	if len(figures) != 2 || figures[0].Stream.Bytes != [2]uint64{7, 7} || figures[1].MySQL.Statements["served"] != 11 {
-		t.Errorf("%+v %+v", figures[0].Stream, figures[1].MySQL)
+	stats := s.Stats()
+	if len(stats) != 2 || stats[0].Stream.Bytes != [2]uint64{7, 7} || stats[1].MySQL.Statements["served"] != 11 {
+		t.Errorf("%+v %+v", stats[0].Stream, stats[1].MySQL)
 	}
 	s.Close()
 	if err := <-served; err != nil {
 		t.Error(err)
 	}
 	if all, clients := budget.InUse(); all+clients > 0 {
-		t.Errorf("%d descriptors are still taken", all+clients)
+		t.Errorf("%d descriptors are still in use", all+clients)
 	}
 }
 
-// TestListenAllOrNone: an address that is taken is named, and nothing stays open.
+// TestListenAllOrNone checks that an address that is in use fails Listen with an error that names
+// the service, and that no listener stays open.
 func TestListenAllOrNone(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	const head = "[[pools]]\nname = \"p\"\nservers = [{addr = \"127.0.0.1:1\"}]\n[[pools.classes]]\nname = \"open\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"2s\"\n"
-	one := func(name, addr string) string {
+	const poolText = "[[pools]]\nname = \"p\"\nservers = [{addr = \"127.0.0.1:1\"}]\n[[pools.classes]]\nname = \"open\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"2s\"\n"
+	streamText := func(name, addr string) string {
 		return fmt.Sprintf("[[streams]]\nname = %q\nlisten = %q\npool = \"p\"\nclass = \"open\"\n", name, addr)
 	}
 	var log bytes.Buffer
-	s, err := New(loadConfig(t, t.TempDir(), head+one("first", "127.0.0.1:0")+one("second", taken.Addr().String())).Services, nil, 1<<20, sockets.New(100), slog.New(slog.NewTextHandler(&log, nil)))
+	s, err := New(loadConfig(t, t.TempDir(), poolText+streamText("first", "127.0.0.1:0")+streamText("second", taken.Addr().String())).Services, nil, 1<<20, sockets.New(100), slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,6 +221,6 @@
 		t.Errorf("%v", err)
 	}
 	if s.Addr("first") != "" {
-		t.Error("the first one listens")
+		t.Error("the first service still listens")
 	}
 }
