--- a/balancer_test.go
+++ b/balancer_test.go
@@ -76,7 +76,7 @@
 }
 
 // startFleet starts stand-in servers that drop repeats of a key as testClasses says.
-func startFleet(t testing.TB, configs ...standin.BoxConfig) (*standin.Fleet, []Server) {
+func startFleet(t testing.TB, configs ...standin.ServerConfig) (*standin.Fleet, []Server) {
 	t.Helper()
 	var classes []policy.Class
 	for i, c := range testClasses {
@@ -235,7 +235,7 @@
 	b.Close()
 	for text, want := range map[string]string{
 		"{": "JSON", `{"limits":{"sockets":3}}`: "limits.sockets", "{}": "settings",
-		string(standin.Platform{Attempts: -1}.JSON()): "Limits.SendCap",
+		string(standin.PlatformConfig{MaxAttempts: -1}.JSON()): "Limits.SendCap",
 	} {
 		if _, err := NewFromJSON([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.40s: error %v, want one that names %s", text, err, want)
@@ -246,7 +246,7 @@
 // TestBadRequests checks that an invalid request ends with a typed error and is not sent, in
 // particular one whose header, query, host or method would inject lines into the message.
 func TestBadRequests(t *testing.T) {
-	f, servers := startFleet(t, standin.BoxConfig{})
+	f, servers := startFleet(t, standin.ServerConfig{})
 	b, _ := newTestBalancer(t, Static(servers...))
 	rt := b.RoundTripper()
 	valueInjection, nameInjection := get("/read/k"), get("/read/k")
@@ -296,7 +296,7 @@
 	if _, err := rt.RoundTrip(q); !errors.Is(err, broken) {
 		t.Errorf("a body whose Read fails: %v", err)
 	}
-	if n := f.Boxes()[0].Counts().Requests; n > 0 {
+	if n := f.Servers()[0].Counts().Requests; n > 0 {
 		t.Errorf("%d requests were sent", n)
 	}
 	// A nil body is an empty body.
@@ -458,7 +458,7 @@
 // TestRestartLosesState checks the documented behavior of a restart: a new Balancer knows no
 // earlier requests, so only the servers' memory of keys prevents a second execution.
 func TestRestartLosesState(t *testing.T) {
-	f, servers := startFleet(t, standin.BoxConfig{})
+	f, servers := startFleet(t, standin.ServerConfig{})
 	order := func() {
 		b, _ := newTestBalancer(t, Static(servers...))
 		defer b.Close()
@@ -482,11 +482,11 @@
 // served and which may have run, both in the RoundTripper and in the Handler.
 func TestOrders(t *testing.T) {
 	var fail atomic.Bool
-	f, servers := startFleet(t, standin.BoxConfig{Script: func(int, *http.Request) standin.Fault {
+	f, servers := startFleet(t, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault {
 		if fail.Load() {
-			return standin.Break
+			return standin.ResetConnection
 		}
-		return standin.None
+		return standin.NoFault
 	}})
 	orders := Orders{Dir: t.TempDir()}
 	config := Config{Classes: testClasses, Servers: Static(servers...)}
@@ -531,7 +531,7 @@
 	if w.Code != http.StatusBadGateway || w.Header().Get("Idempotency-State") != "unknown" {
 		t.Errorf("Handler: %d, %v", w.Code, w.Header())
 	}
-	if n := f.Boxes()[0].Counts().Requests; n != 2 {
+	if n := f.Servers()[0].Counts().Requests; n != 2 {
 		t.Errorf("%d requests were sent, want 2", n)
 	}
 	if o := b.Snapshot().Orders; o == nil || o.Replayed != 1 || o.Mismatched != 1 || o.Unknown != 2 || o.Failing != "" {
@@ -541,8 +541,8 @@
 
 // TestIndependentBalancers checks that two Balancers in one process share no state.
 func TestIndependentBalancers(t *testing.T) {
-	fa, a := startFleet(t, standin.BoxConfig{ID: "a"})
-	fb, b := startFleet(t, standin.BoxConfig{ID: "b"})
+	fa, a := startFleet(t, standin.ServerConfig{ID: "a"})
+	fb, b := startFleet(t, standin.ServerConfig{ID: "b"})
 	ba, _ := newTestBalancer(t, Static(a...))
 	bb, _ := newTestBalancer(t, Static(b...))
 	for range 5 {
@@ -550,7 +550,7 @@
 	}
 	ba.Close()
 	mustRoundTrip(t, bb.RoundTripper(), get("/read/k"))
-	if x, y := fa.Boxes()[0].Counts().Requests, fb.Boxes()[0].Counts().Requests; x != 5 || y != 1 {
+	if x, y := fa.Servers()[0].Counts().Requests, fb.Servers()[0].Counts().Requests; x != 5 || y != 1 {
 		t.Errorf("%d and %d requests, want 5 and 1", x, y)
 	}
 }
@@ -559,7 +559,7 @@
 // ErrClosed, and that no descriptor is left.
 func TestShutdown(t *testing.T) {
 	gate := make(chan struct{})
-	f, servers := startFleet(t, standin.BoxConfig{Script: func(int, *http.Request) standin.Fault { <-gate; return standin.None }})
+	f, servers := startFleet(t, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { <-gate; return standin.NoFault }})
 	b, _ := newTestBalancer(t, Static(servers...))
 	done := make(chan error, 1)
 	go func() {
@@ -569,7 +569,7 @@
 		}
 		done <- err
 	}()
-	eventually(t, "the request is sent", func() bool { return f.Boxes()[0].Counts().Requests == 1 })
+	eventually(t, "the request is sent", func() bool { return f.Servers()[0].Counts().Requests == 1 })
 	down := make(chan error, 1)
 	go func() { down <- b.Shutdown(t.Context()) }()
 	eventually(t, "new requests are rejected", func() bool {
@@ -604,7 +604,7 @@
 // TestCloseDuringRequests checks that Close ends each open request once, with ErrClosed, and leaves
 // no descriptor and no retained request.
 func TestCloseDuringRequests(t *testing.T) {
-	f, servers := startFleet(t, standin.BoxConfig{Cores: 50, Script: func(int, *http.Request) standin.Fault { return standin.Lose }})
+	f, servers := startFleet(t, standin.ServerConfig{Cores: 50, Script: func(int, *http.Request) standin.Fault { return standin.NoReply }})
 	b, m := newTestBalancer(t, Static(servers...))
 	const many = 20
 	done := make(chan error, 2*many)
@@ -614,15 +614,15 @@
 			done <- err
 		}()
 	}
-	eventually(t, "all requests are sent", func() bool { return f.Boxes()[0].Counts().Requests == many })
+	eventually(t, "all requests are sent", func() bool { return f.Servers()[0].Counts().Requests == many })
 	b.Close()
 	for range many {
 		if err := <-done; !errors.Is(err, ErrClosed) {
 			t.Errorf("a request ends with %v", err)
 		}
 	}
-	if outcomes, _ := m.seen(); len(outcomes) != many || f.Boxes()[0].Counts().Requests != many {
-		t.Errorf("%d outcomes of %d attempts", len(outcomes), f.Boxes()[0].Counts().Requests)
+	if outcomes, _ := m.seen(); len(outcomes) != many || f.Servers()[0].Counts().Requests != many {
+		t.Errorf("%d outcomes of %d attempts", len(outcomes), f.Servers()[0].Counts().Requests)
 	}
 	if used, _ := b.sockets.InUse(); used != 0 || b.engine.Snapshot().Retained != 0 {
 		t.Errorf("%d descriptors and %d requests are left", used, b.engine.Snapshot().Retained)
@@ -637,7 +637,7 @@
 // TestServerListUpdates checks that a pushed list can become empty and non-empty again, that a list
 // with an invalid entry is dropped as a whole, and that a draining server gets no requests.
 func TestServerListUpdates(t *testing.T) {
-	f, servers := startFleet(t, standin.BoxConfig{}, standin.BoxConfig{})
+	f, servers := startFleet(t, standin.ServerConfig{}, standin.ServerConfig{})
 	errs := make(chan error, 10)
 	lists := make(chan []Server)
 	b, _ := newTestBalancer(t, Func(func(ctx context.Context, update func([]Server) error) error {
@@ -678,7 +678,7 @@
 	for range 20 {
 		mustRoundTrip(t, b.RoundTripper(), get("/read/k"))
 	}
-	if x, y := f.Boxes()[0].Counts().Requests, f.Boxes()[1].Counts().Requests; x != 1 || y != 21 {
+	if x, y := f.Servers()[0].Counts().Requests, f.Servers()[1].Counts().Requests; x != 1 || y != 21 {
 		t.Errorf("%d and %d requests, want 1 before the drain and 21", x, y)
 	}
 	s := b.Snapshot()
@@ -693,7 +693,7 @@
 // TestPushChannelClosed checks that the list stays and the watch doesn't restart when the channel
 // of Push is closed.
 func TestPushChannelClosed(t *testing.T) {
-	_, servers := startFleet(t, standin.BoxConfig{})
+	_, servers := startFleet(t, standin.ServerConfig{})
 	lists := make(chan []Server, 1)
 	lists <- servers
 	close(lists)
@@ -708,7 +708,7 @@
 
 // TestRequestLimit checks that a request above Limits.Requests is refused at once.
 func TestRequestLimit(t *testing.T) {
-	f, servers := startFleet(t, standin.BoxConfig{Script: func(int, *http.Request) standin.Fault { return standin.Lose }})
+	f, servers := startFleet(t, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.NoReply }})
 	b, _ := newTestBalancer(t, Static(servers...), func(c *Config) { c.Limits.Requests = 1 })
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -716,7 +716,7 @@
 		_, err := b.RoundTripper().RoundTrip(get("/read/k").WithContext(ctx))
 		done <- err
 	}()
-	eventually(t, "the limit is reached", func() bool { return f.Boxes()[0].Counts().Requests == 1 })
+	eventually(t, "the limit is reached", func() bool { return f.Servers()[0].Counts().Requests == 1 })
 	var refused *RefusedError
 	if _, err := b.RoundTripper().RoundTrip(get("/read/k")); !errors.As(err, &refused) {
 		t.Errorf("%v, want a refusal", err)
@@ -728,7 +728,7 @@
 // TestMiddleware checks that requests of known classes go to the servers and all others reach the
 // wrapped handler, and that a panic in the handler or in a body's Read leaks no resources.
 func TestMiddleware(t *testing.T) {
-	_, servers := startFleet(t, standin.BoxConfig{})
+	_, servers := startFleet(t, standin.ServerConfig{})
 	b, _ := newTestBalancer(t, Static(servers...), func(c *Config) { c.Limits.BodyBytes = 64 << 10 })
 	mux := http.NewServeMux()
 	mux.HandleFunc("/own/", func(w http.ResponseWriter, q *http.Request) { io.WriteString(w, "own "+q.URL.Path) })
@@ -786,7 +786,7 @@
 		}
 		return len(list)
 	}
-	f, servers := startFleet(t, standin.BoxConfig{}, standin.BoxConfig{})
+	f, servers := startFleet(t, standin.ServerConfig{}, standin.ServerConfig{})
 	before := open()
 	b, _ := newTestBalancer(t, Static(servers...))
 	for range 10 {
--- a/cmd/quillfront/idle_test.go
+++ b/cmd/quillfront/idle_test.go
@@ -66,11 +66,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Close)
-	if _, err := f.Start(standin.BoxConfig{ID: "a", Cores: 64}); err != nil {
+	if _, err := f.Start(standin.ServerConfig{ID: "a", Cores: 64}); err != nil {
 		t.Fatal(err)
 	}
-	known := f.Disco.List()
-	return start(t, string(standin.Platform{Seed: 1, Sockets: 4096, Known: &known, Classes: conformance.Classes(), Pushed: true, NoProbes: true}.JSON())).addr
+	known := f.Discovery.List()
+	return start(t, string(standin.PlatformConfig{Seed: 1, Sockets: 4096, CachedList: &known, Classes: conformance.Classes(), ListPushed: true, NoProbes: true}.JSON())).addr
 }
 
 // TestIdleRace counts the second POSTs that a closing connection took with it: 2.06 to 2.15 s after the first, by clients
--- a/cmd/quillfront/load.go
+++ b/cmd/quillfront/load.go
@@ -165,9 +165,9 @@
 		}
 		rules = append(rules, r)
 	}
-	var boxes []standin.BoxConfig
+	var boxes []standin.ServerConfig
 	for i := range n {
-		boxes = append(boxes, standin.BoxConfig{ID: fmt.Sprint("box-", i+1), Zone: "clare", Cores: 4, Waiting: 256, ByCost: true})
+		boxes = append(boxes, standin.ServerConfig{ID: fmt.Sprint("box-", i+1), Zone: "clare", Cores: 4, QueueSize: 256, ServiceTimeFromCost: true})
 	}
 	return demo.Open(rules, boxes, 1, 8192)
 }
--- a/cmd/quillfront/peers_test.go
+++ b/cmd/quillfront/peers_test.go
@@ -29,10 +29,10 @@
 		t.Fatal(err)
 	}
 	defer fleet.Close()
-	var boxes []*standin.Box
+	var boxes []*standin.Server
 	known := &engine.List{Seq: 1, Full: true}
 	for i := range 4 {
-		b, err := fleet.Start(standin.BoxConfig{ID: fmt.Sprint("box", i)})
+		b, err := fleet.Start(standin.ServerConfig{ID: fmt.Sprint("box", i)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,9 +51,9 @@
 	file := filepath.Join(t.TempDir(), "quillfront.toml")
 	writeFile(t, file, "[members]\ncluster = \"c\"\nplatform = true\nshare = true\nhints = true\nfall = \"1s\"\n")
 	sidecar := func(i int, allowed bool) *process {
-		p := standin.Platform{Classes: classes, Seed: uint64(i), Known: known}
+		p := standin.PlatformConfig{Classes: classes, Seed: uint64(i), CachedList: known}
 		if i == 0 {
-			p.Discovery = fleet.Disco.Addr()
+			p.Discovery = fleet.Discovery.Addr()
 		}
 		var c map[string]any
 		if err := json.Unmarshal(p.JSON(), &c); err != nil {
@@ -97,7 +97,7 @@
 		await(p, "members_living", "3")
 	}
 	await(all[0], "pool_size", "4")
-	fleet.Leave(boxes[1]) // only the first one's discovery says so
+	fleet.ListDraining(boxes[1]) // only the first one's discovery says so
 	await(all[1], "pool_draining", "1")
 	await(all[2], "pool_draining", "1")
 	await(all[1], "pool_draining", "0") // its own list has not said so
--- a/cmd/quillfront/process_bench_test.go
+++ b/cmd/quillfront/process_bench_test.go
@@ -38,9 +38,9 @@
 			}))
 			defer srv.Close()
 			path := filepath.Join(b.TempDir(), "config.json")
-			text := standin.Platform{
-				Seed: 1, Pushed: true, NoProbes: true, Sockets: 1024,
-				Known: &engine.List{Seq: 1, Full: true, Servers: []engine.Server{{ID: "a", Addr: srv.Listener.Addr().String()}}},
+			text := standin.PlatformConfig{
+				Seed: 1, ListPushed: true, NoProbes: true, Sockets: 1024,
+				CachedList: &engine.List{Seq: 1, Full: true, Servers: []engine.Server{{ID: "a", Addr: srv.Listener.Addr().String()}}},
 				Classes: []policy.Class{{
 					Name: "order", Effect: policy.Keyed, KeyTTL: time.Second, Aim: 9 * time.Second, Deadline: 10 * time.Second, Worth: 1,
 				}},
--- a/cmd/quillfront/shutdown_test.go
+++ b/cmd/quillfront/shutdown_test.go
@@ -143,9 +143,9 @@
 	defer fleet.Close()
 	var hosts []string
 	for i := range 4 {
-		box := standin.BoxConfig{ID: fmt.Sprintf("s%d", i), Cores: 1000, Work: 5 * time.Millisecond}
+		box := standin.ServerConfig{ID: fmt.Sprintf("s%d", i), Cores: 1000, ServiceTime: 5 * time.Millisecond}
 		if i < trial.hanging {
-			box.Script = func(int, *http.Request) standin.Fault { return standin.Lose }
+			box.Script = func(int, *http.Request) standin.Fault { return standin.NoReply }
 		}
 		b, err := fleet.Start(box)
 		if err != nil {
@@ -222,7 +222,7 @@
 		breaches = append(breaches, fmt.Sprintf("no request whose last byte came %v after SIGTERM has an answer", lastOfABody))
 	}
 	for _, r := range c.requests {
-		forwarded := len(fleet.Route(r.id)) > 0
+		forwarded := len(fleet.ServersReached(r.id)) > 0
 		switch {
 		case r.answered:
 			counts[r.status]++
--- a/cmd/quillfront/store_test.go
+++ b/cmd/quillfront/store_test.go
@@ -33,18 +33,18 @@
 	}
 	defer f.Close()
 	for i := range 3 {
-		b, err := f.Start(standin.BoxConfig{ID: fmt.Sprint("box-", i), Cores: 8, Work: 2 * time.Millisecond})
+		b, err := f.Start(standin.ServerConfig{ID: fmt.Sprint("box-", i), Cores: 8, ServiceTime: 2 * time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Set(standin.Trouble{Break: 0.8})
+		b.SetFaultRates(standin.FaultRates{Reset: 0.8})
 	}
-	known := f.Disco.List()
+	known := f.Discovery.List()
 	file := filepath.Join(t.TempDir(), "quillfront.toml")
 	if err := os.WriteFile(file, []byte(operator), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	platform := standin.Platform{Seed: 1, Known: &known, Classes: classes, Pushed: true, NoProbes: true}
+	platform := standin.PlatformConfig{Seed: 1, CachedList: &known, Classes: classes, ListPushed: true, NoProbes: true}
 	s := start(t, string(platform.JSON()), "serve", "--config", file)
 	platform.Listen = s.addr
 	ctx, stop := context.WithCancel(t.Context())
@@ -127,7 +127,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	if _, err := f.Start(standin.BoxConfig{ID: "a"}); err != nil {
+	if _, err := f.Start(standin.ServerConfig{ID: "a"}); err != nil {
 		t.Fatal(err)
 	}
 	dir := filepath.Join(t.TempDir(), "orders")
@@ -135,8 +135,8 @@
 	if err := os.WriteFile(file, fmt.Appendf(nil, "[store]\npath = %q\nmost_bytes = 1048576\n", dir), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	known := f.Disco.List()
-	s := start(t, string(standin.Platform{Seed: 1, Known: &known, Classes: conformance.Classes(), Pushed: true, NoProbes: true}.JSON()), "serve", "--config", file)
+	known := f.Discovery.List()
+	s := start(t, string(standin.PlatformConfig{Seed: 1, CachedList: &known, Classes: conformance.Classes(), ListPushed: true, NoProbes: true}.JSON()), "serve", "--config", file)
 	for range 2 {
 		for _, body := range []string{"one", "other"} {
 			q, err := http.NewRequest(http.MethodPost, "http://"+s.addr+"/order/f", strings.NewReader(body))
--- a/cmd/quillfront/trial.go
+++ b/cmd/quillfront/trial.go
@@ -32,7 +32,7 @@
 				return err
 			}
 			log := slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil))
-			r, err := trial.Play(cmd.Context(), plan, trial.Program{Command: []string{self}}, log)
+			r, err := trial.Run(cmd.Context(), plan, trial.Program{Command: []string{self}}, log)
 			if err != nil {
 				return err
 			}
@@ -43,7 +43,7 @@
 			} else {
 				err = tellTrial(cmd.OutOrStdout(), r)
 			}
-			if err == nil && len(r.Broken) > 0 {
+			if err == nil && len(r.Failures) > 0 {
 				return errors.New("the trial is not passed")
 			}
 			return err
@@ -63,12 +63,12 @@
 		}
 		fmt.Fprintf(w, " %d ms at most\n", last)
 	}
-	for _, h := range r.Healings {
-		fmt.Fprintf(w, "after %s: one view after %d ms\n", h.After, h.Ms)
+	for _, h := range r.Recoveries {
+		fmt.Fprintf(w, "after %s: one view after %d ms\n", h.Fault, h.Ms)
 	}
-	fmt.Fprintf(w, "verdicts: %d, false: %d, of one process on another at most %d\n", r.Verdicts, len(r.False), r.MostFlaps)
-	fmt.Fprintf(w, "sent: %d bytes a second each, %d at most; processor: %.4f of a core each, %.4f at most\n", r.BytesMean, r.BytesMost, r.CPUMean, r.CPUMost)
-	for _, b := range r.Broken {
+	fmt.Fprintf(w, "verdicts: %d, false: %d, of one process on another at most %d\n", r.Verdicts, len(r.FalseVerdicts), r.MaxFlaps)
+	fmt.Fprintf(w, "sent: %d bytes a second each, %d at most; processor: %.4f of a core each, %.4f at most\n", r.BytesMean, r.BytesMax, r.CPUMean, r.CPUMax)
+	for _, b := range r.Failures {
 		fmt.Fprintf(w, "BROKEN: %s\n", b)
 	}
 	_, err := fmt.Fprintf(w, "the rig stood still for %d ms at most: trusted %v\n", r.StalledMs, r.Trusted)
--- a/cmd/quillfront/trial_test.go
+++ b/cmd/quillfront/trial_test.go
@@ -26,8 +26,8 @@
   {kind = "cut", who = [2], to = [3], back = true, at = "21s", for = "7s"},                # two from each other
   {kind = "link", loss = 0.2, at = "1s", for = "30s"},
 ]`, func(t *testing.T, r *trial.Report) {
-			if r.Verdicts != 8 || r.MostFlaps != 1 || r.Events["returned"] != 2 {
-				t.Errorf("%d verdicts, at most %d on one, %v", r.Verdicts, r.MostFlaps, r.Events)
+			if r.Verdicts != 8 || r.MaxFlaps != 1 || r.Events["returned"] != 2 {
+				t.Errorf("%d verdicts, at most %d on one, %v", r.Verdicts, r.MaxFlaps, r.Events)
 			}
 		}},
 		{"pauses", `
@@ -91,15 +91,15 @@
 				t.Fatal(err)
 			}
 			program := trial.Program{Command: []string{os.Args[0]}, Env: append(os.Environ(), "QUILLFRONT_IS_SIDECAR=1", "GW_CONFIG=")}
-			r, err := trial.Play(t.Context(), plan, program, slog.New(slog.DiscardHandler))
+			r, err := trial.Run(t.Context(), plan, program, slog.New(slog.DiscardHandler))
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range r.Broken {
+			for _, b := range r.Failures {
 				t.Error(b)
 			}
 			tt.check(t, r)
-			t.Logf("together %d ms, verdicts %d, %v, healed %v, %d bytes/s, %.3f of a core, rig stood %d ms", r.JoinedMs, r.Verdicts, r.Events, r.Healings, r.BytesMean, r.CPUMean, r.StalledMs)
+			t.Logf("together %d ms, verdicts %d, %v, healed %v, %d bytes/s, %.3f of a core, rig stood %d ms", r.JoinedMs, r.Verdicts, r.Events, r.Recoveries, r.BytesMean, r.CPUMean, r.StalledMs)
 		})
 	}
 }
@@ -118,7 +118,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
 	program := trial.Program{Command: []string{"/nowhere/quillfront"}}
-	if _, err := trial.Play(ctx, trial.Plan{For: trial.Duration(time.Second)}, program, slog.New(slog.DiscardHandler)); err == nil {
+	if _, err := trial.Run(ctx, trial.Plan{For: trial.Duration(time.Second)}, program, slog.New(slog.DiscardHandler)); err == nil {
 		t.Error("a program that is not there plays")
 	}
 }
--- a/internal/conformance/conformance.go
+++ b/internal/conformance/conformance.go
@@ -171,11 +171,11 @@
 type world struct {
 	Form
 	fleet *standin.Fleet
-	boxes []*standin.Box
+	boxes []*standin.Server
 }
 
 // build starts a fleet of boxes and a form whose list is pushed, so that nothing but requests moves its module.
-func build(t testing.TB, start Start, change func(*standin.Platform), boxes ...standin.BoxConfig) *world {
+func build(t testing.TB, start Start, change func(*standin.PlatformConfig), boxes ...standin.ServerConfig) *world {
 	t.Helper()
 	f, err := standin.NewFleet(Classes(), 1, 0)
 	if err != nil {
@@ -191,8 +191,8 @@
 		}
 		w.boxes = append(w.boxes, b)
 	}
-	known := f.Disco.List()
-	p := standin.Platform{Seed: 11, Known: &known, Classes: Classes(), Pushed: true, NoProbes: true}
+	known := f.Discovery.List()
+	p := standin.PlatformConfig{Seed: 11, CachedList: &known, Classes: Classes(), ListPushed: true, NoProbes: true}
 	if change != nil {
 		change(&p)
 	}
@@ -224,7 +224,7 @@
 	return q
 }
 
-func requests(boxes []*standin.Box) (n int64) {
+func requests(boxes []*standin.Server) (n int64) {
 	for _, b := range boxes {
 		n += b.Counts().Requests
 	}
@@ -242,7 +242,7 @@
 
 // rejections: what cannot be served as it is comes to no box.
 func rejections(t *testing.T, start Start) {
-	w := build(t, start, nil, standin.BoxConfig{})
+	w := build(t, start, nil, standin.ServerConfig{})
 	wrongMethod, bodied := ask("pay"), ask("read")
 	wrongMethod.Method, wrongMethod.Body = http.MethodGet, nil
 	bodied.Method, bodied.Body = http.MethodPost, strings.NewReader("x")
@@ -281,22 +281,22 @@
 		sent     int64
 		executed int
 	}{
-		{"read", standin.None, Served, 1, 1},
-		{"order", standin.None, Served, 1, 1},
-		{"pay", standin.None, Served, 1, 1},
-		{"read", standin.Break, Refused, 3, 3}, // sent again as often as it may be
-		{"order", standin.Break, Refused, 3, 1},
-		{"cell", standin.Break, Failed, 3, 1}, // a refusal would promise what holds in one cell only
-		{"pay", standin.Break, Failed, 1, 1},  // it may have run: never again
-		{"pay", standin.Spoil, Failed, 1, 1},
-		{"pay", standin.Err, Failed, 1, 0},
-		{"pay", standin.TurnAway, Refused, 3, 0}, // proven not to have run
+		{"read", standin.NoFault, Served, 1, 1},
+		{"order", standin.NoFault, Served, 1, 1},
+		{"pay", standin.NoFault, Served, 1, 1},
+		{"read", standin.ResetConnection, Refused, 3, 3}, // sent again as often as it may be
+		{"order", standin.ResetConnection, Refused, 3, 1},
+		{"cell", standin.ResetConnection, Failed, 3, 1}, // a refusal would promise what holds in one cell only
+		{"pay", standin.ResetConnection, Failed, 1, 1},  // it may have run: never again
+		{"pay", standin.MalformedReply, Failed, 1, 1},
+		{"pay", standin.ServerError, Failed, 1, 0},
+		{"pay", standin.Reject, Refused, 3, 0}, // proven not to have run
 	} {
 		if !has(tt.class) {
 			continue
 		}
 		t.Run(fmt.Sprintf("%s fault %d", tt.class, tt.fault), func(t *testing.T) {
-			box := standin.BoxConfig{Script: func(int, *http.Request) standin.Fault { return tt.fault }}
+			box := standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return tt.fault }}
 			w := build(t, start, nil, box, box, box)
 			q := ask(tt.class)
 			if got := w.Ask(t.Context(), q); got.Kind != tt.want {
@@ -318,7 +318,7 @@
 
 // refusal: what is turned away everywhere is refused at once, with a time to come back.
 func refusal(t *testing.T, start Start) {
-	w := build(t, start, nil, standin.BoxConfig{Script: func(int, *http.Request) standin.Fault { return standin.TurnAway }})
+	w := build(t, start, nil, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.Reject }})
 	began := time.Now()
 	a := w.Ask(t.Context(), ask("read"))
 	if a.Kind != Refused || a.RetryAfter <= 0 || a.RetryAfter > time.Second {
@@ -331,7 +331,7 @@
 
 // nameOpen: while a request is open another under its id is turned away.
 func nameOpen(t *testing.T, start Start) {
-	w := build(t, start, nil, standin.BoxConfig{Work: 500 * time.Millisecond})
+	w := build(t, start, nil, standin.ServerConfig{ServiceTime: 500 * time.Millisecond})
 	first := make(chan Answer, 1)
 	q := ask("read")
 	go func() { first <- w.Ask(context.Background(), q) }()
@@ -350,8 +350,8 @@
 // clientLeaves: a client that leaves while an attempt is out has its attempt called off, and nothing more is sent.
 func clientLeaves(t *testing.T, start Start) {
 	for _, class := range []string{"read", "order", "pay"} {
-		w := build(t, start, nil, standin.BoxConfig{Script: func(int, *http.Request) standin.Fault { return standin.Lose }}, standin.BoxConfig{
-			Script: func(int, *http.Request) standin.Fault { return standin.Lose },
+		w := build(t, start, nil, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.NoReply }}, standin.ServerConfig{
+			Script: func(int, *http.Request) standin.Fault { return standin.NoReply },
 		})
 		ctx, leave := context.WithCancel(t.Context())
 		over := make(chan Answer, 1)
@@ -372,7 +372,7 @@
 			}
 			return w.Ask(ctx, again).String() != "rejected 409"
 		})
-		if n := len(w.fleet.Route(q.Header["X-Request-ID"])); n > 2 { // the first one, and the one above that came through
+		if n := len(w.fleet.ServersReached(q.Header["X-Request-ID"])); n > 2 { // the first one, and the one above that came through
 			t.Errorf("%s: sent %d times for a client that had left", class, n)
 		}
 	}
@@ -381,7 +381,7 @@
 // ownTime: X-Timeout-Ms and the asker's own deadline cut across the class's. There is one end, in time, and an unsafe
 // request was sent once.
 func ownTime(t *testing.T, start Start) {
-	w := build(t, start, nil, standin.BoxConfig{Script: func(int, *http.Request) standin.Fault { return standin.Lose }})
+	w := build(t, start, nil, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.NoReply }})
 	began := time.Now()
 	if got := w.Ask(t.Context(), ask("pay", "X-Timeout-Ms", "200")); got.Kind != Failed {
 		t.Errorf("200 ms by the header: %v", got)
@@ -410,7 +410,7 @@
 
 // bodies: one of unknown length comes whole to the box, and one that is too long or breaks comes not at all.
 func bodies(t *testing.T, start Start) {
-	w := build(t, start, nil, standin.BoxConfig{})
+	w := build(t, start, nil, standin.ServerConfig{})
 	post := func(body io.Reader) Answer {
 		q := ask("pay")
 		q.Body = body
@@ -449,13 +449,13 @@
 
 // drain: what is told to drain gets nothing new, while requests go on at the others.
 func drain(t *testing.T, start Start) {
-	w := build(t, start, nil, standin.BoxConfig{}, standin.BoxConfig{})
-	live := build(t, start, func(p *standin.Platform) {
-		known := w.fleet.Disco.List()
-		p.Known, p.Discovery, p.Pushed, p.AskEvery = &known, w.fleet.Disco.Addr(), false, 100*time.Millisecond
-	}, standin.BoxConfig{})
-	eventually(t, "the list is watched", func() bool { return w.fleet.Disco.Calls() > 0 })
-	w.fleet.Leave(w.boxes[0])
+	w := build(t, start, nil, standin.ServerConfig{}, standin.ServerConfig{})
+	live := build(t, start, func(p *standin.PlatformConfig) {
+		known := w.fleet.Discovery.List()
+		p.CachedList, p.Discovery, p.ListPushed, p.RefreshInterval = &known, w.fleet.Discovery.Addr(), false, 100*time.Millisecond
+	}, standin.ServerConfig{})
+	eventually(t, "the list is watched", func() bool { return w.fleet.Discovery.RequestCount() > 0 })
+	w.fleet.ListDraining(w.boxes[0])
 	eventually(t, "nothing goes to the one that drains", func() bool {
 		before := w.boxes[0].Counts().Requests
 		for range 20 {
@@ -479,19 +479,19 @@
 
 // emptyAndFull: while the list is empty requests wait for their time, end as the form has it, and are served once a box is listed.
 func emptyAndFull(t *testing.T, start Start, unserved Kind) {
-	w := build(t, start, nil, standin.BoxConfig{})
-	live := build(t, start, func(p *standin.Platform) {
-		known := w.fleet.Disco.List()
-		p.Known, p.Discovery, p.Pushed, p.AskEvery = &known, w.fleet.Disco.Addr(), false, 100*time.Millisecond
-	}, standin.BoxConfig{})
-	eventually(t, "the list is watched", func() bool { return w.fleet.Disco.Calls() > 0 })
+	w := build(t, start, nil, standin.ServerConfig{})
+	live := build(t, start, func(p *standin.PlatformConfig) {
+		known := w.fleet.Discovery.List()
+		p.CachedList, p.Discovery, p.ListPushed, p.RefreshInterval = &known, w.fleet.Discovery.Addr(), false, 100*time.Millisecond
+	}, standin.ServerConfig{})
+	eventually(t, "the list is watched", func() bool { return w.fleet.Discovery.RequestCount() > 0 })
 	w.fleet.Kill(w.boxes[0])
 	eventually(t, "an empty list leaves nobody to ask", func() bool {
 		return live.Ask(t.Context(), ask("quick", "X-Timeout-Ms", "100")).Kind == unserved
 	})
 	over := make(chan Answer, 1)
 	go func() { over <- live.Ask(context.Background(), ask("read")) }()
-	b, err := w.fleet.Start(standin.BoxConfig{ID: "new"})
+	b, err := w.fleet.Start(standin.ServerConfig{ID: "new"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -505,13 +505,13 @@
 
 // crowd: many at once, some of whom leave: each gets one answer, and no effect takes place twice.
 func crowd(t *testing.T, start Start) {
-	var cfgs []standin.BoxConfig
+	var cfgs []standin.ServerConfig
 	for range 4 {
-		cfgs = append(cfgs, standin.BoxConfig{Cores: 8, Work: 2 * time.Millisecond})
+		cfgs = append(cfgs, standin.ServerConfig{Cores: 8, ServiceTime: 2 * time.Millisecond})
 	}
 	w := build(t, start, nil, cfgs...)
 	for _, b := range w.boxes {
-		b.Set(standin.Trouble{Err: 0.1, Spoil: 0.05, Break: 0.05})
+		b.SetFaultRates(standin.FaultRates{ServerError: 0.1, Malformed: 0.05, Reset: 0.05})
 	}
 	classes := []string{"read", "order", "pay"}
 	var mu sync.Mutex
@@ -560,30 +560,30 @@
 func Scripted(t testing.TB, start Start, seed uint64) Record {
 	t.Helper()
 	const boxes, rounds = 5, 60
-	var cfgs []standin.BoxConfig
+	var cfgs []standin.ServerConfig
 	for i := range boxes {
-		cfgs = append(cfgs, standin.BoxConfig{
+		cfgs = append(cfgs, standin.ServerConfig{
 			Report: func(n int) string { return fmt.Sprintf("TEXT queue=%d", (n*7+i*3)%5) },
 			Script: func(_ int, q *http.Request) standin.Fault {
 				switch n, _ := strconv.Atoi(q.Header.Get("X-Step")); {
 				case n == 20 && i%2 == 0:
-					return standin.Err
+					return standin.ServerError
 				case n == 31 && i%2 == 1:
-					return standin.Break
+					return standin.ResetConnection
 				case n == 42 && i < 3:
-					return standin.TurnAway
+					return standin.Reject
 				}
-				return standin.None
+				return standin.NoFault
 			},
 		})
 	}
-	w := build(t, start, func(p *standin.Platform) { p.Inline, p.Seed = true, seed }, cfgs...)
+	w := build(t, start, func(p *standin.PlatformConfig) { p.InlineReports, p.Seed = true, seed }, cfgs...)
 	classes := []string{"read", "order", "pay", "cell"}
 	var r Record
 	for n := range rounds {
 		q := ask(classes[n%len(classes)], "X-Step", strconv.Itoa(n), "X-Request-ID", fmt.Sprintf("step-%d", n))
 		r.Answers = append(r.Answers, w.Ask(t.Context(), q).String())
-		r.Picks = append(r.Picks, strings.Join(w.fleet.Route(q.Header["X-Request-ID"]), "+"))
+		r.Picks = append(r.Picks, strings.Join(w.fleet.ServersReached(q.Header["X-Request-ID"]), "+"))
 		if n == 20 || n == 31 || n == 42 {
 			time.Sleep(2500 * time.Millisecond) // three failures in a row eject for 2 s
 		}
@@ -624,13 +624,13 @@
 // Load plays some seconds of a schedule that does not wait for answers, on boxes of which two err.
 func Load(t testing.TB, start Start, length time.Duration, rate int) Figures {
 	t.Helper()
-	var cfgs []standin.BoxConfig
+	var cfgs []standin.ServerConfig
 	for range 6 {
-		cfgs = append(cfgs, standin.BoxConfig{Cores: 4, Work: 10 * time.Millisecond})
+		cfgs = append(cfgs, standin.ServerConfig{Cores: 4, ServiceTime: 10 * time.Millisecond})
 	}
-	w := build(t, start, func(p *standin.Platform) { p.NoProbes = false }, cfgs...)
-	w.boxes[0].Set(standin.Trouble{Err: 0.3})
-	w.boxes[1].Set(standin.Trouble{Break: 0.3})
+	w := build(t, start, func(p *standin.PlatformConfig) { p.NoProbes = false }, cfgs...)
+	w.boxes[0].SetFaultRates(standin.FaultRates{ServerError: 0.3})
+	w.boxes[1].SetFaultRates(standin.FaultRates{Reset: 0.3})
 	classes := []string{"read", "order", "pay"}
 	var mu sync.Mutex
 	times, asked := map[string][]time.Duration{}, map[string]int{}
--- a/internal/conformance/edge.go
+++ b/internal/conformance/edge.go
@@ -210,7 +210,7 @@
 func edge(t testing.TB, start StartEdge) (Edge, *rawServer) {
 	s := startRaw(t)
 	known := engine.List{Seq: 1, Full: true, Servers: []engine.Server{{ID: "raw", Addr: s.ln.Addr().String(), State: policy.Ready, Weight: 1}}}
-	return start(t, standin.Platform{Seed: 1, Known: &known, Classes: Classes(), Pushed: true, NoProbes: true}.JSON()), s
+	return start(t, standin.PlatformConfig{Seed: 1, CachedList: &known, Classes: Classes(), ListPushed: true, NoProbes: true}.JSON()), s
 }
 
 func crlf(text string, exact bool) string {
--- a/internal/daemon/site_reload_test.go
+++ b/internal/daemon/site_reload_test.go
@@ -21,7 +21,7 @@
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
 		known.Servers = append(known.Servers, engine.Server{ID: policy.ServerID(id), Addr: "127.0.0.1:1", Zone: id[:1], Weight: 1})
 	}
-	c, err := config.Parse(standin.Platform{Known: &known, NoProbes: true, Pushed: true, Classes: []policy.Class{
+	c, err := config.Parse(standin.PlatformConfig{CachedList: &known, NoProbes: true, ListPushed: true, Classes: []policy.Class{
 		{Name: "read", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
 	}}.JSON())
 	if err != nil {
--- a/internal/daemon/site_return_test.go
+++ b/internal/daemon/site_return_test.go
@@ -52,10 +52,10 @@
 		t.Fatal(err)
 	}
 	defer fleet.Close()
-	start := func(site, name string, cold bool) []*standin.Box {
-		var all []*standin.Box
+	start := func(site, name string, cold bool) []*standin.Server {
+		var all []*standin.Server
 		for i := range perSite {
-			b, err := fleet.Start(standin.BoxConfig{ID: fmt.Sprint(name, i), Zone: site, Cores: cores, Work: work, Cold: cold})
+			b, err := fleet.Start(standin.ServerConfig{ID: fmt.Sprint(name, i), Zone: site, Cores: cores, ServiceTime: work, Cold: cold})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -64,12 +64,12 @@
 		return all
 	}
 	lost, other := start("clare-pump", "clare-", false), start("giru-office", "giru-", false)
-	known := fleet.Disco.List()
+	known := fleet.Discovery.List()
 	var urls []string
 	var sidecars []*world
 	for i := range 2 {
-		cfg, err := config.Parse(standin.Platform{
-			Discovery: fleet.Disco.Addr(), Seed: uint64(i + 1), Known: &known, Classes: classes, Ramp: 8600 * time.Millisecond, Sockets: 2048,
+		cfg, err := config.Parse(standin.PlatformConfig{
+			Discovery: fleet.Discovery.Addr(), Seed: uint64(i + 1), CachedList: &known, Classes: classes, Ramp: 8600 * time.Millisecond, Sockets: 2048,
 		}.JSON())
 		if err != nil {
 			t.Fatal(err)
@@ -139,7 +139,7 @@
 			p.served++
 		}
 	}
-	requests := func(boxes []*standin.Box) (n int64) {
+	requests := func(boxes []*standin.Server) (n int64) {
 		for _, b := range boxes {
 			n += b.Counts().Requests
 		}
@@ -149,14 +149,14 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	var clients sync.WaitGroup
 	began := time.Now()
-	killed, returned, restored := false, false, []*standin.Box(nil)
+	killed, returned, restored := false, false, []*standin.Server(nil)
 	var inDark [2]int64 // requests at the other site, from 2 s after the kill and at the return
 	for n, at := 0, time.Duration(0); at < whole; n++ {
 		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 		time.Sleep(time.Until(began.Add(at)))
 		if at > dark && !killed {
 			killed = true
-			fleet.Disco.SetLag(3 * time.Second)
+			fleet.Discovery.SetLag(3 * time.Second)
 			for _, b := range lost {
 				fleet.Kill(b)
 			}
@@ -209,7 +209,7 @@
 		t.Errorf("the other site had %.0f a second, %.0f may be", perSecond, rate/2*(1+spill))
 	}
 	for _, b := range restored {
-		if b.Counts().Fallen {
+		if b.Counts().Overloaded {
 			t.Errorf("%s was sent more than its warm-up share", b.ID())
 		}
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -26,11 +26,11 @@
 
 // Options says how a demo runs. Zero values take the defaults.
 type Options struct {
-	For      time.Duration      // how long requests come; 6 s
-	Rate     float64            // requests a second; 300
-	Seed     uint64             // 1
-	Progress func(Progress)     // called some times a second; may be nil
-	Sabotage func(*standin.Box) // what else is done to the box that drains, for tests of the account
+	For      time.Duration         // how long requests come; 6 s
+	Rate     float64               // requests a second; 300
+	Seed     uint64                // 1
+	Progress func(Progress)        // called some times a second; may be nil
+	Sabotage func(*standin.Server) // what else is done to the box that drains, for tests of the account
 }
 
 // Progress is how far a demo is.
@@ -134,9 +134,9 @@
 		rules = append(rules, c.Class)
 		r.report.Classes[c.Name], r.hist[c.Name] = &ClassReport{}, newHistogram()
 	}
-	var boxes []standin.BoxConfig
+	var boxes []standin.ServerConfig
 	for i, id := range []string{"clare-1", "clare-2", "clare-3", "giru-1", "giru-2", "giru-3"} {
-		boxes = append(boxes, standin.BoxConfig{ID: id, Zone: strings.Split(id, "-")[0], Cell: i % 3, Cores: 2, ByCost: true, Waiting: 64})
+		boxes = append(boxes, standin.ServerConfig{ID: id, Zone: strings.Split(id, "-")[0], Cell: i % 3, Cores: 2, ServiceTimeFromCost: true, QueueSize: 64})
 	}
 	stage, err := Open(rules, boxes, o.Seed, 4096)
 	if err != nil {
@@ -171,27 +171,27 @@
 }
 
 // troubles plays the day: a box that errs, one that drains, a cold one, at fixed shares of its length.
-func (r *run) troubles(ctx context.Context, boxes map[string]*standin.Box) {
+func (r *run) troubles(ctx context.Context, boxes map[string]*standin.Server) {
 	steps := []struct {
 		at   float64
 		text string
 		do   func() error
 	}{
-		{0.15, "clare-2 errs on 60% of its requests", func() error { boxes["clare-2"].Set(standin.Trouble{Err: 0.6}); return nil }},
+		{0.15, "clare-2 errs on 60% of its requests", func() error { boxes["clare-2"].SetFaultRates(standin.FaultRates{ServerError: 0.6}); return nil }},
 		{0.30, "giru-3 is to drain", func() error {
-			r.fleet.Leave(boxes["giru-3"])
+			r.fleet.ListDraining(boxes["giru-3"])
 			if r.Sabotage != nil {
 				r.Sabotage(boxes["giru-3"])
 			}
 			return nil
 		}},
 		{0.45, "giru-4 starts cold", func() error {
-			_, err := r.fleet.Start(standin.BoxConfig{ID: "giru-4", Zone: "giru", Cell: 2, Cores: 2, ByCost: true, Cold: true})
+			_, err := r.fleet.Start(standin.ServerConfig{ID: "giru-4", Zone: "giru", Cell: 2, Cores: 2, ServiceTimeFromCost: true, Cold: true})
 			return err
 		}},
-		{0.60, "clare-2 is well again", func() error { boxes["clare-2"].Set(standin.Trouble{}); return nil }},
+		{0.60, "clare-2 is well again", func() error { boxes["clare-2"].SetFaultRates(standin.FaultRates{}); return nil }},
 		{0.70, "clare-1 loses or spoils 5% of its answers", func() error {
-			boxes["clare-1"].Set(standin.Trouble{Lose: 0.02, Spoil: 0.02, Break: 0.01})
+			boxes["clare-1"].SetFaultRates(standin.FaultRates{NoReply: 0.02, Malformed: 0.02, Reset: 0.01})
 			return nil
 		}},
 	}
@@ -348,12 +348,12 @@
 // account sums up, and checks the four rules.
 func (r *run) account() {
 	total := 0
-	for _, b := range r.fleet.Boxes() {
+	for _, b := range r.fleet.Servers() {
 		n := b.Counts()
-		r.report.Boxes[b.ID()] = &BoxReport{Requests: int(n.Requests), Late: int(n.Late), Fallen: n.Fallen, Note: r.notes[b.ID()]}
+		r.report.Boxes[b.ID()] = &BoxReport{Requests: int(n.Requests), Late: int(n.Late), Fallen: n.Overloaded, Note: r.notes[b.ID()]}
 		r.report.LateToDraining += int(n.Late)
 		total += int(n.Requests)
-		if n.Fallen {
+		if n.Overloaded {
 			r.report.Fallen++
 		}
 	}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -58,11 +58,11 @@
 // counts late sends once the grace is over.
 func TestBrokenRuleShows(t *testing.T) {
 	var pokes sync.WaitGroup
-	r, err := Run(t.Context(), Options{For: 5 * time.Second, Rate: 20, Sabotage: func(b *standin.Box) {
+	r, err := Run(t.Context(), Options{For: 5 * time.Second, Rate: 20, Sabotage: func(b *standin.Server) {
 		pokes.Go(func() {
 			for range 45 { // one request each 100 ms, until past the 2 s
 				time.Sleep(100 * time.Millisecond)
-				standin.Poke(b)
+				standin.SendRequest(b)
 			}
 		})
 	}})
--- a/internal/demo/stage.go
+++ b/internal/demo/stage.go
@@ -16,21 +16,21 @@
 type Stage struct {
 	URL   string // of the sidecar
 	Fleet *standin.Fleet
-	Boxes map[string]*standin.Box
+	Boxes map[string]*standin.Server
 
 	stop   context.CancelFunc
 	served chan error
 }
 
 // Open starts boxes and a sidecar that may hold so many descriptors. Changes of the list are told after 300 ms.
-func Open(rules []policy.Class, boxes []standin.BoxConfig, seed uint64, descriptors int) (*Stage, error) {
+func Open(rules []policy.Class, boxes []standin.ServerConfig, seed uint64, descriptors int) (*Stage, error) {
 	const lag = 300 * time.Millisecond
 	fleet, err := standin.NewFleet(rules, seed, lag)
 	if err != nil {
 		return nil, err
 	}
-	s := &Stage{Fleet: fleet, Boxes: map[string]*standin.Box{}, served: make(chan error, 1)}
-	fleet.Disco.SetLag(0) // the list before the start is known to all
+	s := &Stage{Fleet: fleet, Boxes: map[string]*standin.Server{}, served: make(chan error, 1)}
+	fleet.Discovery.SetLag(0) // the list before the start is known to all
 	for _, c := range boxes {
 		b, err := fleet.Start(c)
 		if err != nil {
@@ -39,7 +39,7 @@
 		}
 		s.Boxes[c.ID] = b
 	}
-	fleet.Disco.SetLag(lag)
+	fleet.Discovery.SetLag(lag)
 	if err := s.sidecar(rules, seed, descriptors); err != nil {
 		fleet.Close()
 		return nil, err
@@ -48,9 +48,9 @@
 }
 
 func (s *Stage) sidecar(rules []policy.Class, seed uint64, descriptors int) error {
-	known := s.Fleet.Disco.List()
-	cfg, err := config.Parse(standin.Platform{
-		Discovery: s.Fleet.Disco.Addr(), Seed: seed, Known: &known, Zone: "clare", Classes: rules, Ramp: 8600 * time.Millisecond, Sockets: descriptors,
+	known := s.Fleet.Discovery.List()
+	cfg, err := config.Parse(standin.PlatformConfig{
+		Discovery: s.Fleet.Discovery.Addr(), Seed: seed, CachedList: &known, Zone: "clare", Classes: rules, Ramp: 8600 * time.Millisecond, Sockets: descriptors,
 	}.JSON())
 	if err != nil {
 		return err
--- a/internal/dnslist/resolver_test.go
+++ b/internal/dnslist/resolver_test.go
@@ -38,14 +38,14 @@
 // TestLookup: addresses of both kinds, aliases and services; what there is none of is told from what cannot be found out.
 func TestLookup(t *testing.T) {
 	d, c := server(t)
-	d.Set("boxes.example.", dnsmessage.TypeA, 30, &dnsmessage.AResource{A: [4]byte{127, 0, 0, 1}}, &dnsmessage.AResource{A: [4]byte{127, 0, 0, 2}})
-	d.Set("boxes.example.", dnsmessage.TypeAAAA, 20, &dnsmessage.AAAAResource{AAAA: [16]byte{15: 1}})
-	d.Set("alias.example.", dnsmessage.TypeCNAME, 5, &dnsmessage.CNAMEResource{CNAME: dnsmessage.MustNewName("boxes.example.")})
-	d.Set("loop.example.", dnsmessage.TypeCNAME, 5, &dnsmessage.CNAMEResource{CNAME: dnsmessage.MustNewName("loop.example.")})
-	d.Set("_order._tcp.example.", dnsmessage.TypeSRV, 60,
+	d.SetRecords("boxes.example.", dnsmessage.TypeA, 30, &dnsmessage.AResource{A: [4]byte{127, 0, 0, 1}}, &dnsmessage.AResource{A: [4]byte{127, 0, 0, 2}})
+	d.SetRecords("boxes.example.", dnsmessage.TypeAAAA, 20, &dnsmessage.AAAAResource{AAAA: [16]byte{15: 1}})
+	d.SetRecords("alias.example.", dnsmessage.TypeCNAME, 5, &dnsmessage.CNAMEResource{CNAME: dnsmessage.MustNewName("boxes.example.")})
+	d.SetRecords("loop.example.", dnsmessage.TypeCNAME, 5, &dnsmessage.CNAMEResource{CNAME: dnsmessage.MustNewName("loop.example.")})
+	d.SetRecords("_order._tcp.example.", dnsmessage.TypeSRV, 60,
 		&dnsmessage.SRVResource{Priority: 1, Weight: 7, Port: 90, Target: dnsmessage.MustNewName("boxes.example.")},
 		&dnsmessage.SRVResource{Priority: 2, Weight: 1, Port: 91, Target: dnsmessage.MustNewName("none.example.")})
-	d.Set("_none._tcp.example.", dnsmessage.TypeSRV, 60, &dnsmessage.SRVResource{Target: dnsmessage.MustNewName(".")})
+	d.SetRecords("_none._tcp.example.", dnsmessage.TypeSRV, 60, &dnsmessage.SRVResource{Target: dnsmessage.MustNewName(".")})
 	for _, tt := range []struct {
 		kind Kind
 		name string
@@ -61,18 +61,18 @@
 		{Services, "_none._tcp.example", "", 60 * time.Second, ErrNone},
 	} {
 		for _, trouble := range [][2]bool{{false, false}, {true, false}, {false, true}} {
-			d.Trouble(dnsmessage.RCodeSuccess, trouble[0], trouble[1])
+			d.SetFaults(dnsmessage.RCodeSuccess, trouble[0], trouble[1])
 			a, err := c.Lookup(t.Context(), tt.kind, tt.name, 80)
 			if !errors.Is(err, tt.err) || addrs(a) != tt.want || a.TTL != tt.ttl {
 				t.Errorf("%s, cut and lie %v: %s for %v, %v", tt.name, trouble, addrs(a), a.TTL, err)
 			}
 		}
 	}
-	d.Trouble(dnsmessage.RCodeServerFailure, false, false)
+	d.SetFaults(dnsmessage.RCodeServerFailure, false, false)
 	if a, err := c.Lookup(t.Context(), Addresses, "boxes.example", 80); err == nil || errors.Is(err, ErrNone) {
 		t.Errorf("a server that fails: %v, %v", a, err)
 	}
-	d.Trouble(dnsmessage.RCodeSuccess, false, false)
+	d.SetFaults(dnsmessage.RCodeSuccess, false, false)
 	dead, err := standin.NewDNS()
 	if err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 		for _, b := range last {
 			bodies = append(bodies, &dnsmessage.AResource{A: [4]byte{127, 0, 0, b}})
 		}
-		d.Set("boxes.example.", dnsmessage.TypeA, 0, bodies...)
+		d.SetRecords("boxes.example.", dnsmessage.TypeA, 0, bodies...)
 	}
 	set(1)
 	s := Source{Resolver: c, Name: "boxes.example", Port: 80, Rules: Rules{Min: 10 * time.Millisecond, Max: 20 * time.Millisecond}, Log: slog.New(slog.DiscardHandler)}
@@ -126,7 +126,7 @@
 		}
 	}
 	set()
-	for before := d.Asked(); d.Asked() < before+6; {
+	for before := d.QueryCount(); d.QueryCount() < before+6; {
 		time.Sleep(time.Millisecond)
 	}
 	if len(lists) > 0 {
@@ -155,10 +155,10 @@
 		for i := ends[n]; i < ends[n+1]; i++ {
 			addrs = append(addrs, &dnsmessage.AResource{A: [4]byte{127, 1, byte(i >> 8), byte(i)}})
 		}
-		d.Set(name, dnsmessage.TypeA, 1, addrs...)
+		d.SetRecords(name, dnsmessage.TypeA, 1, addrs...)
 	}
-	d.Set("_many._tcp.example.", dnsmessage.TypeSRV, 1, targets...)
-	d.Trouble(dnsmessage.RCodeSuccess, true, false)
+	d.SetRecords("_many._tcp.example.", dnsmessage.TypeSRV, 1, targets...)
+	d.SetFaults(dnsmessage.RCodeSuccess, true, false)
 	a, err := c.Lookup(t.Context(), Services, "_many._tcp.example", 0)
 	if err != nil || len(a.Records) != all {
 		t.Fatalf("%d addresses, %v", len(a.Records), err)
--- a/internal/httpfront/connection_fuzz_test.go
+++ b/internal/httpfront/connection_fuzz_test.go
@@ -23,9 +23,9 @@
 
 // newNumberingTransport returns a transport that responds to each attempt, after 10 ms, with its
 // number.
-func newNumberingTransport() *standin.Attempts {
-	return &standin.Attempts{End: func(n int, a *engine.Attempt, _ engine.Endpoint) engine.AttemptResult {
-		if !standin.Hold(a, 10*time.Millisecond, nil) {
+func newNumberingTransport() *standin.Transport {
+	return &standin.Transport{Result: func(n int, a *engine.Attempt, _ engine.Endpoint) engine.AttemptResult {
+		if !standin.WaitUnlessCanceled(a, 10*time.Millisecond, nil) {
 			return engine.AttemptResult{Status: policy.Canceled}
 		}
 		return engine.AttemptResult{Status: policy.OK, Reply: &httpmsg.Response{Body: strconv.AppendInt(nil, int64(n), 10)}}
@@ -79,7 +79,7 @@
 	transport := newNumberingTransport()
 	log := slog.New(slog.DiscardHandler)
 	e := engine.New(engine.Options{
-		Config: policy.Config{Classes: classes}, Module: standin.Once{Server: "a"}, Transport: transport, Log: log,
+		Config: policy.Config{Classes: classes}, Module: standin.SingleAttempt{Server: "a"}, Transport: transport, Log: log,
 		CachedList: &engine.List{Full: true, Servers: []engine.Server{{ID: "a", Addr: "nowhere", State: policy.Ready}}},
 	})
 	defer e.Close()
--- a/internal/httpfront/idle_test.go
+++ b/internal/httpfront/idle_test.go
@@ -23,7 +23,7 @@
 // without data is closed.
 func TestRequestArrivedAtIdleDeadline(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
-	e := engine.New(engine.Options{Config: policy.Config{}, Module: standin.Once{}, Transport: newNumberingTransport(), Log: log})
+	e := engine.New(engine.Options{Config: policy.Config{}, Module: standin.SingleAttempt{}, Transport: newNumberingTransport(), Log: log})
 	defer e.Close()
 	s := New(e, nil, NewBodyBudget(24), sockets.New(64), log)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/orders/coordinator_test.go
+++ b/internal/orders/coordinator_test.go
@@ -42,7 +42,7 @@
 type world struct {
 	*Coordinator
 	t       testing.TB
-	servers *standin.Attempts
+	servers *standin.Transport
 	mu      sync.Mutex
 	up      time.Duration // beyond the true clock
 }
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, servers: &standin.Attempts{}}
+	w := &world{t: t, servers: &standin.Transport{}}
 	log := slog.New(slog.DiscardHandler)
 	var known engine.List
 	for i, id := range []policy.ServerID{"a", "b", "c"} {
@@ -169,7 +169,7 @@
 	for _, restart := range []bool{false, true} {
 		book := NewMemoryStore(1 << 20)
 		w := build(t, keep{book})
-		w.servers.SetEnd(lost)
+		w.servers.SetResult(lost)
 		for _, class := range []string{"order", "cell", "pay"} {
 			if got := w.ask(class, "k", 1); got.Kind == engine.Served {
 				t.Errorf("%s: %+v", class, got)
@@ -181,7 +181,7 @@
 			w.end()
 			w = build(t, keep{book})
 		} else {
-			w.servers.SetEnd(nil)
+			w.servers.SetResult(nil)
 		}
 		before := len(w.servers.Sent())
 		if got := w.ask("pay", "k", 1); got.Kind != engine.Failed || !got.MayHaveRun {
@@ -197,7 +197,7 @@
 		if again := w.servers.Sent()[before+1]; again != first {
 			t.Errorf("sent to %s, and again to %s of another cell", first, again)
 		}
-		w.servers.SetEnd(lost)
+		w.servers.SetResult(lost)
 		w.ask("order", "late", 1)
 		w.pass(6 * time.Second)
 		before = len(w.servers.Sent())
@@ -213,9 +213,9 @@
 func TestAtOnce(t *testing.T) {
 	w := build(t, NewMemoryStore(1<<20))
 	begun, answer := make(chan struct{}, 10), make(chan struct{})
-	w.servers.SetEnd(func(n int, a *engine.Attempt, _ engine.Endpoint) engine.AttemptResult {
+	w.servers.SetResult(func(n int, a *engine.Attempt, _ engine.Endpoint) engine.AttemptResult {
 		begun <- struct{}{}
-		if !standin.Hold(a, 0, answer) {
+		if !standin.WaitUnlessCanceled(a, 0, answer) {
 			return engine.AttemptResult{Status: policy.Canceled}
 		}
 		return engine.AttemptResult{Status: policy.OK, Reply: "reply"}
--- a/internal/reloadplay/play.go
+++ b/internal/reloadtest/run.go
@@ -1,7 +1,7 @@
-// Package reloadplay plays reloads of routes and pools under load: ordinary clients of HTTP, servers that answer at once, a file that is read
+// Package reloadtest plays reloads of routes and pools under load: ordinary clients of HTTP, servers that answer at once, a file that is read
 // again many times a second and renames its pool now and then. Its account says of each request that came late what it waited for, whether a
 // refusal fell while a server had nothing to do, and whether anything was lost, ran twice or is left over.
-package reloadplay
+package reloadtest
 
 import (
 	"bytes"
--- a/internal/reloadplay/play_test.go
+++ b/internal/reloadtest/run_test.go
@@ -1,4 +1,4 @@
-package reloadplay
+package reloadtest
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	long  = flag.Int64("long", 1<<30, "bytes of the long exchanges before each long play")
 )
 
-// TestLong plays as long and as hard as the flags say: go test ./internal/reloadplay -run Long -plays 20 -timeout 30m.
+// TestLong plays as long and as hard as the flags say: go test ./internal/reloadtest -run Long -plays 20 -timeout 30m.
 func TestLong(t *testing.T) {
 	if *plays == 0 {
 		t.Skip("by hand: -plays N")
--- a/internal/services/http_hard_test.go
+++ b/internal/services/http_hard_test.go
@@ -818,7 +818,7 @@
 		t.Fatal(err)
 	}
 	defer d.Close()
-	d.Set("here.example.", dnsmessage.TypeA, 1, &dnsmessage.AResource{A: [4]byte{127, 0, 0, 1}})
+	d.SetRecords("here.example.", dnsmessage.TypeA, 1, &dnsmessage.AResource{A: [4]byte{127, 0, 0, 1}})
 	tell := map[string]func(i int){
 		"file": func(i int) {
 			write("[[servers]]\naddr = \"" + addrs[i] + "\"\n")
@@ -826,12 +826,12 @@
 		"dns": func(i int) {
 			_, port, _ := net.SplitHostPort(addrs[i])
 			n, _ := strconv.Atoi(port)
-			d.Set("_web._tcp.example.", dnsmessage.TypeSRV, 0, &dnsmessage.SRVResource{Port: uint16(n), Target: dnsmessage.MustNewName("here.example.")})
+			d.SetRecords("_web._tcp.example.", dnsmessage.TypeSRV, 0, &dnsmessage.SRVResource{Port: uint16(n), Target: dnsmessage.MustNewName("here.example.")})
 		},
 	}
 	spoil := map[string]func(){
 		"file": func() { write("[[servers]]\naddr = ") },
-		"dns":  func() { d.Set("_web._tcp.example.", dnsmessage.TypeSRV, 0) },
+		"dns":  func() { d.SetRecords("_web._tcp.example.", dnsmessage.TypeSRV, 0) },
 	}
 	for name, source := range map[string]string{
 		"file": fmt.Sprintf("file = %q", dir+"/list.toml"),
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -73,8 +73,8 @@
 	d.wake()
 }
 
-// Tell changes an entry. told, if not nil, is called once all can see it.
-func (d *Discovery) Tell(s engine.Server, told func()) {
+// Update changes an entry. told, if not nil, is called once all can see it.
+func (d *Discovery) Update(s engine.Server, told func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.lag <= 0 {
@@ -138,8 +138,8 @@
 	return engine.List{Seq: d.seq, Servers: slices.Clone(d.history[len(d.history)-int(missed):])}
 }
 
-// Calls returns how often it was asked.
-func (d *Discovery) Calls() int {
+// RequestCount returns how often it was asked.
+func (d *Discovery) RequestCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
--- a/internal/standin/dns.go
+++ b/internal/standin/dns.go
@@ -56,8 +56,8 @@
 // Addr returns where it listens.
 func (d *DNS) Addr() string { return d.tcp.Addr().String() }
 
-// Set replaces the records of a name, in lower case, and type, which may be aliases; none at all is a name without such records.
-func (d *DNS) Set(name string, t dnsmessage.Type, ttl uint32, bodies ...dnsmessage.ResourceBody) {
+// SetRecords replaces the records of a name, in lower case, and type, which may be aliases; none at all is a name without such records.
+func (d *DNS) SetRecords(name string, t dnsmessage.Type, ttl uint32, bodies ...dnsmessage.ResourceBody) {
 	q := dnsmessage.Question{Name: dnsmessage.MustNewName(name), Type: t, Class: dnsmessage.ClassINET}
 	var records []dnsmessage.Resource
 	for _, b := range bodies {
@@ -68,15 +68,15 @@
 	d.zone[q] = records
 }
 
-// Trouble makes it answer with a code, cut its datagrams short, or send another's answer first.
-func (d *DNS) Trouble(rcode dnsmessage.RCode, cut, lie bool) {
+// SetFaults makes it answer with a code, cut its datagrams short, or send another's answer first.
+func (d *DNS) SetFaults(rcode dnsmessage.RCode, cut, lie bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.rcode, d.cut, d.lie = rcode, cut, lie
 }
 
-// Asked returns how many questions came.
-func (d *DNS) Asked() int {
+// QueryCount returns how many questions came.
+func (d *DNS) QueryCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.asked
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -14,11 +14,11 @@
 
 // Fleet is a set of boxes with the memory that they share of what they have executed, and the discovery that lists them.
 type Fleet struct {
-	classes map[string]policy.Class
-	Disco   *Discovery
+	classes   map[string]policy.Class
+	Discovery *Discovery
 
 	mu       sync.Mutex
-	boxes    []*Box
+	boxes    []*Server
 	seeds    uint64
 	executed map[string]*execution // by class and key, at most mostKept
 	routes   map[string][]string   // the boxes that a request came to, by X-Request-ID, at most mostKept
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{classes: map[string]policy.Class{}, Disco: d, seeds: seed, executed: map[string]*execution{}, routes: map[string][]string{}}
+	f := &Fleet{classes: map[string]policy.Class{}, Discovery: d, seeds: seed, executed: map[string]*execution{}, routes: map[string][]string{}}
 	for _, c := range classes {
 		f.classes[c.Name] = c
 	}
@@ -48,7 +48,7 @@
 }
 
 // Start starts a box and lists it.
-func (f *Fleet) Start(cfg BoxConfig) (*Box, error) {
+func (f *Fleet) Start(cfg ServerConfig) (*Server, error) {
 	f.mu.Lock()
 	f.seeds++
 	seed := f.seeds
@@ -60,11 +60,11 @@
 	f.mu.Lock()
 	f.boxes = append(f.boxes, b)
 	f.mu.Unlock()
-	f.Disco.Tell(entryOf(b, policy.Ready), nil)
+	f.Discovery.Update(entryOf(b, policy.Ready), nil)
 	return b, nil
 }
 
-func entryOf(b *Box, state policy.ServerState) engine.Server {
+func entryOf(b *Server, state policy.ServerState) engine.Server {
 	s := engine.Server{
 		ID: policy.ServerID(b.cfg.ID), Addr: b.Addr(), State: state, Zone: b.cfg.Zone, Cell: b.cfg.Cell, Weight: 1,
 	}
@@ -75,26 +75,26 @@
 }
 
 // Drain makes a box finish what it has and take nothing new, and tells discovery.
-func (f *Fleet) Drain(b *Box) {
+func (f *Fleet) Drain(b *Server) {
 	b.drain()
-	f.Disco.Tell(entryOf(b, policy.Draining), func() { b.told(time.Now()) })
+	f.Discovery.Update(entryOf(b, policy.Draining), func() { b.told(time.Now()) })
 }
 
-// Leave tells discovery to list a box as draining although it still serves whatever comes: what a box gets after the grace
+// ListDraining tells discovery to list a box as draining although it still serves whatever comes: what a box gets after the grace
 // then shows as late rather than being turned away.
-func (f *Fleet) Leave(b *Box) {
-	f.Disco.Tell(entryOf(b, policy.Draining), func() { b.told(time.Now()) })
+func (f *Fleet) ListDraining(b *Server) {
+	f.Discovery.Update(entryOf(b, policy.Draining), func() { b.told(time.Now()) })
 }
 
 // Kill ends a box, which discovery then lists as gone.
-func (f *Fleet) Kill(b *Box) {
+func (f *Fleet) Kill(b *Server) {
 	b.close()
-	f.Disco.Tell(entryOf(b, policy.Gone), nil)
+	f.Discovery.Update(entryOf(b, policy.Gone), nil)
 }
 
 // Close ends all boxes and the discovery.
 func (f *Fleet) Close() {
-	f.Disco.Close()
+	f.Discovery.Close()
 	f.mu.Lock()
 	boxes := slices.Clone(f.boxes)
 	f.mu.Unlock()
@@ -103,8 +103,8 @@
 	}
 }
 
-// Boxes returns all boxes that were ever started.
-func (f *Fleet) Boxes() []*Box {
+// Servers returns all boxes that were ever started.
+func (f *Fleet) Servers() []*Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.boxes)
@@ -119,15 +119,15 @@
 	}
 }
 
-// Route returns the names of the boxes that a request came to, by its X-Request-ID and in order.
-func (f *Fleet) Route(id string) []string {
+// ServersReached returns the names of the boxes that a request came to, by its X-Request-ID and in order.
+func (f *Fleet) ServersReached(id string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.routes[id])
 }
 
 // execute notes that b has executed q, unless the memory of its group still knows the key.
-func (f *Fleet) execute(b *Box, q *http.Request, now time.Time) {
+func (f *Fleet) execute(b *Server, q *http.Request, now time.Time) {
 	name, key := keyOf(q)
 	c := f.classes[name]
 	f.mu.Lock()
@@ -168,16 +168,16 @@
 
 // Effects is what the fleet has executed.
 type Effects struct {
-	Keys       int // different keys of classes that are not safe to repeat
-	Duplicates int // executions of such a key beyond the first
-	Dropped    int // repeats that the boxes knew
+	Keys         int // different keys of classes that are not safe to repeat
+	Duplicates   int // executions of such a key beyond the first
+	Deduplicated int // repeats that the boxes knew
 }
 
 // Effects returns the present counts.
 func (f *Fleet) Effects() Effects {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := Effects{Dropped: f.dropped}
+	s := Effects{Deduplicated: f.dropped}
 	for _, e := range f.executed {
 		if f.classes[e.class].Effect != policy.Safe {
 			s.Keys++
@@ -189,8 +189,8 @@
 
 // String lists the boxes by name with the requests that each has had.
 func (f *Fleet) String() string {
-	boxes := f.Boxes()
-	slices.SortFunc(boxes, func(a, b *Box) int { return cmp.Compare(a.cfg.ID, b.cfg.ID) })
+	boxes := f.Servers()
+	slices.SortFunc(boxes, func(a, b *Server) int { return cmp.Compare(a.cfg.ID, b.cfg.ID) })
 	text := ""
 	for _, b := range boxes {
 		text += fmt.Sprintf("%s %d\n", b.cfg.ID, b.requests.Load())
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -11,28 +11,28 @@
 	"quillfront/policy"
 )
 
-// Platform is what the stand-in for the platform tells a sidecar. Zero values take the defaults.
-type Platform struct {
-	Listen    string // "127.0.0.1:0"
-	Discovery string // "127.0.0.1:1", where nobody listens
-	Seed      uint64
-	Sockets   int // 512
-	Known     *engine.List
-	Zone      string
-	Classes   []policy.Class
-	Attempts  int           // 3
-	AskEvery  time.Duration // 1 s
-	Pushed    bool          // the list is pushed by an agent at Discovery
-	NoProbes  bool
-	Inline    bool // answers carry load reports
-	Ramp      time.Duration
+// PlatformConfig is what the stand-in for the platform tells a sidecar. Zero values take the defaults.
+type PlatformConfig struct {
+	Listen          string // "127.0.0.1:0"
+	Discovery       string // "127.0.0.1:1", where nobody listens
+	Seed            uint64
+	Sockets         int // 512
+	CachedList      *engine.List
+	Zone            string
+	Classes         []policy.Class
+	MaxAttempts     int           // 3
+	RefreshInterval time.Duration // 1 s
+	ListPushed      bool          // the list is pushed by an agent at Discovery
+	NoProbes        bool
+	InlineReports   bool // answers carry load reports
+	Ramp            time.Duration
 }
 
 // object is a JSON object.
 type object = map[string]any
 
 // JSON returns the platform's configuration file.
-func (p Platform) JSON() []byte {
+func (p PlatformConfig) JSON() []byte {
 	effects := map[policy.Effect]string{policy.Safe: "read_like", policy.Keyed: "idempotency_key", policy.Unsafe: "non_idempotent"}
 	groups := map[policy.Group]string{policy.GroupAll: "all", policy.GroupZone: "zone", policy.GroupCell: "cell"}
 	var classes []object
@@ -43,10 +43,10 @@
 		})
 	}
 	mode, via := "on_request", "on_probe"
-	if p.Pushed {
+	if p.ListPushed {
 		mode = "pushed"
 	}
-	if p.Inline {
+	if p.InlineReports {
 		via = "inline"
 	}
 	file := object{
@@ -56,20 +56,20 @@
 		"settings": object{
 			"GroupSize": 1, "Ordinal": 0, "Zone": p.Zone, "MembershipMode": mode, "TickUs": 1000,
 			"Limits": object{
-				"Cancelling": true, "MayDuplicate": true, "Probes": !p.NoProbes, "RetryAfter": true, "SendCap": cmp.Or(p.Attempts, 3),
+				"Cancelling": true, "MayDuplicate": true, "Probes": !p.NoProbes, "RetryAfter": true, "SendCap": cmp.Or(p.MaxAttempts, 3),
 				"DialTimeoutUs": 250_000, "ConnIdleUs": 15_000_000, "MaxRetryAfterUs": 1_000_000,
 			},
 			"RequestClasses": classes,
 			"Safety": object{
-				"AskEveryUs": cmp.Or(p.AskEvery, time.Second).Microseconds(), "GraceToAnswerUs": 20_000, "ColdFrom": 0.31,
+				"AskEveryUs": cmp.Or(p.RefreshInterval, time.Second).Microseconds(), "GraceToAnswerUs": 20_000, "ColdFrom": 0.31,
 				"RampTimeUs": p.Ramp.Microseconds(),
 			},
 			"Tariffs":   object{"Probe": 0.05},
 			"Telemetry": object{"Fields": []string{"eps", "queue"}, "Via": via},
 		},
 	}
-	if p.Known != nil {
-		known, err := discovery.Format(*p.Known)
+	if p.CachedList != nil {
+		known, err := discovery.Format(*p.CachedList)
 		if err != nil {
 			panic(err) // a list that cannot be written is a mistake of the caller's
 		}
--- a/internal/standin/box.go
+++ b/internal/standin/server.go
@@ -25,32 +25,32 @@
 
 // The faults.
 const (
-	None     Fault = iota
-	Err            // answered 500, not executed
-	TurnAway       // answered 503 with X-Not-Processed, not executed
-	Spoil          // executed, and answered with noise
-	Lose           // executed, and never answered
-	Break          // executed, and the connection reset in place of an answer
+	NoFault         Fault = iota
+	ServerError           // answered 500, not executed
+	Reject                // answered 503 with X-Not-Processed, not executed
+	MalformedReply        // executed, and answered with noise
+	NoReply               // executed, and never answered
+	ResetConnection       // executed, and the connection reset in place of an answer
 )
 
-// Trouble is how often each fault happens by chance, as shares of the requests.
-type Trouble struct{ Err, Spoil, Lose, Break float64 }
+// FaultRates is how often each fault happens by chance, as shares of the requests.
+type FaultRates struct{ ServerError, Malformed, NoReply, Reset float64 }
 
-// BoxConfig is what one box is like. Zero values take the defaults.
-type BoxConfig struct {
+// ServerConfig is what one box is like. Zero values take the defaults.
+type ServerConfig struct {
 	ID   string
 	Zone string
 	Cell int
 
-	Cores   int           // requests worked on at once; 2
-	Waiting int           // requests that may wait; 64
-	Work    time.Duration // for a request at full warmth where none is given by X-Cost; 0: none at all
-	ByCost  bool          // take the work from X-Cost
+	Cores               int           // requests worked on at once; 2
+	QueueSize           int           // requests that may wait; 64
+	ServiceTime         time.Duration // for a request at full warmth where none is given by X-Cost; 0: none at all
+	ServiceTimeFromCost bool          // take the work from X-Cost
 
-	Cold     bool          // it has just started
-	ColdFrom float64       // share of its capacity at its start; 0.31
-	Ramp     time.Duration // until it is warm; 8.6 s
-	Multiple float64       // sent more than this multiple of its present capacity for a second it falls over; 2.5
+	Cold               bool          // it has just started
+	ColdCapacity       float64       // share of its capacity at its start; 0.31
+	Ramp               time.Duration // until it is warm; 8.6 s
+	ColdOverloadFactor float64       // sent more than this multiple of its present capacity for a second it falls over; 2.5
 
 	// Script, if set, says what goes wrong with the nth request (from 0) in place of chance.
 	Script func(n int, q *http.Request) Fault
@@ -63,9 +63,9 @@
 // mostKept bounds what a box remembers of the requests that it has had.
 const mostKept = 100_000
 
-// Box is one stand-in server.
-type Box struct {
-	cfg   BoxConfig
+// Server is one stand-in server.
+type Server struct {
+	cfg   ServerConfig
 	fleet *Fleet
 	ln    net.Listener
 	srv   *http.Server
@@ -82,7 +82,7 @@
 
 	mu       sync.Mutex
 	rng      *rand.Rand
-	trouble  Trouble
+	trouble  FaultRates
 	born     time.Time
 	draining bool
 	toldAt   time.Time // when discovery told of its drain
@@ -100,24 +100,24 @@
 // Counts is what a box has seen.
 type Counts struct {
 	Requests, Probes, Late, Conns int64
-	Fallen                        bool
+	Overloaded                    bool
 }
 
 // drainGrace is how long after it was told a sidecar may still send to a box that drains: 2 s, and the 50 ms that
 // sockets are given.
 const drainGrace = 2*time.Second + 50*time.Millisecond
 
-func startBox(cfg BoxConfig, f *Fleet, seed uint64) (*Box, error) {
+func startBox(cfg ServerConfig, f *Fleet, seed uint64) (*Server, error) {
 	if cfg.ID == "" {
 		return nil, errors.New("standin: a box without ID")
 	}
-	cfg.Cores, cfg.Waiting = cmp.Or(cfg.Cores, 2), cmp.Or(cfg.Waiting, 64)
-	cfg.ColdFrom, cfg.Ramp, cfg.Multiple = cmp.Or(cfg.ColdFrom, 0.31), cmp.Or(cfg.Ramp, 8600*time.Millisecond), cmp.Or(cfg.Multiple, 2.5)
+	cfg.Cores, cfg.QueueSize = cmp.Or(cfg.Cores, 2), cmp.Or(cfg.QueueSize, 64)
+	cfg.ColdCapacity, cfg.Ramp, cfg.ColdOverloadFactor = cmp.Or(cfg.ColdCapacity, 0.31), cmp.Or(cfg.Ramp, 8600*time.Millisecond), cmp.Or(cfg.ColdOverloadFactor, 2.5)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("standin: box %s: %w", cfg.ID, err)
 	}
-	b := &Box{
+	b := &Server{
 		cfg: cfg, fleet: f, ln: ln, end: make(chan struct{}), slots: make(chan struct{}, cfg.Cores),
 		rng: rand.New(rand.NewPCG(seed, 1)),
 	}
@@ -137,34 +137,34 @@
 }
 
 // ID returns its name.
-func (b *Box) ID() string { return b.cfg.ID }
+func (b *Server) ID() string { return b.cfg.ID }
 
 // Addr returns where it listens.
-func (b *Box) Addr() string { return b.ln.Addr().String() }
+func (b *Server) Addr() string { return b.ln.Addr().String() }
 
-// Set sets how often what goes wrong from now on.
-func (b *Box) Set(t Trouble) {
+// SetFaultRates sets how often what goes wrong from now on.
+func (b *Server) SetFaultRates(t FaultRates) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.trouble = t
 }
 
 // Counts returns what it has seen so far.
-func (b *Box) Counts() Counts {
+func (b *Server) Counts() Counts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return Counts{b.requests.Load(), b.probes.Load(), b.late.Load(), b.conns.Load(), b.fallen}
 }
 
 // drain makes it finish what it has and turn away what is new.
-func (b *Box) drain() {
+func (b *Server) drain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.draining = true
 }
 
 // told notes that discovery has told of its drain.
-func (b *Box) told(at time.Time) {
+func (b *Server) told(at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.toldAt.IsZero() {
@@ -173,7 +173,7 @@
 }
 
 // close ends it as a process ends that is killed: its connections are reset, and new ones refused.
-func (b *Box) close() {
+func (b *Server) close() {
 	select {
 	case <-b.end:
 		return
@@ -185,7 +185,7 @@
 }
 
 // ServeHTTP is the method of http.Handler.
-func (b *Box) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (b *Server) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	switch q.URL.Path {
 	case "/load", "/healthz":
 		b.probes.Add(1)
@@ -202,7 +202,7 @@
 	if !refuse && b.cfg.Script != nil {
 		fault = b.cfg.Script(int(n), q)
 	}
-	if refuse || fault == TurnAway {
+	if refuse || fault == Reject {
 		w.Header().Set("X-Not-Processed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -210,7 +210,7 @@
 	if b.cfg.Report != nil {
 		w.Header().Set("X-Server-Load", b.cfg.Report(int(n)))
 	}
-	if fault == Err {
+	if fault == ServerError {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -219,15 +219,15 @@
 	}
 	b.fleet.execute(b, q, time.Now())
 	switch fault {
-	case Lose:
+	case NoReply:
 		select { // a peer that leaves is noticed; a box that ends closes the connection
 		case <-q.Context().Done():
 		case <-b.end:
 		}
 		panic(http.ErrAbortHandler)
-	case Break:
+	case ResetConnection:
 		panic(http.ErrAbortHandler)
-	case Spoil:
+	case MalformedReply:
 		if c, _, err := w.(http.Hijacker).Hijack(); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n\x00\x01noise")
 			c.Close()
@@ -244,10 +244,10 @@
 }
 
 // arrive notes a request, and says what is to become of it.
-func (b *Box) arrive(q *http.Request) (fault Fault, refuse bool, work time.Duration) {
+func (b *Server) arrive(q *http.Request) (fault Fault, refuse bool, work time.Duration) {
 	now := time.Now()
-	work = b.cfg.Work
-	if us, err := strconv.ParseInt(q.Header.Get("X-Cost"), 10, 64); b.cfg.ByCost && err == nil && us > 0 {
+	work = b.cfg.ServiceTime
+	if us, err := strconv.ParseInt(q.Header.Get("X-Cost"), 10, 64); b.cfg.ServiceTimeFromCost && err == nil && us > 0 {
 		work = min(time.Duration(us)*time.Microsecond, time.Minute)
 	}
 	b.mu.Lock()
@@ -257,27 +257,27 @@
 	}
 	b.overdriven(now, work)
 	draw := b.rng.Float64()
-	if b.draining || b.fallen || b.held.Load() >= int64(b.cfg.Cores+b.cfg.Waiting) {
-		return None, true, 0
+	if b.draining || b.fallen || b.held.Load() >= int64(b.cfg.Cores+b.cfg.QueueSize) {
+		return NoFault, true, 0
 	}
 	for _, c := range []struct {
 		share float64
 		fault Fault
-	}{{b.trouble.Err, Err}, {b.trouble.Spoil, Spoil}, {b.trouble.Lose, Lose}, {b.trouble.Break, Break}} {
+	}{{b.trouble.ServerError, ServerError}, {b.trouble.Malformed, MalformedReply}, {b.trouble.NoReply, NoReply}, {b.trouble.Reset, ResetConnection}} {
 		if draw < c.share {
-			if c.fault == Err {
+			if c.fault == ServerError {
 				b.errs = append(b.errs, now)
 			}
 			return c.fault, false, work
 		}
 		draw -= c.share
 	}
-	return None, false, work
+	return NoFault, false, work
 }
 
 // overdriven lets a cold box fall over that is sent more than a multiple of what it can do, over the last second. The
 // work of three requests more than that passes, for chance.
-func (b *Box) overdriven(now time.Time, work time.Duration) {
+func (b *Server) overdriven(now time.Time, work time.Duration) {
 	if b.born.IsZero() || now.Sub(b.born) > b.cfg.Ramp {
 		b.offered = nil
 		return
@@ -294,22 +294,22 @@
 		most = max(most, o.work)
 	}
 	b.offered = b.offered[from:]
-	can := b.cfg.Multiple * b.warmth(now) * float64(b.cfg.Cores) * float64(time.Second)
+	can := b.cfg.ColdOverloadFactor * b.warmth(now) * float64(b.cfg.Cores) * float64(time.Second)
 	if float64(sum) > can+3*float64(most) {
 		b.fallen = true
 	}
 }
 
 // warmth is the share of its capacity that it has.
-func (b *Box) warmth(now time.Time) float64 {
+func (b *Server) warmth(now time.Time) float64 {
 	if b.born.IsZero() || now.Sub(b.born) >= b.cfg.Ramp {
 		return 1
 	}
-	return b.cfg.ColdFrom + (1-b.cfg.ColdFrom)*float64(now.Sub(b.born))/float64(b.cfg.Ramp)
+	return b.cfg.ColdCapacity + (1-b.cfg.ColdCapacity)*float64(now.Sub(b.born))/float64(b.cfg.Ramp)
 }
 
 // work waits for a core and works, whether or not anybody still waits for it. It reports false if the box has ended.
-func (b *Box) work(d time.Duration) bool {
+func (b *Server) work(d time.Duration) bool {
 	b.held.Add(1)
 	defer b.held.Add(-1)
 	if d <= 0 {
@@ -338,7 +338,7 @@
 }
 
 // report answers a probe.
-func (b *Box) report(w http.ResponseWriter) {
+func (b *Server) report(w http.ResponseWriter) {
 	now := time.Now()
 	b.mu.Lock()
 	for len(b.errs) > 0 && now.Sub(b.errs[0]) > time.Second {
@@ -362,8 +362,8 @@
 	return class, key
 }
 
-// Poke sends a box one request as somebody does who was never told of its drain, for tests of what counts late sends.
-func Poke(b *Box) {
+// SendRequest sends a box one request as somebody does who was never told of its drain, for tests of what counts late sends.
+func SendRequest(b *Server) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	if resp, err := client.Get("http://" + b.Addr() + "/poke"); err == nil {
 		resp.Body.Close()
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -37,7 +37,7 @@
 	return f
 }
 
-func box(t *testing.T, f *Fleet, cfg BoxConfig) *Box {
+func box(t *testing.T, f *Fleet, cfg ServerConfig) *Server {
 	t.Helper()
 	b, err := f.Start(cfg)
 	if err != nil {
@@ -47,7 +47,7 @@
 }
 
 // ask sends a request; status is 0 without an answer that can be read.
-func ask(b *Box, class, key string, header ...string) (status int, resp *http.Response) {
+func ask(b *Server, class, key string, header ...string) (status int, resp *http.Response) {
 	q, err := http.NewRequest(http.MethodPost, "http://"+b.Addr()+"/"+class+"/k", strings.NewReader("x"))
 	if err != nil {
 		panic(err)
@@ -76,14 +76,14 @@
 		fault    Fault
 		status   int
 		executed int
-	}{{None, 200, 1}, {Err, 500, 0}, {TurnAway, 503, 0}, {Spoil, 0, 1}, {Break, 0, 1}, {Lose, 0, 1}} {
+	}{{NoFault, 200, 1}, {ServerError, 500, 0}, {Reject, 503, 0}, {MalformedReply, 0, 1}, {ResetConnection, 0, 1}, {NoReply, 0, 1}} {
 		f := newFleet(t, 0)
-		b := box(t, f, BoxConfig{ID: "a", Script: func(int, *http.Request) Fault { return tt.fault }})
+		b := box(t, f, ServerConfig{ID: "a", Script: func(int, *http.Request) Fault { return tt.fault }})
 		status, resp := ask(b, "order", "k")
 		if status != tt.status || f.Executions("order", "k") != tt.executed {
 			t.Errorf("fault %d: status %d, executed %d times", tt.fault, status, f.Executions("order", "k"))
 		}
-		if tt.fault == TurnAway && resp.Header.Get("X-Not-Processed") != "1" {
+		if tt.fault == Reject && resp.Header.Get("X-Not-Processed") != "1" {
 			t.Error("it does not say that it has not run")
 		}
 		f.Close()
@@ -93,7 +93,7 @@
 // TestMemoryOfKeys: repeats are dropped within the window and the group, and executed beyond.
 func TestMemoryOfKeys(t *testing.T) {
 	f := newFleet(t, 0)
-	a, b := box(t, f, BoxConfig{ID: "a", Cell: 1}), box(t, f, BoxConfig{ID: "b", Cell: 2})
+	a, b := box(t, f, ServerConfig{ID: "a", Cell: 1}), box(t, f, ServerConfig{ID: "b", Cell: 2})
 	ask(a, "order", "k")
 	ask(b, "order", "k")
 	if n := f.Executions("order", "k"); n != 1 {
@@ -110,7 +110,7 @@
 	if n := f.Executions("cell", "k"); n != 2 {
 		t.Errorf("executed %d times in two cells, want 2", n)
 	}
-	if e := f.Effects(); e.Keys != 2 || e.Duplicates != 2 || e.Dropped != 2 {
+	if e := f.Effects(); e.Keys != 2 || e.Duplicates != 2 || e.Deduplicated != 2 {
 		t.Errorf("effects %+v", e)
 	}
 }
@@ -118,7 +118,7 @@
 // TestWaitingRoom: beyond its cores and its waiting room a box turns away unseen, and tells its queue when probed.
 func TestWaitingRoom(t *testing.T) {
 	f := newFleet(t, 0)
-	b := box(t, f, BoxConfig{ID: "a", Cores: 1, Waiting: 2, Work: time.Minute})
+	b := box(t, f, ServerConfig{ID: "a", Cores: 1, QueueSize: 2, ServiceTime: time.Minute})
 	var asked sync.WaitGroup
 	for range 3 {
 		asked.Go(func() { ask(b, "read", "k") }) // until its client gives up: the box works on
@@ -150,14 +150,14 @@
 // TestColdBoxFalls: one that is sent far more than it can do falls over and stays down; a warm one does not.
 func TestColdBoxFalls(t *testing.T) {
 	f := newFleet(t, 0)
-	cold := box(t, f, BoxConfig{ID: "cold", Cold: true, Cores: 1, Waiting: 1000, ByCost: true})
-	warm := box(t, f, BoxConfig{ID: "warm", Cores: 1, Waiting: 1000, ByCost: true})
-	for _, b := range []*Box{cold, warm} {
+	cold := box(t, f, ServerConfig{ID: "cold", Cold: true, Cores: 1, QueueSize: 1000, ServiceTimeFromCost: true})
+	warm := box(t, f, ServerConfig{ID: "warm", Cores: 1, QueueSize: 1000, ServiceTimeFromCost: true})
+	for _, b := range []*Server{cold, warm} {
 		for range 40 { // 40 x 100 ms of work in far less than a second, where 0.8 s is the bound
 			b.arrive(request("X-Cost", "100000"))
 		}
 	}
-	if !cold.Counts().Fallen || warm.Counts().Fallen {
+	if !cold.Counts().Overloaded || warm.Counts().Overloaded {
 		t.Errorf("cold %+v, warm %+v", cold.Counts(), warm.Counts())
 	}
 	if status, _ := ask(cold, "read", "k"); status != http.StatusServiceUnavailable {
@@ -180,8 +180,8 @@
 // discovery is down watches end.
 func TestDiscovery(t *testing.T) {
 	f := newFleet(t, 0)
-	b := box(t, f, BoxConfig{ID: "a", Zone: "z", Cell: 3})
-	client := discovery.Client{Addr: f.Disco.Addr()}
+	b := box(t, f, ServerConfig{ID: "a", Zone: "z", Cell: 3})
+	client := discovery.Client{Addr: f.Discovery.Addr()}
 	told := make(chan engine.List, 100)
 	watch := func(since int64) (stop context.CancelFunc, over chan error) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -204,7 +204,7 @@
 	if !l.Full || len(l.Servers) != 1 || l.Servers[0].ID != "a" || l.Servers[0].Cell != 3 || l.Servers[0].Addr != b.Addr() {
 		t.Errorf("list %+v", l)
 	}
-	f.Disco.SetLag(100 * time.Millisecond)
+	f.Discovery.SetLag(100 * time.Millisecond)
 	at := time.Now()
 	f.Drain(b)
 	d := next("change")
@@ -216,13 +216,13 @@
 	}
 	stop()
 	<-over
-	f.Disco.SetLag(0)
+	f.Discovery.SetLag(0)
 	f.Kill(b)
 	stop, over = watch(d.Seq)
 	if m := next("what was missed"); m.Full || len(m.Servers) != 1 || m.Servers[0].State != policy.Gone {
 		t.Errorf("missed %+v", m)
 	}
-	f.Disco.SetDown(true)
+	f.Discovery.SetDown(true)
 	if err := <-over; err == nil {
 		t.Error("the watch goes on while discovery is down")
 	}
@@ -230,9 +230,9 @@
 	if err := client.Watch(t.Context(), engine.UnknownSeq, func(engine.List) {}); err == nil || !strings.Contains(err.Error(), "503") {
 		t.Errorf("a call while it is down: %v", err)
 	}
-	f.Disco.SetDown(false)
+	f.Discovery.SetDown(false)
 	for range mostHistory + 10 {
-		f.Disco.Tell(engine.Server{ID: "x", Addr: "127.0.0.1:1"}, nil)
+		f.Discovery.Update(engine.Server{ID: "x", Addr: "127.0.0.1:1"}, nil)
 	}
 	stop, over = watch(d.Seq)
 	if l := next("whole list in place of a history that is gone"); !l.Full {
@@ -245,16 +245,16 @@
 // TestLateSends: what comes to a box later than 2 s after discovery told of its drain counts as late, and nothing before.
 func TestLateSends(t *testing.T) {
 	f := newFleet(t, 0)
-	b := box(t, f, BoxConfig{ID: "a"})
-	f.Leave(b)
-	Poke(b)
+	b := box(t, f, ServerConfig{ID: "a"})
+	f.ListDraining(b)
+	SendRequest(b)
 	if n := b.Counts().Late; n != 0 {
 		t.Errorf("%d late within the grace", n)
 	}
 	b.mu.Lock()
 	b.toldAt = b.toldAt.Add(-drainGrace)
 	b.mu.Unlock()
-	Poke(b)
+	SendRequest(b)
 	if n := b.Counts(); n.Late != 1 || n.Requests != 2 {
 		t.Errorf("counts %+v", n)
 	}
@@ -262,7 +262,7 @@
 
 // TestBadBox: a box needs a name.
 func TestBadBox(t *testing.T) {
-	if _, err := newFleet(t, 0).Start(BoxConfig{}); err == nil {
+	if _, err := newFleet(t, 0).Start(ServerConfig{}); err == nil {
 		t.Error("a box without a name is taken")
 	}
 	if got := fmt.Sprint(newFleet(t, 0)); got != "" {
--- a/internal/trial/judge.go
+++ b/internal/trial/evaluate.go
@@ -78,37 +78,37 @@
 
 // Detection is how long a process that was killed for good was not known to be gone.
 type Detection struct {
-	Of      string `json:"of"`
+	Process string `json:"of"`
 	FirstMs int64  `json:"first_ms"` // until the first verdict; below 0: there was none
 	AllMs   int64  `json:"all_ms"`   // until the last one's
 }
 
-// Healing is how long all took to know one another once a fault was over; below 0: too long.
-type Healing struct {
-	After string `json:"after"`
+// Recovery is how long all took to know one another once a fault was over; below 0: too long.
+type Recovery struct {
+	Fault string `json:"after"`
 	Ms    int64  `json:"ms"`
 }
 
 // Report is what became of a trial.
 type Report struct {
-	Processes  int            `json:"processes"`
-	Seed       uint64         `json:"seed"`
-	JoinedMs   int64          `json:"joined_ms"` // from the start of all until they know one another
-	Detections []Detection    `json:"detections"`
-	Healings   []Healing      `json:"healings"`
-	Verdicts   int            `json:"verdicts"` // in all
-	False      []string       `json:"false_verdicts"`
-	MostFlaps  int            `json:"most_flaps"` // verdicts of one process on another
-	Events     map[string]int `json:"events"`     // lines that processes have logged
-	Crashed    []string       `json:"crashed"`
-	BytesMean  int            `json:"bytes_mean"` // a second that a process sent
-	BytesMost  int            `json:"bytes_most"`
-	CPUMean    float64        `json:"cpu_mean"` // part of a core
-	CPUMost    float64        `json:"cpu_most"`
-	StalledMs  int64          `json:"stalled_ms"` // the longest that the rig itself stood still
-	Trusted    bool           `json:"trusted"`    // it did not stand still for long
-	Broken     []string       `json:"broken"`     // what has not to be; empty: the trial is passed
-	Lines      []string       `json:"lines,omitempty"`
+	Processes     int            `json:"processes"`
+	Seed          uint64         `json:"seed"`
+	JoinedMs      int64          `json:"joined_ms"` // from the start of all until they know one another
+	Detections    []Detection    `json:"detections"`
+	Recoveries    []Recovery     `json:"healings"`
+	Verdicts      int            `json:"verdicts"` // in all
+	FalseVerdicts []string       `json:"false_verdicts"`
+	MaxFlaps      int            `json:"most_flaps"` // verdicts of one process on another
+	Events        map[string]int `json:"events"`     // lines that processes have logged
+	Crashed       []string       `json:"crashed"`
+	BytesMean     int            `json:"bytes_mean"` // a second that a process sent
+	BytesMax      int            `json:"bytes_most"`
+	CPUMean       float64        `json:"cpu_mean"` // part of a core
+	CPUMax        float64        `json:"cpu_most"`
+	StalledMs     int64          `json:"stalled_ms"` // the longest that the rig itself stood still
+	Trusted       bool           `json:"trusted"`    // it did not stand still for long
+	Failures      []string       `json:"broken"`     // what has not to be; empty: the trial is passed
+	Lines         []string       `json:"lines,omitempty"`
 }
 
 // judge holds what the processes have said against what was so.
@@ -123,9 +123,9 @@
 		}
 		r.Verdicts++
 		flaps[[2]string{l.By, l.Of}]++
-		r.MostFlaps = max(r.MostFlaps, flaps[[2]string{l.By, l.Of}])
+		r.MaxFlaps = max(r.MaxFlaps, flaps[[2]string{l.By, l.Of}])
 		if !t.deserved(l.By, l.Of, l.At, number) {
-			r.False = append(r.False, fmt.Sprintf("%s held %s for gone at %s", l.By, l.Of, l.At.Format("15:04:05.000")))
+			r.FalseVerdicts = append(r.FalseVerdicts, fmt.Sprintf("%s held %s for gone at %s", l.By, l.Of, l.At.Format("15:04:05.000")))
 		}
 		if at, ok := kills[l.Of]; ok && l.At.After(at) {
 			if first[l.Of].IsZero() {
@@ -137,24 +137,24 @@
 		}
 	}
 	for of, at := range kills {
-		d := Detection{Of: of, FirstMs: -1, AllMs: -1}
+		d := Detection{Process: of, FirstMs: -1, AllMs: -1}
 		if !first[of].IsZero() {
 			d.FirstMs, d.AllMs = first[of].Sub(at).Milliseconds(), all[of].Sub(at).Milliseconds()
 		} else {
-			r.Broken = append(r.Broken, fmt.Sprintf("%s was killed, and nobody held it for gone", of))
+			r.Failures = append(r.Failures, fmt.Sprintf("%s was killed, and nobody held it for gone", of))
 		}
 		r.Detections = append(r.Detections, d)
 	}
 	slices.SortFunc(r.Detections, func(a, b Detection) int { return int(a.FirstMs - b.FirstMs) })
-	for _, f := range r.False {
-		r.Broken = append(r.Broken, "false verdict: "+f)
+	for _, f := range r.FalseVerdicts {
+		r.Failures = append(r.Failures, "false verdict: "+f)
 	}
-	for _, h := range r.Healings {
+	for _, h := range r.Recoveries {
 		if h.Ms < 0 {
-			r.Broken = append(r.Broken, "views stay apart after "+h.After)
+			r.Failures = append(r.Failures, "views stay apart after "+h.Fault)
 		}
 	}
 	for _, c := range r.Crashed {
-		r.Broken = append(r.Broken, "crashed: "+c)
+		r.Failures = append(r.Failures, "crashed: "+c)
 	}
 }
--- a/internal/trial/play.go
+++ b/internal/trial/run.go
@@ -60,8 +60,8 @@
 	begin bool
 }
 
-// Play plays a plan with processes of the program, and ends all that it has started. An error tells that it could not be played.
-func Play(ctx context.Context, plan Plan, program Program, log *slog.Logger) (*Report, error) {
+// Run plays a plan with processes of the program, and ends all that it has started. An error tells that it could not be played.
+func Run(ctx context.Context, plan Plan, program Program, log *slog.Logger) (*Report, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
 	}
@@ -207,7 +207,7 @@
 	default:
 	}
 	if report.JoinedMs = r.settle(ctx, began); report.JoinedMs < 0 {
-		report.Broken = append(report.Broken, "they did not come to know one another at the start")
+		report.Failures = append(report.Failures, "they did not come to know one another at the start")
 	}
 	var todo []action
 	for i := range r.plan.Faults {
@@ -238,7 +238,7 @@
 			}
 		}
 		if watched != nil && r.agreed(ctx) {
-			report.Healings = append(report.Healings, Healing{watched.Kind, time.Since(over).Milliseconds()})
+			report.Recoveries = append(report.Recoveries, Recovery{watched.Kind, time.Since(over).Milliseconds()})
 			watched = nil
 		}
 		last = time.Now()
@@ -247,13 +247,13 @@
 	for i, v := range r.net.sent() {
 		each := int(float64(v-sent[i]) / took.Seconds())
 		report.BytesMean += each / len(first)
-		report.BytesMost = max(report.BytesMost, each)
+		report.BytesMax = max(report.BytesMax, each)
 	}
 	for _, a := range todo {
 		r.act(ctx, a)
 	}
 	over = time.Now()
-	report.Healings = append(report.Healings, Healing{"all", r.settle(ctx, over)})
+	report.Recoveries = append(report.Recoveries, Recovery{"all", r.settle(ctx, over)})
 	var running []string
 	for _, p := range r.all {
 		if p.runs() {
@@ -269,7 +269,7 @@
 		if p.cmd != nil && p.cmd.ProcessState != nil {
 			cpu := (p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()).Seconds() / took.Seconds()
 			report.CPUMean += cpu / float64(len(first))
-			report.CPUMost = max(report.CPUMost, cpu)
+			report.CPUMax = max(report.CPUMax, cpu)
 		}
 		p.mu.Unlock()
 	}
@@ -277,7 +277,7 @@
 	defer r.mu.Unlock()
 	report.judge(&r.truth, r.lines, r.number, r.kills, running)
 	if report.Trusted = report.StalledMs < mostStall.Milliseconds(); !report.Trusted {
-		report.Broken = append(report.Broken, fmt.Sprintf("the rig itself stood still for %d ms: not to be trusted", report.StalledMs))
+		report.Failures = append(report.Failures, fmt.Sprintf("the rig itself stood still for %d ms: not to be trusted", report.StalledMs))
 	}
 	return nil
 }
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -32,13 +32,13 @@
 	} {
 		var r Report
 		r.judge(tr, []line{tt.l}, number, nil, nil)
-		if (len(r.False) == 0) != tt.good || (len(r.Broken) == 0) != tt.good || r.Verdicts != 1 {
-			t.Errorf("%v: %v", tt.l, r.Broken)
+		if (len(r.FalseVerdicts) == 0) != tt.good || (len(r.Failures) == 0) != tt.good || r.Verdicts != 1 {
+			t.Errorf("%v: %v", tt.l, r.Failures)
 		}
 	}
-	r := Report{Healings: []Healing{{"split", -1}}, Crashed: []string{"p0"}}
+	r := Report{Recoveries: []Recovery{{"split", -1}}, Crashed: []string{"p0"}}
 	r.judge(tr, []line{says("p0", "p1", 3), says("p2", "p1", 5), says("p0", "p1", 7)}, number, map[string]time.Time{"p1": at(0), "p3": at(0)}, []string{"p0"})
-	if len(r.Broken) != 3 || r.MostFlaps != 2 || r.Detections[1] != (Detection{"p1", 3000, 7000}) {
+	if len(r.Failures) != 3 || r.MaxFlaps != 2 || r.Detections[1] != (Detection{"p1", 3000, 7000}) {
 		t.Errorf("%+v", r)
 	}
 }
--- a/path_bench_test.go
+++ b/path_bench_test.go
@@ -43,9 +43,9 @@
 	}))
 	defer srv.Close()
 	addr := srv.Listener.Addr().String()
-	text := standin.Platform{
-		Seed: 1, Pushed: true, NoProbes: true, Sockets: 1024,
-		Known: &engine.List{Seq: 1, Full: true, Servers: []engine.Server{{ID: "a", Addr: addr}}},
+	text := standin.PlatformConfig{
+		Seed: 1, ListPushed: true, NoProbes: true, Sockets: 1024,
+		CachedList: &engine.List{Seq: 1, Full: true, Servers: []engine.Server{{ID: "a", Addr: addr}}},
 		Classes: []policy.Class{{
 			Name: "order", Effect: policy.Keyed, KeyTTL: time.Second, Aim: 9 * time.Second, Deadline: 10 * time.Second, Worth: 1,
 		}},
--- a/sources_test.go
+++ b/sources_test.go
@@ -21,7 +21,7 @@
 // TestFile checks that a list file is read after it is replaced or written in place, and that a
 // file that is incomplete, empty, missing or invalid changes nothing.
 func TestFile(t *testing.T) {
-	_, servers := startFleet(t, standin.BoxConfig{}, standin.BoxConfig{})
+	_, servers := startFleet(t, standin.ServerConfig{}, standin.ServerConfig{})
 	entry := func(s Server) string { return fmt.Sprintf("[[servers]]\nid = %q\naddr = %q\n", s.ID, s.Addr) }
 	path := filepath.Join(t.TempDir(), "servers.toml")
 	write := func(text string) {
@@ -67,13 +67,13 @@
 // TestDNS checks that the targets of SRV records become the servers, and that the error for invalid
 // options names the field.
 func TestDNS(t *testing.T) {
-	_, servers := startFleet(t, standin.BoxConfig{}, standin.BoxConfig{})
+	_, servers := startFleet(t, standin.ServerConfig{}, standin.ServerConfig{})
 	d, err := standin.NewDNS()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.Close()
-	d.Set("here.example.", dnsmessage.TypeA, 1, &dnsmessage.AResource{A: [4]byte{127, 0, 0, 1}})
+	d.SetRecords("here.example.", dnsmessage.TypeA, 1, &dnsmessage.AResource{A: [4]byte{127, 0, 0, 1}})
 	set := func(list ...Server) {
 		var bodies []dnsmessage.ResourceBody
 		for _, s := range list {
@@ -81,7 +81,7 @@
 			port, _ := strconv.Atoi(text)
 			bodies = append(bodies, &dnsmessage.SRVResource{Port: uint16(port), Target: dnsmessage.MustNewName("here.example.")})
 		}
-		d.Set("_order._tcp.example.", dnsmessage.TypeSRV, 0, bodies...)
+		d.SetRecords("_order._tcp.example.", dnsmessage.TypeSRV, 0, bodies...)
 	}
 	set(servers[0])
 	b, _ := newTestBalancer(t, DNS("_order._tcp.example", DNSOptions{Resolvers: []string{d.Addr()}, Min: 10 * time.Millisecond, Max: 10 * time.Millisecond}))
