--- a/cmd/quillfront/config.go
+++ b/cmd/quillfront/config.go
@@ -22,7 +22,7 @@
 			if err != nil {
 				return err
 			}
-			tellOperator(cmd.OutOrStdout(), &o)
+			printOperator(cmd.OutOrStdout(), &o)
 			return nil
 		},
 	})
@@ -41,8 +41,8 @@
 	return c
 }
 
-// tellOperator tells what a file turns on, a line each.
-func tellOperator(w io.Writer, o *config.Operator) {
+// printOperator tells what a file turns on, a line each.
+func printOperator(w io.Writer, o *config.Operator) {
 	if o.Store != nil {
 		fmt.Fprintf(w, "store: orders are remembered in %q, %s\n", o.Store.Dir, o.Store.Durability)
 	}
--- a/cmd/quillfront/demo.go
+++ b/cmd/quillfront/demo.go
@@ -14,8 +14,8 @@
 	"quillfront/internal/demo"
 )
 
-// errBroken makes the program end with 1 after a demo in which a rule broke; the account has said so already.
-var errBroken = errors.New("a rule broke")
+// errRuleBroken makes the program end with 1 after a demo in which a rule broke; the account has said so already.
+var errRuleBroken = errors.New("a rule broke")
 
 // demoCommand is the first thing that a newcomer runs.
 func demoCommand() *cobra.Command {
@@ -30,7 +30,7 @@
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out, progress := cmd.OutOrStdout(), cmd.ErrOrStderr()
-			o.Progress = show(progress, isTerminal(progress))
+			o.Progress = progressPrinter(progress, isTerminal(progress))
 			report, err := demo.Run(cmd.Context(), o)
 			if err != nil {
 				return err
@@ -45,7 +45,7 @@
 				err = report.Write(out)
 			}
 			if err == nil && len(report.Broken) > 0 {
-				err = fmt.Errorf("%w: %s", errBroken, strings.Join(report.Broken, "; "))
+				err = fmt.Errorf("%w: %s", errRuleBroken, strings.Join(report.Broken, "; "))
 			}
 			return err
 		},
@@ -66,8 +66,8 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// show writes progress: a line that changes on a terminal, else a line a second.
-func show(w io.Writer, terminal bool) func(demo.Progress) {
+// progressPrinter writes progress: a line that changes on a terminal, else a line a second.
+func progressPrinter(w io.Writer, terminal bool) func(demo.Progress) {
 	last := time.Duration(-time.Second)
 	return func(p demo.Progress) {
 		line := fmt.Sprintf("%5.1f s  asked %d  served %d  refused %d  failed %d  open %d  p50 %.1f ms  p99 %.1f ms",
--- a/cmd/quillfront/load.go
+++ b/cmd/quillfront/load.go
@@ -25,8 +25,8 @@
 
 func (e exitError) Error() string { return e.text }
 
-// untrusted is the exit status of a run that is not to be trusted.
-const untrusted = 3
+// exitUntrusted is the exit status of a run that is not to be trusted.
+const exitUntrusted = 3
 
 type loadFlags struct {
 	target, plan, trace, html, merge string
@@ -70,8 +70,8 @@
 	return c
 }
 
-// outcome is what is printed with --json.
-type outcome struct {
+// loadResult is what is printed with --json.
+type loadResult struct {
 	*load.Report
 	Replay *load.Comparison `json:"replay,omitempty"`
 }
@@ -128,7 +128,7 @@
 	if err != nil {
 		return err
 	}
-	out := outcome{Report: g.Run(cmd.Context(), source)}
+	out := loadResult{Report: g.Run(cmd.Context(), source)}
 	if replay != nil {
 		if err := replay.Err(); err != nil {
 			return err
@@ -136,7 +136,7 @@
 		c := replay.Compare(out.Report)
 		out.Replay = &c
 	}
-	return tellReport(cmd, f, out)
+	return outputReport(cmd, f, out)
 }
 
 func traceClasses(path string, timeout time.Duration) ([]load.Class, error) {
@@ -189,11 +189,11 @@
 	if err != nil {
 		return err
 	}
-	return tellReport(cmd, f, outcome{Report: sum})
+	return outputReport(cmd, f, loadResult{Report: sum})
 }
 
-// tellReport prints a report; its error tells that it is not to be trusted.
-func tellReport(cmd *cobra.Command, f loadFlags, out outcome) error {
+// outputReport prints a report; its error tells that it is not to be trusted.
+func outputReport(cmd *cobra.Command, f loadFlags, out loadResult) error {
 	if f.html != "" {
 		file, err := os.Create(f.html)
 		if err != nil {
@@ -214,12 +214,12 @@
 		printReport(w, out)
 	}
 	if !out.Trusted {
-		return exitError{untrusted, "the run is not to be trusted"}
+		return exitError{exitUntrusted, "the run is not to be trusted"}
 	}
 	return nil
 }
 
-func printReport(w io.Writer, out outcome) {
+func printReport(w io.Writer, out loadResult) {
 	fmt.Fprintln(w, out.Verdict)
 	fmt.Fprintf(w, "not sent: %d too late, %d with too many open; this process stood still %d times, for up to %.1f ms\n", out.Late, out.Full, out.Pauses, out.Paused)
 	fmt.Fprintf(w, "%-20s %8s %8s %8s %9s %9s %9s %9s %9s  %s\n", "class", "first", "tries", "answered", "p50 ms", "p90", "p99", "p99.9", "max", "tries ended")
--- a/cmd/quillfront/main.go
+++ b/cmd/quillfront/main.go
@@ -23,7 +23,7 @@
 	defer stop()
 	ctx, forget := shutdown.WithEndTime(ctx)
 	defer forget()
-	if err := root().ExecuteContext(ctx); err != nil {
+	if err := rootCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "quillfront:", err)
 		stop()
 		code := 1
@@ -34,8 +34,8 @@
 	}
 }
 
-// root returns the whole command line.
-func root() *cobra.Command {
+// rootCommand returns the whole command line.
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "quillfront",
 		Short: "A client-side load balancer",
@@ -62,8 +62,8 @@
 	return root
 }
 
-// reload reads both files again. They are taken over together or not at all.
-func reload(s *daemon.Sidecar, path string) error {
+// reloadSidecar reads both files again. They are taken over together or not at all.
+func reloadSidecar(s *daemon.Sidecar, path string) error {
 	cfg, err := config.Reload(os.Getenv, s.Config())
 	if err != nil {
 		return err
@@ -76,8 +76,8 @@
 	return s.Reload(cfg, op)
 }
 
-// served is what serve runs, as the platform has started it or by the operator's file alone.
-type served interface {
+// service is what serve runs, as the platform has started it or by the operator's file alone.
+type service interface {
 	Run(context.Context) error
 	ReloadFailed(error)
 }
@@ -89,13 +89,13 @@
 	signal.Notify(hangUp, syscall.SIGHUP)
 	defer signal.Stop(hangUp)
 	path, _ := cmd.Flags().GetString("config")
-	var s served
+	var s service
 	var again func() error
 	var err error
 	if os.Getenv("GW_CONFIG") == "" && path != "" {
-		s, again, err = serveOwn(path)
+		s, again, err = newStandalone(path)
 	} else {
-		s, again, err = serveSidecar(cmd, path)
+		s, again, err = newSidecar(cmd, path)
 	}
 	if err != nil {
 		return err
@@ -110,8 +110,8 @@
 	return s.Run(cmd.Context())
 }
 
-// serveSidecar makes a sidecar by the platform's file, and by the operator's for what that lacks.
-func serveSidecar(cmd *cobra.Command, path string) (served, func() error, error) {
+// newSidecar makes a sidecar by the platform's file, and by the operator's for what that lacks.
+func newSidecar(cmd *cobra.Command, path string) (service, func() error, error) {
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		return nil, nil, err
@@ -128,11 +128,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return s, func() error { return reload(s, path) }, nil
+	return s, func() error { return reloadSidecar(s, path) }, nil
 }
 
-// serveOwn makes a process of the operator's services.
-func serveOwn(path string) (served, func() error, error) {
+// newStandalone makes a process of the operator's services.
+func newStandalone(path string) (service, func() error, error) {
 	op, err := config.LoadOperator(path)
 	if err != nil {
 		return nil, nil, err
--- a/cmd/quillfront/members.go
+++ b/cmd/quillfront/members.go
@@ -14,8 +14,8 @@
 	"quillfront/internal/peering"
 )
 
-// mostAnswer bounds what a management address may answer, in bytes.
-const mostAnswer = 4 << 20
+// maxResponseBytes bounds what a management address may answer, in bytes.
+const maxResponseBytes = 4 << 20
 
 // membersCommand asks a process who else is there.
 func membersCommand() *cobra.Command {
@@ -37,7 +37,7 @@
 			if err := json.Unmarshal(text, &v); err != nil {
 				return fmt.Errorf("%s: %w", of, err)
 			}
-			return tellMembers(cmd.OutOrStdout(), &v)
+			return printMembers(cmd.OutOrStdout(), &v)
 		},
 	}
 	c.Flags().StringVar(&of, "of", "", "the process's management address")
@@ -46,7 +46,7 @@
 	return c
 }
 
-func tellMembers(w io.Writer, v *peering.View) error {
+func printMembers(w io.Writer, v *peering.View) error {
 	notes := ""
 	if v.Isolated {
 		notes += ", nobody answers it"
@@ -79,7 +79,7 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostAnswer))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	switch {
 	case resp.StatusCode == http.StatusNotFound:
 		return nil, fmt.Errorf("%s: there are no [members] in this process's file", url)
--- a/cmd/quillfront/peers_test.go
+++ b/cmd/quillfront/peers_test.go
@@ -105,7 +105,7 @@
 	await(all[0], `members{state="left"}`, "1")
 	await(all[0], "members_group", "2") // half of what the settings say, and never fewer
 	var out bytes.Buffer
-	c := root()
+	c := rootCommand()
 	c.SetOut(&out)
 	c.SetArgs([]string{"members", "--of", all[0].management})
 	if err := c.Execute(); err != nil || !strings.Contains(out.String(), "2 living, shares by 2") || !regexp.MustCompile(`n2 +left`).MatchString(out.String()) {
--- a/cmd/quillfront/routes_test.go
+++ b/cmd/quillfront/routes_test.go
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		var out bytes.Buffer
-		c := root()
+		c := rootCommand()
 		c.SetArgs(append([]string{"routes", args[0], path}, args[1:]...))
 		c.SetOut(&out)
 		if err := c.ExecuteContext(t.Context()); err != nil {
--- a/cmd/quillfront/store.go
+++ b/cmd/quillfront/store.go
@@ -20,15 +20,15 @@
 	c.AddCommand(
 		&cobra.Command{
 			Use: "check DIR", Short: "Read every record, and tell of the first that is not as it was written",
-			Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error { return storeCheck(cmd.OutOrStdout(), args[0]) },
+			Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error { return checkStore(cmd.OutOrStdout(), args[0]) },
 		},
 		&cobra.Command{
 			Use: "dump DIR", Short: "Write every order as a line of JSON, the oldest first",
-			Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error { return storeDump(cmd.OutOrStdout(), args[0]) },
+			Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error { return dumpStore(cmd.OutOrStdout(), args[0]) },
 		},
 		&cobra.Command{
 			Use: "compact DIR", Short: "Take away what is no longer needed",
-			Args: cobra.ExactArgs(1), RunE: storeCompact,
+			Args: cobra.ExactArgs(1), RunE: compactStore,
 		},
 	)
 	return c
@@ -51,8 +51,8 @@
 	return s, nil
 }
 
-// dumped is an order as dump writes it.
-type dumped struct {
+// dumpedOrder is an order as dump writes it.
+type dumpedOrder struct {
 	Class    string           `json:"class"`
 	Key      string           `json:"key"`
 	Written  time.Time        `json:"written"`
@@ -62,10 +62,10 @@
 }
 
 // eachOrder calls f with every order; what is none is an error.
-func eachOrder(s *store.Store, f func(dumped) error) error {
+func eachOrder(s *store.Store, f func(dumpedOrder) error) error {
 	var failed error
 	err := s.Range(time.Unix(0, math.MinInt64), time.Unix(0, math.MaxInt64), func(key, value []byte, at time.Time) bool {
-		class, name, ok := cutKey(key)
+		class, name, ok := splitKey(key)
 		if !ok {
 			return true // a trial of writing
 		}
@@ -74,7 +74,7 @@
 			failed = fmt.Errorf("the order %s of class %s: %w", name, class, err)
 			return false
 		}
-		failed = f(dumped{class, name, at, e.Served, len(e.Reply), e.Attempts})
+		failed = f(dumpedOrder{class, name, at, e.Served, len(e.Reply), e.Attempts})
 		return failed == nil
 	})
 	if err != nil {
@@ -83,8 +83,8 @@
 	return failed
 }
 
-// cutKey splits a key of the store into a class and an Idempotency-Key.
-func cutKey(key []byte) (class, name string, ok bool) {
+// splitKey splits a key of the store into a class and an Idempotency-Key.
+func splitKey(key []byte) (class, name string, ok bool) {
 	for i, c := range key {
 		if c == 0 {
 			return string(key[:i]), string(key[i+1:]), i > 0
@@ -93,14 +93,14 @@
 	return "", "", false
 }
 
-func storeCheck(w io.Writer, dir string) error {
+func checkStore(w io.Writer, dir string) error {
 	s, err := openStore(dir)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
 	var orders, served, open int
-	err = eachOrder(s, func(d dumped) error {
+	err = eachOrder(s, func(d dumpedOrder) error {
 		orders++
 		if d.Served {
 			served++
@@ -118,17 +118,17 @@
 	return err
 }
 
-func storeDump(w io.Writer, dir string) error {
+func dumpStore(w io.Writer, dir string) error {
 	s, err := openStore(dir)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
 	enc := json.NewEncoder(w)
-	return eachOrder(s, func(d dumped) error { return enc.Encode(d) })
+	return eachOrder(s, func(d dumpedOrder) error { return enc.Encode(d) })
 }
 
-func storeCompact(cmd *cobra.Command, args []string) error {
+func compactStore(cmd *cobra.Command, args []string) error {
 	s, err := openStore(args[0])
 	if err != nil {
 		return err
--- a/cmd/quillfront/store_test.go
+++ b/cmd/quillfront/store_test.go
@@ -107,7 +107,7 @@
 			t.Errorf("%s: %d of %d orders took effect again", durability, twice, orders)
 		}
 		var out bytes.Buffer
-		if err := storeCheck(&out, path); err != nil || !strings.HasPrefix(out.String(), "whole: ") {
+		if err := checkStore(&out, path); err != nil || !strings.HasPrefix(out.String(), "whole: ") {
 			t.Errorf("%s: %q, %v", durability, out.String(), err)
 		}
 	}
@@ -157,7 +157,7 @@
 	}
 	run := func(args ...string) (string, error) {
 		var out bytes.Buffer
-		c := root()
+		c := rootCommand()
 		c.SetArgs(append([]string{"store"}, args...))
 		c.SetOut(&out)
 		err := c.ExecuteContext(t.Context())
--- a/cmd/quillfront/trace.go
+++ b/cmd/quillfront/trace.go
@@ -19,12 +19,12 @@
 // traceCommand returns what makes, shows and changes traces.
 func traceCommand() *cobra.Command {
 	c := &cobra.Command{Use: "trace", Short: "Make traces of access logs and HAR captures, show them, cut and scale them"}
-	c.AddCommand(traceImport(), traceShow(), traceCut(), traceScale())
+	c.AddCommand(traceImportCommand(), traceShowCommand(), traceCutCommand(), traceScaleCommand())
 	return c
 }
 
-// write has f write a file, which is whole or not there.
-func write(path string, f func(io.Writer) error) error {
+// writeAtomically has f writeAtomically a file, which is whole or not there.
+func writeAtomically(path string, f func(io.Writer) error) error {
 	if path == "" {
 		return errors.New("-o: where to write is not set")
 	}
@@ -39,7 +39,7 @@
 	return os.Rename(out.Name(), path)
 }
 
-func traceImport() *cobra.Command {
+func traceImportCommand() *cobra.Command {
 	var out, rules, format, nginx, apache, fields string
 	var strict, began bool
 	c := &cobra.Command{
@@ -66,7 +66,7 @@
 				})
 			}
 			var rep *trace.Report
-			err = write(out, func(w io.Writer) error {
+			err = writeAtomically(out, func(w io.Writer) error {
 				var err error
 				if rep, err = trace.Import(files, r, w); err == nil && strict && rep.Faulty > 0 {
 					err = fmt.Errorf("%d records cannot be read, the first: %s:%d: %s", rep.Faulty, rep.Faults[0].File, rep.Faults[0].Line, rep.Faults[0].Why)
@@ -114,7 +114,7 @@
 	}
 }
 
-func traceShow() *cobra.Command {
+func traceShowCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "show TRACE", Short: "Tell what a trace holds", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -150,27 +150,27 @@
 	}
 }
 
-// change has f copy a trace.
-func change(in, out string, f func(io.Reader, io.Writer) (int, error)) (n int, err error) {
+// transformTrace has f copy a trace.
+func transformTrace(in, out string, f func(io.Reader, io.Writer) (int, error)) (n int, err error) {
 	r, err := os.Open(in)
 	if err != nil {
 		return 0, err
 	}
 	defer r.Close()
-	err = write(out, func(w io.Writer) error {
+	err = writeAtomically(out, func(w io.Writer) error {
 		n, err = f(r, w)
 		return err
 	})
 	return n, err
 }
 
-func traceCut() *cobra.Command {
+func traceCutCommand() *cobra.Command {
 	var out string
 	var from, to time.Duration
 	c := &cobra.Command{
 		Use: "cut TRACE", Short: "Copy a part of a trace", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			n, err := change(args[0], out, func(r io.Reader, w io.Writer) (int, error) { return trace.Cut(r, w, from, to) })
+			n, err := transformTrace(args[0], out, func(r io.Reader, w io.Writer) (int, error) { return trace.Cut(r, w, from, to) })
 			if err == nil {
 				fmt.Fprintf(cmd.OutOrStdout(), "%d arrivals\n", n)
 			}
@@ -183,13 +183,13 @@
 	return c
 }
 
-func traceScale() *cobra.Command {
+func traceScaleCommand() *cobra.Command {
 	var out string
 	var by float64
 	c := &cobra.Command{
 		Use: "scale TRACE", Short: "Copy a trace at a multiple of its rate", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			n, err := change(args[0], out, func(r io.Reader, w io.Writer) (int, error) { return trace.Scale(r, w, by) })
+			n, err := transformTrace(args[0], out, func(r io.Reader, w io.Writer) (int, error) { return trace.Scale(r, w, by) })
 			if err == nil {
 				fmt.Fprintf(cmd.OutOrStdout(), "%d arrivals\n", n)
 			}
--- a/cmd/quillfront/trial.go
+++ b/cmd/quillfront/trial.go
@@ -41,7 +41,7 @@
 				e.SetIndent("", "  ")
 				err = e.Encode(r)
 			} else {
-				err = tellTrial(cmd.OutOrStdout(), r)
+				err = printTrial(cmd.OutOrStdout(), r)
 			}
 			if err == nil && len(r.Failures) > 0 {
 				return errors.New("the trial is not passed")
@@ -53,7 +53,7 @@
 	return c
 }
 
-func tellTrial(w io.Writer, r *trial.Report) error {
+func printTrial(w io.Writer, r *trial.Report) error {
 	fmt.Fprintf(w, "%d processes, seed %d: together after %d ms\n", r.Processes, r.Seed, r.JoinedMs)
 	if n := len(r.Detections); n > 0 {
 		fmt.Fprintf(w, "killed for good: %d, held for gone by the first after %d to %d ms, by the last after", n, r.Detections[0].FirstMs, r.Detections[n-1].FirstMs)
