--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -17,29 +17,30 @@
 	"quillfront/policy"
 )
 
-// beat is how often a watch says an empty line while nothing changes.
-const beat = 2 * time.Second
+// heartbeatInterval is how often a watch sends an empty line while the list does not change.
+const heartbeatInterval = 2 * time.Second
 
-// mostHistory bounds the changes that a watch may ask for; one that asks for older ones gets the whole list.
-const mostHistory = 1000
+// maxHistory is how many changes are kept for watches that resume. A watch that asks for older changes
+// gets the complete list.
+const maxHistory = 1000
 
-// Discovery stands in for the platform's list of servers. What it is told it tells after a lag; while it is down it
-// answers 503 and its watches end.
+// Discovery is a stand-in for the platform's discovery service. It publishes each change after a lag.
+// While it is down it responds with 503, and its watches end.
 type Discovery struct {
-	srv  *http.Server
-	ln   net.Listener
-	done sync.WaitGroup
-
-	mu      sync.Mutex
-	lag     time.Duration
-	pending int // changes that are not yet told
-	seq     int64
-	list    map[policy.ServerID]engine.Server
-	history []engine.Server // change i made version seq-len(history)+1+i
-	news    chan struct{}   // closed at each change
-	down    bool
-	closed  bool
-	calls   int
+	srv *http.Server
+	ln  net.Listener
+	wg  sync.WaitGroup
+
+	mu       sync.Mutex
+	lag      time.Duration
+	pending  int // changes that are not published yet
+	seq      int64
+	list     map[policy.ServerID]engine.Server
+	history  []engine.Server // history[i] is the change to version seq-len(history)+1+i
+	changed  chan struct{}   // closed and replaced at each change
+	down     bool
+	closed   bool
+	requests int
 }
 
 func newDiscovery(lag time.Duration) (*Discovery, error) {
@@ -47,38 +48,39 @@
 	if err != nil {
 		return nil, fmt.Errorf("standin: discovery: %w", err)
 	}
-	d := &Discovery{ln: ln, lag: lag, seq: 1, list: map[policy.ServerID]engine.Server{}, news: make(chan struct{})}
+	d := &Discovery{ln: ln, lag: lag, seq: 1, list: map[policy.ServerID]engine.Server{}, changed: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/servers", d.serve)
 	d.srv = &http.Server{Handler: mux, ErrorLog: log.New(io.Discard, "", 0)}
-	d.done.Go(func() { d.srv.Serve(ln) })
+	d.wg.Go(func() { d.srv.Serve(ln) })
 	return d, nil
 }
 
-// Addr returns where it listens.
+// Addr returns the address on which the service listens.
 func (d *Discovery) Addr() string { return d.ln.Addr().String() }
 
-// SetLag sets how late what changes from now on is told.
+// SetLag sets the delay with which later changes are published.
 func (d *Discovery) SetLag(lag time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lag = lag
 }
 
-// SetDown takes it down or brings it back.
+// SetDown takes the service down or brings it back.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
-	d.wake()
+	d.notifyWatches()
 }
 
-// Update changes an entry. told, if not nil, is called once all can see it.
-func (d *Discovery) Update(s engine.Server, told func()) {
+// Update changes, adds or, if its state is policy.Gone, removes an entry. published, if not nil, is
+// called when the change is visible to all.
+func (d *Discovery) Update(s engine.Server, published func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.lag <= 0 {
-		d.publish(s, told)
+		d.publish(s, published)
 		return
 	}
 	d.pending++
@@ -87,40 +89,40 @@
 		defer d.mu.Unlock()
 		d.pending--
 		if !d.closed {
-			d.publish(s, told)
+			d.publish(s, published)
 		}
 	})
 }
 
-func (d *Discovery) publish(s engine.Server, told func()) {
+func (d *Discovery) publish(s engine.Server, published func()) {
 	d.seq++
 	if s.State == policy.Gone {
 		delete(d.list, s.ID)
 	} else {
 		d.list[s.ID] = s
 	}
-	if d.history = append(d.history, s); len(d.history) > mostHistory {
-		d.history = slices.Delete(d.history, 0, len(d.history)-mostHistory)
+	if d.history = append(d.history, s); len(d.history) > maxHistory {
+		d.history = slices.Delete(d.history, 0, len(d.history)-maxHistory)
 	}
-	d.wake()
-	if told != nil {
-		told()
+	d.notifyWatches()
+	if published != nil {
+		published()
 	}
 }
 
-func (d *Discovery) wake() {
-	close(d.news)
-	d.news = make(chan struct{})
+func (d *Discovery) notifyWatches() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// List returns the list as it is told now.
+// List returns the list as it is published now.
 func (d *Discovery) List() engine.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.whole()
+	return d.fullList()
 }
 
-func (d *Discovery) whole() engine.List {
+func (d *Discovery) fullList() engine.List {
 	l := engine.List{Seq: d.seq, Full: true}
 	for _, s := range d.list {
 		l.Servers = append(l.Servers, s)
@@ -129,20 +131,20 @@
 	return l
 }
 
-// since returns what changed after a version, or the whole list where that is not known any more.
+// since returns the changes after a version, or the complete list if they are not in the history.
 func (d *Discovery) since(seq int64) engine.List {
 	missed := d.seq - seq
 	if seq < 0 || missed < 0 || missed > int64(len(d.history)) {
-		return d.whole()
+		return d.fullList()
 	}
 	return engine.List{Seq: d.seq, Servers: slices.Clone(d.history[len(d.history)-int(missed):])}
 }
 
-// RequestCount returns how often it was asked.
+// RequestCount returns the number of requests, each watch counted once.
 func (d *Discovery) RequestCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.calls
+	return d.requests
 }
 
 func (d *Discovery) serve(w http.ResponseWriter, q *http.Request) {
@@ -156,14 +158,14 @@
 		seq = n
 	}
 	follow := q.URL.Query().Get("follow") == "1"
-	tick := time.NewTicker(beat)
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	for first := true; ; first = false {
 		d.mu.Lock()
 		if first {
-			d.calls++
+			d.requests++
 		}
-		down, news, l := d.down || d.closed, d.news, d.since(seq)
+		down, news, l := d.down || d.closed, d.changed, d.since(seq)
 		d.mu.Unlock()
 		if down {
 			if first {
@@ -174,7 +176,7 @@
 		if first || l.Seq != seq {
 			text, err := discovery.Format(l)
 			if err != nil {
-				panic(err) // a list that cannot be written is a mistake of this package
+				panic(err) // a list that cannot be formatted is a bug in this package
 			}
 			if _, err := w.Write(append(text, '\n')); err != nil {
 				return
@@ -197,12 +199,12 @@
 	}
 }
 
-// Close ends it. Changes that are not yet told never are.
+// Close ends the service. Changes that are not published yet are discarded.
 func (d *Discovery) Close() {
 	d.mu.Lock()
 	d.closed = true
-	d.wake()
+	d.notifyWatches()
 	d.mu.Unlock()
 	d.srv.Close()
-	d.done.Wait()
+	d.wg.Wait()
 }
--- a/internal/standin/dns.go
+++ b/internal/standin/dns.go
@@ -11,19 +11,19 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// DNS stands in for a name server, over UDP and TCP at one port.
+// DNS is a stand-in for a name server, over UDP and TCP on the same port.
 type DNS struct {
-	udp  net.PacketConn
-	tcp  net.Listener
-	done sync.WaitGroup
+	udp net.PacketConn
+	tcp net.Listener
+	wg  sync.WaitGroup
 
-	mu    sync.Mutex
-	zone  map[dnsmessage.Question][]dnsmessage.Resource
-	rcode dnsmessage.RCode
-	cut   bool // datagrams are cut short
-	lie   bool // a datagram of another id comes first
-	asked int
-	conns []net.Conn
+	mu       sync.Mutex
+	zone     map[dnsmessage.Question][]dnsmessage.Resource
+	rcode    dnsmessage.RCode
+	truncate bool // UDP responses are truncated
+	spoof    bool // each UDP response is preceded by one with a wrong ID
+	queries  int
+	conns    []net.Conn
 }
 
 // NewDNS starts a name server without records.
@@ -37,8 +37,8 @@
 		d.tcp.Close()
 		return nil, fmt.Errorf("standin: DNS: %w", err)
 	}
-	d.done.Go(d.datagrams)
-	d.done.Go(func() {
+	d.wg.Go(d.serveUDP)
+	d.wg.Go(func() {
 		for {
 			c, err := d.tcp.Accept()
 			if err != nil {
@@ -47,16 +47,17 @@
 			d.mu.Lock()
 			d.conns = append(d.conns, c)
 			d.mu.Unlock()
-			d.done.Go(func() { d.stream(c) })
+			d.wg.Go(func() { d.serveTCP(c) })
 		}
 	})
 	return d, nil
 }
 
-// Addr returns where it listens.
+// Addr returns the address on which the name server listens.
 func (d *DNS) Addr() string { return d.tcp.Addr().String() }
 
-// SetRecords replaces the records of a name, in lower case, and type, which may be aliases; none at all is a name without such records.
+// SetRecords replaces the records of a name, which must be in lower case, and a type, which may be CNAME.
+// Without bodies, the name exists but has no records of the type.
 func (d *DNS) SetRecords(name string, t dnsmessage.Type, ttl uint32, bodies ...dnsmessage.ResourceBody) {
 	q := dnsmessage.Question{Name: dnsmessage.MustNewName(name), Type: t, Class: dnsmessage.ClassINET}
 	var records []dnsmessage.Resource
@@ -68,21 +69,22 @@
 	d.zone[q] = records
 }
 
-// SetFaults makes it answer with a code, cut its datagrams short, or send another's answer first.
-func (d *DNS) SetFaults(rcode dnsmessage.RCode, cut, lie bool) {
+// SetFaults makes the server respond with rcode, truncate its UDP responses, or precede each of them
+// with a spoofed one that has a wrong ID.
+func (d *DNS) SetFaults(rcode dnsmessage.RCode, truncate, spoof bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.rcode, d.cut, d.lie = rcode, cut, lie
+	d.rcode, d.truncate, d.spoof = rcode, truncate, spoof
 }
 
-// QueryCount returns how many questions came.
+// QueryCount returns the number of queries received.
 func (d *DNS) QueryCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.asked
+	return d.queries
 }
 
-// Close ends it.
+// Close ends the name server and closes its connections.
 func (d *DNS) Close() {
 	d.tcp.Close()
 	d.udp.Close()
@@ -91,18 +93,18 @@
 		c.Close()
 	}
 	d.mu.Unlock()
-	d.done.Wait()
+	d.wg.Wait()
 }
 
-// answer returns the answer to a query, and whether another's should come first.
-func (d *DNS) answer(query []byte, datagram bool) (b []byte, lie bool) {
+// answer returns the response to a query, and whether a spoofed one should precede it.
+func (d *DNS) answer(query []byte, datagram bool) (b []byte, spoof bool) {
 	var m dnsmessage.Message
 	if m.Unpack(query) != nil || len(m.Questions) != 1 {
 		return nil, false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.asked++
+	d.queries++
 	q := m.Questions[0]
 	r := dnsmessage.Message{Header: dnsmessage.Header{ID: m.ID, Response: true, RecursionAvailable: true, RCode: d.rcode}, Questions: m.Questions}
 	if d.rcode == dnsmessage.RCodeSuccess {
@@ -130,33 +132,33 @@
 			}}
 		}
 	}
-	if datagram && d.cut {
+	if datagram && d.truncate {
 		r.Truncated, r.Answers = true, nil
 	}
 	b, err := r.Pack()
 	if err != nil {
 		return nil, false
 	}
-	return b, d.lie && datagram
+	return b, d.spoof && datagram
 }
 
-func (d *DNS) datagrams() {
+func (d *DNS) serveUDP() {
 	b := make([]byte, 4096)
 	for {
 		n, from, err := d.udp.ReadFrom(b)
 		if err != nil {
 			return
 		}
-		answer, lie := d.answer(b[:n], true)
-		if lie {
-			other := append([]byte{answer[0] ^ 0xff}, answer[1:]...)
-			d.udp.WriteTo(other, from)
+		answer, spoof := d.answer(b[:n], true)
+		if spoof {
+			spoofed := append([]byte{answer[0] ^ 0xff}, answer[1:]...)
+			d.udp.WriteTo(spoofed, from)
 		}
 		d.udp.WriteTo(answer, from)
 	}
 }
 
-func (d *DNS) stream(c net.Conn) {
+func (d *DNS) serveTCP(c net.Conn) {
 	defer c.Close()
 	for {
 		var length [2]byte
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -12,130 +12,133 @@
 	"quillfront/policy"
 )
 
-// Fleet is a set of boxes with the memory that they share of what they have executed, and the discovery that lists them.
+// Fleet is a set of servers that share a record of the requests that they have executed, and the
+// discovery service that lists them.
 type Fleet struct {
 	classes   map[string]policy.Class
 	Discovery *Discovery
 
-	mu       sync.Mutex
-	boxes    []*Server
-	seeds    uint64
-	executed map[string]*execution // by class and key, at most mostKept
-	routes   map[string][]string   // the boxes that a request came to, by X-Request-ID, at most mostKept
-	dropped  int                   // repeats that were known and so not executed again
+	mu           sync.Mutex
+	servers      []*Server
+	lastSeed     uint64
+	executed     map[string]*execution // by class and key, at most maxRemembered
+	reached      map[string][]string   // the servers that received a request, by X-Request-ID, at most maxRemembered
+	deduplicated int                   // repeats that were recognized and not executed again
 }
 
-// execution is what became of one key.
+// execution records the executions of one key.
 type execution struct {
 	class string
-	times int
-	zone  map[string]time.Time // of the latest one there
+	count int
+	zone  map[string]time.Time // time of the latest execution by zone
 	cell  map[int]time.Time
 	last  time.Time
 }
 
-// NewFleet starts a fleet without boxes, whose discovery tells of changes after lag.
+// NewFleet starts a fleet without servers, whose discovery service publishes changes after lag.
 func NewFleet(classes []policy.Class, seed uint64, lag time.Duration) (*Fleet, error) {
 	d, err := newDiscovery(lag)
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{classes: map[string]policy.Class{}, Discovery: d, seeds: seed, executed: map[string]*execution{}, routes: map[string][]string{}}
+	f := &Fleet{classes: map[string]policy.Class{}, Discovery: d, lastSeed: seed, executed: map[string]*execution{}, reached: map[string][]string{}}
 	for _, c := range classes {
 		f.classes[c.Name] = c
 	}
 	return f, nil
 }
 
-// Start starts a box and lists it.
+// Start starts a server and adds it to the list.
 func (f *Fleet) Start(cfg ServerConfig) (*Server, error) {
 	f.mu.Lock()
-	f.seeds++
-	seed := f.seeds
+	f.lastSeed++
+	seed := f.lastSeed
 	f.mu.Unlock()
-	b, err := startBox(cfg, f, seed)
+	s, err := startServer(cfg, f, seed)
 	if err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
-	f.boxes = append(f.boxes, b)
+	f.servers = append(f.servers, s)
 	f.mu.Unlock()
-	f.Discovery.Update(entryOf(b, policy.Ready), nil)
-	return b, nil
+	f.Discovery.Update(entryOf(s, policy.Ready), nil)
+	return s, nil
 }
 
-func entryOf(b *Server, state policy.ServerState) engine.Server {
-	s := engine.Server{
-		ID: policy.ServerID(b.cfg.ID), Addr: b.Addr(), State: state, Zone: b.cfg.Zone, Cell: b.cfg.Cell, Weight: 1,
+// entryOf returns the list entry of a server in a given state.
+func entryOf(s *Server, state policy.ServerState) engine.Server {
+	entry := engine.Server{
+		ID: policy.ServerID(s.cfg.ID), Addr: s.Addr(), State: state, Zone: s.cfg.Zone, Cell: s.cfg.Cell, Weight: 1,
 	}
-	if !b.born.IsZero() {
-		s.StartedMs = b.born.UnixMilli()
+	if !s.startedAt.IsZero() {
+		entry.StartedMs = s.startedAt.UnixMilli()
 	}
-	return s
+	return entry
 }
 
-// Drain makes a box finish what it has and take nothing new, and tells discovery.
-func (f *Fleet) Drain(b *Server) {
-	b.drain()
-	f.Discovery.Update(entryOf(b, policy.Draining), func() { b.told(time.Now()) })
+// Drain makes a server finish its requests and reject new ones, and lists it as draining.
+func (f *Fleet) Drain(s *Server) {
+	s.drain()
+	f.Discovery.Update(entryOf(s, policy.Draining), func() { s.drainListed(time.Now()) })
 }
 
-// ListDraining tells discovery to list a box as draining although it still serves whatever comes: what a box gets after the grace
-// then shows as late rather than being turned away.
-func (f *Fleet) ListDraining(b *Server) {
-	f.Discovery.Update(entryOf(b, policy.Draining), func() { b.told(time.Now()) })
+// ListDraining lists a server as draining although it still serves all requests. A request after the
+// grace period is then counted as late rather than rejected.
+func (f *Fleet) ListDraining(s *Server) {
+	f.Discovery.Update(entryOf(s, policy.Draining), func() { s.drainListed(time.Now()) })
 }
 
-// Kill ends a box, which discovery then lists as gone.
-func (f *Fleet) Kill(b *Server) {
-	b.close()
-	f.Discovery.Update(entryOf(b, policy.Gone), nil)
+// Kill ends a server and removes it from the list.
+func (f *Fleet) Kill(s *Server) {
+	s.close()
+	f.Discovery.Update(entryOf(s, policy.Gone), nil)
 }
 
-// Close ends all boxes and the discovery.
+// Close ends all servers and the discovery service.
 func (f *Fleet) Close() {
 	f.Discovery.Close()
 	f.mu.Lock()
-	boxes := slices.Clone(f.boxes)
+	servers := slices.Clone(f.servers)
 	f.mu.Unlock()
-	for _, b := range boxes {
-		b.close()
+	for _, s := range servers {
+		s.close()
 	}
 }
 
-// Servers returns all boxes that were ever started.
+// Servers returns all servers that were ever started.
 func (f *Fleet) Servers() []*Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.boxes)
+	return slices.Clone(f.servers)
 }
 
-// came notes that a request has come to a box.
-func (f *Fleet) came(id, box string) {
+// recordArrival records that a server has received a request.
+func (f *Fleet) recordArrival(id, server string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if r, known := f.routes[id]; known || len(f.routes) < mostKept {
-		f.routes[id] = append(r, box)
+	if r, known := f.reached[id]; known || len(f.reached) < maxRemembered {
+		f.reached[id] = append(r, server)
 	}
 }
 
-// ServersReached returns the names of the boxes that a request came to, by its X-Request-ID and in order.
+// ServersReached returns the IDs of the servers that have received the request with an X-Request-ID, in
+// order.
 func (f *Fleet) ServersReached(id string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.routes[id])
+	return slices.Clone(f.reached[id])
 }
 
-// execute notes that b has executed q, unless the memory of its group still knows the key.
-func (f *Fleet) execute(b *Server, q *http.Request, now time.Time) {
-	name, key := keyOf(q)
+// recordExecution records that s has executed q, unless the group of its class still remembers the key.
+func (f *Fleet) recordExecution(s *Server, q *http.Request, now time.Time) {
+	name, key := requestKey(q)
 	c := f.classes[name]
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id := name + "\x00" + key
 	e := f.executed[id]
 	if e == nil {
-		if len(f.executed) >= mostKept {
+		if len(f.executed) >= maxRemembered {
 			return
 		}
 		e = &execution{class: name, zone: map[string]time.Time{}, cell: map[int]time.Time{}}
@@ -144,56 +147,56 @@
 	known := e.last
 	switch c.Group {
 	case policy.GroupZone:
-		known = e.zone[b.cfg.Zone]
+		known = e.zone[s.cfg.Zone]
 	case policy.GroupCell:
-		known = e.cell[b.cfg.Cell]
+		known = e.cell[s.cfg.Cell]
 	}
 	if c.Effect == policy.Keyed && !known.IsZero() && now.Sub(known) <= c.KeyTTL {
-		f.dropped++
+		f.deduplicated++
 		return
 	}
-	e.times++
-	e.last, e.zone[b.cfg.Zone], e.cell[b.cfg.Cell] = now, now, now
+	e.count++
+	e.last, e.zone[s.cfg.Zone], e.cell[s.cfg.Cell] = now, now, now
 }
 
-// Executions returns how often the effect of a key took place.
+// Executions returns how often a key of a class was executed.
 func (f *Fleet) Executions(class, key string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if e := f.executed[class+"\x00"+key]; e != nil {
-		return e.times
+		return e.count
 	}
 	return 0
 }
 
-// Effects is what the fleet has executed.
+// Effects counts the executions of a fleet.
 type Effects struct {
-	Keys         int // different keys of classes that are not safe to repeat
-	Duplicates   int // executions of such a key beyond the first
-	Deduplicated int // repeats that the boxes knew
+	Keys         int // distinct keys of classes whose effect is not policy.Safe
+	Duplicates   int // executions of such keys beyond the first of each
+	Deduplicated int // repeats that the servers recognized and did not execute
 }
 
 // Effects returns the present counts.
 func (f *Fleet) Effects() Effects {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := Effects{Deduplicated: f.dropped}
+	effects := Effects{Deduplicated: f.deduplicated}
 	for _, e := range f.executed {
 		if f.classes[e.class].Effect != policy.Safe {
-			s.Keys++
-			s.Duplicates += e.times - 1
+			effects.Keys++
+			effects.Duplicates += e.count - 1
 		}
 	}
-	return s
+	return effects
 }
 
-// String lists the boxes by name with the requests that each has had.
+// String lists the servers by ID, with the number of requests that each has received.
 func (f *Fleet) String() string {
-	boxes := f.Servers()
-	slices.SortFunc(boxes, func(a, b *Server) int { return cmp.Compare(a.cfg.ID, b.cfg.ID) })
+	servers := f.Servers()
+	slices.SortFunc(servers, func(a, b *Server) int { return cmp.Compare(a.cfg.ID, b.cfg.ID) })
 	text := ""
-	for _, b := range boxes {
-		text += fmt.Sprintf("%s %d\n", b.cfg.ID, b.requests.Load())
+	for _, s := range servers {
+		text += fmt.Sprintf("%s %d\n", s.cfg.ID, s.requests.Load())
 	}
 	return text
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -11,10 +11,11 @@
 	"quillfront/policy"
 )
 
-// PlatformConfig is what the stand-in for the platform tells a sidecar. Zero values take the defaults.
+// PlatformConfig holds the settings that the platform gives to a sidecar. Zero values select the
+// defaults, which the comments name.
 type PlatformConfig struct {
 	Listen          string // "127.0.0.1:0"
-	Discovery       string // "127.0.0.1:1", where nobody listens
+	Discovery       string // "127.0.0.1:1", on which nothing listens
 	Seed            uint64
 	Sockets         int // 512
 	CachedList      *engine.List
@@ -22,16 +23,16 @@
 	Classes         []policy.Class
 	MaxAttempts     int           // 3
 	RefreshInterval time.Duration // 1 s
-	ListPushed      bool          // the list is pushed by an agent at Discovery
+	ListPushed      bool          // an agent at the Discovery address pushes the list
 	NoProbes        bool
-	InlineReports   bool // answers carry load reports
+	InlineReports   bool // load reports come in responses, in place of probes
 	Ramp            time.Duration
 }
 
 // object is a JSON object.
 type object = map[string]any
 
-// JSON returns the platform's configuration file.
+// JSON returns the text of the platform's configuration file.
 func (p PlatformConfig) JSON() []byte {
 	effects := map[policy.Effect]string{policy.Safe: "read_like", policy.Keyed: "idempotency_key", policy.Unsafe: "non_idempotent"}
 	groups := map[policy.Group]string{policy.GroupAll: "all", policy.GroupZone: "zone", policy.GroupCell: "cell"}
@@ -71,13 +72,13 @@
 	if p.CachedList != nil {
 		known, err := discovery.Format(*p.CachedList)
 		if err != nil {
-			panic(err) // a list that cannot be written is a mistake of the caller's
+			panic(err) // a list that cannot be formatted is a bug in the caller
 		}
 		file["known"] = json.RawMessage(known)
 	}
 	text, err := json.Marshal(file)
 	if err != nil {
-		panic(err) // as above: a figure that is no number
+		panic(err) // likewise, such as a float that is NaN
 	}
 	return text
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -1,7 +1,10 @@
-// Package standin stands in for what a balancer has around it: HTTP servers with cores, a waiting room, a cold start,
-// drains, load reports and troubles on order (Box), the fleet of them with the memory by which they drop repeats (Fleet),
-// and a discovery that lists them, runs late and goes down (Discovery). All of it listens on loopback addresses only, and
-// draws its chances from a seed. It counts what the four rules are about: executions, late sends, falls.
+// Package standin provides stand-ins for the surroundings of a balancer, for tests: HTTP servers with a
+// number of cores, a queue, a cold start, drains, load reports and injected faults (Server), a fleet of
+// them that deduplicates requests by idempotency key (Fleet), a discovery service that lists them, lags
+// and can go down (Discovery), a name server (DNS), and an engine transport without a network
+// (Transport). All of them listen on loopback addresses only and draw random numbers from a seed. They
+// count what the four rules of the balancer restrict: repeated executions, requests to draining servers
+// and overloads of cold servers.
 package standin
 
 import (
@@ -20,209 +23,209 @@
 	"time"
 )
 
-// Fault is what goes wrong with one request at a box.
+// Fault is what goes wrong with one request at a server.
 type Fault int
 
 // The faults.
 const (
 	NoFault         Fault = iota
-	ServerError           // answered 500, not executed
-	Reject                // answered 503 with X-Not-Processed, not executed
-	MalformedReply        // executed, and answered with noise
+	ServerError           // answered with 500, not executed
+	Reject                // answered with 503 and X-Not-Processed, not executed
+	MalformedReply        // executed, and answered with a malformed response
 	NoReply               // executed, and never answered
-	ResetConnection       // executed, and the connection reset in place of an answer
+	ResetConnection       // executed, and the connection closed instead of a response
 )
 
-// FaultRates is how often each fault happens by chance, as shares of the requests.
+// FaultRates holds the probability of each random fault, as a fraction of the requests.
 type FaultRates struct{ ServerError, Malformed, NoReply, Reset float64 }
 
-// ServerConfig is what one box is like. Zero values take the defaults.
+// ServerConfig configures a Server. Zero values select the defaults, which the comments name.
 type ServerConfig struct {
 	ID   string
 	Zone string
 	Cell int
 
-	Cores               int           // requests worked on at once; 2
-	QueueSize           int           // requests that may wait; 64
-	ServiceTime         time.Duration // for a request at full warmth where none is given by X-Cost; 0: none at all
-	ServiceTimeFromCost bool          // take the work from X-Cost
+	Cores               int           // requests processed at once; 2
+	QueueSize           int           // requests that may wait for a core; 64
+	ServiceTime         time.Duration // of a request without an X-Cost, at full capacity; 0: none
+	ServiceTimeFromCost bool          // take the service time from X-Cost
 
-	Cold               bool          // it has just started
-	ColdCapacity       float64       // share of its capacity at its start; 0.31
-	Ramp               time.Duration // until it is warm; 8.6 s
-	ColdOverloadFactor float64       // sent more than this multiple of its present capacity for a second it falls over; 2.5
+	Cold               bool          // the server has just started
+	ColdCapacity       float64       // fraction of the full capacity at the start; 0.31
+	Ramp               time.Duration // until the full capacity is reached; 8.6 s
+	ColdOverloadFactor float64       // work above this multiple of the capacity within a second overloads it; 2.5
 
-	// Script, if set, says what goes wrong with the nth request (from 0) in place of chance.
+	// Script, if set, returns the fault of the nth request (from 0), in place of the random faults.
 	Script func(n int, q *http.Request) Fault
-	// Report, if set, is the load report that comes with the answer to the nth request (from 0).
+	// Report, if set, returns the load report in the response to the nth request (from 0).
 	Report func(n int) string
-	// Body is what it answers with; nil: its name and the request's target.
+	// Body is the body of all responses; nil: the method, path and body length of the request.
 	Body []byte
 }
 
-// mostKept bounds what a box remembers of the requests that it has had.
-const mostKept = 100_000
+// maxRemembered bounds the numbers of idempotency keys and of request IDs that a fleet remembers.
+const maxRemembered = 100_000
 
-// Server is one stand-in server.
+// Server is a stand-in HTTP server.
 type Server struct {
-	cfg   ServerConfig
-	fleet *Fleet
-	ln    net.Listener
-	srv   *http.Server
-	done  sync.WaitGroup
-	end   chan struct{} // closed when it ends
-	slots chan struct{}
+	cfg    ServerConfig
+	fleet  *Fleet
+	ln     net.Listener
+	srv    *http.Server
+	wg     sync.WaitGroup
+	closed chan struct{} // closed by close
+	slots  chan struct{}
 
-	requests atomic.Int64 // that came, turned away ones too
-	probes   atomic.Int64
-	waiting  atomic.Int64
-	held     atomic.Int64 // waiting or worked on
-	late     atomic.Int64 // requests after the drain's grace
-	conns    atomic.Int64 // opened
+	requests   atomic.Int64 // received, including rejected ones
+	probes     atomic.Int64
+	queued     atomic.Int64
+	inProgress atomic.Int64 // queued or processed
+	late       atomic.Int64 // requests received later than drainGrace after its drain was listed
+	conns      atomic.Int64 // accepted
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	trouble  FaultRates
-	born     time.Time
-	draining bool
-	toldAt   time.Time // when discovery told of its drain
-	offered  []offer   // of the last second
-	fallen   bool
-	errs     []time.Time // of the last second
+	mu            sync.Mutex
+	rng           *rand.Rand
+	rates         FaultRates
+	startedAt     time.Time
+	draining      bool
+	drainListedAt time.Time     // when discovery published its drain
+	recentWork    []arrivedWork // received in the last second
+	overloaded    bool
+	recentErrors  []time.Time // in the last second
 }
 
-// offer is work that came.
-type offer struct {
+// arrivedWork is the service time of a received request.
+type arrivedWork struct {
 	at   time.Time
 	work time.Duration
 }
 
-// Counts is what a box has seen.
+// Counts holds the counters of a server.
 type Counts struct {
 	Requests, Probes, Late, Conns int64
 	Overloaded                    bool
 }
 
-// drainGrace is how long after it was told a sidecar may still send to a box that drains: 2 s, and the 50 ms that
-// sockets are given.
+// drainGrace is how long a sidecar may still send to a server after discovery has published its drain:
+// 2 s, plus 50 ms for delays of the sockets.
 const drainGrace = 2*time.Second + 50*time.Millisecond
 
-func startBox(cfg ServerConfig, f *Fleet, seed uint64) (*Server, error) {
+func startServer(cfg ServerConfig, f *Fleet, seed uint64) (*Server, error) {
 	if cfg.ID == "" {
-		return nil, errors.New("standin: a box without ID")
+		return nil, errors.New("standin: the server has no ID")
 	}
 	cfg.Cores, cfg.QueueSize = cmp.Or(cfg.Cores, 2), cmp.Or(cfg.QueueSize, 64)
 	cfg.ColdCapacity, cfg.Ramp, cfg.ColdOverloadFactor = cmp.Or(cfg.ColdCapacity, 0.31), cmp.Or(cfg.Ramp, 8600*time.Millisecond), cmp.Or(cfg.ColdOverloadFactor, 2.5)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("standin: box %s: %w", cfg.ID, err)
+		return nil, fmt.Errorf("standin: server %s: %w", cfg.ID, err)
 	}
-	b := &Server{
-		cfg: cfg, fleet: f, ln: ln, end: make(chan struct{}), slots: make(chan struct{}, cfg.Cores),
+	s := &Server{
+		cfg: cfg, fleet: f, ln: ln, closed: make(chan struct{}), slots: make(chan struct{}, cfg.Cores),
 		rng: rand.New(rand.NewPCG(seed, 1)),
 	}
 	if cfg.Cold {
-		b.born = time.Now()
+		s.startedAt = time.Now()
 	}
-	b.srv = &http.Server{
-		Handler: b, ErrorLog: log.New(io.Discard, "", 0),
-		ConnState: func(_ net.Conn, s http.ConnState) {
-			if s == http.StateNew {
-				b.conns.Add(1)
+	s.srv = &http.Server{
+		Handler: s, ErrorLog: log.New(io.Discard, "", 0),
+		ConnState: func(_ net.Conn, state http.ConnState) {
+			if state == http.StateNew {
+				s.conns.Add(1)
 			}
 		},
 	}
-	b.done.Go(func() { b.srv.Serve(ln) })
-	return b, nil
+	s.wg.Go(func() { s.srv.Serve(ln) })
+	return s, nil
 }
 
-// ID returns its name.
-func (b *Server) ID() string { return b.cfg.ID }
+// ID returns the server's ID.
+func (s *Server) ID() string { return s.cfg.ID }
 
-// Addr returns where it listens.
-func (b *Server) Addr() string { return b.ln.Addr().String() }
+// Addr returns the address on which the server listens.
+func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// SetFaultRates sets how often what goes wrong from now on.
-func (b *Server) SetFaultRates(t FaultRates) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.trouble = t
+// SetFaultRates replaces the rates of random faults.
+func (s *Server) SetFaultRates(rates FaultRates) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.rates = rates
 }
 
-// Counts returns what it has seen so far.
-func (b *Server) Counts() Counts {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return Counts{b.requests.Load(), b.probes.Load(), b.late.Load(), b.conns.Load(), b.fallen}
+// Counts returns the present values of the counters.
+func (s *Server) Counts() Counts {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return Counts{s.requests.Load(), s.probes.Load(), s.late.Load(), s.conns.Load(), s.overloaded}
 }
 
-// drain makes it finish what it has and turn away what is new.
-func (b *Server) drain() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.draining = true
+// drain makes the server finish its requests and reject new ones.
+func (s *Server) drain() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.draining = true
 }
 
-// told notes that discovery has told of its drain.
-func (b *Server) told(at time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.toldAt.IsZero() {
-		b.toldAt = at
+// drainListed records when discovery first published that the server drains.
+func (s *Server) drainListed(at time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.drainListedAt.IsZero() {
+		s.drainListedAt = at
 	}
 }
 
-// close ends it as a process ends that is killed: its connections are reset, and new ones refused.
-func (b *Server) close() {
+// close ends the server as if its process were killed: its connections are closed and new ones refused.
+func (s *Server) close() {
 	select {
-	case <-b.end:
+	case <-s.closed:
 		return
 	default:
 	}
-	close(b.end)
-	b.srv.Close()
-	b.done.Wait()
+	close(s.closed)
+	s.srv.Close()
+	s.wg.Wait()
 }
 
-// ServeHTTP is the method of http.Handler.
-func (b *Server) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+// ServeHTTP implements http.Handler.
+func (s *Server) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	switch q.URL.Path {
 	case "/load", "/healthz":
-		b.probes.Add(1)
-		b.report(w)
+		s.probes.Add(1)
+		s.writeReport(w)
 		return
 	}
 	length, err := io.Copy(io.Discard, http.MaxBytesReader(w, q.Body, 32<<20))
 	if err != nil {
-		panic(http.ErrAbortHandler) // one that did not come whole is never answered
+		panic(http.ErrAbortHandler) // an incomplete request gets no response
 	}
-	b.fleet.came(q.Header.Get("X-Request-Id"), b.cfg.ID)
-	n := b.requests.Add(1) - 1
-	fault, refuse, work := b.arrive(q)
-	if !refuse && b.cfg.Script != nil {
-		fault = b.cfg.Script(int(n), q)
+	s.fleet.recordArrival(q.Header.Get("X-Request-Id"), s.cfg.ID)
+	n := s.requests.Add(1) - 1
+	fault, reject, work := s.admit(q)
+	if !reject && s.cfg.Script != nil {
+		fault = s.cfg.Script(int(n), q)
 	}
-	if refuse || fault == Reject {
+	if reject || fault == Reject {
 		w.Header().Set("X-Not-Processed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if b.cfg.Report != nil {
-		w.Header().Set("X-Server-Load", b.cfg.Report(int(n)))
+	if s.cfg.Report != nil {
+		w.Header().Set("X-Server-Load", s.cfg.Report(int(n)))
 	}
 	if fault == ServerError {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	if !b.work(work) {
+	if !s.execute(work) {
 		panic(http.ErrAbortHandler)
 	}
-	b.fleet.execute(b, q, time.Now())
+	s.fleet.recordExecution(s, q, time.Now())
 	switch fault {
 	case NoReply:
-		select { // a peer that leaves is noticed; a box that ends closes the connection
+		select { // until the peer disconnects or the server is closed
 		case <-q.Context().Done():
-		case <-b.end:
+		case <-s.closed:
 		}
 		panic(http.ErrAbortHandler)
 	case ResetConnection:
@@ -234,127 +237,129 @@
 		}
 		return
 	}
-	answer := b.cfg.Body
-	if answer == nil {
-		answer = fmt.Appendf(nil, "%s %s %d", q.Method, q.URL.Path, length)
+	body := s.cfg.Body
+	if body == nil {
+		body = fmt.Appendf(nil, "%s %s %d", q.Method, q.URL.Path, length)
 	}
 	w.Header().Set("Content-Type", "text/plain")
-	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
-	w.Write(answer)
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	w.Write(body)
 }
 
-// arrive notes a request, and says what is to become of it.
-func (b *Server) arrive(q *http.Request) (fault Fault, refuse bool, work time.Duration) {
+// admit records a request and returns its random fault, whether it is rejected, and its service time.
+func (s *Server) admit(q *http.Request) (fault Fault, reject bool, work time.Duration) {
 	now := time.Now()
-	work = b.cfg.ServiceTime
-	if us, err := strconv.ParseInt(q.Header.Get("X-Cost"), 10, 64); b.cfg.ServiceTimeFromCost && err == nil && us > 0 {
+	work = s.cfg.ServiceTime
+	if us, err := strconv.ParseInt(q.Header.Get("X-Cost"), 10, 64); s.cfg.ServiceTimeFromCost && err == nil && us > 0 {
 		work = min(time.Duration(us)*time.Microsecond, time.Minute)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.toldAt.IsZero() && now.Sub(b.toldAt) > drainGrace {
-		b.late.Add(1)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.drainListedAt.IsZero() && now.Sub(s.drainListedAt) > drainGrace {
+		s.late.Add(1)
 	}
-	b.overdriven(now, work)
-	draw := b.rng.Float64()
-	if b.draining || b.fallen || b.held.Load() >= int64(b.cfg.Cores+b.cfg.QueueSize) {
+	s.checkOverload(now, work)
+	draw := s.rng.Float64()
+	if s.draining || s.overloaded || s.inProgress.Load() >= int64(s.cfg.Cores+s.cfg.QueueSize) {
 		return NoFault, true, 0
 	}
 	for _, c := range []struct {
-		share float64
+		rate  float64
 		fault Fault
-	}{{b.trouble.ServerError, ServerError}, {b.trouble.Malformed, MalformedReply}, {b.trouble.NoReply, NoReply}, {b.trouble.Reset, ResetConnection}} {
-		if draw < c.share {
+	}{{s.rates.ServerError, ServerError}, {s.rates.Malformed, MalformedReply}, {s.rates.NoReply, NoReply}, {s.rates.Reset, ResetConnection}} {
+		if draw < c.rate {
 			if c.fault == ServerError {
-				b.errs = append(b.errs, now)
+				s.recentErrors = append(s.recentErrors, now)
 			}
 			return c.fault, false, work
 		}
-		draw -= c.share
+		draw -= c.rate
 	}
 	return NoFault, false, work
 }
 
-// overdriven lets a cold box fall over that is sent more than a multiple of what it can do, over the last second. The
-// work of three requests more than that passes, for chance.
-func (b *Server) overdriven(now time.Time, work time.Duration) {
-	if b.born.IsZero() || now.Sub(b.born) > b.cfg.Ramp {
-		b.offered = nil
+// checkOverload marks a cold server as overloaded if the work that it received in the last second
+// exceeds its capacity by the factor ColdOverloadFactor. The work of three more requests, each as long
+// as the longest, is tolerated as random variation.
+func (s *Server) checkOverload(now time.Time, work time.Duration) {
+	if s.startedAt.IsZero() || now.Sub(s.startedAt) > s.cfg.Ramp {
+		s.recentWork = nil
 		return
 	}
-	b.offered = append(b.offered, offer{now, work})
-	var sum, most time.Duration
+	s.recentWork = append(s.recentWork, arrivedWork{now, work})
+	var sum, longest time.Duration
 	from := 0
-	for i, o := range b.offered {
-		if now.Sub(o.at) > time.Second {
+	for i, r := range s.recentWork {
+		if now.Sub(r.at) > time.Second {
 			from = i + 1
 			continue
 		}
-		sum += o.work
-		most = max(most, o.work)
+		sum += r.work
+		longest = max(longest, r.work)
 	}
-	b.offered = b.offered[from:]
-	can := b.cfg.ColdOverloadFactor * b.warmth(now) * float64(b.cfg.Cores) * float64(time.Second)
-	if float64(sum) > can+3*float64(most) {
-		b.fallen = true
+	s.recentWork = s.recentWork[from:]
+	limit := s.cfg.ColdOverloadFactor * s.capacity(now) * float64(s.cfg.Cores) * float64(time.Second)
+	if float64(sum) > limit+3*float64(longest) {
+		s.overloaded = true
 	}
 }
 
-// warmth is the share of its capacity that it has.
-func (b *Server) warmth(now time.Time) float64 {
-	if b.born.IsZero() || now.Sub(b.born) >= b.cfg.Ramp {
+// capacity returns the present fraction of the server's full capacity.
+func (s *Server) capacity(now time.Time) float64 {
+	if s.startedAt.IsZero() || now.Sub(s.startedAt) >= s.cfg.Ramp {
 		return 1
 	}
-	return b.cfg.ColdCapacity + (1-b.cfg.ColdCapacity)*float64(now.Sub(b.born))/float64(b.cfg.Ramp)
+	return s.cfg.ColdCapacity + (1-s.cfg.ColdCapacity)*float64(now.Sub(s.startedAt))/float64(s.cfg.Ramp)
 }
 
-// work waits for a core and works, whether or not anybody still waits for it. It reports false if the box has ended.
-func (b *Server) work(d time.Duration) bool {
-	b.held.Add(1)
-	defer b.held.Add(-1)
+// execute waits for a core and occupies it for the service time, even if the client has disconnected.
+// It reports false if the server was closed.
+func (s *Server) execute(d time.Duration) bool {
+	s.inProgress.Add(1)
+	defer s.inProgress.Add(-1)
 	if d <= 0 {
 		return true
 	}
-	b.waiting.Add(1)
+	s.queued.Add(1)
 	select {
-	case b.slots <- struct{}{}:
-		b.waiting.Add(-1)
-	case <-b.end:
-		b.waiting.Add(-1)
+	case s.slots <- struct{}{}:
+		s.queued.Add(-1)
+	case <-s.closed:
+		s.queued.Add(-1)
 		return false
 	}
-	defer func() { <-b.slots }()
-	b.mu.Lock()
-	d = time.Duration(float64(d) / b.warmth(time.Now()))
-	b.mu.Unlock()
+	defer func() { <-s.slots }()
+	s.mu.Lock()
+	d = time.Duration(float64(d) / s.capacity(time.Now()))
+	s.mu.Unlock()
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
 		return true
-	case <-b.end:
+	case <-s.closed:
 		return false
 	}
 }
 
-// report answers a probe.
-func (b *Server) report(w http.ResponseWriter) {
+// writeReport responds to a probe with a load report.
+func (s *Server) writeReport(w http.ResponseWriter) {
 	now := time.Now()
-	b.mu.Lock()
-	for len(b.errs) > 0 && now.Sub(b.errs[0]) > time.Second {
-		b.errs = b.errs[1:]
+	s.mu.Lock()
+	for len(s.recentErrors) > 0 && now.Sub(s.recentErrors[0]) > time.Second {
+		s.recentErrors = s.recentErrors[1:]
 	}
-	text := fmt.Sprintf("TEXT eps=%d, queue=%d", len(b.errs), b.waiting.Load())
-	gone := b.draining || b.fallen
-	b.mu.Unlock()
-	if gone {
+	text := fmt.Sprintf("TEXT eps=%d, queue=%d", len(s.recentErrors), s.queued.Load())
+	unavailable := s.draining || s.overloaded
+	s.mu.Unlock()
+	if unavailable {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	io.WriteString(w, text)
 }
 
-// keyOf names what a request does: its class with its Idempotency-Key, or with its X-Request-ID where it has none.
-func keyOf(q *http.Request) (class, key string) {
+// requestKey returns the class of a request and its Idempotency-Key, or its X-Request-ID if it has none.
+func requestKey(q *http.Request) (class, key string) {
 	class, _, _ = strings.Cut(strings.TrimPrefix(q.URL.Path, "/"), "/")
 	if key = q.Header.Get("Idempotency-Key"); key == "" {
 		key = q.Header.Get("X-Request-Id")
@@ -362,10 +367,11 @@
 	return class, key
 }
 
-// SendRequest sends a box one request as somebody does who was never told of its drain, for tests of what counts late sends.
-func SendRequest(b *Server) {
+// SendRequest sends a request directly to a server, as a sidecar does that has not learned of its drain.
+// Tests use it to check that late requests are counted.
+func SendRequest(s *Server) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
-	if resp, err := client.Get("http://" + b.Addr() + "/poke"); err == nil {
+	if resp, err := client.Get("http://" + s.Addr() + "/poke"); err == nil {
 		resp.Body.Close()
 	}
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 var classes = []policy.Class{
 	{Name: "read", Effect: policy.Safe},
@@ -37,18 +37,18 @@
 	return f
 }
 
-func box(t *testing.T, f *Fleet, cfg ServerConfig) *Server {
+func startTestServer(t *testing.T, f *Fleet, cfg ServerConfig) *Server {
 	t.Helper()
-	b, err := f.Start(cfg)
+	s, err := f.Start(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return s
 }
 
-// ask sends a request; status is 0 without an answer that can be read.
-func ask(b *Server, class, key string, header ...string) (status int, resp *http.Response) {
-	q, err := http.NewRequest(http.MethodPost, "http://"+b.Addr()+"/"+class+"/k", strings.NewReader("x"))
+// post sends a POST request. The status is 0 if there is no valid response.
+func post(s *Server, class, key string, header ...string) (status int, resp *http.Response) {
+	q, err := http.NewRequest(http.MethodPost, "http://"+s.Addr()+"/"+class+"/k", strings.NewReader("x"))
 	if err != nil {
 		panic(err)
 	}
@@ -70,7 +70,7 @@
 	return resp.StatusCode, resp
 }
 
-// TestFaults: each fault does what it says, and is executed or not as it says.
+// TestFaults checks for each fault the response and whether the request is executed.
 func TestFaults(t *testing.T) {
 	for _, tt := range []struct {
 		fault    Fault
@@ -78,35 +78,36 @@
 		executed int
 	}{{NoFault, 200, 1}, {ServerError, 500, 0}, {Reject, 503, 0}, {MalformedReply, 0, 1}, {ResetConnection, 0, 1}, {NoReply, 0, 1}} {
 		f := newFleet(t, 0)
-		b := box(t, f, ServerConfig{ID: "a", Script: func(int, *http.Request) Fault { return tt.fault }})
-		status, resp := ask(b, "order", "k")
+		s := startTestServer(t, f, ServerConfig{ID: "a", Script: func(int, *http.Request) Fault { return tt.fault }})
+		status, resp := post(s, "order", "k")
 		if status != tt.status || f.Executions("order", "k") != tt.executed {
 			t.Errorf("fault %d: status %d, executed %d times", tt.fault, status, f.Executions("order", "k"))
 		}
 		if tt.fault == Reject && resp.Header.Get("X-Not-Processed") != "1" {
-			t.Error("it does not say that it has not run")
+			t.Error("the response lacks X-Not-Processed: 1")
 		}
 		f.Close()
 	}
 }
 
-// TestMemoryOfKeys: repeats are dropped within the window and the group, and executed beyond.
-func TestMemoryOfKeys(t *testing.T) {
+// TestKeyDeduplication checks that repeats of a key are not executed within the key's lifetime and
+// group, and are executed outside of them.
+func TestKeyDeduplication(t *testing.T) {
 	f := newFleet(t, 0)
-	a, b := box(t, f, ServerConfig{ID: "a", Cell: 1}), box(t, f, ServerConfig{ID: "b", Cell: 2})
-	ask(a, "order", "k")
-	ask(b, "order", "k")
+	a, b := startTestServer(t, f, ServerConfig{ID: "a", Cell: 1}), startTestServer(t, f, ServerConfig{ID: "b", Cell: 2})
+	post(a, "order", "k")
+	post(b, "order", "k")
 	if n := f.Executions("order", "k"); n != 1 {
-		t.Errorf("executed %d times within the window, want 1", n)
+		t.Errorf("executed %d times within the key's lifetime, want 1", n)
 	}
 	time.Sleep(300 * time.Millisecond)
-	ask(a, "order", "k")
+	post(a, "order", "k")
 	if n := f.Executions("order", "k"); n != 2 {
-		t.Errorf("executed %d times beyond the window, want 2", n)
+		t.Errorf("executed %d times across the key's lifetime, want 2", n)
 	}
-	ask(a, "cell", "k")
-	ask(a, "cell", "k")
-	ask(b, "cell", "k")
+	post(a, "cell", "k")
+	post(a, "cell", "k")
+	post(b, "cell", "k")
 	if n := f.Executions("cell", "k"); n != 2 {
 		t.Errorf("executed %d times in two cells, want 2", n)
 	}
@@ -115,20 +116,21 @@
 	}
 }
 
-// TestWaitingRoom: beyond its cores and its waiting room a box turns away unseen, and tells its queue when probed.
-func TestWaitingRoom(t *testing.T) {
+// TestFullQueueRejects checks that a server with busy cores and a full queue rejects requests, that it
+// reports its queue to a probe, and that it goes on with requests whose clients have left.
+func TestFullQueueRejects(t *testing.T) {
 	f := newFleet(t, 0)
-	b := box(t, f, ServerConfig{ID: "a", Cores: 1, QueueSize: 2, ServiceTime: time.Minute})
-	var asked sync.WaitGroup
+	s := startTestServer(t, f, ServerConfig{ID: "a", Cores: 1, QueueSize: 2, ServiceTime: time.Minute})
+	var wg sync.WaitGroup
 	for range 3 {
-		asked.Go(func() { ask(b, "read", "k") }) // until its client gives up: the box works on
+		wg.Go(func() { post(s, "read", "k") }) // returns when the client times out; the server goes on
 	}
-	for end := time.Now().Add(patience); b.held.Load() < 3 || b.waiting.Load() < 2; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); s.inProgress.Load() < 3 || s.queued.Load() < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d held, %d waiting", b.held.Load(), b.waiting.Load())
+			t.Fatalf("%d in progress, %d queued", s.inProgress.Load(), s.queued.Load())
 		}
 	}
-	resp, err := http.Get("http://" + b.Addr() + "/load")
+	resp, err := http.Get("http://" + s.Addr() + "/load")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,30 +140,31 @@
 	if string(text) != "TEXT eps=0, queue=2" {
 		t.Errorf("report %q", text)
 	}
-	if status, _ := ask(b, "read", "k"); status != http.StatusServiceUnavailable {
-		t.Errorf("the fourth: %d", status)
+	if status, _ := post(s, "read", "k"); status != http.StatusServiceUnavailable {
+		t.Errorf("status %d of the fourth request", status)
 	}
-	asked.Wait()
-	if n := b.held.Load(); n != 3 {
-		t.Errorf("%d held once their clients have left: a cancel must stop nothing", n)
+	wg.Wait()
+	if n := s.inProgress.Load(); n != 3 {
+		t.Errorf("%d requests in progress after their clients have left, want 3: a cancel must not stop them", n)
 	}
 }
 
-// TestColdBoxFalls: one that is sent far more than it can do falls over and stays down; a warm one does not.
-func TestColdBoxFalls(t *testing.T) {
+// TestColdServerOverload checks that a cold server that receives far more work than its capacity is
+// overloaded from then on, and that a warm one is not.
+func TestColdServerOverload(t *testing.T) {
 	f := newFleet(t, 0)
-	cold := box(t, f, ServerConfig{ID: "cold", Cold: true, Cores: 1, QueueSize: 1000, ServiceTimeFromCost: true})
-	warm := box(t, f, ServerConfig{ID: "warm", Cores: 1, QueueSize: 1000, ServiceTimeFromCost: true})
-	for _, b := range []*Server{cold, warm} {
-		for range 40 { // 40 x 100 ms of work in far less than a second, where 0.8 s is the bound
-			b.arrive(request("X-Cost", "100000"))
+	cold := startTestServer(t, f, ServerConfig{ID: "cold", Cold: true, Cores: 1, QueueSize: 1000, ServiceTimeFromCost: true})
+	warm := startTestServer(t, f, ServerConfig{ID: "warm", Cores: 1, QueueSize: 1000, ServiceTimeFromCost: true})
+	for _, s := range []*Server{cold, warm} {
+		for range 40 { // 40 x 100 ms of work in far less than a second; the limit is 0.8 s
+			s.admit(request("X-Cost", "100000"))
 		}
 	}
 	if !cold.Counts().Overloaded || warm.Counts().Overloaded {
 		t.Errorf("cold %+v, warm %+v", cold.Counts(), warm.Counts())
 	}
-	if status, _ := ask(cold, "read", "k"); status != http.StatusServiceUnavailable {
-		t.Errorf("it answers %d after its fall", status)
+	if status, _ := post(cold, "read", "k"); status != http.StatusServiceUnavailable {
+		t.Errorf("status %d of the overloaded server", status)
 	}
 }
 
@@ -176,96 +179,97 @@
 	return q
 }
 
-// TestDiscovery: a watch is told of changes, after the lag, in order; one that comes back gets what it missed; while
-// discovery is down watches end.
+// TestDiscovery checks that a watch receives changes in order and after the lag, that one that resumes
+// receives what it missed, and that watches end and requests fail while discovery is down.
 func TestDiscovery(t *testing.T) {
 	f := newFleet(t, 0)
-	b := box(t, f, ServerConfig{ID: "a", Zone: "z", Cell: 3})
+	s := startTestServer(t, f, ServerConfig{ID: "a", Zone: "z", Cell: 3})
 	client := discovery.Client{Addr: f.Discovery.Addr()}
-	told := make(chan engine.List, 100)
-	watch := func(since int64) (stop context.CancelFunc, over chan error) {
+	received := make(chan engine.List, 100)
+	watch := func(since int64) (stop context.CancelFunc, ended chan error) {
 		ctx, cancel := context.WithCancel(t.Context())
-		over = make(chan error, 1)
-		go func() { over <- client.Watch(ctx, since, func(l engine.List) { told <- l }) }()
-		return cancel, over
+		ended = make(chan error, 1)
+		go func() { ended <- client.Watch(ctx, since, func(l engine.List) { received <- l }) }()
+		return cancel, ended
 	}
 	next := func(what string) engine.List {
 		t.Helper()
 		select {
-		case l := <-told:
+		case l := <-received:
 			return l
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			t.Fatalf("no %s", what)
 			panic("unreachable")
 		}
 	}
-	stop, over := watch(engine.UnknownSeq)
-	l := next("whole list")
-	if !l.Full || len(l.Servers) != 1 || l.Servers[0].ID != "a" || l.Servers[0].Cell != 3 || l.Servers[0].Addr != b.Addr() {
+	stop, ended := watch(engine.UnknownSeq)
+	l := next("complete list")
+	if !l.Full || len(l.Servers) != 1 || l.Servers[0].ID != "a" || l.Servers[0].Cell != 3 || l.Servers[0].Addr != s.Addr() {
 		t.Errorf("list %+v", l)
 	}
 	f.Discovery.SetLag(100 * time.Millisecond)
-	at := time.Now()
-	f.Drain(b)
+	start := time.Now()
+	f.Drain(s)
 	d := next("change")
 	if d.Full || len(d.Servers) != 1 || d.Servers[0].State != policy.Draining || d.Seq != l.Seq+1 {
 		t.Errorf("change %+v", d)
 	}
-	if time.Since(at) < 100*time.Millisecond {
-		t.Error("it came before its lag")
+	if time.Since(start) < 100*time.Millisecond {
+		t.Error("the change was published before its lag")
 	}
 	stop()
-	<-over
+	<-ended
 	f.Discovery.SetLag(0)
-	f.Kill(b)
-	stop, over = watch(d.Seq)
-	if m := next("what was missed"); m.Full || len(m.Servers) != 1 || m.Servers[0].State != policy.Gone {
+	f.Kill(s)
+	stop, ended = watch(d.Seq)
+	if m := next("missed change"); m.Full || len(m.Servers) != 1 || m.Servers[0].State != policy.Gone {
 		t.Errorf("missed %+v", m)
 	}
 	f.Discovery.SetDown(true)
-	if err := <-over; err == nil {
-		t.Error("the watch goes on while discovery is down")
+	if err := <-ended; err == nil {
+		t.Error("the watch ended without an error while discovery is down")
 	}
 	stop()
 	if err := client.Watch(t.Context(), engine.UnknownSeq, func(engine.List) {}); err == nil || !strings.Contains(err.Error(), "503") {
-		t.Errorf("a call while it is down: %v", err)
+		t.Errorf("a request while discovery is down: %v", err)
 	}
 	f.Discovery.SetDown(false)
-	for range mostHistory + 10 {
+	for range maxHistory + 10 {
 		f.Discovery.Update(engine.Server{ID: "x", Addr: "127.0.0.1:1"}, nil)
 	}
-	stop, over = watch(d.Seq)
-	if l := next("whole list in place of a history that is gone"); !l.Full {
+	stop, ended = watch(d.Seq)
+	if l := next("complete list for a watch that is older than the history"); !l.Full {
 		t.Errorf("list of %d changes", len(l.Servers))
 	}
 	stop()
-	<-over
+	<-ended
 }
 
-// TestLateSends: what comes to a box later than 2 s after discovery told of its drain counts as late, and nothing before.
+// TestLateSends checks that only requests that a server receives more than 2 s, plus 50 ms for delays,
+// after discovery has published its drain count as late.
 func TestLateSends(t *testing.T) {
 	f := newFleet(t, 0)
-	b := box(t, f, ServerConfig{ID: "a"})
-	f.ListDraining(b)
-	SendRequest(b)
-	if n := b.Counts().Late; n != 0 {
-		t.Errorf("%d late within the grace", n)
-	}
-	b.mu.Lock()
-	b.toldAt = b.toldAt.Add(-drainGrace)
-	b.mu.Unlock()
-	SendRequest(b)
-	if n := b.Counts(); n.Late != 1 || n.Requests != 2 {
+	s := startTestServer(t, f, ServerConfig{ID: "a"})
+	f.ListDraining(s)
+	SendRequest(s)
+	if n := s.Counts().Late; n != 0 {
+		t.Errorf("%d late requests within the grace period", n)
+	}
+	s.mu.Lock()
+	s.drainListedAt = s.drainListedAt.Add(-drainGrace)
+	s.mu.Unlock()
+	SendRequest(s)
+	if n := s.Counts(); n.Late != 1 || n.Requests != 2 {
 		t.Errorf("counts %+v", n)
 	}
 }
 
-// TestBadBox: a box needs a name.
-func TestBadBox(t *testing.T) {
+// TestServerNeedsID checks that a server without an ID is rejected.
+func TestServerNeedsID(t *testing.T) {
 	if _, err := newFleet(t, 0).Start(ServerConfig{}); err == nil {
-		t.Error("a box without a name is taken")
+		t.Error("a server without an ID was started")
 	}
 	if got := fmt.Sprint(newFleet(t, 0)); got != "" {
-		t.Errorf("an empty fleet is %q", got)
+		t.Errorf("an empty fleet is printed as %q", got)
 	}
 }
--- a/internal/standin/transport.go
+++ b/internal/standin/transport.go
@@ -10,30 +10,32 @@
 	"quillfront/policy"
 )
 
-// Transport is an engine.Transport without a network: its attempts end as End says, in real time or in a bubble of testing/synctest.
+// Transport is an engine.Transport without a network: Result decides how its attempts end. It works in
+// real time and in a testing/synctest bubble.
 type Transport struct {
-	// Result returns the ending of the n-th attempt, from 1. Nil: each is served at once, with n as its reply.
+	// Result returns the result of the n-th attempt, from 1. Nil: each attempt succeeds at once, with n
+	// as its reply.
 	Result func(n int, a *engine.Attempt, to engine.Endpoint) engine.AttemptResult
 
 	mu   sync.Mutex
 	sent []policy.ServerID
 }
 
-// SetResult replaces End while attempts go on.
+// SetResult replaces Result. It may be called while attempts are in progress.
 func (t *Transport) SetResult(end func(n int, a *engine.Attempt, to engine.Endpoint) engine.AttemptResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.Result = end
 }
 
-// Sent returns the servers that got an attempt, in order.
+// Sent returns the server of each attempt, in order.
 func (t *Transport) Sent() []policy.ServerID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.sent)
 }
 
-// Do is a method of engine.Transport.
+// Do implements engine.Transport.
 func (t *Transport) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	t.mu.Lock()
 	t.sent = append(t.sent, to.ID)
@@ -45,16 +47,16 @@
 	return end(n, a, to)
 }
 
-// Probe is a method of engine.Transport. There is nothing to probe.
+// Probe implements engine.Transport. It reports that no probe was sent.
 func (*Transport) Probe(context.Context, engine.Endpoint) (policy.Status, *policy.Load) {
 	return policy.NotSent, nil
 }
 
-// CloseIdle is a method of engine.Transport.
+// CloseIdle implements engine.Transport. There are no connections to close.
 func (*Transport) CloseIdle(engine.Endpoint) {}
 
-// WaitUnlessCanceled waits until the attempt is called off, for d, or until open is closed, and reports whether it is still wanted. A d of 0 is for
-// ever.
+// WaitUnlessCanceled waits until the attempt is canceled, d has passed or open is closed, and reports
+// whether the attempt is still wanted. If d is 0, there is no time limit.
 func WaitUnlessCanceled(a *engine.Attempt, d time.Duration, open <-chan struct{}) (wanted bool) {
 	ctx := context.Background()
 	if d > 0 {
@@ -62,47 +64,47 @@
 		ctx, cancel = context.WithTimeout(ctx, d)
 		defer cancel()
 	}
-	called := make(chan struct{})
-	if !a.OnCancel(sync.OnceFunc(func() { close(called) })) {
+	canceled := make(chan struct{})
+	if !a.OnCancel(sync.OnceFunc(func() { close(canceled) })) {
 		return false
 	}
 	select {
 	case <-ctx.Done():
 	case <-open:
-	case <-called:
+	case <-canceled:
 		return false
 	}
 	return a.OnCancel(nil)
 }
 
-// SingleAttempt is a module that sends each request once, to one server, and knows nothing else.
+// SingleAttempt is a minimal module that sends each request to one server, without retries.
 type SingleAttempt struct {
 	engine.Module
 	Server policy.ServerID
 }
 
-// UpdateServers is the method of engine.Module.
+// UpdateServers implements engine.Module. The list is ignored.
 func (SingleAttempt) UpdateServers(policy.Time, policy.ListKind, []policy.Server, policy.Actions) {}
 
-// Request is the method of engine.Module.
-func (o SingleAttempt) Request(now policy.Time, q policy.Request, act policy.Actions) {
-	act.Send(q.ID, o.Server, q.Expires-now)
+// Request implements engine.Module.
+func (m SingleAttempt) Request(now policy.Time, q policy.Request, act policy.Actions) {
+	act.Send(q.ID, m.Server, q.Expires-now)
 }
 
-// Outcome is the method of engine.Module.
+// Outcome implements engine.Module.
 func (SingleAttempt) Outcome(_ policy.Time, o policy.Outcome, act policy.Actions) {
 	if !o.Final {
 		act.Fail(o.ID)
 	}
 }
 
-// ClientDisconnected is the method of engine.Module.
+// ClientDisconnected implements engine.Module.
 func (SingleAttempt) ClientDisconnected(_ policy.Time, id policy.RequestID, act policy.Actions) {
 	act.Cancel(id, 0)
 }
 
-// StopSending is the method of engine.Module. There is never a further attempt.
+// StopSending implements engine.Module. There are no further attempts to suppress.
 func (SingleAttempt) StopSending(policy.Time, policy.RequestID, policy.Actions) {}
 
-// GiveUp is the method of engine.Module.
+// GiveUp implements engine.Module.
 func (SingleAttempt) GiveUp(_ policy.Time, id policy.RequestID, act policy.Actions) { act.Fail(id) }
