--- a/internal/reloadtest/run.go
+++ b/internal/reloadtest/run.go
@@ -1,6 +1,8 @@
-// Package reloadtest plays reloads of routes and pools under load: ordinary clients of HTTP, servers that answer at once, a file that is read
-// again many times a second and renames its pool now and then. Its account says of each request that came late what it waited for, whether a
-// refusal fell while a server had nothing to do, and whether anything was lost, ran twice or is left over.
+// Package reloadtest tests reloads of routes and pools under load: ordinary HTTP clients send requests
+// to servers that respond at once, while the configuration file is reloaded many times a second and
+// renames its pool from time to time. The report says what each late request waited for, whether
+// requests were refused while a server was idle, and whether requests were lost or executed twice, or
+// goroutines or descriptors leaked.
 package reloadtest
 
 import (
@@ -28,106 +30,109 @@
 	"quillfront/internal/sockets"
 )
 
-// Options says how a play runs. Zero values take the defaults.
+// Options configures a run. Zero values select the defaults, which the comments name.
 type Options struct {
-	Seed       uint64
-	For        time.Duration // 10 s
-	Clients    int           // at once; 40
-	MostBody   int           // of a request or an answer, in bytes; 4 MiB
-	Reload     time.Duration // between two reads of the file; 50 ms
-	Rename     time.Duration // between two names of the pool; 1 s; negative: it keeps its name
-	Retime     bool          // the route has a time of its own at every other read
-	Small      int           // exchanges of all statuses before, some broken
-	Long       int64         // bytes of one answer and one PUT before; 0: none
-	Deadline   time.Duration // of a request; 20 s
-	LateAfter  time.Duration // a head later than that counts as late; 1 s
-	Descriptor int           // descriptors of the process; 900
-	Log        *slog.Logger  // nil: none
+	Seed           uint64
+	Duration       time.Duration // 10 s
+	Clients        int           // concurrent; 40
+	MaxBody        int           // largest body of a request or a response, in bytes; 4 MiB
+	ReloadInterval time.Duration // between two reloads of the file; 50 ms
+	RenameInterval time.Duration // between two renames of the pool; 1 s; negative: no renames
+	ToggleTimeout  bool          // the route has its own timeout after every other reload
+	WarmupRequests int           // requests with various statuses before the load, some of whose responses are cut off
+	LongBody       int64         // bytes of one response and one PUT before the load; 0: none
+	Deadline       time.Duration // of a request; 20 s
+	LateThreshold  time.Duration // a response head after more than this is late; 1 s
+	MaxDescriptors int           // descriptor budget of the services; 900
+	Log            *slog.Logger  // nil: none
 }
 
 func (o Options) withDefaults() Options {
-	o.For, o.Clients, o.MostBody = cmp.Or(o.For, 10*time.Second), cmp.Or(o.Clients, 40), cmp.Or(o.MostBody, 4<<20)
-	o.Reload, o.Rename = cmp.Or(o.Reload, 50*time.Millisecond), cmp.Or(o.Rename, time.Second)
-	o.Deadline, o.LateAfter = cmp.Or(o.Deadline, 20*time.Second), cmp.Or(o.LateAfter, time.Second)
-	o.Descriptor = cmp.Or(o.Descriptor, 900)
+	o.Duration, o.Clients, o.MaxBody = cmp.Or(o.Duration, 10*time.Second), cmp.Or(o.Clients, 40), cmp.Or(o.MaxBody, 4<<20)
+	o.ReloadInterval, o.RenameInterval = cmp.Or(o.ReloadInterval, 50*time.Millisecond), cmp.Or(o.RenameInterval, time.Second)
+	o.Deadline, o.LateThreshold = cmp.Or(o.Deadline, 20*time.Second), cmp.Or(o.LateThreshold, time.Second)
+	o.MaxDescriptors = cmp.Or(o.MaxDescriptors, 900)
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	return o
 }
 
-// Late is a request whose head came late, or never.
-type Late struct {
-	What   string        // method and target
-	After  time.Duration // until its head, or its end without one
-	Status int           // 0: none came
-	For    []string      // what it was seen waiting for, each with how often
+// LateRequest is a request whose response head came late, or that ended late without one.
+type LateRequest struct {
+	Request   string        // method and target
+	Latency   time.Duration // until the response head, or the end without one
+	Status    int           // 0: no response
+	WaitedFor []string      // what it was observed waiting for, with the number of observations
 }
 
-// Report is the account of a play.
+// Report is the result of a run.
 type Report struct {
 	Requests, Served int
 	Reloads, Renames int
-	Slowest          time.Duration // until a head
-	Late             []Late
-	Refused          int            // 503
-	Idle             int            // of them, while a server had nothing to do
-	RefusedFor       map[string]int // what those that were refused were seen waiting for
-	Other            map[string]int // what else ended a request, by what it was
-	Spoilt           int            // answers that were not what their server sent
-	Twice            int            // POSTs that ran more than once
-	Lost             int            // POSTs that were answered as served and never ran
-	Denied           int            // POSTs that were refused, which says that nothing ran, and ran
-	Ended            services.Ends  // how pools that were taken out ended what they held
-	Goroutines       [2]int         // before and after, with the services at work
-	Descriptors      [2]int
-	Broken           []string // what must not be, in words
+	MaxLatency       time.Duration // until a response head
+	Late             []LateRequest
+	Refused          int            // requests with status 503
+	RefusedWhileIdle int            // those of Refused that ended while a server was idle
+	RefusalWaits     map[string]int // what refused requests were observed waiting for
+	OtherFailures    map[string]int // other failed requests, by status or cause
+	Corrupted        int            // responses that differ from what the server sent
+	Duplicated       int            // POSTs that were executed more than once
+	Lost             int            // POSTs with status 200 that were never executed
+	RefusedButRan    int            // POSTs that were executed although 503 says that they were not
+	PoolEnds         services.Ends  // how removed pools ended their requests
+	Goroutines       [2]int         // before and after, while the services run
+	Descriptors      [2]int         // likewise
+	Violations       []string       // violated requirements
 }
 
-// settleTime is how soon after the last request goroutines and descriptors are to be as few as before the first.
-const settleTime = 3 * time.Second
+// releaseTimeout is how long after the last request the numbers of goroutines and descriptors may take
+// to fall back to those before the first request.
+const releaseTimeout = 3 * time.Second
 
-// play is one under way.
-type play struct {
+// run is a run in progress.
+type run struct {
 	Options
-	body     []byte // from which all bodies are cut
-	busy     []*atomic.Int64
-	services *services.Services
-	url      string
-	client   *http.Client
+	body       []byte          // all bodies are prefixes of it
+	inProgress []*atomic.Int64 // requests at each server
+	services   *services.Services
+	url        string
+	client     *http.Client
 
-	mu     sync.Mutex
-	ran    map[string]int // POSTs, by their number
-	told   map[string]int // their statuses
-	waited map[string]map[string]int
-	report Report
+	mu         sync.Mutex
+	executions map[string]int            // executions of POSTs, by request ID
+	statuses   map[string]int            // statuses of POSTs, by request ID; 0: no response
+	waited     map[string]map[string]int // observations by request and what it waited for
+	report     Report
 }
 
-// Run plays once and returns the account. An error is one of the play itself.
+// Run runs the test once and returns the report. An error means that the test could not be run.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	p := &play{Options: o.withDefaults(), ran: map[string]int{}, told: map[string]int{}, waited: map[string]map[string]int{}}
-	p.report.Other, p.report.RefusedFor = map[string]int{}, map[string]int{}
-	p.body = make([]byte, p.MostBody)
-	rng := rand.New(rand.NewPCG(p.Seed, 1))
-	for i := range p.body {
-		p.body[i] = byte(rng.Uint32())
-	}
-	if err := p.run(ctx); err != nil {
+	r := &run{Options: o.withDefaults(), executions: map[string]int{}, statuses: map[string]int{}, waited: map[string]map[string]int{}}
+	r.report.OtherFailures, r.report.RefusalWaits = map[string]int{}, map[string]int{}
+	r.body = make([]byte, r.MaxBody)
+	rng := rand.New(rand.NewPCG(r.Seed, 1))
+	for i := range r.body {
+		r.body[i] = byte(rng.Uint32())
+	}
+	if err := r.execute(ctx); err != nil {
 		return nil, err
 	}
-	p.judge()
-	return &p.report, nil
+	r.evaluate()
+	return &r.report, nil
 }
 
-func (p *play) run(ctx context.Context) error {
+// execute starts the servers and the services, sends the load during the reloads, and then waits until
+// goroutines and descriptors are released.
+func (r *run) execute(ctx context.Context) error {
 	var addrs []string
 	for i := range 2 {
-		p.busy = append(p.busy, &atomic.Int64{})
+		r.inProgress = append(r.inProgress, &atomic.Int64{})
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		srv := &http.Server{Handler: p.server(i), ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
+		srv := &http.Server{Handler: r.handler(i), ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 		served := make(chan struct{})
 		go func() { defer close(served); srv.Serve(ln) }()
 		defer func() { srv.Close(); <-served }()
@@ -139,87 +144,89 @@
 	}
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "quillfront.toml")
-	read := func(n, name int) (config.Operator, error) {
-		if err := os.WriteFile(path, []byte(p.file(addrs, n, name)), 0o600); err != nil {
+	load := func(n, name int) (config.Operator, error) {
+		if err := os.WriteFile(path, []byte(r.configText(addrs, n, name)), 0o600); err != nil {
 			return config.Operator{}, err
 		}
 		return config.LoadOperator(path)
 	}
-	op, err := read(0, 0)
+	op, err := load(0, 0)
 	if err != nil {
 		return err
 	}
-	budget := sockets.New(p.Descriptor)
-	if p.services, err = services.New(op.Services, op.Routes, 64<<20, budget, p.Log); err != nil {
+	budget := sockets.New(r.MaxDescriptors)
+	if r.services, err = services.New(op.Services, op.Routes, 64<<20, budget, r.Log); err != nil {
 		return err
 	}
-	defer p.services.Close()
-	budget.OnShortage(p.services.MakeRoom, p.services.Evict)
-	if err := p.services.Listen(); err != nil {
+	defer r.services.Close()
+	budget.OnShortage(r.services.MakeRoom, r.services.Evict)
+	if err := r.services.Listen(); err != nil {
 		return err
 	}
 	served := make(chan error, 1)
-	go func() { served <- p.services.Serve() }()
-	defer func() { p.services.Close(); <-served }()
-	p.url = "http://" + p.services.Addr("front")
-	tr := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: p.Clients}
+	go func() { served <- r.services.Serve() }()
+	defer func() { r.services.Close(); <-served }()
+	r.url = "http://" + r.services.Addr("front")
+	tr := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: r.Clients}
 	defer tr.CloseIdleConnections()
-	p.client = &http.Client{Transport: tr, Timeout: p.Deadline + 10*time.Second}
-	resp, err := p.client.Get(p.url + "/.ready") // which no server is asked: all that serves runs by now
+	r.client = &http.Client{Transport: tr, Timeout: r.Deadline + 10*time.Second}
+	resp, err := r.client.Get(r.url + "/.ready") // answered without a server, once the services run
 	if err != nil {
 		return err
 	}
 	resp.Body.Close()
 	tr.CloseIdleConnections()
-	r := &p.report
+	report := &r.report
+	// Wait until the numbers of goroutines and descriptors are stable.
 	for same := 0; same < 5; time.Sleep(10 * time.Millisecond) {
-		if now := [2]int{runtime.NumGoroutine(), descriptors()}; now[0] == r.Goroutines[0] && now[1] == r.Descriptors[0] {
+		if now := [2]int{runtime.NumGoroutine(), openDescriptors()}; now[0] == report.Goroutines[0] && now[1] == report.Descriptors[0] {
 			same++
 		} else {
-			same, r.Goroutines[0], r.Descriptors[0] = 0, now[0], now[1]
+			same, report.Goroutines[0], report.Descriptors[0] = 0, now[0], now[1]
 		}
 	}
-	if err := p.before(); err != nil {
+	if err := r.warmUp(); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, p.For)
+	ctx, cancel := context.WithTimeout(ctx, r.Duration)
 	defer cancel()
-	var work, watch sync.WaitGroup
+	var clients, sampler sync.WaitGroup
 	stop := make(chan struct{})
-	watch.Go(func() { p.watch(stop) })
-	for i := range p.Clients {
-		work.Go(func() { p.ask(ctx, i) })
+	sampler.Go(func() { r.sampleWaits(stop) })
+	for i := range r.Clients {
+		clients.Go(func() { r.sendRequests(ctx, i) })
 	}
-	err = p.reload(ctx, read)
+	err = r.reload(ctx, load)
 	cancel()
-	work.Wait()
+	clients.Wait()
 	close(stop)
-	watch.Wait()
+	sampler.Wait()
 	tr.CloseIdleConnections()
-	for until := time.Now().Add(settleTime); ; time.Sleep(20 * time.Millisecond) { // while the services run
-		r.Goroutines[1], r.Descriptors[1], r.Ended = runtime.NumGoroutine(), descriptors(), p.services.Ends()
-		if r.Goroutines[1] <= r.Goroutines[0] && r.Descriptors[1] <= r.Descriptors[0] || time.Now().After(until) {
+	for until := time.Now().Add(releaseTimeout); ; time.Sleep(20 * time.Millisecond) { // while the services run
+		report.Goroutines[1], report.Descriptors[1], report.PoolEnds = runtime.NumGoroutine(), openDescriptors(), r.services.Ends()
+		if report.Goroutines[1] <= report.Goroutines[0] && report.Descriptors[1] <= report.Descriptors[0] || time.Now().After(until) {
 			return err
 		}
 	}
 }
 
-// file is the operator's file of the n-th read.
-func (p *play) file(addrs []string, n, name int) string {
+// configText returns the operator's configuration file for the n-th load, with the name-th pool name.
+func (r *run) configText(addrs []string, n, name int) string {
 	pool := []string{"web", "web2"}[name%2]
 	timeout := ""
-	if p.Retime && n%2 == 1 {
-		timeout = fmt.Sprintf("timeout = %q\n", p.Deadline/2)
+	if r.ToggleTimeout && n%2 == 1 {
+		timeout = fmt.Sprintf("timeout = %q\n", r.Deadline/2)
 	}
 	return fmt.Sprintf("[[pools]]\nname = %q\nservers = [{addr = %q}, {addr = %q}]\nidle = \"1s\"\n[[pools.classes]]\nname = \"any\"\neffect = \"by-request\"\n"+
 		"aim = \"1s\"\ndeadline = %q\nlate_share = 0.5\n[[routes]]\nname = \"all\"\nclass = \"any\"\npool = %q\n%s[[http]]\nname = \"front\"\nlisten = \"127.0.0.1:0\"\nhealth = \"/.ready\"\n",
-		pool, addrs[0], addrs[1], p.Deadline, pool, timeout)
+		pool, addrs[0], addrs[1], r.Deadline, pool, timeout)
 }
 
-func (p *play) reload(ctx context.Context, read func(n, name int) (config.Operator, error)) error {
-	tick := time.NewTicker(p.Reload)
+// reload loads the file again at each interval until ctx ends.
+func (r *run) reload(ctx context.Context, load func(n, name int) (config.Operator, error)) error {
+	tick := time.NewTicker(r.ReloadInterval)
 	defer tick.Stop()
-	began := time.Now()
+	start := time.Now()
 	for n := 1; ; n++ {
 		select {
 		case <-ctx.Done():
@@ -227,40 +234,42 @@
 		case <-tick.C:
 		}
 		name := 0
-		if p.Rename > 0 {
-			name = int(time.Since(began) / p.Rename)
+		if r.RenameInterval > 0 {
+			name = int(time.Since(start) / r.RenameInterval)
 		}
-		op, err := read(n, name)
+		op, err := load(n, name)
 		if err != nil {
 			return err
 		}
-		if err := p.services.Check(op.Services, op.Routes); err != nil {
+		if err := r.services.Check(op.Services, op.Routes); err != nil {
 			return err
 		}
-		if _, err := p.services.Reload(op.Services, op.Routes); err != nil {
+		if _, err := r.services.Reload(op.Services, op.Routes); err != nil {
 			return err
 		}
-		p.report.Reloads, p.report.Renames = n, name
+		r.report.Reloads, r.report.Renames = n, name
 	}
 }
 
-// server answers at once: GET /g/ID/SIZE with so many bytes, POST /p/ID once its body has come, /s/STATUS with that, /cut by an answer that
-// breaks off, /long/SIZE with zeros.
-func (p *play) server(i int) http.Handler {
+// handler returns the handler of the i-th server. It responds at once: to GET /g/ID/SIZE with SIZE
+// bytes, to POST /p/ID after its body with the length of the body, to /s/STATUS with that status, to
+// /cut with a response that is cut off, to GET /long/SIZE with SIZE zeros, and to PUT /long after its
+// body.
+func (r *run) handler(i int) http.Handler {
 	mux := http.NewServeMux()
 	size := func(q *http.Request) int64 {
 		n, _ := strconv.ParseInt(q.PathValue("n"), 10, 64)
 		return n
 	}
-	mux.HandleFunc("GET /g/{id}/{n}", func(w http.ResponseWriter, q *http.Request) { w.Write(p.body[:size(q)]) })
+	mux.HandleFunc("GET /g/{id}/{n}", func(w http.ResponseWriter, q *http.Request) { w.Write(r.body[:size(q)]) })
 	mux.HandleFunc("POST /p/{id}", func(w http.ResponseWriter, q *http.Request) {
 		n, err := io.Copy(io.Discard, q.Body)
 		if err != nil {
 			return
 		}
-		p.mu.Lock()
-		p.ran[q.PathValue("id")]++
-		p.mu.Unlock()
+		r.mu.Lock()
+		r.executions[q.PathValue("id")]++
+		r.mu.Unlock()
 		fmt.Fprint(w, n)
 	})
 	mux.HandleFunc("/s/{n}", func(w http.ResponseWriter, q *http.Request) {
@@ -269,18 +278,19 @@
 	})
 	mux.HandleFunc("/cut", func(w http.ResponseWriter, q *http.Request) {
 		w.Header().Set("Content-Length", "100")
-		w.Write(p.body[:10])
+		w.Write(r.body[:10])
 		panic(http.ErrAbortHandler)
 	})
 	mux.HandleFunc("GET /long/{n}", func(w http.ResponseWriter, q *http.Request) { io.CopyN(w, zeros{}, size(q)) })
 	mux.HandleFunc("PUT /long", func(w http.ResponseWriter, q *http.Request) { io.Copy(io.Discard, q.Body) })
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		p.busy[i].Add(1)
-		defer p.busy[i].Add(-1)
+		r.inProgress[i].Add(1)
+		defer r.inProgress[i].Add(-1)
 		mux.ServeHTTP(w, q)
 	})
 }
 
+// zeros is an endless reader of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(b []byte) (int, error) {
@@ -288,41 +298,42 @@
 	return len(b), nil
 }
 
-// before has the first pool see what ordinary traffic brings: all statuses, broken answers, long bodies both ways.
-func (p *play) before() error {
-	for i := range p.Small {
+// warmUp sends the first pool what ordinary traffic contains: various statuses, responses that are cut
+// off, and long bodies in both directions.
+func (r *run) warmUp() error {
+	for i := range r.WarmupRequests {
 		method := []string{"GET", "POST", "PUT", "DELETE", "HEAD"}[i%5]
 		target := fmt.Sprintf("/s/%d", []int{200, 201, 204, 304, 400, 404, 500, 502, 503}[i%9])
 		if i%37 == 0 {
 			method, target = "GET", "/cut"
 		}
-		q, err := http.NewRequest(method, p.url+target, nil)
+		q, err := http.NewRequest(method, r.url+target, nil)
 		if err != nil {
 			return err
 		}
-		if resp, err := p.client.Do(q); err == nil {
+		if resp, err := r.client.Do(q); err == nil {
 			io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 		}
 	}
-	if p.Long <= 0 {
+	if r.LongBody <= 0 {
 		return nil
 	}
-	resp, err := p.client.Get(fmt.Sprintf("%s/long/%d", p.url, p.Long))
+	resp, err := r.client.Get(fmt.Sprintf("%s/long/%d", r.url, r.LongBody))
 	if err != nil {
 		return err
 	}
 	n, err := io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
-	if err != nil || n != p.Long {
-		return fmt.Errorf("the long answer: %d bytes, %w", n, err)
+	if err != nil || n != r.LongBody {
+		return fmt.Errorf("the long response: read %d bytes: %w", n, err)
 	}
-	q, err := http.NewRequest("PUT", p.url+"/long", io.LimitReader(zeros{}, p.Long))
+	q, err := http.NewRequest("PUT", r.url+"/long", io.LimitReader(zeros{}, r.LongBody))
 	if err != nil {
 		return err
 	}
-	q.ContentLength = p.Long
-	if resp, err = p.client.Do(q); err != nil {
+	q.ContentLength = r.LongBody
+	if resp, err = r.client.Do(q); err != nil {
 		return err
 	}
 	resp.Body.Close()
@@ -332,93 +343,94 @@
 	return nil
 }
 
-// ask sends one request after another until ctx ends.
-func (p *play) ask(ctx context.Context, client int) {
-	rng := rand.New(rand.NewPCG(p.Seed, uint64(client)+2))
+// sendRequests sends random requests one after another until ctx ends.
+func (r *run) sendRequests(ctx context.Context, client int) {
+	rng := rand.New(rand.NewPCG(r.Seed, uint64(client)+2))
 	for n := 0; ctx.Err() == nil; n++ {
-		size := rng.IntN(min(2<<10, p.MostBody))
+		size := rng.IntN(min(2<<10, r.MaxBody))
 		if rng.IntN(4) > 0 {
-			size = rng.IntN(p.MostBody)
+			size = rng.IntN(r.MaxBody)
 		}
 		id := fmt.Sprintf("%d-%d", client, n)
 		method, target, body := "GET", fmt.Sprintf("/g/%s/%d", id, size), []byte(nil)
 		if rng.IntN(2) == 0 {
-			method, target, body = "POST", "/p/"+id, p.body[:size]
+			method, target, body = "POST", "/p/"+id, r.body[:size]
 		}
-		p.one(method, target, id, body, size)
+		r.sendRequest(method, target, id, body, size)
 	}
 }
 
-// one sends a request and notes what became of it.
-func (p *play) one(method, target, id string, body []byte, size int) {
-	q, err := http.NewRequest(method, p.url+target, bytes.NewReader(body))
+// sendRequest sends a request and records its result.
+func (r *run) sendRequest(method, target, id string, body []byte, size int) {
+	q, err := http.NewRequest(method, r.url+target, bytes.NewReader(body))
 	if err != nil {
-		panic(err) // of the play's own
+		panic(err) // the method and the URL are built by this package
 	}
-	began := time.Now()
-	resp, err := p.client.Do(q)
-	after := time.Since(began)
-	status, what, spoilt := 0, "", false
+	start := time.Now()
+	resp, err := r.client.Do(q)
+	latency := time.Since(start)
+	status, failure, corrupted := 0, "", false
 	if err == nil {
 		status = resp.StatusCode
 		var got []byte
 		if got, err = io.ReadAll(resp.Body); status == http.StatusOK && err == nil {
-			want := p.body[:size]
+			want := r.body[:size]
 			if method == "POST" {
 				want = strconv.AppendInt(nil, int64(size), 10)
 			}
-			spoilt = !bytes.Equal(got, want)
+			corrupted = !bytes.Equal(got, want)
 		}
 		resp.Body.Close()
 	}
 	switch {
 	case err != nil:
-		what = cause(err)
+		failure = cause(err)
 	case status != http.StatusOK && status != http.StatusServiceUnavailable:
-		what = resp.Status
+		failure = resp.Status
 	}
 	key, idle := method+" "+target, false
-	for _, b := range p.busy {
-		idle = idle || b.Load() == 0
-	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	r := &p.report
-	r.Requests++
-	r.Slowest = max(r.Slowest, after)
+	for _, n := range r.inProgress {
+		idle = idle || n.Load() == 0
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	report := &r.report
+	report.Requests++
+	report.MaxLatency = max(report.MaxLatency, latency)
 	if method == "POST" {
-		p.told[id] = status
+		r.statuses[id] = status
 	}
 	switch {
-	case spoilt:
-		r.Spoilt++
-	case what != "":
-		r.Other[what]++
+	case corrupted:
+		report.Corrupted++
+	case failure != "":
+		report.OtherFailures[failure]++
 	case status == http.StatusServiceUnavailable:
-		r.Refused++
+		report.Refused++
 		if idle {
-			r.Idle++
+			report.RefusedWhileIdle++
 		}
-		if len(p.waited[key]) == 0 {
-			r.RefusedFor["nothing that was seen"]++
+		if len(r.waited[key]) == 0 {
+			report.RefusalWaits["nothing was observed"]++
 		}
-		for why := range p.waited[key] {
-			r.RefusedFor[why]++
+		for wait := range r.waited[key] {
+			report.RefusalWaits[wait]++
 		}
 	default:
-		r.Served++
+		report.Served++
 	}
-	if after > p.LateAfter {
-		l := Late{What: key, After: after, Status: status}
-		for why, n := range p.waited[key] {
-			l.For = append(l.For, fmt.Sprintf("%s (seen %d times)", why, n))
+	if latency > r.LateThreshold {
+		l := LateRequest{Request: key, Latency: latency, Status: status}
+		for wait, n := range r.waited[key] {
+			l.WaitedFor = append(l.WaitedFor, fmt.Sprintf("%s (seen %d times)", wait, n))
 		}
-		r.Late = append(r.Late, l)
+		report.Late = append(report.Late, l)
 	}
-	delete(p.waited, key)
+	delete(r.waited, key)
 }
 
-// cause is what ended an exchange, without what differs from one to the next.
+// cause returns the cause of a failed request without the addresses and ports, so that equal causes are
+// counted together.
 func cause(err error) string {
 	var op *net.OpError
 	if errors.As(err, &op) {
@@ -431,12 +443,13 @@
 	return text
 }
 
-// lookEvery is how often requests are asked what they wait for, and how long they have waited then at least.
-const lookEvery = 100 * time.Millisecond
+// watchInterval is how often waiting requests are sampled, and how long a request must have waited to
+// be sampled.
+const watchInterval = 100 * time.Millisecond
 
-// watch asks what requests wait for, so that one that comes late can be told by it.
-func (p *play) watch(stop <-chan struct{}) {
-	tick := time.NewTicker(lookEvery)
+// sampleWaits records what requests wait for, so that the report can explain late requests.
+func (r *run) sampleWaits(stop <-chan struct{}) {
+	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -444,58 +457,58 @@
 			return
 		case <-tick.C:
 		}
-		for _, w := range p.services.Waiting(lookEvery) {
-			p.mu.Lock()
-			m := p.waited[w.Description]
+		for _, w := range r.services.Waiting(watchInterval) {
+			r.mu.Lock()
+			m := r.waited[w.Description]
 			if m == nil {
 				m = map[string]int{}
-				p.waited[w.Description] = m
+				r.waited[w.Description] = m
 			}
 			m[w.String()]++
-			p.mu.Unlock()
+			r.mu.Unlock()
 		}
 	}
 }
 
-// judge says what must not be.
-func (p *play) judge() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	r := &p.report
-	for id, n := range p.ran {
+// evaluate counts the inconsistent results and records the violated requirements.
+func (r *run) evaluate() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	report := &r.report
+	for id, n := range r.executions {
 		if n > 1 {
-			r.Twice++
+			report.Duplicated++
 		}
-		if p.told[id] == http.StatusServiceUnavailable {
-			r.Denied++
+		if r.statuses[id] == http.StatusServiceUnavailable {
+			report.RefusedButRan++
 		}
 	}
-	for id, status := range p.told {
-		if status == http.StatusOK && p.ran[id] == 0 {
-			r.Lost++
+	for id, status := range r.statuses {
+		if status == http.StatusOK && r.executions[id] == 0 {
+			report.Lost++
 		}
 	}
-	others := 0
-	for _, n := range r.Other {
-		others += n
+	failures := 0
+	for _, n := range report.OtherFailures {
+		failures += n
 	}
 	for _, v := range []struct {
 		n    int
 		what string
 	}{
-		{len(r.Late), "heads came late"}, {r.Idle, "requests were refused while a server was idle"}, {others, "requests failed"},
-		{r.Spoilt, "answers were not what their server sent"}, {r.Twice, "POSTs ran twice"}, {r.Lost, "POSTs were lost"},
-		{r.Denied, "POSTs ran though their clients were told that nothing did"},
-		{max(0, r.Goroutines[1]-r.Goroutines[0]), "goroutines are left"}, {max(0, r.Descriptors[1]-r.Descriptors[0]), "descriptors are left"},
+		{len(report.Late), "response heads came late"}, {report.RefusedWhileIdle, "requests were refused while a server was idle"}, {failures, "requests failed"},
+		{report.Corrupted, "responses differ from what their server sent"}, {report.Duplicated, "POSTs were executed more than once"}, {report.Lost, "POSTs were lost"},
+		{report.RefusedButRan, "POSTs were executed although their clients received 503"},
+		{max(0, report.Goroutines[1]-report.Goroutines[0]), "goroutines are left"}, {max(0, report.Descriptors[1]-report.Descriptors[0]), "descriptors are left"},
 	} {
 		if v.n > 0 {
-			r.Broken = append(r.Broken, fmt.Sprintf("%d %s", v.n, v.what))
+			report.Violations = append(report.Violations, fmt.Sprintf("%d %s", v.n, v.what))
 		}
 	}
 }
 
-// descriptors is how many this process has open.
-func descriptors() int {
+// openDescriptors returns the number of open descriptors of this process.
+func openDescriptors() int {
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return 0
@@ -503,22 +516,22 @@
 	return len(entries)
 }
 
-// String is the account in words.
+// String returns the report as text.
 func (r *Report) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d requests, %d served, %d refused (%d beside an idle server), %d reloads, %d names; slowest head %v; goroutines %d to %d, descriptors %d to %d; ends %+v\n",
-		r.Requests, r.Served, r.Refused, r.Idle, r.Reloads, r.Renames+1, r.Slowest.Round(time.Millisecond), r.Goroutines[0], r.Goroutines[1], r.Descriptors[0], r.Descriptors[1], r.Ended)
-	for why, n := range r.RefusedFor {
-		fmt.Fprintf(&b, "  refused, %d: %s\n", n, why)
+	fmt.Fprintf(&b, "%d requests, %d served, %d refused (%d while a server was idle), %d reloads, %d pool names; slowest response head %v; goroutines %d to %d, descriptors %d to %d; ends %+v\n",
+		r.Requests, r.Served, r.Refused, r.RefusedWhileIdle, r.Reloads, r.Renames+1, r.MaxLatency.Round(time.Millisecond), r.Goroutines[0], r.Goroutines[1], r.Descriptors[0], r.Descriptors[1], r.PoolEnds)
+	for wait, n := range r.RefusalWaits {
+		fmt.Fprintf(&b, "  refused, %d: %s\n", n, wait)
 	}
-	for what, n := range r.Other {
-		fmt.Fprintf(&b, "  %d: %s\n", n, what)
+	for failure, n := range r.OtherFailures {
+		fmt.Fprintf(&b, "  %d: %s\n", n, failure)
 	}
 	for _, l := range r.Late {
-		fmt.Fprintf(&b, "  late: %s, %d after %v: %s\n", l.What, l.Status, l.After.Round(time.Millisecond), strings.Join(l.For, "; "))
+		fmt.Fprintf(&b, "  late: %s, %d after %v: %s\n", l.Request, l.Status, l.Latency.Round(time.Millisecond), strings.Join(l.WaitedFor, "; "))
 	}
-	for _, v := range r.Broken {
-		fmt.Fprintf(&b, "  must not be: %s\n", v)
+	for _, v := range r.Violations {
+		fmt.Fprintf(&b, "  violated: %s\n", v)
 	}
 	return b.String()
 }
