--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -186,7 +186,8 @@
 		v.ln = ln
 	}
 	for _, v := range s.services {
-		s.log.Info("service is listening", "kind", v.kind, "name", v.name, "at", v.ln.Addr().String(), "pool", v.poolName)
+		// Trials, CI and the tests of the command parse this line.
+		s.log.Info("service", "kind", v.kind, "name", v.name, "at", v.ln.Addr().String(), "pool", v.poolName)
 	}
 	return nil
 }
