--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,5 @@
-// Package config reads what the platform tells one sidecar at its start and at a reload.
+// Package config reads the configuration of a process, at its start and on a reload: the JSON file
+// of the platform and the TOML file of the operator.
 package config
 
 import (
@@ -17,63 +18,67 @@
 	"quillfront/reconfig"
 )
 
-// Config is what one sidecar is told at its start.
+// Config is the configuration that the platform gives to one sidecar.
 type Config struct {
 	Name      string
 	Listen    string // where clients connect
 	Discovery string // address of discovery
-	// Management is where operators connect; empty: nowhere.
+	// Management is the listen address of the operators' HTTP API; empty disables it.
 	Management string
-	// PeerListen is where datagrams of other sidecars come, and Peers where they are reached, in the order of their numbers. Whether any may
-	// be sent is in Settings.
+	// PeerListen is where this sidecar receives datagrams of the others. Peers has the addresses of
+	// all sidecars, in the order of their ordinals. Settings.Peers allows sending any.
 	PeerListen string
 	Peers      []string
-	AcceptFD   int    // the clients' listening socket, inherited; 0: there is none
-	Shared     string // a directory that is this sidecar's, whichever process it runs in; empty: there is none
+	AcceptFD   int    // inherited listening socket for clients; 0 for none
+	SharedDir  string // shared by successive processes of this sidecar; empty for none
 	Seed       uint64
-	MemoryMB   int          // the sidecar is killed over it
+	MemoryMB   int          // the platform kills the sidecar above it
 	Sockets    int          // descriptors that the process may hold
-	Known      *engine.List // the list as it was last known
+	CachedList *engine.List // the last list that the platform knew; nil for none
 	Settings   settings.Settings
-	Text       []byte // what it was read from
-	named      struct{ memory, sockets, seed bool }
+	Raw        []byte // the JSON that it was parsed from
+	// explicit reports which keys the JSON sets that the operator's file also has.
+	explicit struct{ memory, sockets, seed bool }
 }
 
-// The limits taken where the configuration gives none, and the least that a sidecar can work with.
+// The default limits, and the lowest ones that a sidecar can run with.
 const (
-	usualMemoryMB = 128
-	usualSockets  = 1024
-	LeastMemoryMB = 24 // scored days give 32 and more; the runtime and a full table of connections take about 16
-	LeastSockets  = 64
+	defaultMemoryMB = 128
+	defaultSockets  = 1024
+	// MinMemoryMB is above the 16 MB or so that the runtime and a full connection table take.
+	// Scored runs give 32 MB and more.
+	MinMemoryMB = 24
+	MinSockets  = 64
 )
 
-// Reload is Load for a process that runs by running: it also turns away a file that lacks a key which that one has, but for
-// what only a start needs.
+// Reload is Load for a process that is running with the configuration running. It also rejects a
+// file that lacks a key which the running configuration has, except those needed only at a start.
 func Reload(getenv func(string) string, running Config) (Config, error) {
 	c, err := Load(getenv)
 	if err != nil {
 		return Config{}, err
 	}
-	var was map[string]json.RawMessage
-	if err := json.Unmarshal(running.Text, &was); err != nil {
+	var previous map[string]json.RawMessage
+	if err := json.Unmarshal(running.Raw, &previous); err != nil {
 		return Config{}, err
 	}
 	for _, key := range []string{"seed", "known", "peers", "peers_all", "peer_listen"} {
-		delete(was, key)
+		delete(previous, key)
 	}
-	before, err := json.Marshal(was)
+	before, err := json.Marshal(previous)
 	if err != nil {
 		return Config{}, err
 	}
-	if err := reconfig.CheckComplete(before, c.Text); err != nil {
+	if err := reconfig.CheckComplete(before, c.Raw); err != nil {
 		return Config{}, fmt.Errorf("GW_CONFIG: %w", err)
 	}
 	return c, nil
 }
 
-// Load reads the file that GW_CONFIG names; GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_MANAGEMENT stand in for what it lacks. The
-// file has precedence, as it can be replaced while the program runs and its environment cannot: after a restart the
-// environment may still name a discovery that has moved. An error names the variable or the key at fault.
+// Load reads the file that GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_MANAGEMENT
+// supply the values that the file leaves out. The file has precedence because it can be replaced
+// while the program runs and the environment cannot: after a restart the environment may still have
+// the previous address of discovery. An error names the variable or key at fault.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
@@ -86,8 +91,8 @@
 	c, err := Parse(text)
 	if err != nil {
 		var syntax *json.SyntaxError
-		var kind *json.UnmarshalTypeError
-		if errors.As(err, &syntax) || errors.As(err, &kind) {
+		var mismatch *json.UnmarshalTypeError
+		if errors.As(err, &syntax) || errors.As(err, &mismatch) {
 			return Config{}, fmt.Errorf("GW_CONFIG %s: %w", path, err)
 		}
 		return Config{}, err
@@ -103,7 +108,7 @@
 		return Config{}, err
 	}
 	if dir := getenv("TMPDIR"); dir != "" && (c.Management != "" || c.AcceptFD != 0) {
-		c.Shared = filepath.Join(dir, "quillfront-"+url.PathEscape(c.Name))
+		c.SharedDir = filepath.Join(dir, "quillfront-"+url.PathEscape(c.Name))
 	}
 	switch {
 	case c.Listen == "":
@@ -114,20 +119,20 @@
 	return c, nil
 }
 
-// acceptFD reads the number of an inherited descriptor.
+// acceptFD parses the number of an inherited descriptor.
 func acceptFD(text string) (int, error) {
 	if text == "" {
 		return 0, nil
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 3 {
-		return 0, fmt.Errorf("GW_ACCEPT_FD is %q, no number of an inherited descriptor", text)
+		return 0, fmt.Errorf("GW_ACCEPT_FD is %q, not the number of an inherited descriptor", text)
 	}
 	return n, nil
 }
 
-// Parse reads the text of a configuration. Where it listens and where discovery is may be missing: that is for the host
-// to judge. An error names the key at fault.
+// Parse parses the JSON of a configuration. The addresses of the listener and of discovery may be
+// missing; callers that need them check. An error names the key at fault.
 func Parse(text []byte) (Config, error) {
 	var file struct {
 		Name       string `json:"name"`
@@ -148,10 +153,10 @@
 		return Config{}, err
 	}
 	c := Config{
-		Text: text, Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Management: file.Management,
-		PeerListen: file.PeerListen, Peers: file.Peers, MemoryMB: usualMemoryMB, Sockets: usualSockets,
+		Raw: text, Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Management: file.Management,
+		PeerListen: file.PeerListen, Peers: file.Peers, MemoryMB: defaultMemoryMB, Sockets: defaultSockets,
 	}
-	c.named.memory, c.named.sockets, c.named.seed = file.Limits.MemoryMB != 0, file.Limits.Sockets != 0, file.Seed != ""
+	c.explicit.memory, c.explicit.sockets, c.explicit.seed = file.Limits.MemoryMB != 0, file.Limits.Sockets != 0, file.Seed != ""
 	if file.Limits.MemoryMB != 0 {
 		c.MemoryMB = int(min(file.Limits.MemoryMB, math.MaxInt32))
 	}
@@ -159,10 +164,10 @@
 		c.Sockets = file.Limits.Sockets
 	}
 	switch {
-	case c.MemoryMB < LeastMemoryMB:
-		return Config{}, fmt.Errorf("limits.memory_mb is %d, below %d", c.MemoryMB, LeastMemoryMB)
-	case c.Sockets < LeastSockets:
-		return Config{}, fmt.Errorf("limits.sockets is %d, below %d", c.Sockets, LeastSockets)
+	case c.MemoryMB < MinMemoryMB:
+		return Config{}, fmt.Errorf("limits.memory_mb is %d, below %d", c.MemoryMB, MinMemoryMB)
+	case c.Sockets < MinSockets:
+		return Config{}, fmt.Errorf("limits.sockets is %d, below %d", c.Sockets, MinSockets)
 	case len(file.Settings) == 0:
 		return Config{}, errors.New("settings is not set")
 	}
@@ -178,7 +183,7 @@
 		if err != nil {
 			return Config{}, fmt.Errorf("known: %w", err)
 		}
-		c.Known = &known
+		c.CachedList = &known
 	}
 	s, err := settings.Parse(file.Settings)
 	if err != nil {
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -7,17 +7,18 @@
 	"strconv"
 )
 
-// Process is what the operator's file says of the process itself. What the platform tells, by GW_CONFIG or in the environment, has
-// precedence.
+// Process is the table [process] of the operator's file. Values of the platform, from the file that
+// GW_CONFIG names or from the environment, have precedence.
 type Process struct {
 	Name       string
-	Management string // where operators connect; empty: nowhere
+	Management string // listen address of the operators' HTTP API; empty disables it
 	MemoryMB   int    // 0: 128
 	Sockets    int    // descriptors; 0: 1,024
-	Seed       string // 16 hexadecimal digits; empty: drawn
-	Cores      int    // threads that run Go code; 0: as many as there are, or 1 beside the platform
+	Seed       string // up to 16 hexadecimal digits; empty: random
+	Cores      int    // GOMAXPROCS; 0: all cores, or 1 with a platform
 }
 
+// processTable is the table [process]. Its fields must match those of Process for the conversion.
 type processTable struct {
 	Name       string `toml:"name"`
 	Management string `toml:"management"`
@@ -27,23 +28,24 @@
 	Cores      int    `toml:"cores"`
 }
 
-// Log is how the log is written.
+// Log is the table [log] of the operator's file.
 type Log struct {
 	Level slog.Level
 	JSON  bool
-	Rate  int // lines a second in the long run
+	Rate  int // sustained rate, in lines a second
 }
 
+// logTable is the table [log].
 type logTable struct {
 	Level  string `toml:"level"`
 	Format string `toml:"format"`
 	Rate   int    `toml:"rate"`
 }
 
-// usualLogRate bounds the log where there is no disk, as its lines are kept in memory there.
-const usualLogRate = 5
+// defaultLogRate limits the growth of the log on systems without a disk, which keep it in memory.
+const defaultLogRate = 5
 
-// log reads the table, and fills its defaults in.
+// log converts the table, and sets the defaults in it.
 func (t *logTable) log() (l Log, err error) {
 	if t.Level == "" {
 		t.Level = "info"
@@ -52,11 +54,11 @@
 		t.Format = "text"
 	}
 	if t.Rate == 0 {
-		t.Rate = usualLogRate
+		t.Rate = defaultLogRate
 	}
 	l.Rate = t.Rate
 	if err := l.Level.UnmarshalText([]byte(t.Level)); err != nil {
-		return l, fmt.Errorf("[log]: level: %q is none of debug, info, warn and error", t.Level)
+		return l, fmt.Errorf("[log]: level: %q is not one of debug, info, warn and error", t.Level)
 	}
 	switch t.Format {
 	case "text":
@@ -71,16 +73,16 @@
 	return l, nil
 }
 
-// process reads the table, and fills its defaults in.
+// process converts the table, and sets the defaults in it.
 func (t *processTable) process() (Process, error) {
 	if t.Name == "" {
 		t.Name = "quillfront"
 	}
 	if t.MemoryMB == 0 {
-		t.MemoryMB = usualMemoryMB
+		t.MemoryMB = defaultMemoryMB
 	}
 	if t.Sockets == 0 {
-		t.Sockets = usualSockets
+		t.Sockets = defaultSockets
 	}
 	p := Process(*t)
 	if err := p.check(); err != nil {
@@ -91,59 +93,60 @@
 
 func (p *Process) check() error {
 	switch _, err := strconv.ParseUint(p.Seed, 16, 64); {
-	case p.MemoryMB < LeastMemoryMB:
-		return fmt.Errorf("memory_mb: %d is below %d", p.MemoryMB, LeastMemoryMB)
-	case p.Sockets < LeastSockets:
-		return fmt.Errorf("sockets: %d is below %d", p.Sockets, LeastSockets)
+	case p.MemoryMB < MinMemoryMB:
+		return fmt.Errorf("memory_mb: %d is below %d", p.MemoryMB, MinMemoryMB)
+	case p.Sockets < MinSockets:
+		return fmt.Errorf("sockets: %d is below %d", p.Sockets, MinSockets)
 	case p.Cores < 0:
 		return fmt.Errorf("cores: %d is negative", p.Cores)
 	case p.Seed != "" && err != nil:
-		return fmt.Errorf("seed: %q is no number of up to 16 hexadecimal digits", p.Seed)
+		return fmt.Errorf("seed: %q is not a number of up to 16 hexadecimal digits", p.Seed)
 	}
 	return nil
 }
 
-// Fill takes from the operator's file what the platform has not told.
-func (c *Config) Fill(p Process) {
+// ApplyProcess sets, from the operator's file, the values that the platform leaves out.
+func (c *Config) ApplyProcess(p Process) {
 	if c.Name == "" {
 		c.Name = p.Name
 	}
 	if c.Management == "" {
 		c.Management = p.Management
 	}
-	if !c.named.memory && p.MemoryMB != 0 {
+	if !c.explicit.memory && p.MemoryMB != 0 {
 		c.MemoryMB = p.MemoryMB
 	}
-	if !c.named.sockets && p.Sockets != 0 {
+	if !c.explicit.sockets && p.Sockets != 0 {
 		c.Sockets = p.Sockets
 	}
-	if !c.named.seed && p.Seed != "" {
+	if !c.explicit.seed && p.Seed != "" {
 		c.Seed, _ = strconv.ParseUint(p.Seed, 16, 64)
 	}
 }
 
-// Own is what a process runs by that the platform has not started: the operator's file alone, but for what the environment names. It has
-// no Listen, no Discovery and no Settings.
-func Own(getenv func(string) string, o *Operator) (Config, error) {
+// Standalone returns the configuration of a process that is not started by the platform: that of
+// the operator's file, with GW_NAME and GW_MANAGEMENT of the environment taking precedence. It has
+// no Listen, Discovery or Settings.
+func Standalone(getenv func(string) string, o *Operator) (Config, error) {
 	for _, name := range []string{"GW_LISTEN", "GW_DISCOVERY", "GW_ACCEPT_FD"} {
 		if getenv(name) != "" {
-			return Config{}, fmt.Errorf("%s is set and GW_CONFIG is not: it speaks of a start by the platform", name)
+			return Config{}, fmt.Errorf("%s is set and GW_CONFIG is not: the variable is only for processes that the platform starts", name)
 		}
 	}
 	if len(o.HTTP)+len(o.Streams)+len(o.MySQL) == 0 {
 		return Config{}, errors.New("nothing is to be served: GW_CONFIG is not set, and the operator's file has no [[http]], [[streams]] or [[mysql]]")
 	}
-	if o.Members != nil && o.Members.Platform {
-		return Config{}, errors.New("[members] platform: there is no platform, as GW_CONFIG is not set")
+	if o.Members != nil && o.Members.UsePlatformAddresses {
+		return Config{}, errors.New("[members] platform: it requires a platform, and GW_CONFIG is not set")
 	}
 	if o.Store != nil || o.Sites != nil {
-		return Config{}, errors.New("[store] and [sites] are for the platform's front, and GW_CONFIG is not set")
+		return Config{}, errors.New("[store] and [sites] apply only to a sidecar of the platform, and GW_CONFIG is not set")
 	}
 	c := Config{Name: getenv("GW_NAME"), Management: getenv("GW_MANAGEMENT")}
 	p := o.Process
-	if p.MemoryMB == 0 { // the table is not there
+	if p.MemoryMB == 0 { // there is no table [process]
 		p, _ = (&processTable{}).process()
 	}
-	c.Fill(p)
+	c.ApplyProcess(p)
 	return c, nil
 }
--- a/internal/daemon/site_reload_test.go
+++ b/internal/daemon/site_reload_test.go
@@ -14,8 +14,9 @@
 	"quillfront/sites"
 )
 
-// siteSidecar returns a sidecar that watches sites by cfg, with two servers at each of a and b, and has seen a fail.
-func siteSidecar(t *testing.T, cfg *sites.Config) *Sidecar {
+// newSiteSidecar returns a sidecar that monitors sites as configured by cfg, with two servers at
+// each of the sites a and b.
+func newSiteSidecar(t *testing.T, cfg *sites.Config) *Sidecar {
 	t.Helper()
 	known := engine.List{Seq: 1, Full: true}
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
@@ -35,7 +36,8 @@
 	return s
 }
 
-func views(s *Sidecar) string {
+// siteStates returns the sites of s with their states.
+func siteStates(s *Sidecar) string {
 	var all []string
 	for _, v := range s.engine.Snapshot().Sites {
 		all = append(all, v.Site+" "+v.State.String())
@@ -43,63 +45,64 @@
 	return strings.Join(all, ", ")
 }
 
-// TestReloadOfSites: SIGHUP takes over how sites are watched with what is known of them, turns the watch off and on, and changes
-// nothing where the new settings cannot be used.
-func TestReloadOfSites(t *testing.T) {
-	s := siteSidecar(t, &sites.Config{Hold: time.Hour})
+// TestReloadSites checks that a reload changes the monitoring of sites without losing their states,
+// turns it off and on, and changes nothing if the new settings are invalid.
+func TestReloadSites(t *testing.T) {
+	s := newSiteSidecar(t, &sites.Config{Hold: time.Hour})
 	s.engine.RestoreSites(sites.Learned{Sites: []sites.LearnedSite{{Site: "a", State: sites.Down, RecoveryTime: time.Minute, EffectiveServers: 2}}})
-	if got := views(s); got != "a dark, b healthy" {
+	if got := siteStates(s); got != "a dark, b healthy" {
 		t.Fatal(got)
 	}
 	reload := func(c *sites.Config) error { return s.Reload(s.Config(), config.Operator{Sites: c}) }
-	if err := reload(&sites.Config{Hold: time.Hour, Prefer: []string{"b"}}); err != nil || views(s) != "b healthy, a dark" {
-		t.Errorf("%v, %s", err, views(s))
+	if err := reload(&sites.Config{Hold: time.Hour, Prefer: []string{"b"}}); err != nil || siteStates(s) != "b healthy, a dark" {
+		t.Errorf("%v, %s", err, siteStates(s))
 	}
-	if err := reload(&sites.Config{Spill: -1}); err == nil || !strings.Contains(err.Error(), "[sites]: spill") || views(s) != "b healthy, a dark" {
-		t.Errorf("%v, %s", err, views(s))
+	if err := reload(&sites.Config{Spill: -1}); err == nil || !strings.Contains(err.Error(), "[sites]: spill") || siteStates(s) != "b healthy, a dark" {
+		t.Errorf("%v, %s", err, siteStates(s))
 	}
-	if err := reload(nil); err != nil || views(s) != "" {
-		t.Errorf("off: %v, %s", err, views(s))
+	if err := reload(nil); err != nil || siteStates(s) != "" {
+		t.Errorf("off: %v, %s", err, siteStates(s))
 	}
-	if err := reload(&sites.Config{}); err != nil || views(s) != "a healthy, b healthy" {
-		t.Errorf("on again: %v, %s", err, views(s))
+	if err := reload(&sites.Config{}); err != nil || siteStates(s) != "a healthy, b healthy" {
+		t.Errorf("on again: %v, %s", err, siteStates(s))
 	}
 }
 
-// TestHandoverOfSites: what one process leaves of its sites the next begins with, and a note of a version that knew of none does no
-// harm.
+// TestHandoverOfSites checks that a process starts with the site states that its predecessor saved,
+// and that the saved state of a version without sites does no harm.
 func TestHandoverOfSites(t *testing.T) {
-	s := siteSidecar(t, &sites.Config{})
+	s := newSiteSidecar(t, &sites.Config{})
 	s.engine.RestoreSites(sites.Learned{RequestRate: 40, Sites: []sites.LearnedSite{{Site: "a", State: sites.Down, RecoveryTime: time.Minute, EffectiveServers: 2}}})
 	l, _ := s.engine.Learned()
-	text, err := json.Marshal(note{l, s.engine.SiteMemory()})
+	text, err := json.Marshal(learnedState{l, s.engine.SiteMemory()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := siteSidecar(t, &sites.Config{})
-	var n note
+	successor := newSiteSidecar(t, &sites.Config{})
+	var n learnedState
 	if err := json.Unmarshal(text, &n); err != nil {
 		t.Fatal(err)
 	}
-	next.engine.RestoreSites(n.Sites)
-	if got := views(next); got != "a dark, b healthy" {
+	successor.engine.RestoreSites(n.Sites)
+	if got := siteStates(successor); got != "a dark, b healthy" {
 		t.Error(got)
 	}
 	old, err := json.Marshal(l)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n = note{}
+	n = learnedState{}
 	if err := json.Unmarshal(old, &n); err != nil {
 		t.Fatal(err)
 	}
-	next.engine.Learn(n.Policy)
-	next.engine.RestoreSites(n.Sites)
-	if got := views(next); got != "a dark, b healthy" {
-		t.Errorf("after an old note: %s", got)
+	successor.engine.Learn(n.Policy)
+	successor.engine.RestoreSites(n.Sites)
+	if got := siteStates(successor); got != "a dark, b healthy" {
+		t.Errorf("after loading the state of an old version: %s", got)
 	}
-	siteSidecar(t, nil).engine.RestoreSites(sites.Learned{RequestRate: 1}) // where none are watched
+	// Restoring has no effect without monitoring of sites.
+	newSiteSidecar(t, nil).engine.RestoreSites(sites.Learned{RequestRate: 1})
 	if s, err := New(s.Config(), config.Operator{Sites: &sites.Config{Spill: -1}}, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "[sites]: spill") {
-		t.Errorf("settings that cannot be used: %v, %v", s, err)
+		t.Errorf("invalid settings: %v, %v", s, err)
 	}
 }
--- a/internal/reloadtest/run.go
+++ b/internal/reloadtest/run.go
@@ -72,18 +72,18 @@
 	Reloads, Renames int
 	MaxLatency       time.Duration // until a response head
 	Late             []LateRequest
-	Refused          int            // requests with status 503
-	RefusedWhileIdle int            // those of Refused that ended while a server was idle
-	RefusalWaits     map[string]int // what refused requests were observed waiting for
-	OtherFailures    map[string]int // other failed requests, by status or cause
-	Corrupted        int            // responses that differ from what the server sent
-	Duplicated       int            // POSTs that were executed more than once
-	Lost             int            // POSTs with status 200 that were never executed
-	RefusedButRan    int            // POSTs that were executed although 503 says that they were not
-	PoolEnds         services.Ends  // how removed pools ended their requests
-	Goroutines       [2]int         // before and after, while the services run
-	Descriptors      [2]int         // likewise
-	Violations       []string       // violated requirements
+	Refused          int                      // requests with status 503
+	RefusedWhileIdle int                      // those of Refused that ended while a server was idle
+	RefusalWaits     map[string]int           // what refused requests were observed waiting for
+	OtherFailures    map[string]int           // other failed requests, by status or cause
+	Corrupted        int                      // responses that differ from what the server sent
+	Duplicated       int                      // POSTs that were executed more than once
+	Lost             int                      // POSTs with status 200 that were never executed
+	RefusedButRan    int                      // POSTs that were executed although 503 says that they were not
+	PoolEnds         services.RetirementStats // how removed pools ended their requests
+	Goroutines       [2]int                   // before and after, while the services run
+	Descriptors      [2]int                   // likewise
+	Violations       []string                 // violated requirements
 }
 
 // releaseTimeout is how long after the last request the numbers of goroutines and descriptors may take
@@ -159,7 +159,7 @@
 		return err
 	}
 	defer r.services.Close()
-	budget.OnShortage(r.services.MakeRoom, r.services.Evict)
+	budget.OnShortage(r.services.EvictIdle, r.services.EvictClient)
 	if err := r.services.Listen(); err != nil {
 		return err
 	}
@@ -203,7 +203,7 @@
 	sampler.Wait()
 	tr.CloseIdleConnections()
 	for until := time.Now().Add(releaseTimeout); ; time.Sleep(20 * time.Millisecond) { // while the services run
-		report.Goroutines[1], report.Descriptors[1], report.PoolEnds = runtime.NumGoroutine(), openDescriptors(), r.services.Ends()
+		report.Goroutines[1], report.Descriptors[1], report.PoolEnds = runtime.NumGoroutine(), openDescriptors(), r.services.RetirementStats()
 		if report.Goroutines[1] <= report.Goroutines[0] && report.Descriptors[1] <= report.Descriptors[0] || time.Now().After(until) {
 			return err
 		}
@@ -457,7 +457,7 @@
 			return
 		case <-tick.C:
 		}
-		for _, w := range r.services.Waiting(watchInterval) {
+		for _, w := range r.services.PendingRequests(watchInterval) {
 			r.mu.Lock()
 			m := r.waited[w.Description]
 			if m == nil {
--- a/pools.go
+++ b/pools.go
@@ -42,7 +42,7 @@
 // select. Its methods are safe for concurrent use.
 type Pools struct {
 	path string
-	web  *services.Web
+	web  *services.HTTPPools
 
 	closeOnce sync.Once
 }
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	// All descriptors are for servers, as there are no client connections.
-	w, err := services.OpenWeb(op.Services, op.Routes, poolsBodyBudget, sockets.NewForServers(connections), o.log)
+	w, err := services.OpenHTTPPools(op.Services, op.Routes, poolsBodyBudget, sockets.NewForServers(connections), o.log)
 	if err != nil {
 		return nil, fmt.Errorf("quillfront: %w", err)
 	}
