--- a/internal/reloadtest/run.go
+++ b/internal/reloadtest/run.go
@@ -1,8 +1,8 @@
-// Package reloadtest tests reloads of routes and pools under load: ordinary HTTP clients send requests
-// to servers that respond at once, while the configuration file is reloaded many times a second and
-// renames its pool from time to time. The report says what each late request waited for, whether
-// requests were refused while a server was idle, and whether requests were lost or executed twice, or
-// goroutines or descriptors leaked.
+// Package reloadtest tests reloads of routes and pools under load: ordinary HTTP clients send
+// requests to servers that respond at once, while the configuration file is reloaded many times a
+// second and renames its pool from time to time. The report says what each late request waited for,
+// whether requests were refused while a server was idle, and whether requests were lost or executed
+// twice, or goroutines or descriptors leaked.
 package reloadtest
 
 import (
@@ -39,7 +39,7 @@
 	ReloadInterval time.Duration // between two reloads of the file; 50 ms
 	RenameInterval time.Duration // between two renames of the pool; 1 s; negative: no renames
 	ToggleTimeout  bool          // the route has its own timeout after every other reload
-	WarmupRequests int           // requests with various statuses before the load, some of whose responses are cut off
+	WarmupRequests int           // before the load, with various statuses and cut responses
 	LongBody       int64         // bytes of one response and one PUT before the load; 0: none
 	Deadline       time.Duration // of a request; 20 s
 	LateThreshold  time.Duration // a response head after more than this is late; 1 s
@@ -79,15 +79,15 @@
 	Corrupted        int                      // responses that differ from what the server sent
 	Duplicated       int                      // POSTs that were executed more than once
 	Lost             int                      // POSTs with status 200 that were never executed
-	RefusedButRan    int                      // POSTs that were executed although 503 says that they were not
+	RefusedButRan    int                      // POSTs with status 503 that were executed
 	PoolEnds         services.RetirementStats // how removed pools ended their requests
 	Goroutines       [2]int                   // before and after, while the services run
 	Descriptors      [2]int                   // likewise
 	Violations       []string                 // violated requirements
 }
 
-// releaseTimeout is how long after the last request the numbers of goroutines and descriptors may take
-// to fall back to those before the first request.
+// releaseTimeout is how long after the last request the numbers of goroutines and descriptors may
+// take to fall back to those before the first request.
 const releaseTimeout = 3 * time.Second
 
 // run is a run in progress.
@@ -122,8 +122,8 @@
 	return &r.report, nil
 }
 
-// execute starts the servers and the services, sends the load during the reloads, and then waits until
-// goroutines and descriptors are released.
+// execute starts the servers and the services, sends the load during the reloads, and then waits
+// until goroutines and descriptors are released.
 func (r *run) execute(ctx context.Context) error {
 	var addrs []string
 	for i := range 2 {
@@ -202,7 +202,8 @@
 	close(stop)
 	sampler.Wait()
 	tr.CloseIdleConnections()
-	for until := time.Now().Add(releaseTimeout); ; time.Sleep(20 * time.Millisecond) { // while the services run
+	// The services still run, as they did when the numbers before the load were taken.
+	for until := time.Now().Add(releaseTimeout); ; time.Sleep(20 * time.Millisecond) {
 		report.Goroutines[1], report.Descriptors[1], report.PoolEnds = runtime.NumGoroutine(), openDescriptors(), r.services.RetirementStats()
 		if report.Goroutines[1] <= report.Goroutines[0] && report.Descriptors[1] <= report.Descriptors[0] || time.Now().After(until) {
 			return err
@@ -210,7 +211,8 @@
 	}
 }
 
-// configText returns the operator's configuration file for the n-th load, with the name-th pool name.
+// configText returns the operator's configuration file for the n-th load, with the name-th pool
+// name.
 func (r *run) configText(addrs []string, n, name int) string {
 	pool := []string{"web", "web2"}[name%2]
 	timeout := ""
@@ -252,9 +254,9 @@
 }
 
 // handler returns the handler of the i-th server. It responds at once: to GET /g/ID/SIZE with SIZE
-// bytes, to POST /p/ID after its body with the length of the body, to /s/STATUS with that status, to
-// /cut with a response that is cut off, to GET /long/SIZE with SIZE zeros, and to PUT /long after its
-// body.
+// bytes, to POST /p/ID after its body with the length of the body, to /s/STATUS with that status,
+// to /cut with a response that is cut off, to GET /long/SIZE with SIZE zeros, and to PUT /long
+// after its body.
 func (r *run) handler(i int) http.Handler {
 	mux := http.NewServeMux()
 	size := func(q *http.Request) int64 {
@@ -298,8 +300,8 @@
 	return len(b), nil
 }
 
-// warmUp sends the first pool what ordinary traffic contains: various statuses, responses that are cut
-// off, and long bodies in both directions.
+// warmUp sends the first pool what ordinary traffic contains: various statuses, responses that are
+// cut off, and long bodies in both directions.
 func (r *run) warmUp() error {
 	for i := range r.WarmupRequests {
 		method := []string{"GET", "POST", "PUT", "DELETE", "HEAD"}[i%5]
@@ -429,8 +431,8 @@
 	delete(r.waited, key)
 }
 
-// cause returns the cause of a failed request without the addresses and ports, so that equal causes are
-// counted together.
+// cause returns the cause of a failed request without the addresses and ports, so that equal causes
+// are counted together.
 func cause(err error) string {
 	var op *net.OpError
 	if errors.As(err, &op) {
@@ -443,8 +445,8 @@
 	return text
 }
 
-// watchInterval is how often waiting requests are sampled, and how long a request must have waited to
-// be sampled.
+// watchInterval is how often waiting requests are sampled, and how long a request must have waited
+// to be sampled.
 const watchInterval = 100 * time.Millisecond
 
 // sampleWaits records what requests wait for, so that the report can explain late requests.
--- a/internal/reloadtest/run_test.go
+++ b/internal/reloadtest/run_test.go
@@ -17,8 +17,8 @@
 	long  = flag.Int64("long", 1<<30, "bytes of the long bodies before each long run")
 )
 
-// TestLong repeats the test with the defaults of Options and long bodies, as the flags say. It runs by
-// hand: go test ./internal/reloadtest -run Long -plays 20 -timeout 30m.
+// TestLong repeats the test with the defaults of Options and long bodies, as the flags say. It runs
+// by hand: go test ./internal/reloadtest -run Long -plays 20 -timeout 30m.
 func TestLong(t *testing.T) {
 	if *plays == 0 {
 		t.Skip("runs by hand only: set -plays N")
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -20,12 +20,12 @@
 // heartbeatInterval is how often a watch sends an empty line while the list does not change.
 const heartbeatInterval = 2 * time.Second
 
-// maxHistory is how many changes are kept for watches that resume. A watch that asks for older changes
-// gets the complete list.
+// maxHistory is how many changes are kept for watches that resume. A watch that asks for older
+// changes gets the complete list.
 const maxHistory = 1000
 
-// Discovery is a stand-in for the platform's discovery service. It publishes each change after a lag.
-// While it is down it responds with 503, and its watches end.
+// Discovery is a stand-in for the platform's discovery service. It publishes each change after a
+// lag. While it is down it responds with 503, and its watches end.
 type Discovery struct {
 	srv *http.Server
 	ln  net.Listener
--- a/internal/standin/dns.go
+++ b/internal/standin/dns.go
@@ -56,8 +56,8 @@
 // Addr returns the address on which the name server listens.
 func (d *DNS) Addr() string { return d.tcp.Addr().String() }
 
-// SetRecords replaces the records of a name, which must be in lower case, and a type, which may be CNAME.
-// Without bodies, the name exists but has no records of the type.
+// SetRecords replaces the records of a name, which must be in lower case, and a type, which may be
+// CNAME. Without bodies, the name exists but has no records of the type.
 func (d *DNS) SetRecords(name string, t dnsmessage.Type, ttl uint32, bodies ...dnsmessage.ResourceBody) {
 	q := dnsmessage.Question{Name: dnsmessage.MustNewName(name), Type: t, Class: dnsmessage.ClassINET}
 	var records []dnsmessage.Resource
@@ -69,8 +69,8 @@
 	d.zone[q] = records
 }
 
-// SetFaults makes the server respond with rcode, truncate its UDP responses, or precede each of them
-// with a spoofed one that has a wrong ID.
+// SetFaults makes the server respond with rcode, truncate its UDP responses, or precede each of
+// them with a spoofed one that has a wrong ID.
 func (d *DNS) SetFaults(rcode dnsmessage.RCode, truncate, spoof bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -22,7 +22,7 @@
 	servers      []*Server
 	lastSeed     uint64
 	executed     map[string]*execution // by class and key, at most maxRemembered
-	reached      map[string][]string   // the servers that received a request, by X-Request-ID, at most maxRemembered
+	reached      map[string][]string   // servers that received a request, by X-Request-ID; likewise
 	deduplicated int                   // repeats that were recognized and not executed again
 }
 
@@ -82,8 +82,8 @@
 	f.Discovery.Update(entryOf(s, policy.Draining), func() { s.drainListed(time.Now()) })
 }
 
-// ListDraining lists a server as draining although it still serves all requests. A request after the
-// grace period is then counted as late rather than rejected.
+// ListDraining lists a server as draining although it still serves all requests. A request after
+// the grace period is then counted as late rather than rejected.
 func (f *Fleet) ListDraining(s *Server) {
 	f.Discovery.Update(entryOf(s, policy.Draining), func() { s.drainListed(time.Now()) })
 }
@@ -121,15 +121,16 @@
 	}
 }
 
-// ServersReached returns the IDs of the servers that have received the request with an X-Request-ID, in
-// order.
+// ServersReached returns the IDs of the servers that have received the request with an
+// X-Request-ID, in order.
 func (f *Fleet) ServersReached(id string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.reached[id])
 }
 
-// recordExecution records that s has executed q, unless the group of its class still remembers the key.
+// recordExecution records that s has executed q, unless the group of its class still remembers the
+// key.
 func (f *Fleet) recordExecution(s *Server, q *http.Request, now time.Time) {
 	name, key := requestKey(q)
 	c := f.classes[name]
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -1,10 +1,10 @@
-// Package standin provides stand-ins for the surroundings of a balancer, for tests: HTTP servers with a
-// number of cores, a queue, a cold start, drains, load reports and injected faults (Server), a fleet of
-// them that deduplicates requests by idempotency key (Fleet), a discovery service that lists them, lags
-// and can go down (Discovery), a name server (DNS), and an engine transport without a network
-// (Transport). All of them listen on loopback addresses only and draw random numbers from a seed. They
-// count what the four rules of the balancer restrict: repeated executions, requests to draining servers
-// and overloads of cold servers.
+// Package standin provides stand-ins for the surroundings of a balancer, for tests: HTTP servers
+// with a number of cores, a queue, a cold start, drains, load reports and injected faults (Server),
+// a fleet of them that deduplicates requests by idempotency key (Fleet), a discovery service that
+// lists them, lags and can go down (Discovery), a name server (DNS), and an engine transport
+// without a network (Transport). All of them listen on loopback addresses only and draw random
+// numbers from a seed. They count what the four rules of the balancer restrict: repeated
+// executions, requests to draining servers and overloads of cold servers.
 package standin
 
 import (
@@ -53,7 +53,7 @@
 	Cold               bool          // the server has just started
 	ColdCapacity       float64       // fraction of the full capacity at the start; 0.31
 	Ramp               time.Duration // until the full capacity is reached; 8.6 s
-	ColdOverloadFactor float64       // work above this multiple of the capacity within a second overloads it; 2.5
+	ColdOverloadFactor float64       // work per second, over capacity, that overloads it; 2.5
 
 	// Script, if set, returns the fault of the nth request (from 0), in place of the random faults.
 	Script func(n int, q *http.Request) Fault
@@ -106,8 +106,8 @@
 	Overloaded                    bool
 }
 
-// drainGrace is how long a sidecar may still send to a server after discovery has published its drain:
-// 2 s, plus 50 ms for delays of the sockets.
+// drainGrace is how long a sidecar may still send to a server after discovery has published its
+// drain: 2 s, plus 50 ms for delays of the sockets.
 const drainGrace = 2*time.Second + 50*time.Millisecond
 
 func startServer(cfg ServerConfig, f *Fleet, seed uint64) (*Server, error) {
@@ -175,7 +175,8 @@
 	}
 }
 
-// close ends the server as if its process were killed: its connections are closed and new ones refused.
+// close ends the server as if its process were killed: its connections are closed and new ones
+// refused.
 func (s *Server) close() {
 	select {
 	case <-s.closed:
@@ -246,7 +247,8 @@
 	w.Write(body)
 }
 
-// admit records a request and returns its random fault, whether it is rejected, and its service time.
+// admit records a request and returns its random fault, whether it is rejected, and its service
+// time.
 func (s *Server) admit(q *http.Request) (fault Fault, reject bool, work time.Duration) {
 	now := time.Now()
 	work = s.cfg.ServiceTime
@@ -279,8 +281,8 @@
 }
 
 // checkOverload marks a cold server as overloaded if the work that it received in the last second
-// exceeds its capacity by the factor ColdOverloadFactor. The work of three more requests, each as long
-// as the longest, is tolerated as random variation.
+// exceeds its capacity by the factor ColdOverloadFactor. The work of three more requests, each as
+// long as the longest, is tolerated as random variation.
 func (s *Server) checkOverload(now time.Time, work time.Duration) {
 	if s.startedAt.IsZero() || now.Sub(s.startedAt) > s.cfg.Ramp {
 		s.recentWork = nil
@@ -312,8 +314,8 @@
 	return s.cfg.ColdCapacity + (1-s.cfg.ColdCapacity)*float64(now.Sub(s.startedAt))/float64(s.cfg.Ramp)
 }
 
-// execute waits for a core and occupies it for the service time, even if the client has disconnected.
-// It reports false if the server was closed.
+// execute waits for a core and occupies it for the service time, even if the client has
+// disconnected. It reports false if the server was closed.
 func (s *Server) execute(d time.Duration) bool {
 	s.inProgress.Add(1)
 	defer s.inProgress.Add(-1)
@@ -358,7 +360,8 @@
 	io.WriteString(w, text)
 }
 
-// requestKey returns the class of a request and its Idempotency-Key, or its X-Request-ID if it has none.
+// requestKey returns the class of a request and its Idempotency-Key, or its X-Request-ID if it has
+// none.
 func requestKey(q *http.Request) (class, key string) {
 	class, _, _ = strings.Cut(strings.TrimPrefix(q.URL.Path, "/"), "/")
 	if key = q.Header.Get("Idempotency-Key"); key == "" {
@@ -367,8 +370,8 @@
 	return class, key
 }
 
-// SendRequest sends a request directly to a server, as a sidecar does that has not learned of its drain.
-// Tests use it to check that late requests are counted.
+// SendRequest sends a request directly to a server, as a sidecar does that has not learned of its
+// drain. Tests use it to check that late requests are counted.
 func SendRequest(s *Server) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	if resp, err := client.Get("http://" + s.Addr() + "/poke"); err == nil {
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -116,14 +116,14 @@
 	}
 }
 
-// TestFullQueueRejects checks that a server with busy cores and a full queue rejects requests, that it
-// reports its queue to a probe, and that it goes on with requests whose clients have left.
+// TestFullQueueRejects checks that a server with busy cores and a full queue rejects requests, that
+// it reports its queue to a probe, and that it goes on with requests whose clients have left.
 func TestFullQueueRejects(t *testing.T) {
 	f := newFleet(t, 0)
 	s := startTestServer(t, f, ServerConfig{ID: "a", Cores: 1, QueueSize: 2, ServiceTime: time.Minute})
 	var wg sync.WaitGroup
 	for range 3 {
-		wg.Go(func() { post(s, "read", "k") }) // returns when the client times out; the server goes on
+		wg.Go(func() { post(s, "read", "k") }) // until the client times out; the server goes on
 	}
 	for end := time.Now().Add(waitTimeout); s.inProgress.Load() < 3 || s.queued.Load() < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -179,8 +179,8 @@
 	return q
 }
 
-// TestDiscovery checks that a watch receives changes in order and after the lag, that one that resumes
-// receives what it missed, and that watches end and requests fail while discovery is down.
+// TestDiscovery checks that a watch receives changes in order and after the lag, that one that
+// resumes receives what it missed, and that watches end and requests fail while discovery is down.
 func TestDiscovery(t *testing.T) {
 	f := newFleet(t, 0)
 	s := startTestServer(t, f, ServerConfig{ID: "a", Zone: "z", Cell: 3})
@@ -245,8 +245,8 @@
 	<-ended
 }
 
-// TestLateSends checks that only requests that a server receives more than 2 s, plus 50 ms for delays,
-// after discovery has published its drain count as late.
+// TestLateSends checks that only requests that a server receives more than 2 s, plus 50 ms for
+// delays, after discovery has published its drain count as late.
 func TestLateSends(t *testing.T) {
 	f := newFleet(t, 0)
 	s := startTestServer(t, f, ServerConfig{ID: "a"})
--- a/internal/standin/transport.go
+++ b/internal/standin/transport.go
@@ -10,11 +10,11 @@
 	"quillfront/policy"
 )
 
-// Transport is an engine.Transport without a network: Result decides how its attempts end. It works in
-// real time and in a testing/synctest bubble.
+// Transport is an engine.Transport without a network: Result decides how its attempts end. It works
+// in real time and in a testing/synctest bubble.
 type Transport struct {
-	// Result returns the result of the n-th attempt, from 1. Nil: each attempt succeeds at once, with n
-	// as its reply.
+	// Result returns the result of the n-th attempt, from 1. Nil: each attempt succeeds at once,
+	// with n as its reply.
 	Result func(n int, a *engine.Attempt, to engine.Endpoint) engine.AttemptResult
 
 	mu   sync.Mutex
@@ -55,8 +55,8 @@
 // CloseIdle implements engine.Transport. There are no connections to close.
 func (*Transport) CloseIdle(engine.Endpoint) {}
 
-// WaitUnlessCanceled waits until the attempt is canceled, d has passed or open is closed, and reports
-// whether the attempt is still wanted. If d is 0, there is no time limit.
+// WaitUnlessCanceled waits until the attempt is canceled, d has passed or open is closed, and
+// reports whether the attempt is still wanted. If d is 0, there is no time limit.
 func WaitUnlessCanceled(a *engine.Attempt, d time.Duration, open <-chan struct{}) (wanted bool) {
 	ctx := context.Background()
 	if d > 0 {
--- a/internal/trial/evaluate.go
+++ b/internal/trial/evaluate.go
@@ -16,8 +16,8 @@
 	return s.to
 }
 
-// groundTruth records the faults that the runner caused, by which verdicts are checked. Its times are
-// those of the runner's clock.
+// groundTruth records the faults that the runner caused, by which verdicts are checked. Its times
+// are those of the runner's clock.
 type groundTruth struct {
 	silence time.Duration
 	dead    map[string][]span // by process name
@@ -30,8 +30,8 @@
 	span
 }
 
-// verdictDelay is how long after a fault a verdict may still be a consequence of it. An investigation
-// of a silent member can take this long when all processes are slow.
+// verdictDelay is how long after a fault a verdict may still be a consequence of it. An
+// investigation of a silent member can take this long when all processes are slow.
 const verdictDelay = 20 * time.Second
 
 func openSpan(m map[string][]span, name string, at time.Time) {
@@ -81,7 +81,8 @@
 	return false
 }
 
-// Detection is how long the others took to declare a process gone that was killed and not restarted.
+// Detection is how long the others took to declare a process gone that was killed and not
+// restarted.
 type Detection struct {
 	Process string `json:"of"`
 	FirstMs int64  `json:"first_ms"` // until the first verdict; negative if there was none
@@ -99,7 +100,7 @@
 type Report struct {
 	Processes     int            `json:"processes"`
 	Seed          uint64         `json:"seed"`
-	JoinedMs      int64          `json:"joined_ms"` // from the start of the processes until all know each other
+	JoinedMs      int64          `json:"joined_ms"` // from the start until all know each other
 	Detections    []Detection    `json:"detections"`
 	Recoveries    []Recovery     `json:"healings"`
 	Verdicts      int            `json:"verdicts"` // declarations that a member is gone
@@ -113,7 +114,7 @@
 	CPUMax        float64        `json:"cpu_most"`
 	StalledMs     int64          `json:"stalled_ms"` // longest stall of the runner itself
 	Trusted       bool           `json:"trusted"`    // the runner did not stall for too long
-	Failures      []string       `json:"broken"`     // violated requirements; the trial has passed if empty
+	Failures      []string       `json:"broken"`     // violated requirements; empty if it passed
 	Lines         []string       `json:"lines,omitempty"`
 }
 
--- a/internal/trial/forge.go
+++ b/internal/trial/forge.go
@@ -11,8 +11,8 @@
 	"quillfront/members"
 )
 
-// forger writes valid datagrams of the members protocol without belonging to the cluster. The protocol
-// does not authenticate its datagrams, so anyone who knows the format can do so.
+// forger writes valid datagrams of the members protocol without belonging to the cluster. The
+// protocol does not authenticate its datagrams, so anyone who knows the format can do so.
 type forger struct {
 	cluster uint32
 	name    string // of the impersonated member
@@ -27,8 +27,8 @@
 	return binary.BigEndian.AppendUint32(b, inc)
 }
 
-// forgePing returns a ping with false claims about a member: that it is gone, that it has a very high
-// incarnation, and that a process of a later epoch has its name at an unreachable address.
+// forgePing returns a ping with false claims about a member: that it is gone, that it has a very
+// high incarnation, and that a process of a later epoch has its name at an unreachable address.
 func (f *forger) forgePing(name string, epoch uint64, inc uint32) []byte {
 	id := uint64(members.IDOf(name))
 	b := []byte{'q', 1, 1, 0}
--- a/internal/trial/plan.go
+++ b/internal/trial/plan.go
@@ -21,9 +21,10 @@
 
 // Plan describes a trial. Times count from the moment when all processes know each other.
 type Plan struct {
-	Processes int      `toml:"processes"`
-	Seed      uint64   `toml:"seed"`
-	Length    Duration `toml:"for"`
+	Processes int    `toml:"processes"`
+	Seed      uint64 `toml:"seed"`
+	// Length is how long the trial lasts. The default is 5 s after the end of the last fault.
+	Length Duration `toml:"for"`
 	// JoinTimeout is how long the processes may take to agree on the membership, at the start and
 	// after all faults have ended.
 	JoinTimeout Duration `toml:"settle"`
@@ -43,8 +44,8 @@
 	// processes is drawn by the seed instead.
 	Targets  []int   `toml:"who"`
 	Fraction float64 `toml:"part"`
-	// The fields below describe faults of links, from Targets to To, or to all others if To is empty.
-	// BothWays affects the reverse direction too, ReverseOnly the reverse direction alone.
+	// The fields below describe faults of links, from Targets to To, or to all others if To is
+	// empty. BothWays affects the reverse direction too, ReverseOnly the reverse direction alone.
 	To          []int    `toml:"to"`
 	BothWays    bool     `toml:"back"`
 	ReverseOnly bool     `toml:"only_back"`
@@ -67,7 +68,7 @@
 	KindKill         = "kill"  // SIGKILL, then a restart at the end if Length is set
 	KindTerminate    = "term"  // SIGTERM, then a restart at the end if Length is set
 	KindSlow         = "slow"  // SIGSTOP for nine tenths of each Interval
-	KindNameConflict = "twin"  // a second process takes the same name and stays; the first is killed at the end
+	KindNameConflict = "twin"  // a second process takes the name; the first is killed at the end
 	KindForge        = "lies"  // forged datagrams claim, among other things, that members are gone
 	KindFlood        = "flood" // Rate datagrams per second to Targets; 10,000 if Rate is 0
 )
--- a/internal/trial/process.go
+++ b/internal/trial/process.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// readLog reads the log of the process to its end and returns the last line. It closes ready when the
-// process is ready, and passes on each member event.
+// readLog reads the log of the process to its end and returns the last line. It closes ready when
+// the process is ready, and passes on each member event.
 func (p *process) readLog(log io.Reader, ready chan struct{}) (last string) {
 	lines := bufio.NewScanner(log)
 	for lines.Scan() {
@@ -158,8 +158,8 @@
 	return last
 }
 
-// signal sends a signal to the process if it was ever started. After any signal other than SIGSTOP and
-// SIGCONT, its end does not count as a crash.
+// signal sends a signal to the process if it was ever started. After any signal other than SIGSTOP
+// and SIGCONT, its end does not count as a crash.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/trial/relay.go
+++ b/internal/trial/relay.go
@@ -21,7 +21,7 @@
 	Corrupt   float64       // fraction of datagrams in which a byte is changed
 	Delay     time.Duration // of each datagram
 	Jitter    time.Duration // random extra delay up to this, which reorders datagrams
-	Rate      int           // bytes per second, 0: unlimited; a datagram that would wait for over a second is dropped
+	Rate      int           // bytes per second, 0: unlimited; see maxQueueDelay
 }
 
 // merge returns a link that has the impairments of both.
@@ -37,13 +37,15 @@
 }
 
 const (
-	maxDatagram   = 2048
-	maxQueueDelay = time.Second // at a link with a limited rate
+	maxDatagram = 2048
+	// maxQueueDelay is how long a datagram may wait at a link with a limited rate before it is
+	// dropped.
+	maxQueueDelay = time.Second
 )
 
 // network relays the datagrams between all processes. Each process is reached through the relay in
-// front of it, which knows the sender by its IP address and forwards from an address that represents
-// that sender.
+// front of it, which knows the sender by its IP address and forwards from an address that
+// represents that sender.
 type network struct {
 	mu        sync.Mutex
 	rng       *rand.Rand
@@ -58,8 +60,8 @@
 	wg       sync.WaitGroup
 }
 
-// newNetwork opens relays at advertise for processes at listen. The relays forward from the addresses
-// in outbound, one per sender.
+// newNetwork opens relays at advertise for processes at listen. The relays forward from the
+// addresses in outbound, one per sender.
 func newNetwork(listen, advertise, outbound []netip.AddrPort, seed uint64) (*network, error) {
 	n := &network{rng: rand.New(rand.NewPCG(seed, 3)), links: map[[2]int]Link{}, busyUntil: map[[2]int]time.Time{}, listen: listen, sentBytes: make([]int, len(listen))}
 	for i := range listen {
@@ -169,9 +171,9 @@
 	}
 }
 
-// TCPRelay relays TCP connections from one process to an address of another. Of the impairments of the
-// link it applies Cut, Delay and Rate. During a cut, data waits instead of being lost, as TCP would
-// send it again.
+// TCPRelay relays TCP connections from one process to an address of another. Of the impairments of
+// the link it applies Cut, Delay and Rate. During a cut, data waits instead of being lost, as TCP
+// would send it again.
 type TCPRelay struct {
 	net      *network
 	from, to int
@@ -227,7 +229,8 @@
 	}
 }
 
-// copy forwards one direction piece by piece, each with the impairments that its link has at the time.
+// copy forwards one direction piece by piece, each with the impairments that its link has at the
+// time.
 func (r *TCPRelay) copy(dst, src net.Conn, from, to int) {
 	defer dst.(*net.TCPConn).CloseWrite()
 	buf := make([]byte, 16<<10)
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -27,7 +27,7 @@
 	port            = 7946
 	cluster         = "trial"
 	pollInterval    = 100 * time.Millisecond
-	maxStall        = 500 * time.Millisecond // of the runner; above it, its timings cannot be trusted
+	maxStall        = 500 * time.Millisecond // of the runner; above it, timings cannot be trusted
 	maxAddressTries = 20                     // to find a free range of addresses
 	forgeRate       = 100                    // datagrams per second and target
 	floodRate       = 10_000                 // likewise; the default of Fault.Rate
@@ -175,8 +175,8 @@
 	}
 }
 
-// NewTCPRelay opens a TCP relay from one process to target, an address of another, that is subject to
-// the faults of the link between them.
+// NewTCPRelay opens a TCP relay from one process to target, an address of another, that is subject
+// to the faults of the link between them.
 func (r *Runner) NewTCPRelay(from, to int, target string) (*TCPRelay, error) {
 	return r.network.newTCPRelay(from, to, target)
 }
@@ -287,8 +287,8 @@
 	return nil
 }
 
-// waitConverged waits until the processes agree on the membership, and returns the milliseconds that
-// have passed since then, or -1 if they do not agree within the plan's JoinTimeout.
+// waitConverged waits until the processes agree on the membership, and returns the milliseconds
+// that have passed since then, or -1 if they do not agree within the plan's JoinTimeout.
 func (r *Runner) waitConverged(ctx context.Context, since time.Time) int64 {
 	for start := time.Now(); time.Since(start) < time.Duration(r.plan.JoinTimeout) && ctx.Err() == nil; time.Sleep(pollInterval) {
 		if r.converged(ctx) {
@@ -513,8 +513,8 @@
 	})
 }
 
-// sendForged sends forged datagrams in the name of the first process: to the targets, or for KindForge
-// to all processes if the fault names none.
+// sendForged sends forged datagrams in the name of the first process: to the targets, or for
+// KindForge to all processes if the fault names none.
 func (r *Runner) sendForged(ctx context.Context, f *Fault) {
 	v, err := r.processes[0].view(ctx, r.client)
 	if err != nil {
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -14,8 +14,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestEvaluate checks that justified verdicts are told from false ones, and that a killed process that
-// no process declares gone, a failed recovery and a crash are reported as failures.
+// TestEvaluate checks that justified verdicts are told from false ones, and that a killed process
+// that no process declares gone, a failed recovery and a crash are reported as failures.
 func TestEvaluate(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(1_000_000+int64(s), 0) }
 	index := map[string]int{"p0": 0, "p1": 1, "p2": 2, "p3": 3}
@@ -133,7 +133,8 @@
 		t.Errorf("received %d of 400, %d of them intact", received, intact)
 	}
 	n.setLinks(map[[2]int]Link{{0, 1}: {Rate: 1300}})
-	if received, _ := send(0, 1, 200); received < 100 || received > 160 { // one second of traffic; what would wait for longer is dropped
+	// The link carries one second of traffic. What would wait for longer is dropped.
+	if received, _ := send(0, 1, 200); received < 100 || received > 160 {
 		t.Errorf("received %d datagrams through a slow link", received)
 	}
 
