--- a/cmd/quillfront/config.go
+++ b/cmd/quillfront/config.go
@@ -75,9 +75,9 @@
 	}
 	for _, m := range o.MySQL {
 		who := fmt.Sprintf("%d users", len(m.Users))
-		if m.Auth == proxy.Pass {
+		if m.Auth == proxy.AuthPassThrough {
 			who = "whom servers let in"
 		}
-		fmt.Fprintf(w, "mysql %s: at %s, for %s, to pool %s as %s\n", m.Name, m.Listen, who, m.Pool, m.Default)
+		fmt.Fprintf(w, "mysql %s: at %s, for %s, to pool %s as %s\n", m.Name, m.Listen, who, m.Pool, m.DefaultClass)
 	}
 }
--- a/internal/config/services.go
+++ b/internal/config/services.go
@@ -302,10 +302,10 @@
 // service reads the table and the files that it names. The error names the key.
 func (t *mysqlTable) service(pools []pool.Config, dir string) (proxy.Config, error) {
 	c := proxy.Config{
-		Name: t.Name, Listen: t.Listen, Pool: t.Pool, Plugin: t.Plugin, Default: t.Class, Hints: t.Hints, MostStatement: t.Statement, Memory: t.Memory,
-		Stall: time.Duration(t.Stall), Idle: time.Duration(t.Idle), Login: time.Duration(t.Login), Hold: time.Duration(t.Hold),
-		Drain: time.Duration(t.Drain), Patience: time.Duration(t.Patience), IdlePool: t.IdlePool, PerServer: t.PerServer, LoadQuery: t.LoadQuery,
-		Guests: connlimit.Limits{Total: t.Most, PerAddress: t.PerAddress, PerUser: t.PerUser},
+		Name: t.Name, Listen: t.Listen, Pool: t.Pool, Plugin: t.Plugin, DefaultClass: t.Class, Hints: t.Hints, MaxStatementSize: t.Statement, StatementMemory: t.Memory,
+		StallTimeout: time.Duration(t.Stall), IdleTimeout: time.Duration(t.Idle), LoginTimeout: time.Duration(t.Login), HoldTimeout: time.Duration(t.Hold),
+		DrainTimeout: time.Duration(t.Drain), ShutdownTimeout: time.Duration(t.Patience), MaxIdlePerServer: t.IdlePool, MaxConnsPerServer: t.PerServer, LoadQuery: t.LoadQuery,
+		ConnLimits: connlimit.Limits{Total: t.Most, PerAddress: t.PerAddress, PerUser: t.PerUser},
 	}
 	s := Services{Pools: pools}
 	p := s.Pool(t.Pool)
@@ -319,7 +319,7 @@
 	switch t.Auth {
 	case "users":
 	case "pass":
-		c.Auth = proxy.Pass
+		c.Auth = proxy.AuthPassThrough
 	default:
 		return c, fmt.Errorf("auth: %q is neither \"users\" nor \"pass\"", t.Auth)
 	}
@@ -390,7 +390,7 @@
 	}
 	var users []proxy.User
 	for _, u := range f.Users {
-		user := proxy.User{Name: u.Name, Schemas: u.Schemas, Salted: u.Salted}
+		user := proxy.User{Name: u.Name, Schemas: u.Schemas, SaltedHash: u.Salted}
 		wrong := func(key string, err error) error { return fmt.Errorf("%s: %q: %s: %w", path, u.Name, key, err) }
 		hashes := u.Native != "" || u.SHA2 != ""
 		switch {
--- a/internal/config/services_test.go
+++ b/internal/config/services_test.go
@@ -25,7 +25,7 @@
 		t.Errorf("%+v", s)
 	}
 	m := o.MySQL[0]
-	if m.Auth != proxy.Users || m.Account.User != "sidecar" || len(m.Users) != 1 || m.Users[0].Schemas[1] != "orders" || m.Rules[0].Class != "delivery-order" {
+	if m.Auth != proxy.AuthUsers || m.Account.User != "sidecar" || len(m.Users) != 1 || m.Users[0].Schemas[1] != "orders" || m.Rules[0].Class != "delivery-order" {
 		t.Errorf("%+v", m)
 	}
 	if k, ok := o.Pools[1].Class("delivery-order"); !ok || !k.ByRequest || k.Worth != 10 {
--- a/internal/config/show.go
+++ b/internal/config/show.go
@@ -95,9 +95,9 @@
 			return err
 		}
 		c = c.WithDefaults()
-		t.Plugin, t.Statement, t.Memory, t.IdlePool = c.Plugin, c.MostStatement, c.Memory, c.IdlePool
-		t.Stall, t.Idle, t.Login, t.Hold = duration(c.Stall), duration(c.Idle), duration(c.Login), duration(c.Hold)
-		t.Drain, t.Patience = duration(c.Drain), duration(c.Patience)
+		t.Plugin, t.Statement, t.Memory, t.IdlePool = c.Plugin, c.MaxStatementSize, c.StatementMemory, c.MaxIdlePerServer
+		t.Stall, t.Idle, t.Login, t.Hold = duration(c.StallTimeout), duration(c.IdleTimeout), duration(c.LoginTimeout), duration(c.HoldTimeout)
+		t.Drain, t.Patience = duration(c.DrainTimeout), duration(c.ShutdownTimeout)
 	}
 	for i := range f.Routes {
 		f.Routes[i].fill()
--- a/internal/mysql/proxy/basic_test.go
+++ b/internal/mysql/proxy/basic_test.go
@@ -89,7 +89,7 @@
 	register(t, roots)
 	for _, secure := range []bool{false, true} {
 		for _, plugin := range []string{wire.Native, wire.SHA2} {
-			for _, auth := range []Auth{Users, Pass} {
+			for _, auth := range []Auth{AuthUsers, AuthPassThrough} {
 				for _, dsn := range []string{"", "interpolateParams=true", "clientFoundRows=true&multiStatements=true"} {
 					t.Run(fmt.Sprint(secure, plugin, auth, dsn), func(t *testing.T) {
 						t.Parallel()
@@ -117,11 +117,11 @@
 
 // TestWrongPassword: who cannot prove a password is not let in, whether there is such a user or not, and nothing is asked of a server.
 func TestWrongPassword(t *testing.T) {
-	salted, err := Salt("secret", []byte("gravel"), 100)
+	salted, err := HashPassword("secret", []byte("gravel"), 100)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, u := range []User{{Name: "app", Password: wire.Keep("secret")}, {Name: "app", Salted: salted}} {
+	for _, u := range []User{{Name: "app", Password: wire.Keep("secret")}, {Name: "app", SaltedHash: salted}} {
 		w := open(t, options{proxy: Config{Users: []User{u}}})
 		for _, c := range [][2]string{{"app", "wrong"}, {"app", ""}, {"nobody", "secret"}, {"nobody", ""}} {
 			if err := connect(t, w.addr, c[0], c[1], "").Ping(); code(err) != 1045 {
@@ -157,7 +157,7 @@
 		t.Errorf("%d connections for 100 sessions that ask one after the other", a+b)
 	}
 	until(t, "all are counted", func() bool { return w.Stats().Statements["served"] == 100 }) // behind the last answer
-	if s := w.Stats(); s.Sessions != 100 || s.Servers.Reuses < 90 {
+	if s := w.Stats(); s.Sessions != 100 || s.ServerConns.Reuses < 90 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/mysql/proxy/bench_test.go
+++ b/internal/mysql/proxy/bench_test.go
@@ -121,7 +121,7 @@
 func BenchmarkIdleSessions(b *testing.B) {
 	for range b.N {
 		const n = 9_000 // as many as the usual limit of descriptors allows
-		w := open(b, options{servers: 1, descriptors: 4 * n, proxy: Config{Guests: connlimit.Limits{Total: 2 * n}}})
+		w := open(b, options{servers: 1, descriptors: 4 * n, proxy: Config{ConnLimits: connlimit.Limits{Total: 2 * n}}})
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
--- a/internal/mysql/proxy/client.go
+++ b/internal/mysql/proxy/client.go
@@ -34,7 +34,7 @@
 
 // client is a session of a client.
 type client struct {
-	f       *Front
+	f       *Frontend
 	id      uint32
 	guest   *connlimit.Slot
 	raw     net.Conn // the socket
@@ -61,7 +61,7 @@
 	forever bool                       // x is the session's for its whole life
 }
 
-func newClient(f *Front, id uint32, c net.Conn, g *connlimit.Slot) *client {
+func newClient(f *Frontend, id uint32, c net.Conn, g *connlimit.Slot) *client {
 	s := &client{f: f, id: id, guest: g, raw: c, conn: c, statements: map[uint32]*prepared{}, rested: time.Now()}
 	s.wire.R = bufio.NewReaderSize(c, clientRead)
 	return s
@@ -86,7 +86,7 @@
 
 // Write is the method of io.Writer.
 func (w slow) Write(b []byte) (int, error) {
-	w.s.conn.SetWriteDeadline(time.Now().Add(w.s.f.cfg.Stall))
+	w.s.conn.SetWriteDeadline(time.Now().Add(w.s.f.cfg.StallTimeout))
 	return w.s.conn.Write(b)
 }
 
@@ -116,7 +116,7 @@
 
 // run serves the client until it leaves.
 func (s *client) run() {
-	s.raw.SetDeadline(time.Now().Add(s.f.cfg.Login))
+	s.raw.SetDeadline(time.Now().Add(s.f.cfg.LoginTimeout))
 	done := s.buffer()
 	s.mu.Lock() // it is not at rest
 	err := s.login()
@@ -186,12 +186,12 @@
 			s.drained = now
 		}
 		switch {
-		case !s.forever && !s.state.Bound() && (!takes || now.Sub(s.rested) >= f.cfg.Hold):
+		case !s.forever && !s.state.Bound() && (!takes || now.Sub(s.rested) >= f.cfg.HoldTimeout):
 			if !takes {
 				f.moved.Add(1)
 			}
 			s.give()
-		case !takes && now.Sub(s.drained) >= f.cfg.Drain:
+		case !takes && now.Sub(s.drained) >= f.cfg.DrainTimeout:
 			f.drained.Add(1)
 			if s.forever {
 				s.shut(wire.Closing("the server takes nothing new"))
@@ -208,7 +208,7 @@
 	switch {
 	case !f.door.DrainingSince().IsZero() && (!s.bound.Load() || f.ending().MustAnswer(now)):
 		s.shut(wire.Closing("the proxy is ending"))
-	case now.Sub(s.rested) >= f.cfg.Idle:
+	case now.Sub(s.rested) >= f.cfg.IdleTimeout:
 		s.shut(&wire.Error{Code: 4031, State: "HY000", Message: "The client was disconnected because of inactivity"})
 	}
 }
@@ -247,9 +247,9 @@
 	weight := int64(0)
 	if piece.Len > smallStatement {
 		if weight = int64(piece.Len); piece.Len == wire.MaxPayload {
-			weight = int64(s.f.cfg.MostStatement)
+			weight = int64(s.f.cfg.MaxStatementSize)
 		}
-		if piece.Len > s.f.cfg.MostStatement {
+		if piece.Len > s.f.cfg.MaxStatementSize {
 			return s.unread(wire.ErrTooLarge)
 		}
 		if !s.f.room.TryAcquire(weight) {
@@ -262,9 +262,9 @@
 	}
 	part := s.wire.R.Buffered() < piece.Len+4 // the rest may never come
 	if part {
-		s.raw.SetReadDeadline(time.Now().Add(s.f.cfg.Stall))
+		s.raw.SetReadDeadline(time.Now().Add(s.f.cfg.StallTimeout))
 	}
-	b, err := s.wire.Read(s.f.cfg.MostStatement)
+	b, err := s.wire.Read(s.f.cfg.MaxStatementSize)
 	if part {
 		s.raw.SetReadDeadline(time.Time{})
 	}
@@ -286,7 +286,7 @@
 	switch {
 	case errors.Is(err, wire.ErrTooLarge):
 		s.wire.Expect(1)
-		s.fail(wire.TooLarge(s.f.cfg.MostStatement))
+		s.fail(wire.TooLarge(s.f.cfg.MaxStatementSize))
 	case errors.Is(err, wire.ErrSequence), errors.Is(err, wire.ErrMalformed):
 		s.wire.Expect(1)
 		s.fail(wire.OutOfOrder(err))
@@ -872,9 +872,9 @@
 	if p == nil || len(b) < 7 {
 		return nil // the EXECUTE will be told
 	}
-	if p.size += len(b); p.size > s.f.cfg.MostStatement {
+	if p.size += len(b); p.size > s.f.cfg.MaxStatementSize {
 		s.wire.Expect(1)
-		s.fail(wire.TooLarge(s.f.cfg.MostStatement))
+		s.fail(wire.TooLarge(s.f.cfg.MaxStatementSize))
 		return errEnd
 	}
 	p.long = append(p.long, b)
--- a/internal/mysql/proxy/entry.go
+++ b/internal/mysql/proxy/client_login.go
@@ -13,7 +13,7 @@
 
 // login lets the client in, or tells it why not.
 func (s *client) login() error {
-	if s.f.cfg.Auth == Pass {
+	if s.f.cfg.Auth == AuthPassThrough {
 		return s.passLogin()
 	}
 	c := s.f.cfg
@@ -92,7 +92,7 @@
 	switch {
 	case fast && (!known || !k.Proves(want, proof, scramble)):
 		// A salted password that was changed is asked for in full.
-		if !known || u.Salted == "" {
+		if !known || u.SaltedHash == "" {
 			return s.deny(name)
 		}
 		fallthrough
--- a/internal/mysql/proxy/config.go
+++ b/internal/mysql/proxy/config.go
@@ -19,10 +19,10 @@
 
 // The ways.
 const (
-	// Users are checked here, and servers are reached with an account of the operator's: connections to them serve many clients.
-	Users Auth = iota
-	// Pass has the server check them: a client has one connection to one server for its whole life.
-	Pass
+	// AuthUsers are checked here, and servers are reached with an account of the operator's: connections to them serve many clients.
+	AuthUsers Auth = iota
+	// AuthPassThrough has the server check them: a client has one connection to one server for its whole life.
+	AuthPassThrough
 )
 
 // Config is a MySQL service. Zero values take their defaults.
@@ -39,26 +39,26 @@
 	TLS       *tls.Config // offered to clients; nil: none
 	ServerTLS *tls.Config // with servers; nil: none
 
-	Rules   []Rule // what class a statement is of; the first that matches holds
-	Default string // the class of those that no rule matches
-	Hints   bool   // a comment in a statement may name its class, key and timeout
-
-	MostStatement int           // bytes of a statement; 16 MiB
-	Memory        int64         // bytes of all statements under way that are over 64 KiB; 64 MiB
-	Stall         time.Duration // how long a peer may take nothing, or pause within a message; 30 s
-	Idle          time.Duration // how long a client may say nothing; 8 h
-	Login         time.Duration // how long it may take to log in; 10 s
-	Hold          time.Duration // how long a connection is kept for what a statement has left on it; 1 s
-	Drain         time.Duration // how long a transaction may stay at a server that takes nothing new; 10 s
-	Patience      time.Duration // how long sessions may go on once this process is to end; 10 s
-	IdlePool      int           // idle connections kept to each server; 32
-	PerServer     int           // connections in use at each server; one more is tried elsewhere, or refused; 0: no bound
+	Rules        []Rule // what class a statement is of; the first that matches holds
+	DefaultClass string // the class of those that no rule matches
+	Hints        bool   // a comment in a statement may name its class, key and timeout
+
+	MaxStatementSize  int           // bytes of a statement; 16 MiB
+	StatementMemory   int64         // bytes of all statements under way that are over 64 KiB; 64 MiB
+	StallTimeout      time.Duration // how long a peer may take nothing, or pause within a message; 30 s
+	IdleTimeout       time.Duration // how long a client may say nothing; 8 h
+	LoginTimeout      time.Duration // how long it may take to log in; 10 s
+	HoldTimeout       time.Duration // how long a connection is kept for what a statement has left on it; 1 s
+	DrainTimeout      time.Duration // how long a transaction may stay at a server that takes nothing new; 10 s
+	ShutdownTimeout   time.Duration // how long sessions may go on once this process is to end; 10 s
+	MaxIdlePerServer  int           // idle connections kept to each server; 32
+	MaxConnsPerServer int           // connections in use at each server; one more is tried elsewhere, or refused; 0: no bound
 
 	// LoadQuery asks a server for its load: the last value of its first row is the queue. Empty: this process's own statements at it
 	// are.
 	LoadQuery string
 
-	Guests connlimit.Limits
+	ConnLimits connlimit.Limits
 }
 
 // Account is how servers are reached with Users.
@@ -68,9 +68,9 @@
 type User struct {
 	Name     string
 	Password wire.Known
-	// Salted, in place of Password, is a hash that takes the password itself to check: "pbkdf2$rounds$salt$hash", in hex.
-	Salted  string
-	Schemas []string // that it may choose; nil: all
+	// SaltedHash, in place of Password, is a hash that takes the password itself to check: "pbkdf2$rounds$salt$hash", in hex.
+	SaltedHash string
+	Schemas    []string // that it may choose; nil: all
 }
 
 // Rule says what class some statements are of. An empty field matches all.
@@ -83,10 +83,10 @@
 // WithDefaults returns c with its defaults.
 func (c Config) WithDefaults() Config {
 	c.Plugin = cmp.Or(c.Plugin, wire.SHA2)
-	c.MostStatement, c.Memory = cmp.Or(c.MostStatement, 16<<20), cmp.Or(c.Memory, 64<<20)
-	c.Stall, c.Idle, c.Login = cmp.Or(c.Stall, 30*time.Second), cmp.Or(c.Idle, 8*time.Hour), cmp.Or(c.Login, 10*time.Second)
-	c.Hold, c.Drain, c.Patience = cmp.Or(c.Hold, time.Second), cmp.Or(c.Drain, 10*time.Second), cmp.Or(c.Patience, 10*time.Second)
-	c.IdlePool = cmp.Or(c.IdlePool, 32)
+	c.MaxStatementSize, c.StatementMemory = cmp.Or(c.MaxStatementSize, 16<<20), cmp.Or(c.StatementMemory, 64<<20)
+	c.StallTimeout, c.IdleTimeout, c.LoginTimeout = cmp.Or(c.StallTimeout, 30*time.Second), cmp.Or(c.IdleTimeout, 8*time.Hour), cmp.Or(c.LoginTimeout, 10*time.Second)
+	c.HoldTimeout, c.DrainTimeout, c.ShutdownTimeout = cmp.Or(c.HoldTimeout, time.Second), cmp.Or(c.DrainTimeout, 10*time.Second), cmp.Or(c.ShutdownTimeout, 10*time.Second)
+	c.MaxIdlePerServer = cmp.Or(c.MaxIdlePerServer, 32)
 	return c
 }
 
@@ -98,33 +98,33 @@
 		return errors.New("name: not set")
 	case c.Listen == "":
 		return errors.New("listen: not set")
-	case !class(c.Default):
-		return fmt.Errorf("class: the pool has no class %q", c.Default)
+	case !class(c.DefaultClass):
+		return fmt.Errorf("class: the pool has no class %q", c.DefaultClass)
 	case d.Plugin != wire.Native && d.Plugin != wire.SHA2:
 		return fmt.Errorf("plugin: %q is neither %s nor %s", c.Plugin, wire.Native, wire.SHA2)
-	case c.Auth == Users && len(c.Users) == 0:
+	case c.Auth == AuthUsers && len(c.Users) == 0:
 		return errors.New("users: none are there")
-	case c.Auth == Users && c.Account.User == "":
+	case c.Auth == AuthUsers && c.Account.User == "":
 		return errors.New("account: not set")
-	case c.Auth == Pass && len(c.Users) > 0:
+	case c.Auth == AuthPassThrough && len(c.Users) > 0:
 		return errors.New("users: they are not looked at with auth \"pass\"")
-	case c.Auth == Pass && (c.TLS == nil) != (c.ServerTLS == nil):
+	case c.Auth == AuthPassThrough && (c.TLS == nil) != (c.ServerTLS == nil):
 		return errors.New("tls: with auth \"pass\" both sides or neither: a password sent through one of them alone would be refused or laid open")
-	case c.Auth == Pass && c.LoadQuery != "" && c.Account.User == "":
+	case c.Auth == AuthPassThrough && c.LoadQuery != "" && c.Account.User == "":
 		return errors.New("load_query: it takes an account")
-	case d.MostStatement < 1<<10 || d.MostStatement > 1<<30:
-		return fmt.Errorf("most_statement: %d is outside 1 KiB to 1 GiB", c.MostStatement)
-	case d.Memory < int64(d.MostStatement):
-		return fmt.Errorf("memory: %d is below most_statement, which is %d", d.Memory, d.MostStatement)
-	case c.PerServer < 0:
-		return fmt.Errorf("most_per_server: %d is below 0", c.PerServer)
-	case c.IdlePool < 0:
-		return fmt.Errorf("idle_pool: %d is below 0", c.IdlePool)
+	case d.MaxStatementSize < 1<<10 || d.MaxStatementSize > 1<<30:
+		return fmt.Errorf("most_statement: %d is outside 1 KiB to 1 GiB", c.MaxStatementSize)
+	case d.StatementMemory < int64(d.MaxStatementSize):
+		return fmt.Errorf("memory: %d is below most_statement, which is %d", d.StatementMemory, d.MaxStatementSize)
+	case c.MaxConnsPerServer < 0:
+		return fmt.Errorf("most_per_server: %d is below 0", c.MaxConnsPerServer)
+	case c.MaxIdlePerServer < 0:
+		return fmt.Errorf("idle_pool: %d is below 0", c.MaxIdlePerServer)
 	}
 	for _, v := range []struct {
 		key string
 		d   time.Duration
-	}{{"stall", c.Stall}, {"idle", c.Idle}, {"login", c.Login}, {"hold", c.Hold}, {"drain", c.Drain}, {"patience", c.Patience}} {
+	}{{"stall", c.StallTimeout}, {"idle", c.IdleTimeout}, {"login", c.LoginTimeout}, {"hold", c.HoldTimeout}, {"drain", c.DrainTimeout}, {"patience", c.ShutdownTimeout}} {
 		if v.d < 0 {
 			return fmt.Errorf("%s: %v is negative", v.key, v.d)
 		}
@@ -138,8 +138,8 @@
 			return fmt.Errorf("users: %q is there twice", u.Name)
 		}
 		seen[u.Name] = true
-		if u.Salted != "" {
-			if _, err := parseSalted(u.Salted); err != nil {
+		if u.SaltedHash != "" {
+			if _, err := parseSalted(u.SaltedHash); err != nil {
 				return fmt.Errorf("users: %q: %w", u.Name, err)
 			}
 			if d.Plugin != wire.SHA2 {
@@ -152,7 +152,7 @@
 			return fmt.Errorf("rules: number %d: the pool has no class %q", i+1, r.Class)
 		}
 	}
-	return c.Guests.Check()
+	return c.ConnLimits.Check()
 }
 
 // classOf returns the class of a statement: what its hint says if that may be said and is a class, else what the rules say.
@@ -165,5 +165,5 @@
 			return r.Class
 		}
 	}
-	return c.Default
+	return c.DefaultClass
 }
--- a/internal/mysql/proxy/front.go
+++ b/internal/mysql/proxy/frontend.go
@@ -26,8 +26,8 @@
 // smallStatement is what a statement may have without its bytes being counted.
 const smallStatement = 64 << 10
 
-// Front takes the clients of one service.
-type Front struct {
+// Frontend takes the clients of one service.
+type Frontend struct {
 	cfg       Config
 	pool      *pool.Pool
 	transport *Transport
@@ -61,20 +61,20 @@
 )
 
 // New returns a front of p, whose servers t reaches, which takes descriptors from b. c must have been checked.
-func New(c Config, p *pool.Pool, t *Transport, b *sockets.Budget, log *slog.Logger) *Front {
+func New(c Config, p *pool.Pool, t *Transport, b *sockets.Budget, log *slog.Logger) *Frontend {
 	c = c.WithDefaults()
 	log = log.With("mysql", c.Name)
-	return &Front{
-		cfg: c, pool: p, transport: t, budget: b, users: newDirectory(c.Users), door: acceptor.New(c.Guests, log), room: semaphore.NewWeighted(c.Memory), log: log,
+	return &Frontend{
+		cfg: c, pool: p, transport: t, budget: b, users: newDirectory(c.Users), door: acceptor.New(c.ConnLimits, log), room: semaphore.NewWeighted(c.StatementMemory), log: log,
 		sessions: map[uint32]*client{},
 	}
 }
 
 // SetUsers makes users those that may log in from now on.
-func (f *Front) SetUsers(users []User) { f.users.set(users) }
+func (f *Frontend) SetUsers(users []User) { f.users.set(users) }
 
 // Serve takes connections from ln until Shutdown or Close. It closes ln.
-func (f *Front) Serve(ln net.Listener) error { return f.door.Serve(ln, f.look, turnAway, f.take) }
+func (f *Frontend) Serve(ln net.Listener) error { return f.door.Serve(ln, f.look, turnAway, f.take) }
 
 // turnAway tells a client that it may not connect. It waits for nobody.
 func turnAway(c net.Conn, why connlimit.Reason) {
@@ -91,9 +91,9 @@
 }
 
 // take serves one client until it leaves.
-func (f *Front) take(c net.Conn, g *connlimit.Slot) {
+func (f *Frontend) take(c net.Conn, g *connlimit.Slot) {
 	defer c.Close()
-	ctx, cancel := context.WithTimeout(f.door.Context(), f.cfg.Login)
+	ctx, cancel := context.WithTimeout(f.door.Context(), f.cfg.LoginTimeout)
 	release, err := f.budget.AcquireClient(ctx)
 	cancel()
 	if err != nil {
@@ -120,20 +120,20 @@
 }
 
 // find returns a session by its number.
-func (f *Front) find(id uint32) *client {
+func (f *Frontend) find(id uint32) *client {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sessions[id]
 }
 
-func (f *Front) all() []*client {
+func (f *Frontend) all() []*client {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Collect(maps.Values(f.sessions))
 }
 
 // look looks at sessions at rest until the front is closed.
-func (f *Front) look() {
+func (f *Frontend) look() {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	for {
@@ -151,8 +151,8 @@
 
 // Shutdown takes nobody new, closes sessions as they come to rest outside of a transaction, and all that are left as the
 // patience ends. A statement that has no answer then is told as one that may have run. If ctx ends before, they are cut off.
-func (f *Front) Shutdown(ctx context.Context) error {
-	schedule := shutdown.WithinContext(ctx, f.cfg.Patience)
+func (f *Frontend) Shutdown(ctx context.Context) error {
+	schedule := shutdown.WithinContext(ctx, f.cfg.ShutdownTimeout)
 	f.schedule.Store(&schedule)
 	ctx, cancel := context.WithDeadline(ctx, schedule.Exit)
 	defer cancel()
@@ -162,7 +162,7 @@
 }
 
 // ending returns the schedule by which the front ends; it is zero as long as it is not to.
-func (f *Front) ending() shutdown.Schedule {
+func (f *Frontend) ending() shutdown.Schedule {
 	if s := f.schedule.Load(); s != nil {
 		return *s
 	}
@@ -170,7 +170,7 @@
 }
 
 // Close cuts all sessions off, and returns once nothing of the front runs.
-func (f *Front) Close() {
+func (f *Frontend) Close() {
 	f.door.Close(func() {
 		for _, s := range f.all() {
 			s.raw.Close()
@@ -180,19 +180,19 @@
 
 // Stats counts what a front does.
 type Stats struct {
-	Guests     connlimit.Stats
-	Sessions   int
-	Bound      int               // of them, in a transaction or otherwise bound to their server
-	Statements map[string]uint64 // by answer
-	Moved      uint64            // sessions that went on at another server
-	Drained    uint64            // sessions whose server took nothing more and whose time there was up
-	Servers    Counts
+	Connections  connlimit.Stats
+	Sessions     int
+	Bound        int               // of them, in a transaction or otherwise bound to their server
+	Statements   map[string]uint64 // by answer
+	Migrated     uint64            // sessions that went on at another server
+	DrainExpired uint64            // sessions whose server took nothing more and whose time there was up
+	ServerConns  ConnCounts
 }
 
 // Stats returns the present counts.
-func (f *Front) Stats() Stats {
+func (f *Frontend) Stats() Stats {
 	all := f.all()
-	s := Stats{Guests: f.door.Stats(), Sessions: len(all), Statements: map[string]uint64{}, Moved: f.moved.Load(), Drained: f.drained.Load(), Servers: f.transport.Stats()}
+	s := Stats{Connections: f.door.Stats(), Sessions: len(all), Statements: map[string]uint64{}, Migrated: f.moved.Load(), DrainExpired: f.drained.Load(), ServerConns: f.transport.Stats()}
 	for _, c := range all {
 		if c.bound.Load() {
 			s.Bound++
--- a/internal/mysql/proxy/second_test.go
+++ b/internal/mysql/proxy/mysql2_test.go
@@ -36,7 +36,7 @@
 		}
 		return string(out)
 	}
-	for _, auth := range []Auth{Users, Pass} {
+	for _, auth := range []Auth{AuthUsers, AuthPassThrough} {
 		for _, many := range []string{"0", "1"} {
 			w := open(t, options{servers: 1, proxy: Config{Auth: auth}})
 			got := session(w.addr, many)
--- a/internal/mysql/proxy/orders_test.go
+++ b/internal/mysql/proxy/orders_test.go
@@ -51,7 +51,7 @@
 
 // run plays n orders.
 func run(t *testing.T, n int, class func(*pool.Class)) (got tally) {
-	w := open(t, options{servers: 4, deadline: 4 * time.Second, class: class, proxy: Config{Drain: 300 * time.Millisecond}})
+	w := open(t, options{servers: 4, deadline: 4 * time.Second, class: class, proxy: Config{DrainTimeout: 300 * time.Millisecond}})
 	w.make(func(server, sql string) standin.Trouble { // by the statement alone, so that a seed gives the same
 		if !strings.Contains(sql, "INSERT") && sql != "COMMIT" && sql != "BEGIN" && !strings.HasPrefix(sql, "UPDATE") {
 			return standin.Trouble{}
--- a/internal/mysql/proxy/login.go
+++ b/internal/mysql/proxy/server_login.go
@@ -131,7 +131,7 @@
 		release()
 		return nil, g, err
 	}
-	s := &server{Conn: c, raw: c, to: to, release: release, peek: sockets.NewPeeker(c), stall: t.cfg.Stall, prepared: map[string]*remote{}}
+	s := &server{Conn: c, raw: c, to: to, release: release, peek: sockets.NewPeeker(c), stall: t.cfg.StallTimeout, prepared: map[string]*remote{}}
 	s.wire.R, s.wire.W = bufio.NewReaderSize(s, serverRead), bufio.NewWriterSize(s, serverRead)
 	if d, ok := ctx.Deadline(); ok {
 		s.until = d
--- a/internal/mysql/proxy/hard_test.go
+++ b/internal/mysql/proxy/session_test.go
@@ -59,7 +59,7 @@
 // TestDrainInATransaction: a server that is told to drain keeps the transaction until it ends and gets no new one; one that goes on beyond
 // the limit is gone, and its client is told so until it rolls back.
 func TestDrainInATransaction(t *testing.T) {
-	w := open(t, options{proxy: Config{Drain: 400 * time.Millisecond}})
+	w := open(t, options{proxy: Config{DrainTimeout: 400 * time.Millisecond}})
 	soon, late, rest := begin(t, w.client("")), w.session(""), w.session("")
 	n := at(t, soon)
 	exec(t, soon, "INSERT INTO orders (id, item, qty) VALUES ('soon', 'x', 1)")
@@ -91,7 +91,7 @@
 	if err := soon.Commit(); err != nil {
 		t.Errorf("COMMIT in time: %v", err)
 	}
-	until(t, "the late one is ended", func() bool { return w.Stats().Drained == 1 })
+	until(t, "the late one is ended", func() bool { return w.Stats().DrainExpired == 1 })
 	if err := exec(t, late, "INSERT INTO orders (id, item, qty) VALUES ('after', 'x', 1)"); code(err) != 9004 {
 		t.Errorf("a statement behind it: %v", err)
 	}
@@ -322,7 +322,7 @@
 
 // TestIDs: LAST_INSERT_ID() and warnings are those of the session, or an error, never those of another.
 func TestIDs(t *testing.T) {
-	w := open(t, options{servers: 3, proxy: Config{Hold: 300 * time.Millisecond}})
+	w := open(t, options{servers: 3, proxy: Config{HoldTimeout: 300 * time.Millisecond}})
 	var work sync.WaitGroup
 	for i := range 8 {
 		work.Go(func() {
@@ -477,7 +477,7 @@
 
 // TestLongMessages: statements and rows beyond 16 MiB arrive whole.
 func TestLongMessages(t *testing.T) {
-	w := open(t, options{servers: 1, deadline: 15 * time.Second, proxy: Config{MostStatement: 40 << 20, Memory: 80 << 20}})
+	w := open(t, options{servers: 1, deadline: 15 * time.Second, proxy: Config{MaxStatementSize: 40 << 20, StatementMemory: 80 << 20}})
 	db := w.client("maxAllowedPacket=0&interpolateParams=true")
 	for _, n := range []int{1 << 10, wire.MaxPayload, 17 << 20} {
 		v, err := value(t, db, fmt.Sprintf("SELECT REPEAT('y', %d)", n))
@@ -504,7 +504,7 @@
 
 // TestSlowClient: one that does not read its result is cut off, and its server is free again.
 func TestSlowClient(t *testing.T) {
-	w := open(t, options{servers: 1, proxy: Config{Stall: 400 * time.Millisecond}})
+	w := open(t, options{servers: 1, proxy: Config{StallTimeout: 400 * time.Millisecond}})
 	raw := dial(t, w, "app", "secret")
 	raw.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	raw.ask(wire.Query, "SELECT ROW FROM rows_3000000")
@@ -517,7 +517,7 @@
 
 // TestBounds: per address, per user, in all, and of descriptors.
 func TestBounds(t *testing.T) {
-	w := open(t, options{proxy: Config{Guests: connlimit.Limits{Total: 6, PerUser: 2}}})
+	w := open(t, options{proxy: Config{ConnLimits: connlimit.Limits{Total: 6, PerUser: 2}}})
 	a, b := w.session(""), w.session("")
 	if err := w.client("").Ping(); code(err) != 1203 {
 		t.Errorf("a third of the user: %v", err)
@@ -542,17 +542,17 @@
 		silent = append(silent, c)
 	}
 	until(t, "the places are taken", func() bool {
-		return w.Stats().Guests.Current == 6 && w.Stats().Guests.Rejected["too many connections"] >= 290
+		return w.Stats().Connections.Current == 6 && w.Stats().Connections.Rejected["too many connections"] >= 290
 	})
 	for _, c := range silent {
 		c.Close()
 	}
-	until(t, "they are free again", func() bool { return w.Stats().Guests.Current < 6 })
+	until(t, "they are free again", func() bool { return w.Stats().Connections.Current < 6 })
 }
 
 // TestPerServer: one more connection in use than a server may have goes to another, and is refused as not run where there is none.
 func TestPerServer(t *testing.T) {
-	w := open(t, options{servers: 2, deadline: time.Second, proxy: Config{PerServer: 3}})
+	w := open(t, options{servers: 2, deadline: time.Second, proxy: Config{MaxConnsPerServer: 3}})
 	for range 6 {
 		begin(t, w.client(""))
 	}
@@ -568,7 +568,7 @@
 
 // TestSilentClients: those who do not log in are cut off in time, and hold up nobody.
 func TestSilentClients(t *testing.T) {
-	w := open(t, options{descriptors: sockets.Reserved + 600, proxy: Config{Login: 500 * time.Millisecond}})
+	w := open(t, options{descriptors: sockets.Reserved + 600, proxy: Config{LoginTimeout: 500 * time.Millisecond}})
 	for range 300 {
 		c, err := net.Dial("tcp", w.addr)
 		if err != nil {
@@ -577,12 +577,12 @@
 		defer c.Close()
 	}
 	until(t, "somebody is served", func() bool { v, err := value(t, w.client(""), "SELECT 5"); return v == "5" && err == nil })
-	until(t, "they are cut off", func() bool { return w.Stats().Guests.Current <= 3 })
+	until(t, "they are cut off", func() bool { return w.Stats().Connections.Current <= 3 })
 }
 
 // TestBadClients: whatever a client sends, it is told or cut off, and others are served.
 func TestBadClients(t *testing.T) {
-	w := open(t, options{servers: 1, proxy: Config{Stall: 300 * time.Millisecond, Login: 300 * time.Millisecond, MostStatement: 1 << 20}})
+	w := open(t, options{servers: 1, proxy: Config{StallTimeout: 300 * time.Millisecond, LoginTimeout: 300 * time.Millisecond, MaxStatementSize: 1 << 20}})
 	for name, b := range map[string][]byte{
 		"HTTP at login": []byte("GET / HTTP/1.1\r\n\r\n"), "an endless login": append([]byte{0xff, 0xff, 0xff, 1}, make([]byte, 100_000)...),
 		"an empty login": {0, 0, 0, 1}, "out of order": {5, 0, 0, 7, 1, 2, 3, 4, 5}, "cut": {40, 0, 0, 1, 0, 2}, "an old client": {4, 0, 0, 1, 1, 0, 0, 0},
@@ -627,7 +627,7 @@
 
 // TestBadServers: whatever a server sends, each statement has one answer in time, a write none that is wrong, and no other session harm.
 func TestBadServers(t *testing.T) {
-	w := open(t, options{servers: 2, deadline: 2 * time.Second, proxy: Config{Stall: 500 * time.Millisecond}})
+	w := open(t, options{servers: 2, deadline: 2 * time.Second, proxy: Config{StallTimeout: 500 * time.Millisecond}})
 	for name, trouble := range map[string]standin.Trouble{
 		"noise": {Reply: []byte("HTTP/1.1 200 OK\r\n\r\n")}, "out of order": {Reply: []byte{7, 0, 0, 9, 0, 0, 0, 2, 0, 0, 0}},
 		"an empty packet": {Reply: []byte{0, 0, 0, 1}}, "an endless packet": {Reply: append([]byte{0xff, 0xff, 0xff, 1, 0}, make([]byte, 2<<20)...)},
@@ -691,7 +691,7 @@
 
 // TestShutdown: a transaction may end within the patience, sessions at rest are told and closed, nobody new is let in.
 func TestShutdown(t *testing.T) {
-	w := open(t, options{proxy: Config{Patience: 800 * time.Millisecond}})
+	w := open(t, options{proxy: Config{ShutdownTimeout: 800 * time.Millisecond}})
 	tx, late, rest := begin(t, w.client("")), begin(t, w.client("")), w.session("")
 	ended := make(chan error, 1)
 	go func() { ended <- w.Shutdown(context.Background()) }()
@@ -722,7 +722,7 @@
 // forwarded is not sent.
 func TestShutdownWhileStatementsHang(t *testing.T) {
 	const patience = 800 * time.Millisecond
-	w := open(t, options{deadline: time.Minute, proxy: Config{Patience: patience}})
+	w := open(t, options{deadline: time.Minute, proxy: Config{ShutdownTimeout: patience}})
 	var hung atomic.Int32
 	w.make(func(_, sql string) standin.Trouble {
 		if !strings.HasPrefix(sql, "INSERT") {
@@ -871,21 +871,21 @@
 }
 
 func TestCheck(t *testing.T) {
-	good := Config{Name: "l", Listen: "x", Default: "c", Users: []User{{Name: "u"}}, Account: Account{User: "a"}}
+	good := Config{Name: "l", Listen: "x", DefaultClass: "c", Users: []User{{Name: "u"}}, Account: Account{User: "a"}}
 	class := func(name string) bool { return name == "c" }
 	if err := good.Check(class); err != nil {
 		t.Fatal(err)
 	}
 	cert, _ := certificate(t)
 	for want, change := range map[string]func(*Config){
-		"name": func(c *Config) { c.Name = "" }, "listen": func(c *Config) { c.Listen = "" }, "class": func(c *Config) { c.Default = "d" },
+		"name": func(c *Config) { c.Name = "" }, "listen": func(c *Config) { c.Listen = "" }, "class": func(c *Config) { c.DefaultClass = "d" },
 		"plugin": func(c *Config) { c.Plugin = "sha1" }, "users": func(c *Config) { c.Users = nil }, "account": func(c *Config) { c.Account = Account{} },
-		"tls":            func(c *Config) { c.Auth, c.Users, c.TLS = Pass, nil, cert },
-		"most_statement": func(c *Config) { c.MostStatement = 1 }, "memory": func(c *Config) { c.Memory = 5 }, "idle_pool": func(c *Config) { c.IdlePool = -1 },
-		"most_per_server": func(c *Config) { c.PerServer = -1 },
-		"stall":           func(c *Config) { c.Stall = -1 }, "rules": func(c *Config) { c.Rules = []Rule{{Class: "d"}} },
-		"most_per_user": func(c *Config) { c.Guests.PerUser = -1 },
-		"users: \"u\"":  func(c *Config) { c.Users = []User{{Name: "u", Salted: "x"}} },
+		"tls":            func(c *Config) { c.Auth, c.Users, c.TLS = AuthPassThrough, nil, cert },
+		"most_statement": func(c *Config) { c.MaxStatementSize = 1 }, "memory": func(c *Config) { c.StatementMemory = 5 }, "idle_pool": func(c *Config) { c.MaxIdlePerServer = -1 },
+		"most_per_server": func(c *Config) { c.MaxConnsPerServer = -1 },
+		"stall":           func(c *Config) { c.StallTimeout = -1 }, "rules": func(c *Config) { c.Rules = []Rule{{Class: "d"}} },
+		"most_per_user": func(c *Config) { c.ConnLimits.PerUser = -1 },
+		"users: \"u\"":  func(c *Config) { c.Users = []User{{Name: "u", SaltedHash: "x"}} },
 	} {
 		c := good
 		change(&c)
@@ -897,7 +897,7 @@
 
 // TestRules: the hint comes first if it may, then the first rule that matches.
 func TestRules(t *testing.T) {
-	c := Config{Default: "other", Hints: true, Rules: []Rule{{User: "batch", Class: "night"}, {Schema: "stock", Verb: "select", Class: "check"}, {Verb: "insert", Class: "order"}}}
+	c := Config{DefaultClass: "other", Hints: true, Rules: []Rule{{User: "batch", Class: "night"}, {Schema: "stock", Verb: "select", Class: "check"}, {Verb: "insert", Class: "order"}}}
 	class := func(string) bool { return true }
 	for _, tt := range [][5]string{
 		{"batch", "stock", "select", "", "night"}, {"app", "stock", "select", "", "check"}, {"app", "x", "select", "", "other"}, {"app", "x", "insert", "", "order"},
--- a/internal/mysql/proxy/world_test.go
+++ b/internal/mysql/proxy/setup_test.go
@@ -37,7 +37,7 @@
 
 // world is a front with its pool, and the servers behind it.
 type world struct {
-	*Front
+	*Frontend
 	t       testing.TB
 	pool    *pool.Pool
 	cfg     pool.Config
@@ -82,11 +82,11 @@
 		}
 	}
 	c := o.proxy
-	c.Name, c.Listen, c.Pool, c.Default, c.Hints = "ledger", "127.0.0.1:0", "ledger", "statement", !o.hintless
-	if c.Auth == Users && c.Users == nil {
+	c.Name, c.Listen, c.Pool, c.DefaultClass, c.Hints = "ledger", "127.0.0.1:0", "ledger", "statement", !o.hintless
+	if c.Auth == AuthUsers && c.Users == nil {
 		c.Users = []User{{Name: "app", Password: wire.Keep("secret")}, {Name: "other", Password: wire.Keep("hidden")}}
 	}
-	if c.Auth == Users {
+	if c.Auth == AuthUsers {
 		c.Account = Account{account, password}
 	}
 	if err := c.Check(func(name string) bool { _, ok := w.cfg.Class(name); return ok }); err != nil {
@@ -97,12 +97,12 @@
 		log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
 	transport := NewTransport(c, w.cfg.DialTimeout(), 15*time.Second, w.budget, w.cfg.LoadAddr, nil, log)
-	w.budget.OnShortage(transport.MakeRoom, nil)
+	w.budget.OnShortage(transport.EvictIdle, nil)
 	p, err := w.cfg.Open(transport, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.pool, w.Front = p, New(c, p, transport, w.budget, log)
+	w.pool, w.Frontend = p, New(c, p, transport, w.budget, log)
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/mysql/proxy/transport.go
+++ b/internal/mysql/proxy/transport.go
@@ -97,11 +97,11 @@
 	mu     sync.Mutex
 	idle   map[engine.Endpoint][]*server // the last one used comes last
 	closed bool
-	counts Counts
+	counts ConnCounts
 }
 
-// Counts counts what became of connections to servers.
-type Counts struct {
+// ConnCounts counts what became of connections to servers.
+type ConnCounts struct {
 	Dials, Reuses, Resets, Kills uint64
 	Idle                         int
 }
@@ -136,7 +136,7 @@
 }
 
 // Stats returns the present counts.
-func (t *Transport) Stats() Counts {
+func (t *Transport) Stats() ConnCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.counts
@@ -146,8 +146,8 @@
 	return c
 }
 
-// MakeRoom closes one idle connection, and reports whether there was one.
-func (t *Transport) MakeRoom() bool {
+// EvictIdle closes one idle connection, and reports whether there was one.
+func (t *Transport) EvictIdle() bool {
 	t.mu.Lock()
 	var s *server
 	for to, l := range t.idle {
@@ -221,7 +221,7 @@
 	switch {
 	case t.closed:
 		old = s
-	case len(l) >= t.cfg.IdlePool:
+	case len(l) >= t.cfg.MaxIdlePerServer:
 		old = l[0]
 		t.idle[s.to] = append(slices.Clone(l[1:]), s)
 	default:
@@ -294,13 +294,13 @@
 func (t *Transport) acquire(ctx context.Context, a *engine.Attempt, to engine.Endpoint, j *job) (*server, error) {
 	s := t.reuse(to, j)
 	if s != nil {
-		t.count(func(c *Counts) { c.Reuses++ })
+		t.count(func(c *ConnCounts) { c.Reuses++ })
 	} else {
 		var err error
 		if s, err = t.login(ctx, to, j.profile, j.schema); err != nil {
 			return nil, errSync{err}
 		}
-		t.count(func(c *Counts) { c.Dials++ })
+		t.count(func(c *ConnCounts) { c.Dials++ })
 	}
 	s.until = a.Deadline
 	if !a.Sending(func() { s.raw.Close() }) {
@@ -314,7 +314,7 @@
 	return s, nil
 }
 
-func (t *Transport) count(f func(*Counts)) {
+func (t *Transport) count(f func(*ConnCounts)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(&t.counts)
@@ -327,7 +327,7 @@
 		return nil
 	}
 	if s.said.settings != "" || s.said.dirty || j.clean && s.since != (time.Time{}) {
-		t.count(func(c *Counts) { c.Resets++ })
+		t.count(func(c *ConnCounts) { c.Resets++ })
 		if err := s.simple([]byte{byte(wire.ResetConnection)}); err != nil {
 			return err
 		}
@@ -516,7 +516,7 @@
 	}
 	t.out.Add(a.Server, 1)
 	defer t.out.Add(a.Server, -1)
-	if most := t.cfg.PerServer; most > 0 && t.out.Count(a.Server) > most {
+	if most := t.cfg.MaxConnsPerServer; most > 0 && t.out.Count(a.Server) > most {
 		return engine.AttemptResult{Status: policy.Overloaded}
 	}
 	if j.open {
@@ -639,7 +639,7 @@
 func (t *Transport) order(to engine.Endpoint, thread uint32) error {
 	ctx, cancel := context.WithTimeout(t.ctx, killTime)
 	defer cancel()
-	t.count(func(c *Counts) { c.Kills++ })
+	t.count(func(c *ConnCounts) { c.Kills++ })
 	return t.with(ctx, to, func(s *server) error {
 		return s.simple([]byte("\x03kill query " + strconv.FormatUint(uint64(thread), 10)))
 	})
--- a/internal/mysql/proxy/users.go
+++ b/internal/mysql/proxy/users.go
@@ -40,8 +40,8 @@
 	return v, nil
 }
 
-// Salt returns a password as it may stand in the users' file.
-func Salt(password string, salt []byte, rounds int) (string, error) {
+// HashPassword returns a password as it may stand in the users' file.
+func HashPassword(password string, salt []byte, rounds int) (string, error) {
 	h, err := pbkdf2.Key(sha256.New, password, salt, rounds, sha256.Size)
 	if err != nil {
 		return "", err
@@ -75,7 +75,7 @@
 	d.users, d.known, d.asks = map[string]User{}, map[string]wire.Known{}, false
 	for _, u := range users {
 		d.users[u.Name] = u
-		d.asks = d.asks || u.Salted != ""
+		d.asks = d.asks || u.SaltedHash != ""
 	}
 }
 
@@ -86,7 +86,7 @@
 	if u, ok = d.users[name]; !ok {
 		return u, wire.Known{}, !d.asks, false
 	}
-	if u.Salted == "" {
+	if u.SaltedHash == "" {
 		return u, u.Password, true, true
 	}
 	k, fast = d.known[name]
@@ -95,16 +95,16 @@
 
 // full checks a password as it is, and remembers it if it is the one.
 func (d *directory) full(u User, password string) bool {
-	if u.Salted == "" {
+	if u.SaltedHash == "" {
 		return u.Password.Is(password)
 	}
-	s, err := parseSalted(u.Salted)
+	s, err := parseSalted(u.SaltedHash)
 	if err != nil || !s.is(password) {
 		return false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if now, ok := d.users[u.Name]; ok && now.Salted == u.Salted {
+	if now, ok := d.users[u.Name]; ok && now.SaltedHash == u.SaltedHash {
 		d.known[u.Name] = wire.Keep(password)
 	}
 	return true
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -136,7 +136,7 @@
 	f := proxy.New(c, opened, t, s.budget, s.log)
 	s.all = append(s.all, &service{
 		kind: "mysql", name: c.Name, listen: c.Listen, pool: opened, poolName: p.Name, front: f, setUsers: f.SetUsers, mysql: f.Stats,
-		makeRoom: roomOf(beside, t.MakeRoom), close: closing(beside, t.Close),
+		makeRoom: roomOf(beside, t.EvictIdle), close: closing(beside, t.Close),
 	})
 	return nil
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -250,14 +250,14 @@
 		total(streamBytes, st.Bytes[1], f.Name, "clients")
 	}
 	if st := f.MySQL; st != nil {
-		g = st.Guests
+		g = st.Connections
 		gauge(mysqlBound, float64(st.Bound), f.Name)
 		for answer, n := range st.Statements {
 			total(mysqlAnswers, n, f.Name, answer)
 		}
-		total(mysqlMoves, st.Moved, f.Name, "free")
-		total(mysqlMoves, st.Drained, f.Name, "ended")
-		c := st.Servers
+		total(mysqlMoves, st.Migrated, f.Name, "free")
+		total(mysqlMoves, st.DrainExpired, f.Name, "ended")
+		c := st.ServerConns
 		for what, n := range map[string]uint64{"opened": c.Dials, "reused": c.Reuses, "reset": c.Resets, "killed": c.Kills} {
 			total(mysqlServers, n, f.Name, what)
 		}
