--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -142,7 +142,7 @@
 	f := proxy.New(c, opened, t, s.budget, s.log)
 	s.services = append(s.services, &service{
 		kind: "mysql", name: c.Name, listen: c.Listen, pool: opened, poolName: p.Name, frontend: f, setUsers: f.SetUsers, mysqlStats: f.Stats,
-		evictIdle: evictIdleFunc(loads, t.MakeRoom), close: closeFunc(loads, t.Close),
+		evictIdle: evictIdleFunc(loads, t.EvictIdle), close: closeFunc(loads, t.Close),
 	})
 	return nil
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -251,14 +251,14 @@
 		total(streamBytes, st.Bytes[1], f.Name, "clients")
 	}
 	if st := f.MySQL; st != nil {
-		g = st.Guests
+		g = st.Connections
 		gauge(mysqlBound, float64(st.Bound), f.Name)
 		for answer, n := range st.Statements {
 			total(mysqlStatements, n, f.Name, answer)
 		}
-		total(mysqlSessionsMoved, st.Moved, f.Name, "free")
-		total(mysqlSessionsMoved, st.Drained, f.Name, "ended")
-		c := st.Servers
+		total(mysqlSessionsMoved, st.Migrated, f.Name, "free")
+		total(mysqlSessionsMoved, st.DrainExpired, f.Name, "ended")
+		c := st.ServerConns
 		for what, n := range map[string]uint64{"opened": c.Dials, "reused": c.Reuses, "reset": c.Resets, "killed": c.Kills} {
 			total(mysqlServerConns, n, f.Name, what)
 		}
