--- a/internal/config/services.go
+++ b/internal/config/services.go
@@ -232,9 +232,9 @@
 
 func (t *streamTable) stream(pools []pool.Config) (stream.Config, error) {
 	c := stream.Config{
-		Name: t.Name, Listen: t.Listen, Pool: t.Pool, Class: t.Class, Idle: time.Duration(t.Idle), Stall: time.Duration(t.Stall), Total: time.Duration(t.Total),
-		Drain: time.Duration(t.Drain), Half: time.Duration(t.Half), Patience: time.Duration(t.Patience), Splice: t.Splice,
-		Guests: connlimit.Limits{Total: t.Most, PerAddress: t.PerAddr},
+		Name: t.Name, Listen: t.Listen, Pool: t.Pool, Class: t.Class, IdleTimeout: time.Duration(t.Idle), StallTimeout: time.Duration(t.Stall), MaxDuration: time.Duration(t.Total),
+		DrainTimeout: time.Duration(t.Drain), HalfClosedTimeout: time.Duration(t.Half), ShutdownTimeout: time.Duration(t.Patience), Splice: t.Splice,
+		ConnLimits: connlimit.Limits{Total: t.Most, PerAddress: t.PerAddr},
 	}
 	s := Services{Pools: pools}
 	p := s.Pool(t.Pool)
@@ -397,7 +397,7 @@
 		case u.Password != nil && (hashes || u.Salted != ""), u.Salted != "" && hashes:
 			return nil, wrong("password", errors.New("it is told in two ways"))
 		case u.Password != nil:
-			user.Password = wire.Keep(*u.Password)
+			user.Password = wire.NewPasswordHashes(*u.Password)
 		case u.Salted != "":
 		case !hashes:
 			return nil, wrong("password", errors.New("neither password, salted, native nor sha2 is set"))
--- a/internal/config/services_test.go
+++ b/internal/config/services_test.go
@@ -21,7 +21,7 @@
 	if len(o.Pools) != 2 || len(o.Streams) != 1 || len(o.MySQL) != 1 {
 		t.Fatalf("%d pools, %d streams, %d of MySQL", len(o.Pools), len(o.Streams), len(o.MySQL))
 	}
-	if s := o.Streams[0]; s.Drain != time.Minute || s.Guests.PerAddress != 100 || s.Pool != "meters" || !o.Pool("meters").Servers[1].Drain {
+	if s := o.Streams[0]; s.DrainTimeout != time.Minute || s.ConnLimits.PerAddress != 100 || s.Pool != "meters" || !o.Pool("meters").Servers[1].Drain {
 		t.Errorf("%+v", s)
 	}
 	m := o.MySQL[0]
@@ -113,7 +113,7 @@
 		"[[pools.classes]]\nname = \"sql\"\neffect = \"by-statement\"\naim = \"1s\"\ndeadline = \"2s\"\n"
 	const stream = "[[streams]]\nname = \"s\"\nlisten = \"127.0.0.1:0\"\npool = \"p\"\nclass = \"open\"\n"
 	const mysql = "[[mysql]]\nname = \"m\"\nlisten = \"127.0.0.1:0\"\npool = \"p\"\nclass = \"sql\"\nauth = \"users\"\nusers = \"users\"\naccount = {user = \"a\"}\n"
-	if o, err := parseOperator(pools+stream+mysql, dir); err != nil || o.MySQL[0].Users[0].Password != wire.Keep("secret") {
+	if o, err := parseOperator(pools+stream+mysql, dir); err != nil || o.MySQL[0].Users[0].Password != wire.NewPasswordHashes("secret") {
 		t.Fatalf("%+v, %v", o, err)
 	}
 	for _, tt := range []struct{ text, old, new, want string }{
--- a/internal/config/show.go
+++ b/internal/config/show.go
@@ -86,7 +86,7 @@
 			return err
 		}
 		c = c.WithDefaults()
-		t.Idle, t.Stall, t.Drain, t.Half, t.Patience = duration(c.Idle), duration(c.Stall), duration(c.Drain), duration(c.Half), duration(c.Patience)
+		t.Idle, t.Stall, t.Drain, t.Half, t.Patience = duration(c.IdleTimeout), duration(c.StallTimeout), duration(c.DrainTimeout), duration(c.HalfClosedTimeout), duration(c.ShutdownTimeout)
 	}
 	for i := range f.MySQL {
 		t := &f.MySQL[i]
--- a/internal/conformance/services.go
+++ b/internal/conformance/services.go
@@ -53,10 +53,10 @@
 	for i := range l.drain {
 		s, err := sqlstandin.Start(sqlstandin.Config{
 			Name: fmt.Sprint("l", i), Database: l.db, Users: map[string]string{"sidecar": "inner"},
-			Trouble: func(sql string) (trouble sqlstandin.Trouble) {
+			Fault: func(sql string) (trouble sqlstandin.Fault) {
 				l.trouble.Range(func(k, v any) bool {
 					if strings.Contains(sql, k.(string)) && l.trouble.CompareAndDelete(k, v) {
-						trouble = *v.(*sqlstandin.Trouble)
+						trouble = *v.(*sqlstandin.Fault)
 					}
 					return true
 				})
@@ -131,7 +131,7 @@
 func statementsOnce(t *testing.T, start StartServices) {
 	l := openLedgers(t, start)
 	c := l.session(t)
-	for name, trouble := range map[string]sqlstandin.Trouble{"before": {Before: true}, "during": {During: true}, "after": {After: true}, "cut": {Cut: 5}} {
+	for name, trouble := range map[string]sqlstandin.Fault{"before": {CloseBefore: true}, "during": {CloseDuring: true}, "after": {CloseAfter: true}, "cut": {CutAfterBytes: 5}} {
 		l.trouble.Store(name, &trouble)
 		_, err := c.ExecContext(context.Background(), fmt.Sprintf("INSERT INTO orders (id, item, qty) VALUES ('%s', 'x', 1)", name))
 		if sqlCode(err) != 9002 {
--- a/internal/mysql/proxy/basic_test.go
+++ b/internal/mysql/proxy/basic_test.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, u := range []User{{Name: "app", Password: wire.Keep("secret")}, {Name: "app", Salted: salted}} {
+	for _, u := range []User{{Name: "app", Password: wire.NewPasswordHashes("secret")}, {Name: "app", Salted: salted}} {
 		w := open(t, options{proxy: Config{Users: []User{u}}})
 		for _, c := range [][2]string{{"app", "wrong"}, {"app", ""}, {"nobody", "secret"}, {"nobody", ""}} {
 			if err := connect(t, w.addr, c[0], c[1], "").Ping(); code(err) != 1045 {
--- a/internal/mysql/proxy/bench_test.go
+++ b/internal/mysql/proxy/bench_test.go
@@ -20,11 +20,11 @@
 		{"work of 1 ms", "SELECT 2"}} {
 		b.Run(kind.name, func(b *testing.B) {
 			w := open(b, options{servers: 1})
-			w.make(func(_, sql string) standin.Trouble {
+			w.make(func(_, sql string) standin.Fault {
 				if sql == "SELECT 2" {
-					return standin.Trouble{Delay: time.Millisecond}
+					return standin.Fault{Delay: time.Millisecond}
 				}
-				return standin.Trouble{}
+				return standin.Fault{}
 			})
 			bare := relay(b, w.servers[0].Addr())
 			through, direct, hop := w.client(""), connect(b, w.servers[0].Addr(), "app", "secret", ""), connect(b, bare, "app", "secret", "")
--- a/internal/mysql/proxy/client.go
+++ b/internal/mysql/proxy/client.go
@@ -153,7 +153,7 @@
 func (s *client) give() {
 	x := s.x
 	s.x, s.drained = nil, time.Time{}
-	s.state.Gave()
+	s.state.ConnectionReleased()
 	s.f.transport.keep(x.server)
 	x.end(policy.OK)
 }
@@ -194,11 +194,11 @@
 		case !takes && now.Sub(s.drained) >= f.cfg.Drain:
 			f.drained.Add(1)
 			if s.forever {
-				s.shut(wire.Closing("the server takes nothing new"))
+				s.shut(wire.ConnectionClosing("the server takes nothing new"))
 				return
 			}
 			s.drop(policy.OK)
-			if l := s.state.Lost(nil, false, "its server takes nothing new"); l.Close {
+			if l := s.state.ConnectionLost(nil, false, "its server takes nothing new"); l.Close {
 				s.shut(l.Error)
 				return
 			}
@@ -207,7 +207,7 @@
 	s.bound.Store(s.x != nil && (s.forever || s.state.Bound()))
 	switch {
 	case !f.door.DrainingSince().IsZero() && (!s.bound.Load() || f.ending().MustAnswer(now)):
-		s.shut(wire.Closing("the proxy is ending"))
+		s.shut(wire.ConnectionClosing("the proxy is ending"))
 	case now.Sub(s.rested) >= f.cfg.Idle:
 		s.shut(&wire.Error{Code: 4031, State: "HY000", Message: "The client was disconnected because of inactivity"})
 	}
@@ -254,7 +254,7 @@
 		}
 		if !s.f.room.TryAcquire(weight) {
 			s.f.statements[refused].Add(1)
-			s.wire.Expect(1)
+			s.wire.SetSequence(1)
 			s.fail(wire.Refused(time.Second))
 			return errEnd // what is still coming cannot be taken
 		}
@@ -275,7 +275,7 @@
 		return s.unread(wire.ErrMalformed)
 	}
 	if !s.f.ending().MayForward(time.Now()) {
-		s.fail(wire.Closing("the proxy is ending"))
+		s.fail(wire.ConnectionClosing("the proxy is ending"))
 		return errEnd
 	}
 	return s.command(wire.Command(b[0]), b)
@@ -285,11 +285,11 @@
 func (s *client) unread(err error) error {
 	switch {
 	case errors.Is(err, wire.ErrTooLarge):
-		s.wire.Expect(1)
-		s.fail(wire.TooLarge(s.f.cfg.MostStatement))
+		s.wire.SetSequence(1)
+		s.fail(wire.StatementTooLarge(s.f.cfg.MostStatement))
 	case errors.Is(err, wire.ErrSequence), errors.Is(err, wire.ErrMalformed):
-		s.wire.Expect(1)
-		s.fail(wire.OutOfOrder(err))
+		s.wire.SetSequence(1)
+		s.fail(wire.ProtocolError(err))
 	}
 	return errEnd
 }
@@ -315,13 +315,13 @@
 		if s.x == nil || !s.forever && !s.state.Bound() { // what a statement has left on a connection stays there
 			return s.ok()
 		}
-		return s.here(c, b, &session.Statement{Verb: "ping", Read: true}, 0)
+		return s.here(c, b, &session.Statement{Verb: "ping", ReadOnly: true}, 0)
 	case wire.InitDB:
 		schema := string(b[1:])
 		if !s.user.mayUse(schema) {
 			return s.fail(&wire.Error{Code: 1044, State: "42000", Message: "Access denied to this schema"})
 		}
-		return s.statement(c, b, session.Statement{Verb: "use", Read: true, Schema: schema}, nil, nil)
+		return s.statement(c, b, session.Statement{Verb: "use", ReadOnly: true, Schema: schema}, nil, nil)
 	case wire.Query:
 		return s.query(b)
 	case wire.StmtPrepare:
@@ -356,7 +356,7 @@
 	if name == "" {
 		return s.fail(&wire.Error{Code: 1047, State: "08S01", Message: "Unknown command"})
 	}
-	return s.fail(wire.NotCarried(name))
+	return s.fail(wire.NotSupported(name))
 }
 
 // scan reads a statement. Hints mean nothing where the operator has not said so.
@@ -382,18 +382,18 @@
 
 // statement has a command run where the session's state allows it, and answers it. p and e are an EXECUTE's.
 func (s *client) statement(c wire.Command, b []byte, st session.Statement, p *prepared, e *session.Execution) error {
-	if st.Hint.Wrong != "" {
-		return s.fail(&wire.Error{Code: 1064, State: "42000", Message: "hint: " + st.Hint.Wrong})
+	if st.Hint.Invalid != "" {
+		return s.fail(&wire.Error{Code: 1064, State: "42000", Message: "hint: " + st.Hint.Invalid})
 	}
 	plan := s.state.Plan(&st, s.x != nil)
-	switch plan.Place {
-	case session.Nowhere:
+	switch plan.Placement {
+	case session.LocalReply:
 		if plan.Error != nil {
 			s.f.statements[lost].Add(1)
 			return s.fail(plan.Error)
 		}
 		return s.ok()
-	case session.Here:
+	case session.CurrentConnection:
 		if p == nil {
 			return s.here(c, b, &st, st.Hint.Timeout)
 		}
@@ -414,9 +414,9 @@
 // class returns the class of a statement, and how long its client waits.
 func (s *client) class(st *session.Statement, timeout time.Duration) (string, time.Duration) {
 	known := func(name string) bool { _, ok := s.f.pool.Class(name); return ok }
-	name := s.f.cfg.classOf(s.user.Name, s.state.Schema(), st.Verb, st.Hint.Class, known)
+	name := s.f.cfg.classOf(s.user.Name, s.state.DefaultSchema(), st.Verb, st.Hint.Class, known)
 	class, _ := s.f.pool.Class(name)
-	if st.Read {
+	if st.ReadOnly {
 		if read, ok := s.f.pool.Class(pool.SafeClass(name)); ok {
 			class = read
 		}
@@ -432,8 +432,8 @@
 func (s *client) anywhere(c wire.Command, b []byte, st *session.Statement, p *prepared, e *session.Execution) error {
 	f := s.f
 	j := &job{
-		command: c, message: b, stmt: p, exec: e, profile: profile{s.caps & shaping, s.charset}, schema: s.state.Schema(),
-		settings: s.state.Settings(), clean: st.Asks != 0, read: st.Read, target: &s.target,
+		command: c, message: b, stmt: p, exec: e, profile: profile{s.caps & shaping, s.charset}, schema: s.state.DefaultSchema(),
+		settings: s.state.Settings(), clean: st.Needs != 0, read: st.ReadOnly, target: &s.target,
 	}
 	defer s.target.Store(nil)
 	if p != nil {
@@ -465,7 +465,7 @@
 		return s.fail(wire.Refused(result.RetryAfter))
 	}
 	sent := !result.NotRun // Last may tell of one attempt, and another be out still
-	if !sent && !st.Read {
+	if !sent && !st.ReadOnly {
 		f.statements[refused].Add(1)
 		return s.fail(wire.Refused(0))
 	}
@@ -476,7 +476,7 @@
 	case sent:
 		why = "the server went before it answered"
 	}
-	return s.tell(st, s.state.Lost(st, sent, why))
+	return s.tell(st, s.state.ConnectionLost(st, sent, why))
 }
 
 // tell tells the client what became of its session.
@@ -486,7 +486,7 @@
 	case l.Error == nil:
 		s.f.statements[served].Add(1)
 		err = s.ok()
-	case l.Error.Code == wire.Unknown("").Code:
+	case l.Error.Code == wire.OutcomeUnknown("").Code:
 		s.f.statements[unknown].Add(1)
 		err = s.fail(l.Error)
 	default:
@@ -582,7 +582,7 @@
 	if !x.quiet() {
 		settle(engine.Failed)
 		s.drop(policy.Reset)
-		return s.tell(st, s.state.Lost(st, false, "its server had gone"))
+		return s.tell(st, s.state.ConnectionLost(st, false, "its server had gone"))
 	}
 	x.runs(true)
 	s.target.Store(x.server)
@@ -611,7 +611,7 @@
 			f.transport.kill(x.to, x.thread)
 		}
 		s.drop(policy.Reset)
-		return s.tell(st, s.state.Lost(st, !errors.As(err, &sync), why))
+		return s.tell(st, s.state.ConnectionLost(st, !errors.As(err, &sync), why))
 	}
 	settle(engine.Served)
 	return s.relay(st, p)
@@ -659,7 +659,7 @@
 	wrote := false
 	err := s.pass(x, &wrote)
 	x.runs(false)
-	var to wire.ErrTo
+	var to wire.WriteError
 	switch {
 	case errors.As(err, &to): // the client has left, or takes nothing
 		f.transport.kill(x.to, x.thread)
@@ -673,9 +673,9 @@
 			f.statements[lost].Add(1)
 			return errEnd
 		}
-		l := s.state.Lost(st, true, "the reply broke off")
+		l := s.state.ConnectionLost(st, true, "the reply broke off")
 		if l.Error != nil && l.Error.Code == wire.Failed("").Code {
-			l.Error = wire.Broken("its server went")
+			l.Error = wire.ResultTruncated("its server went")
 		}
 		return s.tell(st, l)
 	}
@@ -685,7 +685,7 @@
 	} else {
 		f.statements[served].Add(1)
 	}
-	keep := s.state.Ended(st, reply.Reported) || s.forever
+	keep := s.state.StatementEnded(st, reply.ReplySummary) || s.forever
 	if !s.forever && s.state.Bound() {
 		x.said.dirty = true
 	}
@@ -711,46 +711,46 @@
 func (s *client) pass(x *exchange, wrote *bool) error {
 	for _, b := range x.held {
 		if err := s.wire.Write(b); err != nil {
-			return wire.NewErrTo(err)
+			return wire.NewWriteError(err)
 		}
 	}
 	x.held = nil
 	for !x.reply.Done() {
 		if x.wire.R.Buffered() == 0 { // what comes next may take a while
 			if err := s.wire.W.Flush(); err != nil {
-				return wire.NewErrTo(err)
+				return wire.NewWriteError(err)
 			}
 		}
 		piece, err := x.wire.Peek()
 		if err != nil {
 			return err
 		}
-		whole, err := x.reply.Whole(piece)
+		whole, err := x.reply.MustReadWhole(piece)
 		if err != nil {
 			return err
 		}
 		if whole {
-			b, err := x.wire.Read(session.MostControl)
+			b, err := x.wire.Read(session.MaxControlPacket)
 			if err != nil {
 				return err
 			}
-			if err := x.reply.Take(b); err != nil {
+			if err := x.reply.Consume(b); err != nil {
 				return err
 			}
 			if err := s.wire.Write(b); err != nil {
-				return wire.NewErrTo(err)
+				return wire.NewWriteError(err)
 			}
 			continue
 		}
-		n, begun, err := x.wire.Pass(&s.wire)
+		n, begun, err := x.wire.Forward(&s.wire)
 		if err != nil {
 			*wrote = begun
 			return err
 		}
-		x.reply.Passed(n)
+		x.reply.Forwarded(n)
 	}
 	if err := s.wire.W.Flush(); err != nil {
-		return wire.NewErrTo(err)
+		return wire.NewWriteError(err)
 	}
 	return nil
 }
@@ -769,21 +769,21 @@
 	if len(s.statements) >= mostStatements || s.text+len(sql) > mostPreparedText {
 		return s.fail(&wire.Error{Code: 1461, State: "42000", Message: "too many prepared statements in this session"})
 	}
-	p := &prepared{sql: sql, schema: s.state.Schema(), scan: s.scan(sql)}
-	if p.scan.Kill != nil || p.scan.Local {
-		return s.fail(wire.NotCarried("this statement, prepared,"))
+	p := &prepared{sql: sql, schema: s.state.DefaultSchema(), scan: s.scan(sql)}
+	if p.scan.Kill != nil || p.scan.LocalInfile {
+		return s.fail(wire.NotSupported("this statement, prepared,"))
 	}
 	for s.last++; s.last == 0 || s.statements[s.last] != nil; s.last++ {
 	}
 	p.id = s.last
-	st := session.Statement{Verb: p.scan.Verb, Read: true, Hint: p.scan.Hint}
+	st := session.Statement{Verb: p.scan.Verb, ReadOnly: true, Hint: p.scan.Hint}
 	return s.preparing(b, &st, p)
 }
 
 // preparing has a server prepare a statement, and tells the client this side's number of it.
 func (s *client) preparing(b []byte, st *session.Statement, p *prepared) error {
 	plan := s.state.Plan(st, s.x != nil)
-	if plan.Place == session.Nowhere {
+	if plan.Placement == session.LocalReply {
 		s.f.statements[lost].Add(1)
 		return s.fail(plan.Error)
 	}
@@ -810,12 +810,12 @@
 			if errors.Is(err, errGone) {
 				return errEnd
 			}
-			return s.tell(st, s.state.Lost(st, true, "the server went before it answered"))
+			return s.tell(st, s.state.ConnectionLost(st, true, "the server went before it answered"))
 		}
 		f.pool.ResolveDeferred(r, engine.Result{Kind: engine.Served, Server: x.at})
 	} else {
 		j := &job{
-			command: wire.StmtPrepare, message: b, profile: profile{s.caps & shaping, s.charset}, schema: s.state.Schema(), settings: s.state.Settings(), read: true,
+			command: wire.StmtPrepare, message: b, profile: profile{s.caps & shaping, s.charset}, schema: s.state.DefaultSchema(), settings: s.state.Settings(), read: true,
 		}
 		r := &engine.Request{Class: name, Timeout: wait, Payload: j}
 		if err := f.pool.Submit(r, f.pool.Now()); err != nil {
@@ -860,7 +860,7 @@
 		if errors.As(err, &answer) {
 			return s.fail(answer)
 		}
-		return s.fail(wire.OutOfOrder(err))
+		return s.fail(wire.ProtocolError(err))
 	}
 	p.types = e.Types
 	return s.statement(wire.StmtExecute, nil, p.scan, p, e)
@@ -873,8 +873,8 @@
 		return nil // the EXECUTE will be told
 	}
 	if p.size += len(b); p.size > s.f.cfg.MostStatement {
-		s.wire.Expect(1)
-		s.fail(wire.TooLarge(s.f.cfg.MostStatement))
+		s.wire.SetSequence(1)
+		s.fail(wire.StatementTooLarge(s.f.cfg.MostStatement))
 		return errEnd
 	}
 	p.long = append(p.long, b)
@@ -886,12 +886,12 @@
 	if s.forever {
 		err := s.here(wire.ResetConnection, b, &session.Statement{Verb: "reset"}, 0)
 		if err == nil && s.x != nil {
-			s.state.Reset(s.state.Schema())
+			s.state.Reset(s.state.DefaultSchema())
 			s.statements, s.text = map[uint32]*prepared{}, 0
 		}
 		return err
 	}
-	s.begin(s.state.Schema())
+	s.begin(s.state.DefaultSchema())
 	return s.ok()
 }
 
@@ -916,12 +916,12 @@
 		return s.fail(&wire.Error{Code: 1094, State: "HY000", Message: "Unknown thread id"})
 	}
 	to := v.target.Load()
-	if !k.Query {
+	if !k.QueryOnly {
 		v.raw.Close() // whoever serves it sees to the rest
 		return s.ok()
 	}
 	if s.f.cfg.Account.User == "" {
-		return s.fail(wire.NotCarried("KILL QUERY without an account"))
+		return s.fail(wire.NotSupported("KILL QUERY without an account"))
 	}
 	if to != nil {
 		if _, err := s.f.transport.end(to); err != nil {
--- a/internal/mysql/proxy/config.go
+++ b/internal/mysql/proxy/config.go
@@ -67,7 +67,7 @@
 // User is somebody who may log in.
 type User struct {
 	Name     string
-	Password wire.Known
+	Password wire.PasswordHashes
 	// Salted, in place of Password, is a hash that takes the password itself to check: "pbkdf2$rounds$salt$hash", in hex.
 	Salted  string
 	Schemas []string // that it may choose; nil: all
--- a/internal/mysql/proxy/entry.go
+++ b/internal/mysql/proxy/entry.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	s.caps, s.charset = l.Capabilities&g.Capabilities, l.Charset
-	if err := s.proved(l.User, l.Plugin, l.Proof, g.Scramble, l.Schema); err != nil {
+	if err := s.proved(l.User, l.Plugin, l.AuthResponse, g.Scramble, l.Schema); err != nil {
 		return err
 	}
 	s.state = session.New(l.Schema, s.charset)
@@ -46,7 +46,7 @@
 	}
 	if wire.IsSSLRequest(b) && s.f.cfg.TLS != nil {
 		early, _ := s.wire.R.Peek(s.wire.R.Buffered())
-		c := tls.Server(wire.Behind(early, s.raw), s.f.cfg.TLS)
+		c := tls.Server(wire.PrefixConn(early, s.raw), s.f.cfg.TLS)
 		if err := c.HandshakeContext(s.f.door.Context()); err != nil {
 			return wire.Login{}, err
 		}
@@ -65,13 +65,13 @@
 
 func (s *client) misread(err error) error {
 	if errors.Is(err, wire.ErrMalformed) || errors.Is(err, wire.ErrSequence) || errors.Is(err, wire.ErrTooLarge) || errors.Is(err, wire.ErrOldClient) {
-		s.fail(wire.OutOfOrder(err))
+		s.fail(wire.ProtocolError(err))
 	}
 	return errEnd
 }
 
 func (s *client) deny(user string) error {
-	s.fail(wire.Denied(user))
+	s.fail(wire.AccessDenied(user))
 	return errEnd
 }
 
@@ -81,7 +81,7 @@
 	want := s.f.cfg.Plugin
 	if plugin != want {
 		scramble = wire.NewScramble()
-		if err := s.send(wire.AppendSwitch(nil, want, scramble)); err != nil {
+		if err := s.send(wire.AppendAuthSwitch(nil, want, scramble)); err != nil {
 			return err
 		}
 		var err error
@@ -90,7 +90,7 @@
 		}
 	}
 	switch {
-	case fast && (!known || !k.Proves(want, proof, scramble)):
+	case fast && (!known || !k.VerifyResponse(want, proof, scramble)):
 		// A salted password that was changed is asked for in full.
 		if !known || u.Salted == "" {
 			return s.deny(name)
@@ -105,7 +105,7 @@
 			return s.deny(name)
 		}
 	case want == wire.SHA2 && len(proof) > 0:
-		if err := s.send([]byte{wire.AuthMore, wire.FastOK}); err != nil {
+		if err := s.send([]byte{wire.AuthMoreData, wire.FastAuthSuccess}); err != nil {
 			return err
 		}
 	}
@@ -126,7 +126,7 @@
 	if empty || s.f.cfg.Plugin != wire.SHA2 {
 		return false, nil
 	}
-	if err := s.send([]byte{wire.AuthMore, wire.FullNeeded}); err != nil {
+	if err := s.send([]byte{wire.AuthMoreData, wire.PerformFullAuth}); err != nil {
 		return false, err
 	}
 	b, err := s.wire.Read(mostLogin)
@@ -140,24 +140,24 @@
 		}
 		password = string(b[:len(b)-1])
 	} else {
-		if len(b) != 1 || b[0] != wire.KeyRequested {
+		if len(b) != 1 || b[0] != wire.RequestPublicKey {
 			return false, s.misread(wire.ErrMalformed)
 		}
 		key, err := theKey()
 		if err != nil {
 			return false, err
 		}
-		text, err := wire.PublicKey(key)
+		text, err := wire.PublicKeyPEM(key)
 		if err != nil {
 			return false, err
 		}
-		if err := s.send(append([]byte{wire.AuthMore}, text...)); err != nil {
+		if err := s.send(append([]byte{wire.AuthMoreData}, text...)); err != nil {
 			return false, err
 		}
 		if b, err = s.wire.Read(mostLogin); err != nil {
 			return false, s.misread(err)
 		}
-		if password, err = wire.Decrypt(b, scramble, key); err != nil {
+		if password, err = wire.DecryptPassword(b, scramble, key); err != nil {
 			return false, nil
 		}
 	}
@@ -167,13 +167,13 @@
 // passLogin has a server picked for the client, and passes the login on between them.
 func (s *client) passLogin() error {
 	f := s.f
-	st := &session.Statement{Verb: "connect", Read: true}
+	st := &session.Statement{Verb: "connect", ReadOnly: true}
 	s.state = session.New("", 45) // for its class
 	name, wait := s.class(st, 0)
 	s.state = nil
 	r := &engine.Request{Class: name, Timeout: wait, Payload: &job{open: true, read: true}}
 	if err := f.pool.Submit(r, f.pool.Now()); err != nil {
-		s.fail(wire.Closing("the proxy is ending"))
+		s.fail(wire.ConnectionClosing("the proxy is ending"))
 		return errEnd
 	}
 	result, ok := s.await(r)
@@ -181,7 +181,7 @@
 		return errEnd
 	}
 	if result.Kind != engine.Served {
-		e := wire.TooMany("no server can take a connection now")
+		e := wire.TooManyConnections("no server can take a connection now")
 		s.fail(e)
 		return errEnd
 	}
@@ -201,7 +201,7 @@
 func (s *client) between(x *exchange) error {
 	g := x.hello
 	if !g.Capabilities.Has(needed) {
-		s.fail(wire.Closing("the server is too old"))
+		s.fail(wire.ConnectionClosing("the server is too old"))
 		return errEnd
 	}
 	g.ThreadID = s.id
@@ -221,7 +221,7 @@
 		return errEnd
 	}
 	if err := s.f.transport.secure(s.f.door.Context(), x.server, x.hello, &l); err != nil {
-		s.fail(wire.Closing("no TLS with the server"))
+		s.fail(wire.ConnectionClosing("no TLS with the server"))
 		return err
 	}
 	if err := x.send(l.Append(nil)); err != nil {
@@ -241,7 +241,7 @@
 	for range mostRounds {
 		b, err := x.wire.Read(mostLogin)
 		if err != nil {
-			s.fail(wire.Closing("the server went"))
+			s.fail(wire.ConnectionClosing("the server went"))
 			return err
 		}
 		if err := s.send(b); err != nil {
@@ -254,7 +254,7 @@
 			return nil
 		case b[0] == 0xff:
 			return errEnd
-		case b[0] == wire.AuthMore && len(b) == 2 && b[1] == wire.FastOK:
+		case b[0] == wire.AuthMoreData && len(b) == 2 && b[1] == wire.FastAuthSuccess:
 			continue
 		}
 		if b, err = s.wire.Read(mostLogin); err != nil {
@@ -282,7 +282,7 @@
 	}
 	// Its proof is of a scramble that has been used: it is asked for another.
 	scramble := wire.NewScramble()
-	if err := s.send(wire.AppendSwitch(nil, s.f.cfg.Plugin, scramble)); err != nil {
+	if err := s.send(wire.AppendAuthSwitch(nil, s.f.cfg.Plugin, scramble)); err != nil {
 		return err
 	}
 	proof, err := s.wire.Read(mostLogin)
--- a/internal/mysql/proxy/front.go
+++ b/internal/mysql/proxy/front.go
@@ -78,9 +78,9 @@
 
 // turnAway tells a client that it may not connect. It waits for nobody.
 func turnAway(c net.Conn, why connlimit.Reason) {
-	e := wire.TooMany(why.String())
+	e := wire.TooManyConnections(why.String())
 	if why == connlimit.Closed {
-		e = wire.Closing("the proxy is ending")
+		e = wire.ConnectionClosing("the proxy is ending")
 	}
 	b := e.Append(make([]byte, 4))
 	n := len(b) - 4
--- a/internal/mysql/proxy/hard_test.go
+++ b/internal/mysql/proxy/hard_test.go
@@ -74,7 +74,7 @@
 	}
 	exec(t, late, "INSERT INTO orders (id, item, qty) VALUES ('late', 'x', 1)")
 	w.drain(n)
-	begun := w.servers[n].Begun.Load()
+	begun := w.servers[n].TransactionsBegun.Load()
 	if err := exec(t, soon, "UPDATE orders SET qty = qty + 1 WHERE id = 'soon'"); err != nil {
 		t.Errorf("a statement of the transaction: %v", err)
 	}
@@ -85,7 +85,7 @@
 		exec(t, rest, "BEGIN")
 		exec(t, rest, "COMMIT")
 	}
-	if w.servers[n].Begun.Load() != begun {
+	if w.servers[n].TransactionsBegun.Load() != begun {
 		t.Error("a new transaction begins at the server that drains")
 	}
 	if err := soon.Commit(); err != nil {
@@ -110,17 +110,17 @@
 // server.
 func TestServerDies(t *testing.T) {
 	w := open(t, options{servers: 3})
-	kinds := map[string]standin.Trouble{"before": {Before: true}, "during": {During: true}, "after": {After: true}}
+	kinds := map[string]standin.Fault{"before": {CloseBefore: true}, "during": {CloseDuring: true}, "after": {CloseAfter: true}}
 	for n := 1; n <= 12; n++ { // the reply to an INSERT has 11 bytes or so
-		kinds[fmt.Sprint("cut ", n)] = standin.Trouble{Cut: n}
+		kinds[fmt.Sprint("cut ", n)] = standin.Fault{CutAfterBytes: n}
 	}
 	for name, trouble := range kinds {
 		var once atomic.Bool
-		w.make(func(_, sql string) standin.Trouble {
+		w.make(func(_, sql string) standin.Fault {
 			if strings.Contains(sql, name) && once.CompareAndSwap(false, true) {
 				return trouble
 			}
-			return standin.Trouble{}
+			return standin.Fault{}
 		})
 		c := w.session("")
 		err := exec(t, c, fmt.Sprintf("/* class=delivery-order */ INSERT INTO orders (id, item, qty) VALUES ('%s', 'x', 1)", name))
@@ -149,23 +149,23 @@
 func TestCommitDies(t *testing.T) {
 	w := open(t, options{})
 	for _, tt := range []struct {
-		trouble standin.Trouble
+		trouble standin.Fault
 		verb    string
 		code    uint16
 		ran     int
 	}{
-		{standin.Trouble{Before: true}, "COMMIT", 9002, 0}, {standin.Trouble{During: true}, "COMMIT", 9002, 0}, {standin.Trouble{After: true}, "COMMIT", 9002, 1},
-		{standin.Trouble{After: true}, "UPDATE", 9003, 0}, {standin.Trouble{After: true}, "ROLLBACK", 0, 0}, {standin.Trouble{After: true}, "CREATE TABLE", 9002, 1},
+		{standin.Fault{CloseBefore: true}, "COMMIT", 9002, 0}, {standin.Fault{CloseDuring: true}, "COMMIT", 9002, 0}, {standin.Fault{CloseAfter: true}, "COMMIT", 9002, 1},
+		{standin.Fault{CloseAfter: true}, "UPDATE", 9003, 0}, {standin.Fault{CloseAfter: true}, "ROLLBACK", 0, 0}, {standin.Fault{CloseAfter: true}, "CREATE TABLE", 9002, 1},
 	} {
-		name := fmt.Sprintf("%s %+v", tt.verb, tt.trouble.After)
-		if tt.trouble.During {
+		name := fmt.Sprintf("%s %+v", tt.verb, tt.trouble.CloseAfter)
+		if tt.trouble.CloseDuring {
 			name = "during"
 		}
-		w.make(func(_, sql string) standin.Trouble {
+		w.make(func(_, sql string) standin.Fault {
 			if strings.HasPrefix(sql, tt.verb) {
 				return tt.trouble
 			}
-			return standin.Trouble{}
+			return standin.Fault{}
 		})
 		c := w.session("")
 		exec(t, c, "BEGIN")
@@ -189,11 +189,11 @@
 	w := open(t, options{servers: 1})
 	for _, cut := range []int{1, 40, 60, 70, 100, 999, 5000, 40_000, 300_000} {
 		var once atomic.Bool
-		w.make(func(_, sql string) standin.Trouble {
+		w.make(func(_, sql string) standin.Fault {
 			if strings.Contains(sql, "rows_") && once.CompareAndSwap(false, true) {
-				return standin.Trouble{Cut: cut}
+				return standin.Fault{CutAfterBytes: cut}
 			}
-			return standin.Trouble{}
+			return standin.Fault{}
 		})
 		c := w.session("")
 		rows, err := c.QueryContext(context.Background(), "SELECT ROW FROM rows_50000")
@@ -227,14 +227,14 @@
 	if _, err := w.client("").ExecContext(ctx, "SELECT SLEEP(15)"); err == nil {
 		t.Error("it was answered")
 	}
-	until(t, "its server is told", func() bool { return w.servers[0].Killed.Load()+w.servers[1].Killed.Load() == 1 })
+	until(t, "its server is told", func() bool { return w.servers[0].QueriesKilled.Load()+w.servers[1].QueriesKilled.Load() == 1 })
 	tx := begin(t, w.client(""))
 	ctx, cancel = context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	if _, err := tx.ExecContext(ctx, "SELECT SLEEP(15)"); err == nil {
 		t.Error("it was answered")
 	}
-	until(t, "its server is told", func() bool { return w.servers[0].Killed.Load()+w.servers[1].Killed.Load() == 2 })
+	until(t, "its server is told", func() bool { return w.servers[0].QueriesKilled.Load()+w.servers[1].QueriesKilled.Load() == 2 })
 	raw := dial(t, w, "app", "secret")
 	raw.ask(wire.Query, "SELECT ROW FROM rows_1000000")
 	raw.Read(make([]byte, 1000))
@@ -311,7 +311,7 @@
 			t.Fatalf("%q, %v", got, err)
 		}
 	}
-	w.servers[n].BreakOff()
+	w.servers[n].ResetConnections()
 	if _, err := value(t, c, "SELECT COUNT(*) FROM scratch"); code(err) != 9007 {
 		t.Errorf("%v", err)
 	}
@@ -402,7 +402,7 @@
 	if got := fmt.Sprint(w.db.Executed()); got != "map[A3:1]" {
 		t.Errorf("executed %s", got)
 	}
-	until(t, "the server was told to end both", func() bool { return w.servers[0].Killed.Load() == 2 })
+	until(t, "the server was told to end both", func() bool { return w.servers[0].QueriesKilled.Load() == 2 })
 	if err := exec(t, c, "/* timeout=never */ SELECT 1"); code(err) != 1064 {
 		t.Errorf("a hint that cannot be read: %v", err)
 	}
@@ -628,18 +628,18 @@
 // TestBadServers: whatever a server sends, each statement has one answer in time, a write none that is wrong, and no other session harm.
 func TestBadServers(t *testing.T) {
 	w := open(t, options{servers: 2, deadline: 2 * time.Second, proxy: Config{Stall: 500 * time.Millisecond}})
-	for name, trouble := range map[string]standin.Trouble{
-		"noise": {Reply: []byte("HTTP/1.1 200 OK\r\n\r\n")}, "out of order": {Reply: []byte{7, 0, 0, 9, 0, 0, 0, 2, 0, 0, 0}},
-		"an empty packet": {Reply: []byte{0, 0, 0, 1}}, "an endless packet": {Reply: append([]byte{0xff, 0xff, 0xff, 1, 0}, make([]byte, 2<<20)...)},
-		"a file of the client": {Reply: []byte{2, 0, 0, 1, 0xfb, 'x'}}, "columns without end": {Reply: []byte{5, 0, 0, 1, 0xfd, 0xff, 0xff, 0xff, 0}},
-		"silence": {Silent: true}, "more than was asked for": {Extra: []byte{7, 0, 0, 2, 0, 0, 0, 2, 0, 0, 0}},
-		"a result that stops": {Reply: []byte{1, 0, 0, 1, 1}},
+	for name, trouble := range map[string]standin.Fault{
+		"noise": {RawReply: []byte("HTTP/1.1 200 OK\r\n\r\n")}, "out of order": {RawReply: []byte{7, 0, 0, 9, 0, 0, 0, 2, 0, 0, 0}},
+		"an empty packet": {RawReply: []byte{0, 0, 0, 1}}, "an endless packet": {RawReply: append([]byte{0xff, 0xff, 0xff, 1, 0}, make([]byte, 2<<20)...)},
+		"a file of the client": {RawReply: []byte{2, 0, 0, 1, 0xfb, 'x'}}, "columns without end": {RawReply: []byte{5, 0, 0, 1, 0xfd, 0xff, 0xff, 0xff, 0}},
+		"silence": {NoReply: true}, "more than was asked for": {TrailingBytes: []byte{7, 0, 0, 2, 0, 0, 0, 2, 0, 0, 0}},
+		"a result that stops": {RawReply: []byte{1, 0, 0, 1, 1}},
 	} {
-		w.make(func(server, sql string) standin.Trouble {
+		w.make(func(server, sql string) standin.Fault {
 			if server == "box0" && strings.Contains(sql, "trouble") {
 				return trouble
 			}
-			return standin.Trouble{}
+			return standin.Fault{}
 		})
 		ok := 0
 		for i := range 6 {
@@ -668,7 +668,7 @@
 				t.Errorf("%s: %v", name, took)
 			}
 		}
-		w.make(func(string, string) standin.Trouble { return standin.Trouble{} })
+		w.make(func(string, string) standin.Fault { return standin.Fault{} })
 		if v, err := value(t, w.session(""), "SELECT 5"); v != "5" || err != nil {
 			t.Errorf("behind %s: %q, %v", name, v, err)
 		}
@@ -676,7 +676,7 @@
 	for _, greeting := range [][]byte{{}, {10}, []byte("HTTP/1.1 400\r\n\r\n"), {3, 0, 0, 0, 0xff, 0x10, 0x04}, {0xff, 0xff, 0xff, 0, 10}} {
 		// One that stalls or talks nonsense at the handshake costs a read no more than time.
 		w := open(t, options{servers: 1, deadline: 3 * time.Second})
-		w.start(options{server: standin.Config{Greeting: greeting}}, "bad")
+		w.start(options{server: standin.Config{RawGreeting: greeting}}, "bad")
 		if err := w.pool.Reload(w.cfg); err != nil {
 			t.Fatal(err)
 		}
@@ -724,12 +724,12 @@
 	const patience = 800 * time.Millisecond
 	w := open(t, options{deadline: time.Minute, proxy: Config{Patience: patience}})
 	var hung atomic.Int32
-	w.make(func(_, sql string) standin.Trouble {
+	w.make(func(_, sql string) standin.Fault {
 		if !strings.HasPrefix(sql, "INSERT") {
-			return standin.Trouble{}
+			return standin.Fault{}
 		}
 		hung.Add(1)
-		return standin.Trouble{Silent: true}
+		return standin.Fault{NoReply: true}
 	})
 	free, tx, late := w.session(""), begin(t, w.client("")), begin(t, w.client(""))
 	answers := make(chan [2]any, 2) // its id, and the error's code
@@ -746,7 +746,7 @@
 	go func() { ended <- w.Shutdown(context.Background()) }()
 	for range 2 {
 		a := <-answers
-		want := map[any]uint16{"A1": wire.Unknown("").Code, "A2": wire.RolledBack("").Code}[a[0]]
+		want := map[any]uint16{"A1": wire.OutcomeUnknown("").Code, "A2": wire.RolledBack("").Code}[a[0]]
 		if a[1] != want {
 			t.Errorf("%v: error %v, want %v", a[0], a[1], want)
 		}
@@ -814,7 +814,7 @@
 	if do(wire.Query, "LOAD DATA LOCAL INFILE 'x' INTO TABLE orders") != 0xff || do(wire.Query, "SELECT 1") != 1 {
 		t.Error("LOCAL INFILE")
 	}
-	for !c.more(session.NewReply(wire.Query, c.caps)) {
+	for !c.more(session.NewReplyTracker(wire.Query, c.caps)) {
 	}
 	if !c.changeUser("other", "hidden") || w.find(c.id).name() != "other" {
 		t.Error("COM_CHANGE_USER")
@@ -838,7 +838,7 @@
 
 // TestSchemas: a user may choose its schemas only, by whatever way.
 func TestSchemas(t *testing.T) {
-	w := open(t, options{proxy: Config{Users: []User{{Name: "app", Password: wire.Keep("secret"), Schemas: []string{"stock"}}}}})
+	w := open(t, options{proxy: Config{Users: []User{{Name: "app", Password: wire.NewPasswordHashes("secret"), Schemas: []string{"stock"}}}}})
 	c := w.session("")
 	if err := exec(t, c, "USE stock"); err != nil {
 		t.Error(err)
--- a/internal/mysql/proxy/login.go
+++ b/internal/mysql/proxy/login.go
@@ -159,7 +159,7 @@
 		return errors.New("the server has no TLS")
 	}
 	l.Capabilities |= wire.SSL
-	if err := s.send(l.SSLRequest(nil)); err != nil {
+	if err := s.send(l.AppendSSLRequest(nil)); err != nil {
 		return err
 	}
 	cfg := t.cfg.ServerTLS
@@ -217,9 +217,9 @@
 		l.Capabilities &^= wire.PluginAuthLenenc
 	}
 	var err error
-	if l.Proof, err = wire.Prove(g.Plugin, a.Password, g.Scramble); err != nil {
+	if l.AuthResponse, err = wire.AuthResponse(g.Plugin, a.Password, g.Scramble); err != nil {
 		l.Plugin = wire.SHA2 // the server will ask for what it wants
-		l.Proof, _ = wire.Prove(wire.SHA2, a.Password, g.Scramble)
+		l.AuthResponse, _ = wire.AuthResponse(wire.SHA2, a.Password, g.Scramble)
 	}
 	if err := t.secure(ctx, s, g, &l); err != nil {
 		return err
@@ -247,22 +247,22 @@
 		case b[0] == 0xff:
 			return wire.ParseError(b, wire.Protocol41)
 		case b[0] == 0xfe:
-			if plugin, scramble, err = wire.ParseSwitch(b); err != nil {
+			if plugin, scramble, err = wire.ParseAuthSwitch(b); err != nil {
 				return err
 			}
-			if answer, err = wire.Prove(plugin, password, scramble); err != nil {
+			if answer, err = wire.AuthResponse(plugin, password, scramble); err != nil {
 				return err
 			}
-		case b[0] == wire.AuthMore && plugin == wire.SHA2 && len(b) == 2 && b[1] == wire.FastOK:
+		case b[0] == wire.AuthMoreData && plugin == wire.SHA2 && len(b) == 2 && b[1] == wire.FastAuthSuccess:
 			continue
-		case b[0] == wire.AuthMore && plugin == wire.SHA2 && len(b) == 2 && b[1] == wire.FullNeeded:
+		case b[0] == wire.AuthMoreData && plugin == wire.SHA2 && len(b) == 2 && b[1] == wire.PerformFullAuth:
 			if secure {
 				answer = append([]byte(password), 0)
 				break
 			}
-			answer = []byte{wire.KeyRequested}
-		case b[0] == wire.AuthMore && plugin == wire.SHA2 && len(b) > 2:
-			if answer, err = wire.Encrypt(password, scramble, b[1:]); err != nil {
+			answer = []byte{wire.RequestPublicKey}
+		case b[0] == wire.AuthMoreData && plugin == wire.SHA2 && len(b) > 2:
+			if answer, err = wire.EncryptPassword(password, scramble, b[1:]); err != nil {
 				return err
 			}
 		default:
--- a/internal/mysql/proxy/orders_test.go
+++ b/internal/mysql/proxy/orders_test.go
@@ -52,9 +52,9 @@
 // run plays n orders.
 func run(t *testing.T, n int, class func(*pool.Class)) (got tally) {
 	w := open(t, options{servers: 4, deadline: 4 * time.Second, class: class, proxy: Config{Drain: 300 * time.Millisecond}})
-	w.make(func(server, sql string) standin.Trouble { // by the statement alone, so that a seed gives the same
+	w.make(func(server, sql string) standin.Fault { // by the statement alone, so that a seed gives the same
 		if !strings.Contains(sql, "INSERT") && sql != "COMMIT" && sql != "BEGIN" && !strings.HasPrefix(sql, "UPDATE") {
-			return standin.Trouble{}
+			return standin.Fault{}
 		}
 		w.mu.Lock()
 		w.count++
@@ -63,17 +63,17 @@
 		w.mu.Unlock()
 		switch v := h.Sum32() % 400; {
 		case v < 2:
-			return standin.Trouble{Before: true}
+			return standin.Fault{CloseBefore: true}
 		case v < 4:
-			return standin.Trouble{During: true}
+			return standin.Fault{CloseDuring: true}
 		case v < 6:
-			return standin.Trouble{After: true}
+			return standin.Fault{CloseAfter: true}
 		case v < 9:
-			return standin.Trouble{Cut: 1 + int(h.Sum32()>>16)%11}
+			return standin.Fault{CutAfterBytes: 1 + int(h.Sum32()>>16)%11}
 		case v < 12:
-			return standin.Trouble{Delay: time.Duration(v) * time.Millisecond}
+			return standin.Fault{Delay: time.Duration(v) * time.Millisecond}
 		}
-		return standin.Trouble{}
+		return standin.Fault{}
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	var chaos sync.WaitGroup
@@ -88,7 +88,7 @@
 			}
 			w.set(i, false)
 			if i := rng.IntN(4); rng.IntN(3) == 0 {
-				w.servers[i].BreakOff()
+				w.servers[i].ResetConnections()
 			}
 		}
 	})
--- a/internal/mysql/proxy/raw_test.go
+++ b/internal/mysql/proxy/raw_test.go
@@ -40,7 +40,7 @@
 	}
 	r.id = g.ThreadID
 	l := wire.Login{Capabilities: r.caps, Charset: 45, User: user, Plugin: g.Plugin}
-	if l.Proof, err = wire.Prove(g.Plugin, password, g.Scramble); err != nil {
+	if l.AuthResponse, err = wire.AuthResponse(g.Plugin, password, g.Scramble); err != nil {
 		t.Fatal(err)
 	}
 	r.send(l.Append(nil))
@@ -77,24 +77,24 @@
 
 // next returns the next packet, whose number is that of a first answer.
 func (r *raw) next() ([]byte, error) {
-	r.wire.Expect(1)
+	r.wire.SetSequence(1)
 	return r.wire.Read(1 << 20)
 }
 
 // more reads what is left of a result of one column, of which the first packet has been read.
-func (r *raw) more(reply *session.Reply) bool {
-	reply.Take([]byte{1})
+func (r *raw) more(reply *session.ReplyTracker) bool {
+	reply.Consume([]byte{1})
 	for !reply.Done() {
 		p, err := r.wire.Peek()
 		if err != nil {
 			return true
 		}
-		whole, _ := reply.Whole(p)
+		whole, _ := reply.MustReadWhole(p)
 		b, _ := r.wire.Read(1 << 20)
 		if whole {
-			reply.Take(b)
+			reply.Consume(b)
 		} else {
-			reply.Passed(len(b))
+			reply.Forwarded(len(b))
 		}
 	}
 	return true
@@ -115,11 +115,11 @@
 		case b[0] == 0:
 			return true
 		case b[0] == 0xfe:
-			plugin, scramble, err := wire.ParseSwitch(b)
+			plugin, scramble, err := wire.ParseAuthSwitch(b)
 			if err != nil {
 				return false
 			}
-			proof, _ := wire.Prove(plugin, password, scramble)
+			proof, _ := wire.AuthResponse(plugin, password, scramble)
 			r.send(proof)
 		}
 	}
--- a/internal/mysql/proxy/transport.go
+++ b/internal/mysql/proxy/transport.go
@@ -66,7 +66,7 @@
 // exchange is a command on a connection whose reply has begun. Whoever was given it ends it once.
 type exchange struct {
 	*server
-	reply *session.Reply
+	reply *session.ReplyTracker
 	held  [][]byte      // the first messages of the reply
 	hello wire.Greeting // with job.open
 	at    policy.ServerID
@@ -358,7 +358,7 @@
 	if err := s.send(b); err != nil {
 		return err
 	}
-	r, err := s.wire.Read(session.MostControl)
+	r, err := s.wire.Read(session.MaxControlPacket)
 	switch {
 	case err != nil:
 		return err
@@ -390,7 +390,7 @@
 	}
 	if now := s.said.schema; p.schema != now { // its names mean what they meant when it was prepared
 		if p.schema == "" || now == "" {
-			return nil, wire.NotCarried("a statement prepared without a schema, once there is one,")
+			return nil, wire.NotSupported("a statement prepared without a schema, once there is one,")
 		}
 		if err := s.simple([]byte("\x02" + p.schema)); err != nil {
 			return nil, err
@@ -405,24 +405,24 @@
 	if err := s.send(append([]byte{byte(wire.StmtPrepare)}, p.sql...)); err != nil {
 		return nil, err
 	}
-	reply := session.NewReply(wire.StmtPrepare, s.profile.caps)
+	reply := session.NewReplyTracker(wire.StmtPrepare, s.profile.caps)
 	for !reply.Done() {
 		piece, err := s.wire.Peek()
 		if err != nil {
 			return nil, err
 		}
-		whole, err := reply.Whole(piece)
+		whole, err := reply.MustReadWhole(piece)
 		if err != nil {
 			return nil, err
 		}
-		b, err := s.wire.Read(session.MostControl)
+		b, err := s.wire.Read(session.MaxControlPacket)
 		if err != nil {
 			return nil, err
 		}
 		if whole {
-			err = reply.Take(b)
+			err = reply.Consume(b)
 		} else {
-			reply.Passed(len(b))
+			reply.Forwarded(len(b))
 		}
 		if err != nil {
 			return nil, err
@@ -472,35 +472,35 @@
 const mostHeld = 16 << 10
 
 // begin reads the first messages of a reply: all of a short one.
-func (s *server) begin(command wire.Command) (*session.Reply, [][]byte, error) {
-	reply := session.NewReply(command, s.profile.caps)
+func (s *server) begin(command wire.Command) (*session.ReplyTracker, [][]byte, error) {
+	reply := session.NewReplyTracker(command, s.profile.caps)
 	var held [][]byte
 	for size := 0; !reply.Done(); {
 		piece, err := s.wire.Peek()
 		if err != nil {
 			return reply, held, err
 		}
-		whole, err := reply.Whole(piece)
+		whole, err := reply.MustReadWhole(piece)
 		if err != nil {
 			return reply, held, err
 		}
 		if !whole && reply.InRows() && size+piece.Len > mostHeld {
 			break
 		}
-		b, err := s.wire.Read(session.MostControl)
+		b, err := s.wire.Read(session.MaxControlPacket)
 		if err != nil {
 			return reply, held, err
 		}
 		if whole {
-			if err := reply.Take(b); err != nil {
+			if err := reply.Consume(b); err != nil {
 				return reply, held, err
 			}
 		} else {
-			reply.Passed(len(b))
+			reply.Forwarded(len(b))
 		}
 		held = append(held, b)
-		if size += len(b); size > session.MostControl {
-			return reply, held, fmt.Errorf("%w: definitions of over %d bytes", wire.ErrMalformed, session.MostControl)
+		if size += len(b); size > session.MaxControlPacket {
+			return reply, held, fmt.Errorf("%w: definitions of over %d bytes", wire.ErrMalformed, session.MaxControlPacket)
 		}
 	}
 	return reply, held, nil
@@ -594,7 +594,7 @@
 			t.kill(s.to, s.thread)
 		}
 	}
-	if answer != nil || errors.Is(err, wire.ErrMalformed) || errors.Is(err, session.ErrUnasked) || errors.Is(err, wire.ErrSequence) {
+	if answer != nil || errors.Is(err, wire.ErrMalformed) || errors.Is(err, session.ErrUnexpectedData) || errors.Is(err, wire.ErrSequence) {
 		t.some.Do(func() { t.log.Warn("a server's answer cannot be used", "server", string(a.Server), "err", err) })
 	}
 	t.log.Debug("attempt", "server", string(a.Server), "status", status, "err", err)
@@ -714,32 +714,32 @@
 	if err := s.send(append([]byte{byte(wire.Query)}, sql...)); err != nil {
 		return 0, err
 	}
-	reply := session.NewReply(wire.Query, s.profile.caps)
+	reply := session.NewReplyTracker(wire.Query, s.profile.caps)
 	var value []byte
 	for rows := 0; !reply.Done(); {
 		piece, err := s.wire.Peek()
 		if err != nil {
 			return 0, err
 		}
-		whole, err := reply.Whole(piece)
+		whole, err := reply.MustReadWhole(piece)
 		if err != nil {
 			return 0, err
 		}
-		b, err := s.wire.Read(session.MostControl)
+		b, err := s.wire.Read(session.MaxControlPacket)
 		if err != nil {
 			return 0, err
 		}
 		if whole {
-			if err := reply.Take(b); err != nil {
+			if err := reply.Consume(b); err != nil {
 				return 0, err
 			}
 			continue
 		}
-		if reply.Passed(len(b)); reply.Rows > rows {
+		if reply.Forwarded(len(b)); reply.Rows > rows {
 			if rows++; rows > 100 {
 				return 0, fmt.Errorf("%w: over 100 rows", errLoad)
 			}
-			if row, err := wire.RowText(b); err == nil && rows == 1 && len(row) > 0 {
+			if row, err := wire.ParseTextRow(b); err == nil && rows == 1 && len(row) > 0 {
 				value = row[len(row)-1]
 			}
 		}
--- a/internal/mysql/proxy/unsure_test.go
+++ b/internal/mysql/proxy/unsure_test.go
@@ -13,8 +13,8 @@
 // that would have the client run it again.
 func TestStillOut(t *testing.T) {
 	w := open(t, options{deadline: 400 * time.Millisecond})
-	w.make(func(_, sql string) standin.Trouble {
-		return standin.Trouble{Silent: strings.HasPrefix(sql, "INSERT")}
+	w.make(func(_, sql string) standin.Fault {
+		return standin.Fault{NoReply: strings.HasPrefix(sql, "INSERT")}
 	})
 	w.servers[0].Close()
 	ran := 0
--- a/internal/mysql/proxy/users.go
+++ b/internal/mysql/proxy/users.go
@@ -58,8 +58,8 @@
 type directory struct {
 	mu    sync.Mutex
 	users map[string]User
-	asks  bool                  // some of them are asked for the password itself
-	known map[string]wire.Known // of salted ones; no more than there are users
+	asks  bool                           // some of them are asked for the password itself
+	known map[string]wire.PasswordHashes // of salted ones; no more than there are users
 }
 
 func newDirectory(users []User) *directory {
@@ -72,7 +72,7 @@
 func (d *directory) set(users []User) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.users, d.known, d.asks = map[string]User{}, map[string]wire.Known{}, false
+	d.users, d.known, d.asks = map[string]User{}, map[string]wire.PasswordHashes{}, false
 	for _, u := range users {
 		d.users[u.Name] = u
 		d.asks = d.asks || u.Salted != ""
@@ -80,11 +80,11 @@
 }
 
 // find returns a user, what can be checked of its password, and whether that is so. Who is not known looks like most who are.
-func (d *directory) find(name string) (u User, k wire.Known, fast, ok bool) {
+func (d *directory) find(name string) (u User, k wire.PasswordHashes, fast, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if u, ok = d.users[name]; !ok {
-		return u, wire.Known{}, !d.asks, false
+		return u, wire.PasswordHashes{}, !d.asks, false
 	}
 	if u.Salted == "" {
 		return u, u.Password, true, true
@@ -96,7 +96,7 @@
 // full checks a password as it is, and remembers it if it is the one.
 func (d *directory) full(u User, password string) bool {
 	if u.Salted == "" {
-		return u.Password.Is(password)
+		return u.Password.Matches(password)
 	}
 	s, err := parseSalted(u.Salted)
 	if err != nil || !s.is(password) {
@@ -105,7 +105,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if now, ok := d.users[u.Name]; ok && now.Salted == u.Salted {
-		d.known[u.Name] = wire.Keep(password)
+		d.known[u.Name] = wire.NewPasswordHashes(password)
 	}
 	return true
 }
--- a/internal/mysql/proxy/world_test.go
+++ b/internal/mysql/proxy/world_test.go
@@ -45,7 +45,7 @@
 	budget  *sockets.Budget
 	db      *standin.Database
 	servers []*standin.Server
-	trouble atomic.Pointer[func(server, sql string) standin.Trouble]
+	trouble atomic.Pointer[func(server, sql string) standin.Fault]
 	mu      sync.Mutex
 	count   int // statements with which trouble was thought of
 }
@@ -84,7 +84,7 @@
 	c := o.proxy
 	c.Name, c.Listen, c.Pool, c.Default, c.Hints = "ledger", "127.0.0.1:0", "ledger", "statement", !o.hintless
 	if c.Auth == Users && c.Users == nil {
-		c.Users = []User{{Name: "app", Password: wire.Keep("secret")}, {Name: "other", Password: wire.Keep("hidden")}}
+		c.Users = []User{{Name: "app", Password: wire.NewPasswordHashes("secret")}, {Name: "other", Password: wire.NewPasswordHashes("hidden")}}
 	}
 	if c.Auth == Users {
 		c.Account = Account{account, password}
@@ -135,11 +135,11 @@
 	if c.Users == nil {
 		c.Users = map[string]string{account: password, "app": "secret", "other": "hidden"}
 	}
-	c.Trouble = func(sql string) standin.Trouble {
+	c.Fault = func(sql string) standin.Fault {
 		if f := w.trouble.Load(); f != nil {
 			return (*f)(name, sql)
 		}
-		return standin.Trouble{}
+		return standin.Fault{}
 	}
 	s, err := standin.Start(c)
 	if err != nil {
@@ -151,7 +151,7 @@
 }
 
 // make makes trouble for statements.
-func (w *world) make(f func(server, sql string) standin.Trouble) { w.trouble.Store(&f) }
+func (w *world) make(f func(server, sql string) standin.Fault) { w.trouble.Store(&f) }
 
 // drain tells the list that a server takes nothing new, and waits until that is known.
 func (w *world) drain(i int) {
--- a/internal/mysql/session/execute.go
+++ b/internal/mysql/session/execute.go
@@ -16,7 +16,7 @@
 }
 
 // ErrCursor tells that a client asks for a cursor.
-var ErrCursor = wire.NotCarried("a cursor on the server")
+var ErrCursor = wire.NotSupported("a cursor on the server")
 
 // ParseExecution reads a COM_STMT_EXECUTE of a statement with params parameters, whose types were told as types the last time.
 func ParseExecution(b []byte, params int, types []byte) (*Execution, error) {
--- a/internal/mysql/session/reply.go
+++ b/internal/mysql/session/reply.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// MostControl bounds a message of a reply that is read whole: all but definitions and rows.
-	MostControl = 1 << 20
+	// MaxControlPacket bounds a message of a reply that is read whole: all but definitions and rows.
+	MaxControlPacket = 1 << 20
 	// mostColumns bounds the columns of a result; MySQL has 4,096 at most.
 	mostColumns = 1 << 16
 )
 
-// ErrUnasked tells that a server has sent what nobody asked for.
-var ErrUnasked = errors.New("the server sends what was not asked for")
+// ErrUnexpectedData tells that a server has sent what nobody asked for.
+var ErrUnexpectedData = errors.New("the server sends what was not asked for")
 
 // phase is what comes next in a reply.
 type phase int
@@ -30,12 +30,12 @@
 	done
 )
 
-// Reply follows the packets of a server's reply to one command, so that whoever passes them on knows where it ends and what it says.
-type Reply struct {
-	Reported
+// ReplyTracker follows the packets of a server's reply to one command, so that whoever passes them on knows where it ends and what it says.
+type ReplyTracker struct {
+	ReplySummary
 	Results  int // that have begun
 	Rows     int // packets of rows so far
-	Prepared wire.Prepared
+	Prepared wire.PrepareOK
 
 	caps    wire.Capability
 	command wire.Command
@@ -45,25 +45,25 @@
 	more    bool
 }
 
-// NewReply returns a Reply to a command, as those of caps are sent it.
-func NewReply(command wire.Command, caps wire.Capability) *Reply {
-	return &Reply{command: command, caps: caps}
+// NewReplyTracker returns a Reply to a command, as those of caps are sent it.
+func NewReplyTracker(command wire.Command, caps wire.Capability) *ReplyTracker {
+	return &ReplyTracker{command: command, caps: caps}
 }
 
 // Done reports whether the reply has ended.
-func (r *Reply) Done() bool { return r.phase == done }
+func (r *ReplyTracker) Done() bool { return r.phase == done }
 
 // InRows reports whether rows come next.
-func (r *Reply) InRows() bool { return r.phase == rows }
+func (r *ReplyTracker) InRows() bool { return r.phase == rows }
 
-// Whole decides whether the next packet is to be read whole and given to Take, or is passed on unread and told by Passed.
-func (r *Reply) Whole(p wire.Piece) (bool, error) {
+// MustReadWhole decides whether the next packet is to be read whole and given to Take, or is passed on unread and told by Passed.
+func (r *ReplyTracker) MustReadWhole(p wire.PacketPrefix) (bool, error) {
 	if r.more { // it goes on with a row
 		return false, nil
 	}
 	switch r.phase {
 	case done:
-		return false, ErrUnasked
+		return false, ErrUnexpectedData
 	case params, columns:
 		if p.Len == wire.MaxPayload || p.First == 0xff {
 			return true, nil
@@ -83,8 +83,8 @@
 	return true, nil
 }
 
-// Passed notes a packet that was passed on unread.
-func (r *Reply) Passed(n int) {
+// Forwarded notes a packet that was passed on unread.
+func (r *ReplyTracker) Forwarded(n int) {
 	switch r.phase {
 	case rows:
 		r.more = n == wire.MaxPayload
@@ -94,7 +94,7 @@
 	}
 }
 
-func (r *Reply) defined() {
+func (r *ReplyTracker) defined() {
 	if r.left--; r.left > 0 {
 		return
 	}
@@ -106,7 +106,7 @@
 }
 
 // behind goes on behind definitions.
-func (r *Reply) behind() {
+func (r *ReplyTracker) behind() {
 	switch {
 	case r.phase <= paramEnd && r.then > 0:
 		r.phase, r.left, r.then = columns, r.then, 0
@@ -117,8 +117,8 @@
 	}
 }
 
-// Take notes a packet that was read whole.
-func (r *Reply) Take(b []byte) error {
+// Consume notes a packet that was read whole.
+func (r *ReplyTracker) Consume(b []byte) error {
 	if len(b) == 0 {
 		return fmt.Errorf("%w: an empty packet in a reply", wire.ErrMalformed)
 	}
@@ -151,15 +151,15 @@
 }
 
 // begin notes the first packet of a result.
-func (r *Reply) begin(b []byte) error {
+func (r *ReplyTracker) begin(b []byte) error {
 	switch {
 	case r.command == wire.StmtPrepare:
-		p, err := wire.ParsePrepared(b)
+		p, err := wire.ParsePrepareOK(b)
 		if err != nil || b[0] != 0 {
 			return fmt.Errorf("%w: no answer to PREPARE", wire.ErrMalformed)
 		}
-		r.Prepared, r.Silent = p, true
-		r.Warnings = p.Warned > 0
+		r.Prepared, r.NoStatus = p, true
+		r.Warnings = p.Warnings > 0
 		r.then = int(p.Columns)
 		if r.left = int(p.Params); r.left > 0 {
 			r.phase = params
@@ -172,9 +172,9 @@
 	case r.command != wire.Query && r.command != wire.StmtExecute:
 		return fmt.Errorf("%w: neither OK nor an error", wire.ErrMalformed)
 	case b[0] == 0xfb:
-		return fmt.Errorf("%w: a file of the client", ErrUnasked)
+		return fmt.Errorf("%w: a file of the client", ErrUnexpectedData)
 	}
-	n, err := wire.Count(b)
+	n, err := wire.ParseColumnCount(b)
 	if err != nil {
 		return err
 	}
@@ -186,7 +186,7 @@
 	return nil
 }
 
-func (r *Reply) finish(b []byte) error {
+func (r *ReplyTracker) finish(b []byte) error {
 	o, err := wire.ParseOK(b, r.caps)
 	if err != nil {
 		return err
@@ -196,11 +196,11 @@
 }
 
 // end notes the end of a result.
-func (r *Reply) end(o wire.OK) {
-	if o.InsertID == 0 {
-		o.InsertID = r.OK.InsertID
+func (r *ReplyTracker) end(o wire.OK) {
+	if o.LastInsertID == 0 {
+		o.LastInsertID = r.OK.LastInsertID
 	}
-	o.Affected += r.OK.Affected
+	o.AffectedRows += r.OK.AffectedRows
 	r.OK = o
 	r.Warnings = r.Warnings || o.Warnings > 0
 	r.phase = done
--- a/internal/mysql/session/scan.go
+++ b/internal/mysql/session/scan.go
@@ -16,19 +16,19 @@
 	TemporaryTables
 	TableLocks // until UNLOCK TABLES
 	NamedLocks
-	SQLPrepared // PREPARE, as a statement
-	Handlers
+	PreparedInSQL // PREPARE, as a statement
+	OpenHandlers
 	OtherState // of which it is not known how to make it anew
 )
 
-// Ask is what a statement asks for of those before it, which only their connection knows. Bits are joined.
-type Ask uint8
+// ResultInfo is what a statement asks for of those before it, which only their connection knows. Bits are joined.
+type ResultInfo uint8
 
 // The asks.
 const (
-	ForID       Ask = 1 << iota // LAST_INSERT_ID()
-	ForRows                     // FOUND_ROWS(), ROW_COUNT()
-	ForWarnings                 // SHOW WARNINGS
+	InsertIDInfo ResultInfo = 1 << iota // LAST_INSERT_ID()
+	RowCountInfo                        // FOUND_ROWS(), ROW_COUNT()
+	WarningInfo                         // SHOW WARNINGS
 )
 
 // Setting is a SET of a literal, which can be said again to another server.
@@ -42,42 +42,42 @@
 	Class   string
 	Key     string
 	Timeout time.Duration // 0: none
-	Wrong   string        // what cannot be read of it; empty: nothing
+	Invalid string        // what cannot be read of it; empty: nothing
 }
 
 // Kill is a statement that is to end another session or its statement.
 type Kill struct {
-	Query bool // its statement only
-	ID    uint32
+	QueryOnly bool // its statement only
+	ID        uint32
 }
 
 // Statement is what a statement means for a session, as far as its text tells.
 type Statement struct {
-	Verb string // its first word, in lower case; of several statements that of the first
-	Many bool   // there are several
-	// Read tells that it changes nothing, on any server, whatever functions it calls, so that it may be run again.
-	Read     bool
-	Begin    bool // it is BEGIN or START TRANSACTION alone
-	Commit   bool // it is COMMIT alone
-	Rollback bool // it is ROLLBACK alone, of all
-	Commits  bool // it may commit what was done before it in the transaction
-	Unlock   bool // UNLOCK TABLES
-	Pins     Pin
-	Asks     Ask  // for what statements before it have left
-	Counts   bool // SQL_CALC_FOUND_ROWS: the next one may ask
-	Settings []Setting
-	Schema   string // USE
-	Kill     *Kill
-	Local    bool // LOAD DATA LOCAL
-	Opaque   bool // its text may mean something else to the server: it is held for the worst
-	Hint     Hint
+	Verb  string // its first word, in lower case; of several statements that of the first
+	Multi bool   // there are several
+	// ReadOnly tells that it changes nothing, on any server, whatever functions it calls, so that it may be run again.
+	ReadOnly      bool
+	Begin         bool // it is BEGIN or START TRANSACTION alone
+	Commit        bool // it is COMMIT alone
+	Rollback      bool // it is ROLLBACK alone, of all
+	MayCommit     bool // it may commit what was done before it in the transaction
+	UnlockTables  bool // UNLOCK TABLES
+	Pins          Pin
+	Needs         ResultInfo // for what statements before it have left
+	CalcFoundRows bool       // SQL_CALC_FOUND_ROWS: the next one may ask
+	Settings      []Setting
+	Schema        string // USE
+	Kill          *Kill
+	LocalInfile   bool // LOAD DATA LOCAL
+	Ambiguous     bool // its text may mean something else to the server: it is held for the worst
+	Hint          Hint
 }
 
 const (
 	// mostHint bounds a comment that is read as a hint.
 	mostHint = 512
-	// MostSetting bounds a SET that is remembered.
-	MostSetting = 1024
+	// MaxSettingLength bounds a SET that is remembered.
+	MaxSettingLength = 1024
 )
 
 // Scan reads a statement, or several with semicolons between. noBackslash is the server's mode of that name.
@@ -100,9 +100,9 @@
 		tokens = append(tokens, t)
 	}
 	s := join(all)
-	s.Opaque = l.opaque || l.code
-	if s.Opaque {
-		s.Read, s.Commits, s.Begin, s.Commit, s.Rollback, s.Settings = false, true, false, false, false, nil
+	s.Ambiguous = l.opaque || l.code
+	if s.Ambiguous {
+		s.ReadOnly, s.MayCommit, s.Begin, s.Commit, s.Rollback, s.Settings = false, true, false, false, false, nil
 		s.Pins |= OtherState
 	}
 	for _, c := range l.comments {
@@ -118,21 +118,21 @@
 func join(all []Statement) Statement {
 	switch len(all) {
 	case 0:
-		return Statement{Read: true}
+		return Statement{ReadOnly: true}
 	case 1:
 		return all[0]
 	}
-	s := Statement{Verb: all[0].Verb, Many: true, Read: true}
+	s := Statement{Verb: all[0].Verb, Multi: true, ReadOnly: true}
 	for _, o := range all {
-		s.Read = s.Read && o.Read && !o.Begin
-		s.Commits = s.Commits || o.Commits || o.Commit || o.Begin
+		s.ReadOnly = s.ReadOnly && o.ReadOnly && !o.Begin
+		s.MayCommit = s.MayCommit || o.MayCommit || o.Commit || o.Begin
 		s.Pins |= o.Pins
-		s.Asks |= o.Asks
-		s.Counts = s.Counts || o.Counts
-		s.Local = s.Local || o.Local
-		if len(o.Settings) > 0 || o.Schema != "" || o.Kill != nil || o.Unlock {
+		s.Needs |= o.Needs
+		s.CalcFoundRows = s.CalcFoundRows || o.CalcFoundRows
+		s.LocalInfile = s.LocalInfile || o.LocalInfile
+		if len(o.Settings) > 0 || o.Schema != "" || o.Kill != nil || o.UnlockTables {
 			s.Pins |= OtherState
-			s.Read = false
+			s.ReadOnly = false
 		}
 	}
 	return s
@@ -155,7 +155,7 @@
 			s.selects(t)
 			return s
 		}
-		s.Commits, s.Pins = true, OtherState
+		s.MayCommit, s.Pins = true, OtherState
 		return s
 	}
 	at := func(i int) string {
@@ -165,26 +165,26 @@
 		return ""
 	}
 	s.Verb = t[0].text
-	s.Commits = commits[s.Verb]
+	s.MayCommit = commits[s.Verb]
 	s.functions(t)
 	switch s.Verb {
 	case "select", "with", "table", "values":
 		s.selects(t)
 	case "show", "explain", "describe", "desc", "help":
-		s.Read = !s.calls(t)
+		s.ReadOnly = !s.calls(t)
 		if s.Verb == "show" && (at(1) == "warnings" || at(1) == "errors" || at(1) == "count") {
-			s.Asks |= ForWarnings
+			s.Needs |= WarningInfo
 		}
 		if at(1) == "analyze" { // it runs what it explains
 			s.selects(t[2:])
 		}
 	case "begin":
-		s.Begin, s.Read = true, len(t) == 1 || at(1) == "work"
+		s.Begin, s.ReadOnly = true, len(t) == 1 || at(1) == "work"
 	case "start":
 		s.Begin = at(1) == "transaction"
-		s.Read = s.Begin
+		s.ReadOnly = s.Begin
 	case "commit":
-		s.Commit, s.Commits = true, true
+		s.Commit, s.MayCommit = true, true
 		s.chains(t)
 	case "rollback":
 		s.Rollback = !words(t, "to")
@@ -194,23 +194,23 @@
 	case "use":
 		if len(t) == 2 {
 			s.Schema = strings.Trim(sql[t[1].from:t[1].to], "`")
-			s.Read = true
+			s.ReadOnly = true
 		}
 	case "unlock":
-		s.Unlock = at(1) == "tables" || at(1) == "table"
-		s.Commits = s.Unlock
+		s.UnlockTables = at(1) == "tables" || at(1) == "table"
+		s.MayCommit = s.UnlockTables
 	case "lock":
 		s.Pins |= TableLocks
 	case "create", "drop":
 		if at(1) == "temporary" || at(1) == "or" && at(3) == "temporary" {
-			s.Commits = false
+			s.MayCommit = false
 			s.Pins |= TemporaryTables
 		}
 	case "prepare", "execute", "deallocate":
-		s.Pins |= SQLPrepared
-		s.Commits = true // who knows what it runs
+		s.Pins |= PreparedInSQL
+		s.MayCommit = true // who knows what it runs
 	case "handler":
-		s.Pins |= Handlers
+		s.Pins |= OpenHandlers
 	case "flush":
 		if words(t, "lock") || words(t, "export") {
 			s.Pins |= TableLocks
@@ -218,13 +218,13 @@
 	case "xa":
 		s.Pins |= OtherState
 	case "load":
-		s.Local = words(t, "local")
+		s.LocalInfile = words(t, "local")
 	case "kill":
 		s.kill(sql, t)
 	case "insert", "replace", "update", "delete", "savepoint", "release", "call", "do", "truncate", "alter", "rename", "analyze", "optimize",
 		"check", "checksum", "repair", "grant", "revoke", "import", "binlog", "reset", "purge", "cache", "install", "uninstall":
 	default:
-		s.Commits = true
+		s.MayCommit = true
 		s.Pins |= OtherState
 	}
 	return s
@@ -278,10 +278,10 @@
 }()
 
 // asks are the functions and variables that tell of the statement before.
-var asks = map[string]Ask{"last_insert_id": ForID, "found_rows": ForRows, "row_count": ForRows}
+var asks = map[string]ResultInfo{"last_insert_id": InsertIDInfo, "found_rows": RowCountInfo, "row_count": RowCountInfo}
 
-var asksSystem = map[string]Ask{
-	"last_insert_id": ForID, "identity": ForID, "insert_id": ForID, "warning_count": ForWarnings, "error_count": ForWarnings,
+var asksSystem = map[string]ResultInfo{
+	"last_insert_id": InsertIDInfo, "identity": InsertIDInfo, "insert_id": InsertIDInfo, "warning_count": WarningInfo, "error_count": WarningInfo,
 }
 
 // locks are the functions of named locks, which are the session's.
@@ -297,16 +297,16 @@
 		called := i+1 < len(t) && t[i+1].kind == mark && t[i+1].text == "("
 		switch {
 		case k.kind == word && called && asks[k.text] != 0:
-			s.Asks |= asks[k.text]
+			s.Needs |= asks[k.text]
 			if k.text == "last_insert_id" && i+2 < len(t) && !(t[i+2].kind == mark && t[i+2].text == ")") {
 				s.Pins |= OtherState // it sets it
 			}
 		case k.kind == word && called && locks[k.text]:
 			s.Pins |= NamedLocks
 		case k.kind == word && k.text == "sql_calc_found_rows":
-			s.Counts = true
+			s.CalcFoundRows = true
 		case k.kind == system && asksSystem[variable] != 0:
-			s.Asks |= asksSystem[variable]
+			s.Needs |= asksSystem[variable]
 		case k.kind == user && i+1 < len(t) && t[i+1].kind == mark && t[i+1].text == ":=":
 			s.Pins |= UserVariables
 		case k.kind == user && i > 0 && (t[i-1].kind == word && t[i-1].text == "into" || t[i-1].kind == mark && t[i-1].text == "," && words(t[:i], "into")):
@@ -331,7 +331,7 @@
 // selects judges a query.
 func (s *Statement) selects(t []token) {
 	s.functions(t)
-	s.Read = !s.calls(t) && s.Pins == 0
+	s.ReadOnly = !s.calls(t) && s.Pins == 0
 	for i, k := range t {
 		if k.kind != word {
 			continue
@@ -342,9 +342,9 @@
 			if k.text != "into" && i+1 < len(t) && t[i+1].kind == mark && t[i+1].text == "(" {
 				continue
 			}
-			s.Read = false
+			s.ReadOnly = false
 		case "share":
-			s.Read = false // it locks
+			s.ReadOnly = false // it locks
 		}
 	}
 }
@@ -354,7 +354,7 @@
 	k := &Kill{}
 	i := 1
 	if i < len(t) && t[i].kind == word && (t[i].text == "query" || t[i].text == "connection") {
-		k.Query = t[i].text == "query"
+		k.QueryOnly = t[i].text == "query"
 		i++
 	}
 	if i == len(t)-1 && t[i].kind == number {
@@ -369,9 +369,9 @@
 
 // set reads a SET. Only literals can be said again elsewhere.
 func (s *Statement) set(sql string, t []token) {
-	if len(t) < 2 || t[len(t)-1].to-t[0].from > MostSetting {
+	if len(t) < 2 || t[len(t)-1].to-t[0].from > MaxSettingLength {
 		s.Pins |= OtherState
-		s.Commits = true
+		s.MayCommit = true
 		return
 	}
 	whole := sql[t[0].from:t[len(t)-1].to]
@@ -407,18 +407,18 @@
 			rest = nil
 		}
 		if !s.assignment(sql, part) {
-			s.Settings, s.Read = nil, false
+			s.Settings, s.ReadOnly = nil, false
 			s.Pins |= OtherState
-			s.Commits = true
+			s.MayCommit = true
 			return
 		}
 	}
-	s.Read = s.Pins == 0 && !s.Commits
+	s.ReadOnly = s.Pins == 0 && !s.MayCommit
 }
 
 func (s *Statement) settle(name, sql string) {
 	s.Settings = append(s.Settings, Setting{name, sql})
-	s.Read = true
+	s.ReadOnly = true
 }
 
 // assignment reads a part of a SET, and reports whether it can be said again.
@@ -456,7 +456,7 @@
 		return false
 	}
 	if variable == "autocommit" {
-		s.Commits = true
+		s.MayCommit = true
 	}
 	if asksSystem[variable] != 0 || variable == "timestamp" || variable == "rand_seed1" || variable == "rand_seed2" || variable == "pseudo_thread_id" {
 		return false
@@ -485,7 +485,7 @@
 		case "timeout":
 			d, err := time.ParseDuration(value)
 			if err != nil || d <= 0 || d > time.Hour {
-				h.Wrong = "timeout=" + value
+				h.Invalid = "timeout=" + value
 			}
 			h.Timeout = d
 		default:
--- a/internal/mysql/session/session_test.go
+++ b/internal/mysql/session/session_test.go
@@ -15,15 +15,15 @@
 )
 
 func TestScan(t *testing.T) {
-	bound := Statement{Commits: true, Pins: OtherState, Opaque: true}
+	bound := Statement{MayCommit: true, Pins: OtherState, Ambiguous: true}
 	for _, tt := range []struct {
 		sql  string
 		want Statement
 	}{
-		{"", Statement{Read: true}},
-		{"SELECT 1", Statement{Verb: "select", Read: true}},
-		{"select id, concat(a, 'x;y') from orders where id in (1, 2) -- ; delete from orders", Statement{Verb: "select", Read: true}},
-		{"(select 1) union (select 2)", Statement{Verb: "(", Read: true}},
+		{"", Statement{ReadOnly: true}},
+		{"SELECT 1", Statement{Verb: "select", ReadOnly: true}},
+		{"select id, concat(a, 'x;y') from orders where id in (1, 2) -- ; delete from orders", Statement{Verb: "select", ReadOnly: true}},
+		{"(select 1) union (select 2)", Statement{Verb: "(", ReadOnly: true}},
 		{"select audit(id) from orders", Statement{Verb: "select"}},
 		{"select `now`(1)", Statement{Verb: "select"}},
 		{"select * from orders for update", Statement{Verb: "select"}},
@@ -31,55 +31,55 @@
 		{"select * from orders into outfile '/x'", Statement{Verb: "select"}},
 		{"select id into @a from orders", Statement{Verb: "select", Pins: UserVariables}},
 		{"select @a := 1", Statement{Verb: "select", Pins: UserVariables}},
-		{"select @a", Statement{Verb: "select", Read: true}},
-		{"select replace(a, 'x', 'y') from t", Statement{Verb: "select", Read: true}},
-		{"with x as (select 1) select * from x", Statement{Verb: "with", Read: true}},
+		{"select @a", Statement{Verb: "select", ReadOnly: true}},
+		{"select replace(a, 'x', 'y') from t", Statement{Verb: "select", ReadOnly: true}},
+		{"with x as (select 1) select * from x", Statement{Verb: "with", ReadOnly: true}},
 		{"with x as (select 1) delete from t", Statement{Verb: "with"}},
 		{"select get_lock('a', 1)", Statement{Verb: "select", Pins: NamedLocks}},
-		{"select last_insert_id()", Statement{Verb: "select", Read: true, Asks: ForID}},
-		{"select last_insert_id(7)", Statement{Verb: "select", Asks: ForID, Pins: OtherState}},
-		{"select @@session.identity", Statement{Verb: "select", Read: true, Asks: ForID}},
-		{"select sql_calc_found_rows * from t", Statement{Verb: "select", Read: true, Counts: true}},
-		{"show warnings", Statement{Verb: "show", Read: true, Asks: ForWarnings}},
-		{"show tables", Statement{Verb: "show", Read: true}},
-		{"explain select 1", Statement{Verb: "explain", Read: true}},
+		{"select last_insert_id()", Statement{Verb: "select", ReadOnly: true, Needs: InsertIDInfo}},
+		{"select last_insert_id(7)", Statement{Verb: "select", Needs: InsertIDInfo, Pins: OtherState}},
+		{"select @@session.identity", Statement{Verb: "select", ReadOnly: true, Needs: InsertIDInfo}},
+		{"select sql_calc_found_rows * from t", Statement{Verb: "select", ReadOnly: true, CalcFoundRows: true}},
+		{"show warnings", Statement{Verb: "show", ReadOnly: true, Needs: WarningInfo}},
+		{"show tables", Statement{Verb: "show", ReadOnly: true}},
+		{"explain select 1", Statement{Verb: "explain", ReadOnly: true}},
 		{"insert into orders values ('a\\'; commit')", Statement{Verb: "insert"}},
 		{"/* class=delivery-order key=A7 timeout=300ms */ update orders set qty = 2", Statement{Verb: "update",
 			Hint: Hint{Class: "delivery-order", Key: "A7", Timeout: 300 * time.Millisecond}}},
-		{"/* class=x timeout=soon */ delete from t", Statement{Verb: "delete", Hint: Hint{Class: "x", Wrong: "timeout=soon"}}},
+		{"/* class=x timeout=soon */ delete from t", Statement{Verb: "delete", Hint: Hint{Class: "x", Invalid: "timeout=soon"}}},
 		{"/* a remark */ delete from t", Statement{Verb: "delete"}},
-		{"begin", Statement{Verb: "begin", Begin: true, Read: true, Commits: true}},
-		{"START TRANSACTION READ ONLY", Statement{Verb: "start", Begin: true, Read: true, Commits: true}},
-		{"commit", Statement{Verb: "commit", Commit: true, Commits: true}},
-		{"commit and chain", Statement{Verb: "commit", Commits: true}},
+		{"begin", Statement{Verb: "begin", Begin: true, ReadOnly: true, MayCommit: true}},
+		{"START TRANSACTION READ ONLY", Statement{Verb: "start", Begin: true, ReadOnly: true, MayCommit: true}},
+		{"commit", Statement{Verb: "commit", Commit: true, MayCommit: true}},
+		{"commit and chain", Statement{Verb: "commit", MayCommit: true}},
 		{"rollback", Statement{Verb: "rollback", Rollback: true}},
 		{"rollback to savepoint a", Statement{Verb: "rollback"}},
 		{"rollback and no chain", Statement{Verb: "rollback", Rollback: true}},
-		{"create table x (id int)", Statement{Verb: "create", Commits: true}},
+		{"create table x (id int)", Statement{Verb: "create", MayCommit: true}},
 		{"create temporary table x (id int)", Statement{Verb: "create", Pins: TemporaryTables}},
-		{"lock tables orders write", Statement{Verb: "lock", Commits: true, Pins: TableLocks}},
-		{"unlock tables", Statement{Verb: "unlock", Commits: true, Unlock: true}},
-		{"prepare p from 'delete from t'", Statement{Verb: "prepare", Commits: true, Pins: SQLPrepared}},
-		{"xa start 'a'", Statement{Verb: "xa", Commits: true, Pins: OtherState}},
-		{"use `stock`", Statement{Verb: "use", Read: true, Schema: "stock"}},
-		{"set names utf8mb4 collate utf8mb4_bin", Statement{Verb: "set", Read: true, Settings: []Setting{{"names", "set names utf8mb4 collate utf8mb4_bin"}}}},
-		{"SET @@session.sql_mode='ANSI', time_zone = '+10:00'", Statement{Verb: "set", Read: true,
+		{"lock tables orders write", Statement{Verb: "lock", MayCommit: true, Pins: TableLocks}},
+		{"unlock tables", Statement{Verb: "unlock", MayCommit: true, UnlockTables: true}},
+		{"prepare p from 'delete from t'", Statement{Verb: "prepare", MayCommit: true, Pins: PreparedInSQL}},
+		{"xa start 'a'", Statement{Verb: "xa", MayCommit: true, Pins: OtherState}},
+		{"use `stock`", Statement{Verb: "use", ReadOnly: true, Schema: "stock"}},
+		{"set names utf8mb4 collate utf8mb4_bin", Statement{Verb: "set", ReadOnly: true, Settings: []Setting{{"names", "set names utf8mb4 collate utf8mb4_bin"}}}},
+		{"SET @@session.sql_mode='ANSI', time_zone = '+10:00'", Statement{Verb: "set", ReadOnly: true,
 			Settings: []Setting{{"sql_mode", "set session sql_mode = 'ANSI'"}, {"time_zone", "set session time_zone = '+10:00'"}}}},
-		{"set autocommit=0", Statement{Verb: "set", Commits: true, Settings: []Setting{{"autocommit", "set session autocommit = 0"}}}},
+		{"set autocommit=0", Statement{Verb: "set", MayCommit: true, Settings: []Setting{{"autocommit", "set session autocommit = 0"}}}},
 		{"set @a = 1", Statement{Verb: "set", Pins: UserVariables}},
-		{"set sql_mode = concat(@@sql_mode, ',ANSI')", Statement{Verb: "set", Commits: true, Pins: OtherState}},
+		{"set sql_mode = concat(@@sql_mode, ',ANSI')", Statement{Verb: "set", MayCommit: true, Pins: OtherState}},
 		{"set global max_connections = 7", Statement{Verb: "set"}},
-		{"set session transaction isolation level read committed", Statement{Verb: "set", Read: true,
+		{"set session transaction isolation level read committed", Statement{Verb: "set", ReadOnly: true,
 			Settings: []Setting{{"transaction", "set session transaction isolation level read committed"}}}},
 		{"set transaction isolation level read committed", Statement{Verb: "set", Pins: OtherState}},
 		{"kill query 17", Statement{Verb: "kill", Kill: &Kill{true, 17}}},
 		{"kill 18", Statement{Verb: "kill", Kill: &Kill{false, 18}}},
-		{"load data local infile 'x' into table t", Statement{Verb: "load", Commits: true, Local: true}},
-		{"select 1; delete from t", Statement{Verb: "select", Many: true}},
-		{"select 1; select 2;", Statement{Verb: "select", Many: true, Read: true}},
-		{"insert into t values (1); commit", Statement{Verb: "insert", Many: true, Commits: true}},
-		{"set names utf8; select 1", Statement{Verb: "set", Many: true, Pins: OtherState}},
-		{"frobnicate", Statement{Verb: "frobnicate", Commits: true, Pins: OtherState}},
+		{"load data local infile 'x' into table t", Statement{Verb: "load", MayCommit: true, LocalInfile: true}},
+		{"select 1; delete from t", Statement{Verb: "select", Multi: true}},
+		{"select 1; select 2;", Statement{Verb: "select", Multi: true, ReadOnly: true}},
+		{"insert into t values (1); commit", Statement{Verb: "insert", Multi: true, MayCommit: true}},
+		{"set names utf8; select 1", Statement{Verb: "set", Multi: true, Pins: OtherState}},
+		{"frobnicate", Statement{Verb: "frobnicate", MayCommit: true, Pins: OtherState}},
 		{"select 'it does not end", with(bound, "select")},
 		{"select /*!80000 1; delete from t; */ 2", with(with(bound, "select"), "many")},
 		{`select "a\"; delete from t; -- "`, with(bound, "select")},
@@ -90,17 +90,17 @@
 	}
 	// The same text by the server's other mode: the backslash ends nothing, and what follows is a statement of its own.
 	const sql = `select 'a\'; delete from t; -- '`
-	if s := Scan(sql, false); !s.Read || s.Many {
+	if s := Scan(sql, false); !s.ReadOnly || s.Multi {
 		t.Errorf("with backslashes: %+v", s)
 	}
-	if s := Scan(sql, true); s.Read || !s.Many {
+	if s := Scan(sql, true); s.ReadOnly || !s.Multi {
 		t.Errorf("without: %+v", s)
 	}
 }
 
 func with(s Statement, verb string) Statement {
 	if verb == "many" {
-		s.Many = true
+		s.Multi = true
 	} else {
 		s.Verb = verb
 	}
@@ -108,7 +108,7 @@
 }
 
 // reported is the end of a reply.
-func reported(status wire.Status) Reported { return Reported{OK: wire.OK{Status: status}} }
+func reported(status wire.Status) ReplySummary { return ReplySummary{OK: wire.OK{Status: status}} }
 
 const (
 	auto = wire.Autocommit
@@ -119,55 +119,55 @@
 func TestPlaces(t *testing.T) {
 	type step struct {
 		sql   string
-		place Place
-		code  uint16 // with Nowhere; 0: an OK
-		r     Reported
+		place Placement
+		code  uint16 // with LocalReply; 0: an OK
+		r     ReplySummary
 		keep  bool
 	}
-	insert := Reported{OK: wire.OK{Status: auto, InsertID: 7, Affected: 1}}
+	insert := ReplySummary{OK: wire.OK{Status: auto, LastInsertID: 7, AffectedRows: 1}}
 	for name, steps := range map[string][]step{
-		"reads are free": {{"select 1", Anywhere, 0, reported(auto), false}, {"select 2", Anywhere, 0, reported(auto), false}},
-		"a transaction stays": {{"begin", Anywhere, 0, reported(inTx), true}, {"select 1", Here, 0, reported(inTx), true},
-			{"commit", Here, 0, reported(auto), true}, {"select 1", Anywhere, 0, reported(auto), false}},
-		"an implicit commit ends it": {{"begin", Anywhere, 0, reported(inTx), true}, {"create table x (a int)", Here, 0, reported(auto), true},
-			{"select 1", Anywhere, 0, reported(auto), false}},
-		"without autocommit it begins by itself": {{"set autocommit=0", Anywhere, 0, reported(0), true},
-			{"insert into t values (1)", Anywhere, 0, reported(wire.InTransaction), true}, {"select 1", Here, 0, reported(wire.InTransaction), true},
-			{"commit", Here, 0, reported(0), true}, {"select 1", Anywhere, 0, reported(wire.InTransaction), true}},
-		"an id is asked of where it was made": {{"insert into t values (1)", Anywhere, 0, insert, true},
-			{"select last_insert_id()", Here, 0, reported(auto), true}, {"select last_insert_id()", Here, 0, reported(auto), true}},
-		"it is not made up": {{"insert into t values (1)", Anywhere, 0, insert, true}, {"select 1", Anywhere, 0, reported(auto), false},
-			{"select last_insert_id()", Nowhere, 9007, Reported{}, false}},
-		"one that has none asks anywhere": {{"select 1", Anywhere, 0, reported(auto), false}, {"select last_insert_id()", Anywhere, 0, reported(auto), false}},
-		"warnings are asked of where they were": {{"select 1/0", Anywhere, 0, Reported{OK: wire.OK{Status: auto}, Warnings: true}, true},
-			{"show warnings", Here, 0, reported(auto), true}},
-		"a variable binds for good": {{"set @a = 1", Anywhere, 0, reported(auto), true}, {"select 1", Here, 0, reported(auto), true}},
-		"locks until they are let go": {{"lock tables t write", Anywhere, 0, reported(auto), true}, {"select 1", Here, 0, reported(auto), true},
-			{"unlock tables", Here, 0, reported(auto), true}, {"select 1", Anywhere, 0, reported(auto), false}},
-		"PREPARE tells no status": {{"begin", Anywhere, 0, reported(inTx), true}, {"select ?", Here, 0, Reported{Silent: true}, true}, {"commit", Here, 0, reported(auto), true},
-			{"select ?", Anywhere, 0, Reported{Silent: true}, false}, {"insert into t values (1)", Anywhere, 0, reported(auto), true}},
-		"settings go along":       {{"set time_zone = '+10:00'", Anywhere, 0, reported(auto), false}, {"select now()", Anywhere, 0, reported(auto), false}},
-		"no file of the client":   {{"load data local infile 'x' into table t", Nowhere, 1235, Reported{}, false}},
-		"what nobody understands": {{"select 'x", Anywhere, 0, reported(auto), true}, {"select 1", Here, 0, reported(auto), true}},
+		"reads are free": {{"select 1", AnyServer, 0, reported(auto), false}, {"select 2", AnyServer, 0, reported(auto), false}},
+		"a transaction stays": {{"begin", AnyServer, 0, reported(inTx), true}, {"select 1", CurrentConnection, 0, reported(inTx), true},
+			{"commit", CurrentConnection, 0, reported(auto), true}, {"select 1", AnyServer, 0, reported(auto), false}},
+		"an implicit commit ends it": {{"begin", AnyServer, 0, reported(inTx), true}, {"create table x (a int)", CurrentConnection, 0, reported(auto), true},
+			{"select 1", AnyServer, 0, reported(auto), false}},
+		"without autocommit it begins by itself": {{"set autocommit=0", AnyServer, 0, reported(0), true},
+			{"insert into t values (1)", AnyServer, 0, reported(wire.InTransaction), true}, {"select 1", CurrentConnection, 0, reported(wire.InTransaction), true},
+			{"commit", CurrentConnection, 0, reported(0), true}, {"select 1", AnyServer, 0, reported(wire.InTransaction), true}},
+		"an id is asked of where it was made": {{"insert into t values (1)", AnyServer, 0, insert, true},
+			{"select last_insert_id()", CurrentConnection, 0, reported(auto), true}, {"select last_insert_id()", CurrentConnection, 0, reported(auto), true}},
+		"it is not made up": {{"insert into t values (1)", AnyServer, 0, insert, true}, {"select 1", AnyServer, 0, reported(auto), false},
+			{"select last_insert_id()", LocalReply, 9007, ReplySummary{}, false}},
+		"one that has none asks anywhere": {{"select 1", AnyServer, 0, reported(auto), false}, {"select last_insert_id()", AnyServer, 0, reported(auto), false}},
+		"warnings are asked of where they were": {{"select 1/0", AnyServer, 0, ReplySummary{OK: wire.OK{Status: auto}, Warnings: true}, true},
+			{"show warnings", CurrentConnection, 0, reported(auto), true}},
+		"a variable binds for good": {{"set @a = 1", AnyServer, 0, reported(auto), true}, {"select 1", CurrentConnection, 0, reported(auto), true}},
+		"locks until they are let go": {{"lock tables t write", AnyServer, 0, reported(auto), true}, {"select 1", CurrentConnection, 0, reported(auto), true},
+			{"unlock tables", CurrentConnection, 0, reported(auto), true}, {"select 1", AnyServer, 0, reported(auto), false}},
+		"PREPARE tells no status": {{"begin", AnyServer, 0, reported(inTx), true}, {"select ?", CurrentConnection, 0, ReplySummary{NoStatus: true}, true}, {"commit", CurrentConnection, 0, reported(auto), true},
+			{"select ?", AnyServer, 0, ReplySummary{NoStatus: true}, false}, {"insert into t values (1)", AnyServer, 0, reported(auto), true}},
+		"settings go along":       {{"set time_zone = '+10:00'", AnyServer, 0, reported(auto), false}, {"select now()", AnyServer, 0, reported(auto), false}},
+		"no file of the client":   {{"load data local infile 'x' into table t", LocalReply, 1235, ReplySummary{}, false}},
+		"what nobody understands": {{"select 'x", AnyServer, 0, reported(auto), true}, {"select 1", CurrentConnection, 0, reported(auto), true}},
 	} {
 		s, has := New("", 45), false
 		for i, step := range steps {
 			st := s.Scan(step.sql)
 			p := s.Plan(&st, has)
-			if p.Place != step.place || p.Place == Nowhere && (p.Error == nil) != (step.code == 0) || p.Error != nil && p.Error.Code != step.code {
-				t.Errorf("%s, %d: %s runs at %v, %v", name, i, step.sql, p.Place, p.Error)
+			if p.Placement != step.place || p.Placement == LocalReply && (p.Error == nil) != (step.code == 0) || p.Error != nil && p.Error.Code != step.code {
+				t.Errorf("%s, %d: %s runs at %v, %v", name, i, step.sql, p.Placement, p.Error)
 			}
-			if p.Place == Nowhere {
+			if p.Placement == LocalReply {
 				continue
 			}
-			if p.Place == Anywhere && has {
-				s.Gave()
+			if p.Placement == AnyServer && has {
+				s.ConnectionReleased()
 			}
-			if has = s.Ended(&st, step.r); has != step.keep {
+			if has = s.StatementEnded(&st, step.r); has != step.keep {
 				t.Errorf("%s, %d: after %s the connection is kept: %v", name, i, step.sql, has)
 			}
 			if !has {
-				s.Gave()
+				s.ConnectionReleased()
 			}
 		}
 	}
@@ -208,14 +208,14 @@
 		s := New("", 45)
 		for i, sql := range tt.before {
 			st := s.Scan(sql)
-			s.Ended(&st, reported(tt.status[i]))
+			s.StatementEnded(&st, reported(tt.status[i]))
 		}
 		var st *Statement
 		if tt.sql != "" {
 			v := s.Scan(tt.sql)
 			st = &v
 		}
-		l := s.Lost(st, tt.sent, "gone")
+		l := s.ConnectionLost(st, tt.sent, "gone")
 		if code(l.Error) != tt.code || l.Close != tt.close {
 			t.Errorf("%s: %v, closed: %v", tt.name, l.Error, l.Close)
 		}
@@ -224,7 +224,7 @@
 			t.Errorf("%s: a SELECT is then told %v", tt.name, p.Error)
 		}
 		if tt.then != 0 {
-			if back := s.Scan("rollback"); s.Plan(&back, false) != (Plan{Place: Nowhere}) || s.Plan(&next, false).Place != Anywhere {
+			if back := s.Scan("rollback"); s.Plan(&back, false) != (Plan{Placement: LocalReply}) || s.Plan(&next, false).Placement != AnyServer {
 				t.Errorf("%s: ROLLBACK does not end it", tt.name)
 			}
 		}
@@ -251,11 +251,11 @@
 			sql := rapid.SampledFrom(statements).Draw(t, "sql")
 			st := s.Scan(sql)
 			changes := !strings.HasPrefix(sql, "select 1") && !strings.HasPrefix(sql, "select last") && !strings.HasPrefix(sql, "begin") && !strings.HasPrefix(sql, "set names")
-			if st.Read && changes {
+			if st.ReadOnly && changes {
 				t.Fatalf("%s counts as harmless", sql)
 			}
 			p := s.Plan(&st, has)
-			if p.Place == Nowhere {
+			if p.Placement == LocalReply {
 				if lost && sql == "rollback" || lost && sql == "commit" {
 					lost = false
 				}
@@ -264,17 +264,17 @@
 			if lost {
 				t.Fatalf("%s runs in a transaction that has gone", sql)
 			}
-			if (tx || bound) && p.Place != Here {
+			if (tx || bound) && p.Placement != CurrentConnection {
 				t.Fatalf("%s leaves its server in the middle", sql)
 			}
-			if p.Place == Anywhere && has {
-				s.Gave()
+			if p.Placement == AnyServer && has {
+				s.ConnectionReleased()
 			}
 			switch rapid.IntRange(0, 4).Draw(t, "end") {
 			case 0: // the server goes
 				sent := rapid.Bool().Draw(t, "sent")
-				l := s.Lost(&st, sent, "gone")
-				harmless := st.Read || tx && !st.Commits && !st.Commit || !s.Autocommit() && !st.Commits || !sent
+				l := s.ConnectionLost(&st, sent, "gone")
+				harmless := st.ReadOnly || tx && !st.MayCommit && !st.Commit || !s.Autocommit() && !st.MayCommit || !sent
 				if sent && !harmless && code(l.Error) != 9002 {
 					t.Fatalf("%s may have run, and the client is told %v", sql, l.Error)
 				}
@@ -291,14 +291,14 @@
 					status = auto
 				}
 				switch {
-				case sql == "begin", tx && !st.Commits && !st.Rollback:
+				case sql == "begin", tx && !st.MayCommit && !st.Rollback:
 					status |= wire.InTransaction
-				case status&auto == 0 && !st.Commits && !st.Rollback:
+				case status&auto == 0 && !st.MayCommit && !st.Rollback:
 					status |= wire.InTransaction
 				}
-				has = s.Ended(&st, Reported{OK: wire.OK{Status: status}})
+				has = s.StatementEnded(&st, ReplySummary{OK: wire.OK{Status: status}})
 				tx = status&wire.InTransaction != 0
-				bound = bound && !st.Unlock || st.Pins != 0
+				bound = bound && !st.UnlockTables || st.Pins != 0
 				if bound != (s.Pins() != 0) { // UNLOCK lets go of locks only
 					bound = s.Pins() != 0
 				}
@@ -306,7 +306,7 @@
 					t.Fatalf("after %s the connection is given back", sql)
 				}
 				if !has {
-					s.Gave()
+					s.ConnectionReleased()
 				}
 			}
 		}
@@ -314,24 +314,24 @@
 }
 
 // reply feeds packets to a Reply and returns how they were dealt with: W for whole, P for passed on.
-func reply(r *Reply, packets ...[]byte) (string, error) {
+func reply(r *ReplyTracker, packets ...[]byte) (string, error) {
 	var how strings.Builder
 	for _, p := range packets {
-		piece := wire.Piece{Len: len(p)}
+		piece := wire.PacketPrefix{Len: len(p)}
 		if len(p) > 0 {
 			piece.First = p[0]
 		}
-		whole, err := r.Whole(piece)
+		whole, err := r.MustReadWhole(piece)
 		if err != nil {
 			return how.String(), err
 		}
 		if !whole {
 			how.WriteByte('P')
-			r.Passed(len(p))
+			r.Forwarded(len(p))
 			continue
 		}
 		how.WriteByte('W')
-		if err := r.Take(p); err != nil {
+		if err := r.Consume(p); err != nil {
 			return how.String(), err
 		}
 	}
@@ -349,7 +349,7 @@
 	column, row := wire.Column{Name: "a"}.Append(nil), []byte{1, 'x'}
 	long := append([]byte{0xfe}, make([]byte, wire.MaxPayload-1)...)
 	prepared := func(columns, params uint16) []byte {
-		return wire.Prepared{ID: 3, Columns: columns, Params: params}.Append(nil)
+		return wire.PrepareOK{ID: 3, Columns: columns, Params: params}.Append(nil)
 	}
 	for _, tt := range []struct {
 		name    string
@@ -371,15 +371,15 @@
 		{"prepared, new", wire.StmtPrepare, deprecated, [][]byte{prepared(1, 2), column, column, column}, "WPPP.", nil},
 		{"prepared without columns", wire.StmtPrepare, 0, [][]byte{prepared(0, 1), column, eof(0)}, "WPW.", nil},
 		{"prepared without anything", wire.StmtPrepare, 0, [][]byte{prepared(0, 0)}, "W.", nil},
-		{"more than was asked for", wire.Query, 0, [][]byte{ok(0, auto), ok(0, auto)}, "W", ErrUnasked},
-		{"a file of the client", wire.Query, 0, [][]byte{{0xfb, 'x'}}, "W", ErrUnasked},
+		{"more than was asked for", wire.Query, 0, [][]byte{ok(0, auto), ok(0, auto)}, "W", ErrUnexpectedData},
+		{"a file of the client", wire.Query, 0, [][]byte{{0xfb, 'x'}}, "W", ErrUnexpectedData},
 		{"rows for a ping", wire.Ping, 0, [][]byte{{2}}, "W", wire.ErrMalformed},
 		{"nothing", wire.Query, 0, [][]byte{{}}, "W", wire.ErrMalformed},
 		{"no EOF", wire.Query, 0, [][]byte{{1}, column, row}, "WPW", wire.ErrMalformed},
 		{"no columns", wire.Query, 0, [][]byte{{0xfc, 0, 0}}, "W", wire.ErrMalformed},
 		{"an OK that is cut", wire.Query, 0, [][]byte{{0, 1}}, "W", wire.ErrMalformed},
 	} {
-		got, err := reply(NewReply(tt.command, tt.caps), tt.packets...)
+		got, err := reply(NewReplyTracker(tt.command, tt.caps), tt.packets...)
 		if got != tt.want || !errors.Is(err, tt.err) {
 			t.Errorf("%s: %s and %v, want %s and %v", tt.name, got, err, tt.want, tt.err)
 		}
@@ -431,14 +431,14 @@
 	f.Fuzz(func(t *testing.T, sql string, mode bool) {
 		s := Scan(sql, mode)
 		for _, set := range s.Settings {
-			if len(set.SQL) > 2*MostSetting+64 {
+			if len(set.SQL) > 2*MaxSettingLength+64 {
 				t.Errorf("a setting of %d bytes", len(set.SQL))
 			}
 		}
-		if s.Opaque && (s.Read || s.Pins == 0) {
+		if s.Ambiguous && (s.ReadOnly || s.Pins == 0) {
 			t.Errorf("%q is not understood and held for harmless: %+v", sql, s)
 		}
-		if two := Scan(sql+"\n;\ninsert into t values (1)", mode); two.Read {
+		if two := Scan(sql+"\n;\ninsert into t values (1)", mode); two.ReadOnly {
 			t.Errorf("%q hides what follows it: %+v", sql, two)
 		}
 	})
@@ -452,7 +452,7 @@
 		if deprecated {
 			caps = wire.DeprecateEOF
 		}
-		r := NewReply(wire.Query, caps)
+		r := NewReplyTracker(wire.Query, caps)
 		packets := 0
 		for len(b) > 0 && !r.Done() {
 			n := min(int(b[0])%32, len(b)-1)
@@ -470,6 +470,6 @@
 
 func ExampleScan() {
 	s := Scan("/* class=delivery-order */ SELECT stock FROM items WHERE id = 7", false)
-	fmt.Println(s.Verb, s.Read, s.Hint.Class)
+	fmt.Println(s.Verb, s.ReadOnly, s.Hint.Class)
 	// Output: select true delivery-order
 }
--- a/internal/mysql/session/state.go
+++ b/internal/mysql/session/state.go
@@ -21,11 +21,11 @@
 	pins     Pin
 	settings []Setting
 	schema   string
-	held     bool // its connection is kept for what the latest statement has left there
-	left     Ask  // what can be asked of that connection
-	gone     Ask  // what could be asked of one that was given back, or of a server that has gone
-	aborted  bool // its transaction has gone with a server
-	doubtful bool // its charset has backslashes within letters
+	held     bool       // its connection is kept for what the latest statement has left there
+	left     ResultInfo // what can be asked of that connection
+	gone     ResultInfo // what could be asked of one that was given back, or of a server that has gone
+	aborted  bool       // its transaction has gone with a server
+	doubtful bool       // its charset has backslashes within letters
 }
 
 // New returns a session that has just begun.
@@ -41,8 +41,8 @@
 // Scan reads a statement by the session's modes.
 func (s *State) Scan(sql string) Statement {
 	st := Scan(sql, s.status&noBackslash != 0)
-	if s.doubtful && !st.Opaque && !ascii(sql) {
-		st.Opaque, st.Read, st.Commits = true, false, true
+	if s.doubtful && !st.Ambiguous && !ascii(sql) {
+		st.Ambiguous, st.ReadOnly, st.MayCommit = true, false, true
 		st.Begin, st.Commit, st.Rollback, st.Settings = false, false, false, nil
 		st.Pins |= OtherState
 	}
@@ -58,8 +58,8 @@
 	return true
 }
 
-// Schema returns the default schema.
-func (s *State) Schema() string { return s.schema }
+// DefaultSchema returns the default schema.
+func (s *State) DefaultSchema() string { return s.schema }
 
 // Settings returns what has to be said to another server, in its order. It must not be changed.
 func (s *State) Settings() []Setting { return s.settings }
@@ -76,64 +76,64 @@
 // Bound reports whether the session must stay at its server, if it has one.
 func (s *State) Bound() bool { return s.InTransaction() || s.pins != 0 }
 
-// Place says where a statement is run.
-type Place int
+// Placement says where a statement is run.
+type Placement int
 
 // The places.
 const (
-	Anywhere Place = iota // at the server that is picked for it
-	Here                  // on the connection that the session has
-	Nowhere               // it is answered at once
+	AnyServer         Placement = iota // at the server that is picked for it
+	CurrentConnection                  // on the connection that the session has
+	LocalReply                         // it is answered at once
 )
 
 // Plan says what is done with a statement.
 type Plan struct {
-	Place Place
-	Error *wire.Error // with Nowhere: the answer; nil: an OK
+	Placement Placement
+	Error     *wire.Error // with LocalReply: the answer; nil: an OK
 }
 
 // Plan decides where a statement is run. has tells whether the session has a connection to a server.
 func (s *State) Plan(st *Statement, has bool) Plan {
 	switch {
-	case st.Local:
-		return Plan{Nowhere, wire.NotCarried("LOAD DATA LOCAL")}
+	case st.LocalInfile:
+		return Plan{LocalReply, wire.NotSupported("LOAD DATA LOCAL")}
 	case s.aborted && st.Rollback:
 		s.aborted = false
-		return Plan{Place: Nowhere}
+		return Plan{Placement: LocalReply}
 	case s.aborted && st.Commit:
 		s.aborted = false
-		return Plan{Nowhere, wire.RolledBack("its server had gone before COMMIT")}
+		return Plan{LocalReply, wire.RolledBack("its server had gone before COMMIT")}
 	case s.aborted:
-		return Plan{Nowhere, wire.Aborted()}
+		return Plan{LocalReply, wire.TransactionAborted()}
 	case has && s.Bound():
-		return Plan{Place: Here}
-	case has && s.held && st.Asks != 0:
-		return Plan{Place: Here}
-	case !has && st.Asks&s.gone != 0:
-		return Plan{Nowhere, wire.SessionLost("what the last statement had left was given up")}
+		return Plan{Placement: CurrentConnection}
+	case has && s.held && st.Needs != 0:
+		return Plan{Placement: CurrentConnection}
+	case !has && st.Needs&s.gone != 0:
+		return Plan{LocalReply, wire.SessionLost("what the last statement had left was given up")}
 	case !has && s.Bound(): // it cannot be: whoever loses the connection says so by Lost
-		return Plan{Nowhere, wire.SessionLost("no connection")}
+		return Plan{LocalReply, wire.SessionLost("no connection")}
 	}
-	return Plan{Place: Anywhere}
+	return Plan{Placement: AnyServer}
 }
 
-// Reported is what a server has told at the end of a reply.
-type Reported struct {
+// ReplySummary is what a server has told at the end of a reply.
+type ReplySummary struct {
 	OK       wire.OK     // the last one
 	Error    *wire.Error // in place of it
 	Warnings bool
-	Silent   bool // the reply tells no status, as that to PREPARE does not
+	NoStatus bool // the reply tells no status, as that to PREPARE does not
 }
 
-// Ended notes the end of a statement, and decides whether the session keeps its connection: bound to it, or held until its next
+// StatementEnded notes the end of a statement, and decides whether the session keeps its connection: bound to it, or held until its next
 // statement.
-func (s *State) Ended(st *Statement, r Reported) (keep bool) {
+func (s *State) StatementEnded(st *Statement, r ReplySummary) (keep bool) {
 	s.pins |= st.Pins
 	if r.Error == nil {
-		if !r.Silent {
+		if !r.NoStatus {
 			s.status = r.OK.Status
 		}
-		if st.Unlock {
+		if st.UnlockTables {
 			s.pins &^= TableLocks
 		}
 		if st.Schema != "" {
@@ -143,7 +143,7 @@
 			s.remember(set)
 		}
 	}
-	if st.Asks == 0 || !s.held {
+	if st.Needs == 0 || !s.held {
 		s.leave(st, r)
 	}
 	if len(s.settings) > mostSettings {
@@ -153,20 +153,20 @@
 }
 
 // leave notes what st has left on its connection. What changes nothing and has no warnings has left nothing that an answer has not told.
-func (s *State) leave(st *Statement, r Reported) {
-	s.left &^= ForRows | ForWarnings
-	s.gone &^= ForRows | ForWarnings
-	if r.OK.InsertID != 0 {
-		s.left |= ForID
-		s.gone &^= ForID
+func (s *State) leave(st *Statement, r ReplySummary) {
+	s.left &^= RowCountInfo | WarningInfo
+	s.gone &^= RowCountInfo | WarningInfo
+	if r.OK.LastInsertID != 0 {
+		s.left |= InsertIDInfo
+		s.gone &^= InsertIDInfo
 	}
-	if st.Counts || !st.Read {
-		s.left |= ForRows
+	if st.CalcFoundRows || !st.ReadOnly {
+		s.left |= RowCountInfo
 	}
 	if r.Warnings || r.Error != nil {
-		s.left |= ForWarnings
+		s.left |= WarningInfo
 	}
-	s.held = s.left&(ForRows|ForWarnings) != 0
+	s.held = s.left&(RowCountInfo|WarningInfo) != 0
 }
 
 func (s *State) remember(set Setting) {
@@ -193,9 +193,9 @@
 	return false
 }
 
-// Gave notes that the connection has been given back.
-func (s *State) Gave() {
-	s.gone |= s.left | ForRows
+// ConnectionReleased notes that the connection has been given back.
+func (s *State) ConnectionReleased() {
+	s.gone |= s.left | RowCountInfo
 	s.left, s.held = 0, false
 }
 
@@ -205,19 +205,19 @@
 	Close bool        // its connection is closed after that
 }
 
-// Lost decides what becomes of the session when the connection on which st ran has gone; sent tells whether any of it may have come to
+// ConnectionLost decides what becomes of the session when the connection on which st ran has gone; sent tells whether any of it may have come to
 // the server. st is nil where the session was at rest.
 //
 // A server whose connection breaks rolls back what was not committed. So the outcome is unknown only of what may have committed: a
 // COMMIT, a statement that commits on its own account, and, outside of a transaction, each that changes anything.
-func (s *State) Lost(st *Statement, sent bool, why string) Loss {
+func (s *State) ConnectionLost(st *Statement, sent bool, why string) Loss {
 	inTx, pinned := s.InTransaction(), s.pins != 0
 	if st != nil {
 		pinned = pinned || sent && st.Pins != 0
 	}
 	s.status &^= wire.InTransaction
 	s.pins = 0
-	s.Gave()
+	s.ConnectionReleased()
 	l := Loss{Close: pinned}
 	switch {
 	case st == nil:
@@ -228,25 +228,25 @@
 		if pinned {
 			l.Error = wire.SessionLost(why)
 		}
-	case inTx && sent && st.Commits:
-		l.Error = wire.Unknown(why)
+	case inTx && sent && st.MayCommit:
+		l.Error = wire.OutcomeUnknown(why)
 	case inTx:
 		l.Error = wire.RolledBack(why)
 		s.aborted = !st.Commit
-	case st.Read && !pinned:
+	case st.ReadOnly && !pinned:
 		l.Error = wire.Failed(why)
-	case st.Read:
+	case st.ReadOnly:
 		l.Error = wire.SessionLost(why)
 	case !sent:
 		l.Error = wire.Refused(0)
 		if pinned {
 			l.Error = wire.SessionLost(why)
 		}
-	case !s.Autocommit() && !st.Commits:
+	case !s.Autocommit() && !st.MayCommit:
 		l.Error = wire.RolledBack(why)
 		s.aborted = true
 	default:
-		l.Error = wire.Unknown(why)
+		l.Error = wire.OutcomeUnknown(why)
 	}
 	return l
 }
--- a/internal/mysql/standin/run.go
+++ b/internal/mysql/standin/run.go
@@ -68,7 +68,7 @@
 		n.reset()
 		n.schema = u.Schema
 		scramble := wire.NewScramble()
-		if err := n.send(wire.AppendSwitch(nil, n.server.cfg.Plugin, scramble)); err != nil {
+		if err := n.send(wire.AppendAuthSwitch(nil, n.server.cfg.Plugin, scramble)); err != nil {
 			return false
 		}
 		proof, err := n.w.Read(1 << 16)
@@ -100,7 +100,7 @@
 		args, err := p.arguments(b)
 		p.long = map[int][]byte{}
 		if err != nil {
-			return n.send(wire.OutOfOrder(err).Append(nil)) == nil
+			return n.send(wire.ProtocolError(err).Append(nil)) == nil
 		}
 		return n.statement(p.sql, args, true)
 	}
@@ -114,7 +114,7 @@
 	n.next++
 	p := &prepared{sql: sql, params: strings.Count(sql, "?"), long: map[int][]byte{}}
 	n.statements[n.next] = p
-	head := wire.Prepared{ID: n.next, Params: uint16(p.params)}
+	head := wire.PrepareOK{ID: n.next, Params: uint16(p.params)}
 	if err := n.w.Write(head.Append(nil)); err != nil {
 		return false
 	}
@@ -192,17 +192,17 @@
 	for _, a := range args {
 		sql = strings.Replace(sql, "?", a, 1)
 	}
-	var t Trouble
-	if s.cfg.Trouble != nil {
-		t = s.cfg.Trouble(sql)
+	var t Fault
+	if s.cfg.Fault != nil {
+		t = s.cfg.Fault(sql)
 	}
 	if t.Delay > 0 && !n.sleep(t.Delay) {
 		return n.send((&wire.Error{Code: 1317, State: "70100", Message: "Query execution was interrupted"}).Append(nil)) == nil
 	}
-	if t.Before {
+	if t.CloseBefore {
 		return false
 	}
-	if t.During {
+	if t.CloseDuring {
 		n.changes = nil
 		return false
 	}
@@ -210,20 +210,20 @@
 	if n.caps.Has(wire.MultiStatements) && !binary && len(sql) < longText {
 		all = strings.Split(strings.TrimSuffix(sql, ";"), ";")
 	}
-	if t.Cut > 0 {
-		n.room.left = t.Cut
+	if t.CutAfterBytes > 0 {
+		n.room.left = t.CutAfterBytes
 	}
 	for i, one := range all {
 		r := n.run(strings.TrimSpace(one))
-		if t.After {
+		if t.CloseAfter {
 			return false
 		}
-		if t.Silent {
+		if t.NoReply {
 			n.w.R.ReadByte()
 			return false
 		}
-		if t.Reply != nil {
-			n.c.Write(t.Reply)
+		if t.RawReply != nil {
+			n.c.Write(t.RawReply)
 			n.w.R.ReadByte()
 			return false
 		}
@@ -234,8 +234,8 @@
 			break
 		}
 	}
-	if t.Extra != nil {
-		n.c.Write(t.Extra)
+	if t.TrailingBytes != nil {
+		n.c.Write(t.TrailingBytes)
 	}
 	return true
 }
@@ -250,7 +250,7 @@
 	case <-time.After(d):
 		return true
 	case <-n.killed:
-		n.server.Killed.Add(1)
+		n.server.QueriesKilled.Add(1)
 		return false
 	}
 }
@@ -265,9 +265,9 @@
 		status |= wire.MoreResults
 	}
 	if r.columns == nil {
-		o := wire.OK{Affected: r.affected, Status: status, Warnings: uint16(n.warnings)}
+		o := wire.OK{AffectedRows: r.affected, Status: status, Warnings: uint16(n.warnings)}
 		if r.affected > 0 {
-			o.InsertID = n.insertID
+			o.LastInsertID = n.insertID
 		}
 		return n.send(o.Append(nil, 0, n.caps))
 	}
@@ -277,7 +277,7 @@
 		}
 		return n.w.Write(wire.EOF{Status: status, Warnings: uint16(n.warnings)}.Append(nil))
 	}
-	if err := n.w.Write(wire.AppendInt(nil, uint64(len(r.columns)))); err != nil {
+	if err := n.w.Write(wire.AppendLenencInt(nil, uint64(len(r.columns)))); err != nil {
 		return err
 	}
 	for i, name := range r.columns {
@@ -334,10 +334,10 @@
 			if bin {
 				b = binary.LittleEndian.AppendUint64(b, uint64(v))
 			} else {
-				b = wire.AppendText(b, strconv.FormatInt(v, 10))
+				b = wire.AppendLenencString(b, strconv.FormatInt(v, 10))
 			}
 		case string:
-			b = wire.AppendText(b, v)
+			b = wire.AppendLenencString(b, v)
 		}
 	}
 	return b
@@ -419,7 +419,7 @@
 		return fail(1065, "42000", "Query was empty")
 	case "begin", "start transaction", "start transaction read only":
 		n.commit()
-		n.server.Begun.Add(1)
+		n.server.TransactionsBegun.Add(1)
 		n.status.Store(uint32(n.flags() | wire.InTransaction))
 		return result{}
 	case "commit":
--- a/internal/mysql/standin/server.go
+++ b/internal/mysql/standin/server.go
@@ -15,31 +15,31 @@
 	"quillfront/internal/mysql/wire"
 )
 
-// Trouble is what goes wrong with one statement.
-type Trouble struct {
-	Before bool          // the server breaks off before it runs
-	During bool          // in the middle: nothing that is not committed yet stays
-	After  bool          // once it has run, without a reply
-	Cut    int           // once it has run, behind so many bytes of the reply; 0: not
-	Delay  time.Duration // before it runs
-	Silent bool          // it runs, and nothing is ever said
-	Reply  []byte        // what is sent in place of the reply, raw
-	Extra  []byte        // what is sent behind the reply, raw
+// Fault is what goes wrong with one statement.
+type Fault struct {
+	CloseBefore   bool          // the server breaks off before it runs
+	CloseDuring   bool          // in the middle: nothing that is not committed yet stays
+	CloseAfter    bool          // once it has run, without a reply
+	CutAfterBytes int           // once it has run, behind so many bytes of the reply; 0: not
+	Delay         time.Duration // before it runs
+	NoReply       bool          // it runs, and nothing is ever said
+	RawReply      []byte        // what is sent in place of the reply, raw
+	TrailingBytes []byte        // what is sent behind the reply, raw
 }
 
 // Config is what one server is like.
 type Config struct {
-	Name     string
-	Database *Database
-	Users    map[string]string // passwords by user
-	Plugin   string            // by which proofs are asked for at first; wire.SHA2
-	Full     bool              // it asks for the whole password each time, as a server that remembers none does
-	TLS      *tls.Config       // nil: none is offered
-	Without  wire.Capability   // that it does not have
-	// Trouble says what goes wrong with a statement; nil: nothing does.
-	Trouble func(sql string) Trouble
-	// Greeting, if set, is what a client is sent in place of a greeting, raw; the server then says nothing more.
-	Greeting []byte
+	Name                 string
+	Database             *Database
+	Users                map[string]string // passwords by user
+	Plugin               string            // by which proofs are asked for at first; wire.SHA2
+	AlwaysFullAuth       bool              // it asks for the whole password each time, as a server that remembers none does
+	TLS                  *tls.Config       // nil: none is offered
+	DisabledCapabilities wire.Capability   // that it does not have
+	// Fault says what goes wrong with a statement; nil: nothing does.
+	Fault func(sql string) Fault
+	// RawGreeting, if set, is what a client is sent in place of a greeting, raw; the server then says nothing more.
+	RawGreeting []byte
 }
 
 // Server is one server.
@@ -55,12 +55,12 @@
 	closed   bool
 	last     uint32
 
-	Conns      atomic.Int64 // that have come
-	Statements atomic.Int64 // that have come
-	Begun      atomic.Int64 // transactions
-	Killed     atomic.Int64 // statements by KILL QUERY
-	Resets     atomic.Int64 // COM_RESET_CONNECTION
-	Prepares   atomic.Int64
+	Conns             atomic.Int64 // that have come
+	Statements        atomic.Int64 // that have come
+	TransactionsBegun atomic.Int64 // transactions
+	QueriesKilled     atomic.Int64 // statements by KILL QUERY
+	Resets            atomic.Int64 // COM_RESET_CONNECTION
+	Prepares          atomic.Int64
 }
 
 var theKey = sync.OnceValue(func() *rsa.PrivateKey {
@@ -115,8 +115,8 @@
 	return len(s.sessions), inTx
 }
 
-// BreakOff resets all connections; the server goes on.
-func (s *Server) BreakOff() {
+// ResetConnections resets all connections; the server goes on.
+func (s *Server) ResetConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.sessions {
@@ -165,7 +165,7 @@
 	if s.cfg.TLS != nil {
 		c |= wire.SSL
 	}
-	return c &^ s.cfg.Without
+	return c &^ s.cfg.DisabledCapabilities
 }
 
 // session is one connection.
@@ -244,8 +244,8 @@
 // login lets a client in.
 func (n *session) login() error {
 	s := n.server
-	if s.cfg.Greeting != nil {
-		n.c.Write(s.cfg.Greeting)
+	if s.cfg.RawGreeting != nil {
+		n.c.Write(s.cfg.RawGreeting)
 		n.w.R.ReadByte()
 		return errCut
 	}
@@ -263,38 +263,38 @@
 	}
 	if wire.IsSSLRequest(b) && s.cfg.TLS != nil {
 		early, _ := n.w.R.Peek(n.w.R.Buffered()) // of TLS: a client need not wait
-		c := tls.Server(wire.Behind(early, n.c), s.cfg.TLS)
+		c := tls.Server(wire.PrefixConn(early, n.c), s.cfg.TLS)
 		n.raw, n.c = n.c, c
-		seq := n.w.Next()
+		seq := n.w.Sequence()
 		n.wire(c)
-		n.w.Expect(seq)
+		n.w.SetSequence(seq)
 		if b, err = n.w.Read(1 << 16); err != nil {
 			return err
 		}
 	}
 	l, err := wire.ParseLogin(b)
 	if err != nil {
-		n.send(wire.OutOfOrder(err).Append(nil))
+		n.send(wire.ProtocolError(err).Append(nil))
 		return err
 	}
 	n.caps = l.Capabilities & s.has()
 	n.schema = l.Schema
-	return n.prove(l.User, l.Plugin, l.Proof, scramble)
+	return n.prove(l.User, l.Plugin, l.AuthResponse, scramble)
 }
 
 // prove asks for the proof of a password until there is one.
 func (n *session) prove(user, plugin string, proof, scramble []byte) error {
 	s := n.server
 	password, known := s.cfg.Users[user]
-	k := wire.Keep(password)
+	k := wire.NewPasswordHashes(password)
 	deny := func() error {
-		e := wire.Denied(user)
+		e := wire.AccessDenied(user)
 		n.send(e.Append(nil))
 		return e
 	}
 	if plugin != s.cfg.Plugin {
 		scramble, plugin = wire.NewScramble(), s.cfg.Plugin
-		if err := n.send(wire.AppendSwitch(nil, plugin, scramble)); err != nil {
+		if err := n.send(wire.AppendAuthSwitch(nil, plugin, scramble)); err != nil {
 			return err
 		}
 		var err error
@@ -303,25 +303,25 @@
 		}
 	}
 	s.mu.Lock()
-	fast := s.cached[user] && !s.cfg.Full
+	fast := s.cached[user] && !s.cfg.AlwaysFullAuth
 	s.mu.Unlock()
 	switch {
 	case plugin == wire.SHA2 && len(proof) > 0 && !fast:
-		n.send([]byte{wire.AuthMore, wire.FullNeeded})
+		n.send([]byte{wire.AuthMoreData, wire.PerformFullAuth})
 		b, err := n.w.Read(1 << 16)
 		if err != nil {
 			return err
 		}
-		if n.raw == nil && len(b) == 1 && b[0] == wire.KeyRequested {
-			key, err := wire.PublicKey(s.key)
+		if n.raw == nil && len(b) == 1 && b[0] == wire.RequestPublicKey {
+			key, err := wire.PublicKeyPEM(s.key)
 			if err != nil {
 				return err
 			}
-			n.send(append([]byte{wire.AuthMore}, key...))
+			n.send(append([]byte{wire.AuthMoreData}, key...))
 			if b, err = n.w.Read(1 << 16); err != nil {
 				return err
 			}
-			text, err := wire.Decrypt(b, scramble, s.key)
+			text, err := wire.DecryptPassword(b, scramble, s.key)
 			if err != nil || !known || text != password {
 				return deny()
 			}
@@ -331,10 +331,10 @@
 		s.mu.Lock()
 		s.cached[user] = true
 		s.mu.Unlock()
-	case !known || !k.Proves(plugin, proof, scramble):
+	case !known || !k.VerifyResponse(plugin, proof, scramble):
 		return deny()
 	case plugin == wire.SHA2 && len(proof) > 0:
-		n.send([]byte{wire.AuthMore, wire.FastOK})
+		n.send([]byte{wire.AuthMoreData, wire.FastAuthSuccess})
 	}
 	n.user = user
 	return n.ok(0)
@@ -344,7 +344,7 @@
 
 // ok sends an OK.
 func (n *session) ok(affected uint64) error {
-	o := wire.OK{Affected: affected, InsertID: n.insertIDOnce(affected), Status: n.flags(), Warnings: uint16(n.warnings)}
+	o := wire.OK{AffectedRows: affected, LastInsertID: n.insertIDOnce(affected), Status: n.flags(), Warnings: uint16(n.warnings)}
 	return n.send(o.Append(nil, 0, n.caps))
 }
 
--- a/internal/mysql/wire/auth.go
+++ b/internal/mysql/wire/auth.go
@@ -12,12 +12,12 @@
 	"fmt"
 )
 
-// What follows the byte AuthMore in the exchange of SHA2.
+// What follows the byte AuthMoreData in the exchange of SHA2.
 const (
-	AuthMore     = 0x01
-	FastOK       = 0x03 // the proof was enough
-	FullNeeded   = 0x04 // the password itself is asked for, encrypted
-	KeyRequested = 0x02 // by the client: the server's public key
+	AuthMoreData     = 0x01
+	FastAuthSuccess  = 0x03 // the proof was enough
+	PerformFullAuth  = 0x04 // the password itself is asked for, encrypted
+	RequestPublicKey = 0x02 // by the client: the server's public key
 )
 
 // NewScramble returns random bytes to prove a password by. None is zero, which would end a text, nor '$'.
@@ -33,8 +33,8 @@
 	return b
 }
 
-// Prove proves that a client knows a password, without telling it. With an empty one there is no proof.
-func Prove(plugin, password string, scramble []byte) ([]byte, error) {
+// AuthResponse proves that a client knows a password, without telling it. With an empty one there is no proof.
+func AuthResponse(plugin, password string, scramble []byte) ([]byte, error) {
 	if password == "" {
 		return nil, nil
 	}
@@ -57,21 +57,21 @@
 	return nil, fmt.Errorf("the way %.40q to prove a password is not known", plugin)
 }
 
-// Known is what has to be kept of a password to check proofs of it.
-type Known struct {
+// PasswordHashes is what has to be kept of a password to check proofs of it.
+type PasswordHashes struct {
 	Empty  bool
 	Native [sha1.Size]byte   // the hash of its hash
 	SHA2   [sha256.Size]byte // the same
 }
 
-// Keep returns what is kept of a password.
-func Keep(password string) Known {
+// NewPasswordHashes returns what is kept of a password.
+func NewPasswordHashes(password string) PasswordHashes {
 	n, s := sha1.Sum([]byte(password)), sha256.Sum256([]byte(password))
-	return Known{password == "", sha1.Sum(n[:]), sha256.Sum256(s[:])}
+	return PasswordHashes{password == "", sha1.Sum(n[:]), sha256.Sum256(s[:])}
 }
 
-// Proves reports whether a proof is of the password.
-func (k *Known) Proves(plugin string, proof, scramble []byte) bool {
+// VerifyResponse reports whether a proof is of the password.
+func (k *PasswordHashes) VerifyResponse(plugin string, proof, scramble []byte) bool {
 	if k.Empty || len(proof) == 0 {
 		return k.Empty && len(proof) == 0
 	}
@@ -100,14 +100,14 @@
 	return false
 }
 
-// Is reports whether password is the one.
-func (k *Known) Is(password string) bool {
-	o := Keep(password)
+// Matches reports whether password is the one.
+func (k *PasswordHashes) Matches(password string) bool {
+	o := NewPasswordHashes(password)
 	return o.Empty == k.Empty && subtle.ConstantTimeCompare(o.SHA2[:], k.SHA2[:]) == 1
 }
 
-// Encrypt encrypts a password for the server whose public key is given as PEM.
-func Encrypt(password string, scramble, key []byte) ([]byte, error) {
+// EncryptPassword encrypts a password for the server whose public key is given as PEM.
+func EncryptPassword(password string, scramble, key []byte) ([]byte, error) {
 	block, _ := pem.Decode(key)
 	if block == nil {
 		return nil, errors.New("the server's key is no PEM")
@@ -123,8 +123,8 @@
 	return rsa.EncryptOAEP(sha1.New(), rand.Reader, public, xor(append([]byte(password), 0), scramble), nil)
 }
 
-// Decrypt is the inverse of Encrypt.
-func Decrypt(b, scramble []byte, key *rsa.PrivateKey) (string, error) {
+// DecryptPassword is the inverse of Encrypt.
+func DecryptPassword(b, scramble []byte, key *rsa.PrivateKey) (string, error) {
 	text, err := rsa.DecryptOAEP(sha1.New(), nil, key, b, nil)
 	if err != nil {
 		return "", err
@@ -136,8 +136,8 @@
 	return string(text[:len(text)-1]), nil
 }
 
-// PublicKey returns a key as it is sent.
-func PublicKey(key *rsa.PrivateKey) ([]byte, error) {
+// PublicKeyPEM returns a key as it is sent.
+func PublicKeyPEM(key *rsa.PrivateKey) ([]byte, error) {
 	b, err := x509.MarshalPKIXPublicKey(&key.PublicKey)
 	if err != nil {
 		return nil, err
--- a/internal/mysql/wire/handshake.go
+++ b/internal/mysql/wire/handshake.go
@@ -159,7 +159,7 @@
 	MaxPacket    uint32
 	Charset      byte
 	User         string
-	Proof        []byte // of the password, by Plugin
+	AuthResponse []byte // of the password, by Plugin
 	Schema       string
 	Plugin       string
 	Attributes   []byte // as they stand, without their length
@@ -170,22 +170,22 @@
 	return len(b) == 32 && Capability(binary.LittleEndian.Uint32(b)).Has(SSL|Protocol41)
 }
 
-// Behind returns c, of which early has been read already: a client need not wait between its request for TLS and the begin of it.
+// PrefixConn returns c, of which early has been read already: a client need not wait between its request for TLS and the begin of it.
 // What is early is TLS's, and never taken for a message.
-func Behind(early []byte, c net.Conn) net.Conn {
+func PrefixConn(early []byte, c net.Conn) net.Conn {
 	if len(early) == 0 {
 		return c
 	}
-	return &behind{Conn: c, early: append([]byte(nil), early...)}
+	return &prefixedConn{Conn: c, early: append([]byte(nil), early...)}
 }
 
-type behind struct {
+type prefixedConn struct {
 	net.Conn
 	early []byte
 }
 
 // Read is the method of net.Conn.
-func (b *behind) Read(p []byte) (int, error) {
+func (b *prefixedConn) Read(p []byte) (int, error) {
 	if len(b.early) > 0 {
 		n := copy(p, b.early)
 		b.early = b.early[n:]
@@ -194,8 +194,8 @@
 	return b.Conn.Read(p)
 }
 
-// SSLRequest returns the begin of l, which asks for TLS.
-func (l *Login) SSLRequest(b []byte) []byte {
+// AppendSSLRequest returns the begin of l, which asks for TLS.
+func (l *Login) AppendSSLRequest(b []byte) []byte {
 	b = binary.LittleEndian.AppendUint32(b, uint32(l.Capabilities))
 	b = binary.LittleEndian.AppendUint32(b, l.MaxPacket)
 	return append(append(b, l.Charset), make([]byte, 23)...)
@@ -217,11 +217,11 @@
 	l.User = t.zero()
 	switch {
 	case l.Capabilities.Has(PluginAuthLenenc):
-		l.Proof = t.bytes()
+		l.AuthResponse = t.bytes()
 	case l.Capabilities.Has(SecureConnection):
-		l.Proof = t.take(int(t.byte()))
+		l.AuthResponse = t.take(int(t.byte()))
 	default:
-		l.Proof = []byte(t.zero())
+		l.AuthResponse = []byte(t.zero())
 	}
 	if l.Capabilities.Has(ConnectWithDB) && len(t.b) > 0 {
 		l.Schema = t.zero()
@@ -241,12 +241,12 @@
 
 // Append appends l as it is sent.
 func (l *Login) Append(b []byte) []byte {
-	b = l.SSLRequest(b)
+	b = l.AppendSSLRequest(b)
 	b = append(append(b, l.User...), 0)
 	if l.Capabilities.Has(PluginAuthLenenc) {
-		b = AppendText(b, l.Proof)
+		b = AppendLenencString(b, l.AuthResponse)
 	} else {
-		b = append(append(b, byte(len(l.Proof))), l.Proof...)
+		b = append(append(b, byte(len(l.AuthResponse))), l.AuthResponse...)
 	}
 	if l.Capabilities.Has(ConnectWithDB) {
 		b = append(append(b, l.Schema...), 0)
@@ -255,18 +255,18 @@
 		b = append(append(b, l.Plugin...), 0)
 	}
 	if l.Capabilities.Has(ConnectAttrs) {
-		b = AppendText(b, l.Attributes)
+		b = AppendLenencString(b, l.Attributes)
 	}
 	return b
 }
 
 // UserChange is a client's COM_CHANGE_USER.
 type UserChange struct {
-	User    string
-	Proof   []byte
-	Schema  string
-	Charset byte // 0: not told
-	Plugin  string
+	User         string
+	AuthResponse []byte
+	Schema       string
+	Charset      byte // 0: not told
+	Plugin       string
 }
 
 // ParseUserChange reads a UserChange, with the command's byte.
@@ -274,7 +274,7 @@
 	t := text{b: b}
 	t.byte()
 	u := UserChange{User: t.zero()}
-	u.Proof = t.take(int(t.byte()))
+	u.AuthResponse = t.take(int(t.byte()))
 	u.Schema = t.zero()
 	if len(t.b) >= 2 {
 		u.Charset = byte(t.uint16())
@@ -289,14 +289,14 @@
 	return u, nil
 }
 
-// AppendSwitch appends a server's request to prove the password in another way.
-func AppendSwitch(b []byte, plugin string, scramble []byte) []byte {
+// AppendAuthSwitch appends a server's request to prove the password in another way.
+func AppendAuthSwitch(b []byte, plugin string, scramble []byte) []byte {
 	b = append(append(append(b, 0xfe), plugin...), 0)
 	return append(append(b, scramble...), 0)
 }
 
-// ParseSwitch reads such a request.
-func ParseSwitch(b []byte) (plugin string, scramble []byte, err error) {
+// ParseAuthSwitch reads such a request.
+func ParseAuthSwitch(b []byte) (plugin string, scramble []byte, err error) {
 	t := text{b: b}
 	t.byte()
 	plugin = t.zero()
--- a/internal/mysql/wire/packet.go
+++ b/internal/mysql/wire/packet.go
@@ -38,11 +38,11 @@
 // Reset begins a new exchange: the next packet, of whichever side, is number 0.
 func (c *Conn) Reset() { c.seq = 0 }
 
-// Next returns the number of the next packet.
-func (c *Conn) Next() byte { return c.seq }
+// Sequence returns the number of the next packet.
+func (c *Conn) Sequence() byte { return c.seq }
 
-// Expect makes n the number of the next packet.
-func (c *Conn) Expect(n byte) { c.seq = n }
+// SetSequence makes n the number of the next packet.
+func (c *Conn) SetSequence(n byte) { c.seq = n }
 
 // header reads the header of the next packet.
 func (c *Conn) header() (int, error) {
@@ -133,22 +133,22 @@
 	return err
 }
 
-// Piece is the begin of a packet that has not been taken yet.
-type Piece struct {
+// PacketPrefix is the begin of a packet that has not been taken yet.
+type PacketPrefix struct {
 	Len   int  // of its payload
 	First byte // 0 if there is none
 }
 
 // Peek returns the next packet's length and first byte.
-func (c *Conn) Peek() (Piece, error) {
+func (c *Conn) Peek() (PacketPrefix, error) {
 	b, err := c.R.Peek(headerSize)
 	if err != nil {
 		if err == io.EOF && len(b) > 0 {
 			err = io.ErrUnexpectedEOF
 		}
-		return Piece{}, err
+		return PacketPrefix{}, err
 	}
-	p := Piece{Len: int(b[0]) | int(b[1])<<8 | int(b[2])<<16}
+	p := PacketPrefix{Len: int(b[0]) | int(b[1])<<8 | int(b[2])<<16}
 	if b[3] != c.seq {
 		return p, fmt.Errorf("%w: number %d where %d was to come", ErrSequence, b[3], c.seq)
 	}
@@ -164,9 +164,9 @@
 	return p, nil
 }
 
-// Pass passes the next packet on to another side as it is, under the number that is due there, and returns its length. With an error of
+// Forward passes the next packet on to another side as it is, under the number that is due there, and returns its length. With an error of
 // to it is an ErrTo. begun tells whether part of the packet may have been written; a packet that fits into R is never passed on in part.
-func (c *Conn) Pass(to *Conn) (n int, begun bool, err error) {
+func (c *Conn) Forward(to *Conn) (n int, begun bool, err error) {
 	n, err = c.header()
 	if err != nil {
 		return 0, false, err
@@ -177,7 +177,7 @@
 		}
 	}
 	if err := to.writeHeader(n); err != nil {
-		return n, true, ErrTo{err}
+		return n, true, WriteError{err}
 	}
 	for left := n; left > 0; {
 		b, err := c.R.Peek(min(left, max(c.R.Buffered(), 1)))
@@ -185,7 +185,7 @@
 			return n, true, whole(err, []byte{})
 		}
 		if _, err := to.W.Write(b); err != nil {
-			return n, true, ErrTo{err}
+			return n, true, WriteError{err}
 		}
 		c.R.Discard(len(b))
 		left -= len(b)
@@ -193,14 +193,14 @@
 	return n, false, nil
 }
 
-// ErrTo marks an error of the side that is written to.
-type ErrTo struct{ error }
+// WriteError marks an error of the side that is written to.
+type WriteError struct{ error }
 
-// NewErrTo marks err.
-func NewErrTo(err error) ErrTo { return ErrTo{err} }
+// NewWriteError marks err.
+func NewWriteError(err error) WriteError { return WriteError{err} }
 
 // Unwrap returns the error itself.
-func (e ErrTo) Unwrap() error { return e.error }
+func (e WriteError) Unwrap() error { return e.error }
 
 // text reads the parts of a message.
 type text struct {
@@ -285,8 +285,8 @@
 	return t.take(int(n))
 }
 
-// AppendInt appends a length-encoded integer.
-func AppendInt(b []byte, v uint64) []byte {
+// AppendLenencInt appends a length-encoded integer.
+func AppendLenencInt(b []byte, v uint64) []byte {
 	switch {
 	case v < 0xfb:
 		return append(b, byte(v))
@@ -298,7 +298,7 @@
 	return binary.LittleEndian.AppendUint64(append(b, 0xfe), v)
 }
 
-// AppendText appends a length-encoded text.
-func AppendText[T ~string | ~[]byte](b []byte, s T) []byte {
-	return append(AppendInt(b, uint64(len(s))), s...)
+// AppendLenencString appends a length-encoded text.
+func AppendLenencString[T ~string | ~[]byte](b []byte, s T) []byte {
+	return append(AppendLenencInt(b, uint64(len(s))), s...)
 }
--- a/internal/mysql/wire/reply.go
+++ b/internal/mysql/wire/reply.go
@@ -8,11 +8,11 @@
 
 // OK is a server's message that all went well; with DeprecateEOF it also ends rows.
 type OK struct {
-	Affected, InsertID uint64
-	Status             Status
-	Warnings           uint16
-	Info               []byte
-	Changes            []byte // of the session, as they stand; nil: none told
+	AffectedRows, LastInsertID uint64
+	Status                     Status
+	Warnings                   uint16
+	Info                       []byte
+	StateChanges               []byte // of the session, as they stand; nil: none told
 }
 
 // ParseOK reads an OK, or with end one that ends rows, as a client of c is sent it.
@@ -20,14 +20,14 @@
 	var o OK
 	t := text{b: b}
 	t.byte()
-	o.Affected, o.InsertID = t.int(), t.int()
+	o.AffectedRows, o.LastInsertID = t.int(), t.int()
 	o.Status, o.Warnings = Status(t.uint16()), t.uint16()
 	if c.Has(SessionTrack) {
 		if len(t.b) > 0 {
 			o.Info = t.bytes()
 		}
 		if o.Status&StateChanged != 0 && len(t.b) > 0 {
-			o.Changes = t.bytes()
+			o.StateChanges = t.bytes()
 		}
 	} else {
 		o.Info = t.b
@@ -40,17 +40,17 @@
 
 // Append appends o as a client of c is sent it. first is 0x00, or 0xfe where it ends rows.
 func (o *OK) Append(b []byte, first byte, c Capability) []byte {
-	b = AppendInt(AppendInt(append(b, first), o.Affected), o.InsertID)
+	b = AppendLenencInt(AppendLenencInt(append(b, first), o.AffectedRows), o.LastInsertID)
 	b = binary.LittleEndian.AppendUint16(b, uint16(o.Status))
 	b = binary.LittleEndian.AppendUint16(b, o.Warnings)
 	if !c.Has(SessionTrack) {
 		return append(b, o.Info...)
 	}
 	if len(o.Info) > 0 || o.Status&StateChanged != 0 {
-		b = AppendText(b, o.Info)
+		b = AppendLenencString(b, o.Info)
 	}
 	if o.Status&StateChanged != 0 {
-		b = AppendText(b, o.Changes)
+		b = AppendLenencString(b, o.StateChanges)
 	}
 	return b
 }
@@ -120,8 +120,8 @@
 	return &Error{9001, "QF001", message}
 }
 
-// Unknown is the error of a statement that was sent and whose outcome nobody knows.
-func Unknown(why string) *Error {
+// OutcomeUnknown is the error of a statement that was sent and whose outcome nobody knows.
+func OutcomeUnknown(why string) *Error {
 	return &Error{9002, "08007", "outcome unknown, it may have run: " + why}
 }
 
@@ -130,8 +130,8 @@
 	return &Error{9003, "40000", "transaction rolled back: " + why}
 }
 
-// Aborted is the error of a statement in a transaction that has gone, until the client ends it.
-func Aborted() *Error {
+// TransactionAborted is the error of a statement in a transaction that has gone, until the client ends it.
+func TransactionAborted() *Error {
 	return &Error{9004, "25000", "the transaction is gone, nothing runs until ROLLBACK"}
 }
 
@@ -140,8 +140,8 @@
 	return &Error{9005, "QF005", "failed, no effect: " + why}
 }
 
-// Broken is the error of a result of which only the first part has come. It stands in the place of the next row.
-func Broken(why string) *Error {
+// ResultTruncated is the error of a result of which only the first part has come. It stands in the place of the next row.
+func ResultTruncated(why string) *Error {
 	return &Error{9006, "08006", "the result broke off: " + why}
 }
 
@@ -150,29 +150,29 @@
 	return &Error{9007, "08006", "the session's state is gone, connect again: " + why}
 }
 
-// NotCarried is the error of what this side does not pass on.
-func NotCarried(what string) *Error {
+// NotSupported is the error of what this side does not pass on.
+func NotSupported(what string) *Error {
 	return &Error{1235, "42000", what + " is not carried"}
 }
 
-// Denied is the error of a login that is not let in.
-func Denied(user string) *Error {
+// AccessDenied is the error of a login that is not let in.
+func AccessDenied(user string) *Error {
 	return &Error{1045, "28000", fmt.Sprintf("Access denied for user '%.80s'", user)}
 }
 
-// TooMany is the error of one connection too many.
-func TooMany(why string) *Error { return &Error{1040, "08004", why} }
+// TooManyConnections is the error of one connection too many.
+func TooManyConnections(why string) *Error { return &Error{1040, "08004", why} }
 
-// TooLarge is the error of a statement that is longer than it may be.
-func TooLarge(most int) *Error {
+// StatementTooLarge is the error of a statement that is longer than it may be.
+func StatementTooLarge(most int) *Error {
 	return &Error{1153, "08S01", fmt.Sprintf("the statement is longer than %d bytes", most)}
 }
 
-// OutOfOrder is the error of packets that cannot be read.
-func OutOfOrder(err error) *Error { return &Error{1156, "08S01", err.Error()} }
+// ProtocolError is the error of packets that cannot be read.
+func ProtocolError(err error) *Error { return &Error{1156, "08S01", err.Error()} }
 
-// Closing is what a client reads whose connection is closed for a reason of this side's.
-func Closing(why string) *Error { return &Error{1053, "08S01", why} }
+// ConnectionClosing is what a client reads whose connection is closed for a reason of this side's.
+func ConnectionClosing(why string) *Error { return &Error{1053, "08S01", why} }
 
 // UnknownStatement is the error of a prepared statement that nobody has prepared.
 func UnknownStatement() *Error {
@@ -197,7 +197,7 @@
 // Append appends the definition of c.
 func (c Column) Append(b []byte) []byte {
 	for _, s := range []string{"def", "", "", "", c.Name, c.Name} {
-		b = AppendText(b, s)
+		b = AppendLenencString(b, s)
 	}
 	b = append(b, 0x0c)
 	charset := c.Charset
@@ -211,19 +211,19 @@
 	return append(b, 0, 0, 0)
 }
 
-// Prepared is the first message of the answer to COM_STMT_PREPARE.
-type Prepared struct {
-	ID                      uint32
-	Columns, Params, Warned uint16
+// PrepareOK is the first message of the answer to COM_STMT_PREPARE.
+type PrepareOK struct {
+	ID                        uint32
+	Columns, Params, Warnings uint16
 }
 
-// ParsePrepared reads a Prepared.
-func ParsePrepared(b []byte) (Prepared, error) {
+// ParsePrepareOK reads a Prepared.
+func ParsePrepareOK(b []byte) (PrepareOK, error) {
 	t := text{b: b}
 	t.byte()
-	p := Prepared{ID: t.uint32(), Columns: t.uint16(), Params: t.uint16()}
+	p := PrepareOK{ID: t.uint32(), Columns: t.uint16(), Params: t.uint16()}
 	t.byte()
-	p.Warned = t.uint16()
+	p.Warnings = t.uint16()
 	if t.bad {
 		return p, malformed("an answer to PREPARE that is cut")
 	}
@@ -231,15 +231,15 @@
 }
 
 // Append appends p as it is sent.
-func (p Prepared) Append(b []byte) []byte {
+func (p PrepareOK) Append(b []byte) []byte {
 	b = binary.LittleEndian.AppendUint32(append(b, 0), p.ID)
 	b = binary.LittleEndian.AppendUint16(b, p.Columns)
 	b = binary.LittleEndian.AppendUint16(b, p.Params)
-	return binary.LittleEndian.AppendUint16(append(b, 0), p.Warned)
+	return binary.LittleEndian.AppendUint16(append(b, 0), p.Warnings)
 }
 
-// RowText reads the values of a row of the text protocol; nil is NULL.
-func RowText(b []byte) ([][]byte, error) {
+// ParseTextRow reads the values of a row of the text protocol; nil is NULL.
+func ParseTextRow(b []byte) ([][]byte, error) {
 	t := text{b: b}
 	var row [][]byte
 	for len(t.b) > 0 && !t.bad {
@@ -256,8 +256,8 @@
 	return row, nil
 }
 
-// Count reads the number of columns that a result begins with.
-func Count(b []byte) (uint64, error) {
+// ParseColumnCount reads the number of columns that a result begins with.
+func ParseColumnCount(b []byte) (uint64, error) {
 	t := text{b: b}
 	n := t.int()
 	if t.bad || len(t.b) > 0 {
--- a/internal/mysql/wire/wire_test.go
+++ b/internal/mysql/wire/wire_test.go
@@ -27,8 +27,8 @@
 		text := bytes.Repeat([]byte("ab"), n/2+1)[:n]
 		w.Write(text)
 		w.W.Flush()
-		if packets := n/MaxPayload + 1; b.Len() != n+4*packets || w.Next() != byte(packets) {
-			t.Errorf("%d bytes take %d and %d packets", n, b.Len(), w.Next())
+		if packets := n/MaxPayload + 1; b.Len() != n+4*packets || w.Sequence() != byte(packets) {
+			t.Errorf("%d bytes take %d and %d packets", n, b.Len(), w.Sequence())
 		}
 		got, err := r.Read(3 * MaxPayload)
 		if err != nil || !bytes.Equal(got, text) || b.Len()+r.R.Buffered() > 0 {
@@ -77,8 +77,8 @@
 		var out bytes.Buffer
 		from := &Conn{R: bufio.NewReaderSize(bytes.NewReader(append([]byte{byte(tt.claimed), byte(tt.claimed >> 8), 0, 0}, make([]byte, tt.sent)...)), 64)}
 		to := &Conn{W: bufio.NewWriterSize(&out, 16)}
-		to.Expect(7)
-		n, begun, err := from.Pass(to)
+		to.SetSequence(7)
+		n, begun, err := from.Forward(to)
 		to.W.Flush()
 		if n != tt.claimed || begun != tt.begun || out.Len() != tt.out || (err == nil) != (tt.claimed == tt.sent) {
 			t.Errorf("%+v: %d, %v, %v, %d bytes out", tt, n, begun, err, out.Len())
@@ -95,44 +95,44 @@
 	for _, plugin := range []string{Native, SHA2} {
 		rapid.Check(t, func(t *rapid.T) {
 			password, other := rapid.StringN(1, 40, -1).Draw(t, "password"), rapid.String().Draw(t, "other")
-			k := Keep(password)
-			p, err := Prove(plugin, password, scramble)
-			if err != nil || !k.Proves(plugin, p, scramble) {
+			k := NewPasswordHashes(password)
+			p, err := AuthResponse(plugin, password, scramble)
+			if err != nil || !k.VerifyResponse(plugin, p, scramble) {
 				t.Fatalf("%q does not prove itself: %v", password, err)
 			}
-			if q, _ := Prove(plugin, other, scramble); other != password && k.Proves(plugin, q, scramble) {
+			if q, _ := AuthResponse(plugin, other, scramble); other != password && k.VerifyResponse(plugin, q, scramble) {
 				t.Fatalf("%q proves %q", other, password)
 			}
-			if k.Proves(plugin, p, NewScramble()) {
+			if k.VerifyResponse(plugin, p, NewScramble()) {
 				t.Fatal("a proof holds for another scramble")
 			}
-			if k.Proves(plugin, p[:len(p)-1], scramble) || k.Proves("none", p, scramble) {
+			if k.VerifyResponse(plugin, p[:len(p)-1], scramble) || k.VerifyResponse("none", p, scramble) {
 				t.Fatal("half a proof holds")
 			}
 		})
 	}
-	if e := Keep(""); !e.Proves(Native, nil, scramble) || e.Proves(Native, []byte{1}, scramble) {
+	if e := NewPasswordHashes(""); !e.VerifyResponse(Native, nil, scramble) || e.VerifyResponse(Native, []byte{1}, scramble) {
 		t.Error("the empty password")
 	}
 	key, err := rsa.GenerateKey(rand.Reader, 2048)
 	if err != nil {
 		t.Fatal(err)
 	}
-	pem, err := PublicKey(key)
+	pem, err := PublicKeyPEM(key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := Encrypt("hose & pump", scramble, pem)
+	b, err := EncryptPassword("hose & pump", scramble, pem)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Decrypt(b, scramble, key); got != "hose & pump" || err != nil {
+	if got, err := DecryptPassword(b, scramble, key); got != "hose & pump" || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
-	if _, err := Decrypt(b[1:], scramble, key); err == nil {
+	if _, err := DecryptPassword(b[1:], scramble, key); err == nil {
 		t.Error("what is cut is decrypted")
 	}
-	if _, err := Encrypt("x", scramble, []byte("no key")); err == nil {
+	if _, err := EncryptPassword("x", scramble, []byte("no key")); err == nil {
 		t.Error("no key is taken")
 	}
 }
@@ -146,12 +146,12 @@
 		t.Errorf("%+v, %v", got, err)
 	}
 	l := Login{Capabilities: Protocol41 | SecureConnection | PluginAuth | PluginAuthLenenc | ConnectWithDB | ConnectAttrs, MaxPacket: 9, Charset: 45, User: "app",
-		Proof: []byte("proof"), Schema: "stock", Plugin: Native, Attributes: []byte("\x01a\x01b")}
+		AuthResponse: []byte("proof"), Schema: "stock", Plugin: Native, Attributes: []byte("\x01a\x01b")}
 	login := l.Append(nil)
 	if got, err := ParseLogin(login); err != nil || !reflect.DeepEqual(got, l) {
 		t.Errorf("%+v, %v", got, err)
 	}
-	o := OK{Affected: 300, InsertID: 1 << 40, Status: Autocommit | StateChanged, Warnings: 2, Info: []byte("info"), Changes: []byte("changes")}
+	o := OK{AffectedRows: 300, LastInsertID: 1 << 40, Status: Autocommit | StateChanged, Warnings: 2, Info: []byte("info"), StateChanges: []byte("changes")}
 	ok := o.Append(nil, 0, SessionTrack)
 	if got, err := ParseOK(ok, SessionTrack); err != nil || !reflect.DeepEqual(got, o) {
 		t.Errorf("%+v, %v", got, err)
@@ -160,7 +160,7 @@
 	if got := ParseError(e.Append(nil), Protocol41); *got != e {
 		t.Errorf("%+v", got)
 	}
-	plugin, s, err := ParseSwitch(AppendSwitch(nil, SHA2, scramble))
+	plugin, s, err := ParseAuthSwitch(AppendAuthSwitch(nil, SHA2, scramble))
 	if plugin != SHA2 || !bytes.Equal(s, scramble) || err != nil {
 		t.Errorf("%s, %x, %v", plugin, s, err)
 	}
@@ -174,15 +174,15 @@
 			t.Errorf("a login of %d bytes is taken", n)
 		}
 	}
-	for n := range len(ok) - len(o.Changes) - 1 {
-		if got, err := ParseOK(ok[:n], SessionTrack); err == nil && got.Changes != nil {
+	for n := range len(ok) - len(o.StateChanges) - 1 {
+		if got, err := ParseOK(ok[:n], SessionTrack); err == nil && got.StateChanges != nil {
 			t.Errorf("an OK of %d bytes tells changes", n)
 		}
 	}
 	if _, err := ParseGreeting((&Error{1040, "08004", "Too many connections"}).Append(nil)); err == nil || err.(*Error).Code != 1040 {
 		t.Errorf("turned away: %v", err)
 	}
-	if row, err := RowText(append(AppendText([]byte{0xfb}, "x"), 0)); err != nil || len(row) != 3 || row[0] != nil || string(row[1]) != "x" {
+	if row, err := ParseTextRow(append(AppendLenencString([]byte{0xfb}, "x"), 0)); err != nil || len(row) != 3 || row[0] != nil || string(row[1]) != "x" {
 		t.Errorf("%q, %v", row, err)
 	}
 }
@@ -209,7 +209,7 @@
 func FuzzMessages(f *testing.F) {
 	g := Greeting{Version: "8", Scramble: NewScramble(), Capabilities: Protocol41 | SecureConnection | PluginAuth, Plugin: SHA2}
 	f.Add(g.Append(nil), uint32(SessionTrack))
-	l := Login{Capabilities: Protocol41 | SecureConnection, User: "x", Proof: []byte("y")}
+	l := Login{Capabilities: Protocol41 | SecureConnection, User: "x", AuthResponse: []byte("y")}
 	f.Add(l.Append(nil), uint32(0))
 	f.Fuzz(func(t *testing.T, b []byte, caps uint32) {
 		if g, err := ParseGreeting(b); err == nil && len(g.Scramble) != ScrambleSize {
@@ -217,13 +217,13 @@
 		}
 		ParseLogin(b)
 		ParseUserChange(b, Capability(caps))
-		ParseSwitch(b)
+		ParseAuthSwitch(b)
 		ParseOK(b, Capability(caps))
 		ParseEOF(b)
 		ParseError(b, Capability(caps))
-		ParsePrepared(b)
-		Count(b)
-		if row, err := RowText(b); err == nil && len(row) > len(b) {
+		ParsePrepareOK(b)
+		ParseColumnCount(b)
+		if row, err := ParseTextRow(b); err == nil && len(row) > len(b) {
 			t.Fatalf("%d values in %d bytes", len(row), len(b))
 		}
 	})
--- a/internal/stream/front.go
+++ b/internal/stream/frontend.go
@@ -25,8 +25,8 @@
 	lastTime = time.Second
 )
 
-// Front takes the connections of one service.
-type Front struct {
+// Frontend takes the connections of one service.
+type Frontend struct {
 	cfg    Config
 	engine *engine.Engine
 	budget *sockets.Budget
@@ -59,13 +59,13 @@
 }
 
 // New returns a front of e, which takes descriptors from b. c must have been checked.
-func New(c Config, e *engine.Engine, b *sockets.Budget, log *slog.Logger) *Front {
+func New(c Config, e *engine.Engine, b *sockets.Budget, log *slog.Logger) *Frontend {
 	c = c.WithDefaults()
-	return &Front{cfg: c, engine: e, budget: b, door: acceptor.New(c.Guests, log.With("stream", c.Name)), streams: map[*stream]struct{}{}}
+	return &Frontend{cfg: c, engine: e, budget: b, door: acceptor.New(c.ConnLimits, log.With("stream", c.Name)), streams: map[*stream]struct{}{}}
 }
 
 // Serve takes connections from ln, which must be one of TCP, until Shutdown or Close. It closes ln.
-func (f *Front) Serve(ln net.Listener) error {
+func (f *Frontend) Serve(ln net.Listener) error {
 	return f.door.Serve(ln, f.look, func(c net.Conn, _ connlimit.Reason) { refuse(c) }, func(c net.Conn, _ *connlimit.Slot) { f.take(c.(*net.TCPConn)) })
 }
 
@@ -78,7 +78,7 @@
 }
 
 // take has a stream opened and passes it on until it ends.
-func (f *Front) take(c *net.TCPConn) {
+func (f *Frontend) take(c *net.TCPConn) {
 	class, ok := f.engine.Class(f.cfg.Class)
 	if !ok {
 		refuse(c)
@@ -130,7 +130,7 @@
 }
 
 // run passes bytes on in both directions until both sides have shut, one is reset, or the stream is told to end.
-func (f *Front) run(s *stream) {
+func (f *Frontend) run(s *stream) {
 	var splice *sockets.Budget
 	if f.cfg.Splice {
 		splice = f.budget
@@ -139,7 +139,7 @@
 	other.Go(func() { s.pass(1, s.client, s.server.TCPConn, splice) })
 	s.pass(0, s.server.TCPConn, s.client, splice)
 	other.Wait()
-	s.once.Do(func() { s.why = Shut })
+	s.once.Do(func() { s.why = BothClosed })
 	s.client.Close()
 	s.server.Close()
 }
@@ -229,7 +229,7 @@
 func (s *stream) at(ns int64) time.Time { return s.opened.Add(time.Duration(ns)) }
 
 // look ends streams as the rules say, until the front is closed.
-func (f *Front) look() {
+func (f *Frontend) look() {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	for {
@@ -276,14 +276,14 @@
 
 // Shutdown takes nothing new, and waits until all streams have ended; those that go on beyond the patience are told to end. If ctx
 // ends before, they are cut off.
-func (f *Front) Shutdown(ctx context.Context) error {
+func (f *Frontend) Shutdown(ctx context.Context) error {
 	err := f.door.Drain(ctx)
 	f.Close()
 	return err
 }
 
 // Close cuts all streams off, and returns once nothing of the front runs.
-func (f *Front) Close() {
+func (f *Frontend) Close() {
 	f.door.Close(func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -295,20 +295,20 @@
 
 // Stats counts a front's streams.
 type Stats struct {
-	Guests  connlimit.Stats
-	Open    int
-	Ended   map[string]uint64 // by reason
-	Refused uint64            // not opened: a server would have been too busy
-	Failed  uint64            // not opened: no server could be reached in time
-	Bytes   [2]uint64         // to servers and to clients, of all streams
+	Connections connlimit.Stats
+	Open        int
+	Ended       map[string]uint64 // by reason
+	Refused     uint64            // not opened: a server would have been too busy
+	Failed      uint64            // not opened: no server could be reached in time
+	Bytes       [2]uint64         // to servers and to clients, of all streams
 }
 
 // Stats returns the present counts.
-func (f *Front) Stats() Stats {
+func (f *Frontend) Stats() Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := Stats{
-		Guests: f.door.Stats(), Open: len(f.streams), Ended: map[string]uint64{}, Refused: f.refused[engine.Refused],
+		Connections: f.door.Stats(), Open: len(f.streams), Ended: map[string]uint64{}, Refused: f.refused[engine.Refused],
 		Failed: f.refused[engine.Failed] + f.refused[engine.Dropped], Bytes: f.bytes,
 	}
 	for r, n := range f.ended {
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -66,7 +66,7 @@
 
 // world is a front with its pool.
 type world struct {
-	*Front
+	*Frontend
 	t    testing.TB
 	pool *pool.Pool
 	cfg  pool.Config
@@ -89,7 +89,7 @@
 	if err := c.Check(); err != nil {
 		t.Fatal(err)
 	}
-	w.pool, w.Front = p, New(c, p.Engine, budget, log)
+	w.pool, w.Frontend = p, New(c, p.Engine, budget, log)
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		t.Fatal(err)
@@ -142,7 +142,7 @@
 }
 
 func TestVerdict(t *testing.T) {
-	c := Config{Idle: 10 * time.Second, Stall: 3 * time.Second, Total: time.Hour, Drain: time.Minute, Half: 5 * time.Second, Patience: 8 * time.Second}
+	c := Config{IdleTimeout: 10 * time.Second, StallTimeout: 3 * time.Second, MaxDuration: time.Hour, DrainTimeout: time.Minute, HalfClosedTimeout: 5 * time.Second, ShutdownTimeout: 8 * time.Second}
 	now := time.Unix(1e9, 0)
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
 	for _, tt := range []struct {
@@ -158,11 +158,11 @@
 		{"one side shut, the other silent", facts{opened: ago(time.Minute), moved: ago(6 * time.Second), half: ago(6 * time.Second)}, Idle, true},
 		{"just shut", facts{opened: ago(time.Minute), moved: ago(6 * time.Second), half: ago(time.Second)}, 0, false},
 		{"stalled, though the other direction moves", facts{opened: ago(time.Minute), moved: ago(0), waiting: ago(3 * time.Second)}, Stalled, true},
-		{"old", facts{opened: ago(time.Hour), moved: ago(0)}, Old, true},
+		{"old", facts{opened: ago(time.Hour), moved: ago(0)}, MaxDurationReached, true},
 		{"its server drains", facts{opened: ago(time.Minute), moved: ago(0), drained: ago(59 * time.Second)}, 0, false},
 		{"its server drained", facts{opened: ago(time.Minute), moved: ago(0), drained: ago(time.Minute)}, Drained, true},
 		{"ending", facts{opened: ago(time.Minute), moved: ago(0), ending: ago(7 * time.Second)}, 0, false},
-		{"patience is over", facts{opened: ago(time.Minute), moved: ago(0), ending: ago(8 * time.Second)}, Ending, true},
+		{"patience is over", facts{opened: ago(time.Minute), moved: ago(0), ending: ago(8 * time.Second)}, ShuttingDown, true},
 	} {
 		if why, end := c.verdict(now, tt.f); end != tt.end || end && why != tt.why {
 			t.Errorf("%s: %v, %v", tt.name, why, end)
@@ -392,7 +392,7 @@
 		_, err := io.Copy(io.Discard, c)
 		end <- err
 	})
-	w := open(t, Config{Idle: 600 * time.Millisecond}, 0, b)
+	w := open(t, Config{IdleTimeout: 600 * time.Millisecond}, 0, b)
 	idle, trickle := w.dial(), w.dial()
 	io.WriteString(idle, "i")
 	io.WriteString(trickle, "t")
@@ -426,7 +426,7 @@
 			}
 		}
 	})
-	w := open(t, Config{Stall: 500 * time.Millisecond}, 0, b)
+	w := open(t, Config{StallTimeout: 500 * time.Millisecond}, 0, b)
 	c := w.dial()
 	c.SetReadBuffer(16 << 10)
 	until(t, "it is cut off", func() bool { return w.Stats().Ended["stalled"] == 1 })
@@ -439,7 +439,7 @@
 // for the time that is stated, and then ended in order.
 func TestDrain(t *testing.T) {
 	first, second := newBox(t, echo), newBox(t, echo)
-	w := open(t, Config{Drain: 700 * time.Millisecond}, 0, first, second)
+	w := open(t, Config{DrainTimeout: 700 * time.Millisecond}, 0, first, second)
 	var at []*net.TCPConn
 	for first.took.Load() == 0 || second.took.Load() == 0 {
 		c := w.dial()
@@ -487,7 +487,7 @@
 
 // TestShutdown: streams end by themselves within the patience; the others are ended in order after it, and nobody new is let in.
 func TestShutdown(t *testing.T) {
-	w := open(t, Config{Patience: 600 * time.Millisecond}, 0, newBox(t, echo))
+	w := open(t, Config{ShutdownTimeout: 600 * time.Millisecond}, 0, newBox(t, echo))
 	soon, late := w.dial(), w.dial()
 	for _, c := range []*net.TCPConn{soon, late} {
 		io.WriteString(c, "x")
@@ -521,7 +521,7 @@
 
 // TestBounds: one more than may be is reset before any byte, and a place that is left is free again.
 func TestBounds(t *testing.T) {
-	w := open(t, Config{Guests: connlimit.Limits{PerAddress: 2}}, 0, newBox(t, echo))
+	w := open(t, Config{ConnLimits: connlimit.Limits{PerAddress: 2}}, 0, newBox(t, echo))
 	works := func(c *net.TCPConn) bool {
 		if c == nil {
 			return false
@@ -540,8 +540,8 @@
 	first.Close()
 	until(t, "its place is free", func() bool { return w.Stats().Open == 1 })
 	until(t, "a new one works", func() bool { return works(w.dial()) })
-	if w.Stats().Guests.Rejected["too many connections from this address"] == 0 {
-		t.Errorf("%+v", w.Stats().Guests)
+	if w.Stats().Connections.Rejected["too many connections from this address"] == 0 {
+		t.Errorf("%+v", w.Stats().Connections)
 	}
 }
 
@@ -591,8 +591,8 @@
 	}
 	for want, change := range map[string]func(*Config){
 		"name": func(c *Config) { c.Name = "" }, "listen": func(c *Config) { c.Listen = "" }, "class": func(c *Config) { c.Class = "" },
-		"idle": func(c *Config) { c.Idle = -1 }, "stall": func(c *Config) { c.Stall = -1 }, "drain": func(c *Config) { c.Drain = -1 },
-		"most": func(c *Config) { c.Guests.Total = -1 },
+		"idle": func(c *Config) { c.IdleTimeout = -1 }, "stall": func(c *Config) { c.StallTimeout = -1 }, "drain": func(c *Config) { c.DrainTimeout = -1 },
+		"most": func(c *Config) { c.ConnLimits.Total = -1 },
 	} {
 		c := good
 		change(&c)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -241,7 +241,7 @@
 	}
 	var g connlimit.Stats
 	if st := f.Stream; st != nil {
-		g = st.Guests
+		g = st.Connections
 		gauge(streamsOpen, float64(st.Open), f.Name)
 		for why, n := range st.Ended {
 			total(streamsEnded, n, f.Name, why)
