--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -242,7 +242,7 @@
 	}
 	var g connlimit.Stats
 	if st := f.Stream; st != nil {
-		g = st.Guests
+		g = st.Connections
 		gauge(streamsOpen, float64(st.Open), f.Name)
 		for why, n := range st.Ended {
 			total(streamsEnded, n, f.Name, why)
