--- a/cmd/quillfront/conformance_test.go
+++ b/cmd/quillfront/conformance_test.go
@@ -67,17 +67,17 @@
 
 type tripper struct{ client *http.Client }
 
-// Ask is a method of conformance.Form.
-func (f tripper) Ask(ctx context.Context, q conformance.Ask) conformance.Answer {
-	req, err := q.Request(ctx, "http://fleet")
+// Do is a method of conformance.Form.
+func (f tripper) Do(ctx context.Context, q conformance.Request) conformance.Result {
+	req, err := q.HTTPRequest(ctx, "http://fleet")
 	if err != nil {
-		return conformance.Answer{Kind: conformance.Broken, Err: err}
+		return conformance.Result{Outcome: conformance.NoResponse, Err: err}
 	}
 	return f.Trip(req)
 }
 
 // Trip is the method of the edge's round tripper.
-func (f tripper) Trip(req *http.Request) conformance.Answer {
+func (f tripper) Trip(req *http.Request) conformance.Result {
 	resp, err := f.client.Do(req)
 	var refused *quillfront.RefusedError
 	var failed *quillfront.FailedError
@@ -85,25 +85,25 @@
 	switch {
 	case err == nil:
 	case errors.As(err, &refused):
-		return conformance.Answer{Kind: conformance.Refused, RetryAfter: refused.RetryAfter}
+		return conformance.Result{Outcome: conformance.Refused, RetryAfter: refused.RetryAfter}
 	case errors.As(err, &failed):
-		return conformance.Answer{Kind: conformance.Failed}
+		return conformance.Result{Outcome: conformance.Failed}
 	case errors.As(err, &rejected):
-		return conformance.Answer{Kind: conformance.Rejected, Status: rejected.Status}
+		return conformance.Result{Outcome: conformance.Rejected, Status: rejected.Status}
 	case req.Context().Err() != nil:
-		return conformance.Answer{Kind: conformance.Gone}
+		return conformance.Result{Outcome: conformance.Canceled}
 	default:
-		return conformance.Answer{Kind: conformance.Broken, Err: err}
+		return conformance.Result{Outcome: conformance.NoResponse, Err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		if req.Context().Err() != nil {
-			return conformance.Answer{Kind: conformance.Gone}
+			return conformance.Result{Outcome: conformance.Canceled}
 		}
-		return conformance.Answer{Kind: conformance.Broken, Err: err}
+		return conformance.Result{Outcome: conformance.NoResponse, Err: err}
 	}
-	return conformance.Answer{Kind: conformance.Served, Body: string(body), Header: resp.Header}
+	return conformance.Result{Outcome: conformance.Served, Body: string(body), Header: resp.Header}
 }
 
 // TestConformance runs the suite against every form.
@@ -114,17 +114,17 @@
 }
 
 // edges are all forms as the edge's corpus takes them.
-var edges = []conformance.StartEdge{
-	func(t testing.TB, config []byte) conformance.Edge {
+var edges = []conformance.StartWireForm{
+	func(t testing.TB, config []byte) conformance.WireForm {
 		f := startDaemon(t, config).(conformance.HTTPForm)
-		return conformance.Edge{Name: conformance.Daemon, Addr: strings.TrimPrefix(f.URL, "http://"), Form: f}
+		return conformance.WireForm{Name: conformance.Daemon, Addr: strings.TrimPrefix(f.URL, "http://"), Form: f}
 	},
-	func(t testing.TB, config []byte) conformance.Edge {
+	func(t testing.TB, config []byte) conformance.WireForm {
 		f := startHandler(t, config).(conformance.HTTPForm)
-		return conformance.Edge{Name: conformance.Handler, Addr: strings.TrimPrefix(f.URL, "http://"), Form: f}
+		return conformance.WireForm{Name: conformance.Handler, Addr: strings.TrimPrefix(f.URL, "http://"), Form: f}
 	},
-	func(t testing.TB, config []byte) conformance.Edge {
-		return conformance.Edge{Name: conformance.RoundTripper, Form: startRoundTripper(t, config)}
+	func(t testing.TB, config []byte) conformance.WireForm {
+		return conformance.WireForm{Name: conformance.RoundTripper, Form: startRoundTripper(t, config)}
 	},
 }
 
@@ -136,25 +136,25 @@
 	for i, start := range edges {
 		t.Run(forms[i].name, func(t *testing.T) {
 			t.Run("requests", func(t *testing.T) { conformance.RunRequests(t, start) })
-			t.Run("answers", func(t *testing.T) { conformance.RunAnswers(t, start) })
+			t.Run("answers", func(t *testing.T) { conformance.RunResponses(t, start) })
 		})
 	}
 }
 
 // TestSameDecisions: on one scripted run all forms give the same answers and pick the same servers in the same order.
 func TestSameDecisions(t *testing.T) {
-	records := make([]conformance.Record, len(forms))
-	var other conformance.Record
+	records := make([]conformance.Transcript, len(forms))
+	var other conformance.Transcript
 	t.Run("play", func(t *testing.T) {
 		for i, f := range forms {
 			t.Run(f.name, func(t *testing.T) {
 				t.Parallel()
-				records[i] = conformance.Scripted(t, f.start, 11)
+				records[i] = conformance.RunScripted(t, f.start, 11)
 			})
 		}
 		t.Run("another seed", func(t *testing.T) {
 			t.Parallel()
-			other = conformance.Scripted(t, startRoundTripper, 12)
+			other = conformance.RunScripted(t, startRoundTripper, 12)
 		})
 	})
 	if records[0].Diff(other) == "" {
@@ -175,13 +175,13 @@
 // TestSameFigures: under load the share served of each class is the same within 0.02 and what chance makes of the number
 // asked, 0.8 over its root. Times are told, and judged in no way that a busy machine could change.
 func TestSameFigures(t *testing.T) {
-	var first conformance.Figures
+	var first conformance.LoadResults
 	for _, f := range forms {
-		got := conformance.Load(t, f.start, *loadTime, 200)
+		got := conformance.RunLoad(t, f.start, *loadTime, 200)
 		for class, c := range got {
-			t.Logf("%s %s: %d asked, %.3f served, median %v", f.name, class, c.Asked, c.Served, c.Median)
-			if first != nil && math.Abs(c.Served-first[class].Served) > 0.02+0.8/math.Sqrt(float64(c.Asked)) {
-				t.Errorf("%s serves %.3f of %s, %s %.3f", f.name, c.Served, class, forms[0].name, first[class].Served)
+			t.Logf("%s %s: %d asked, %.3f served, median %v", f.name, class, c.Requests, c.ServedShare, c.Median)
+			if first != nil && math.Abs(c.ServedShare-first[class].ServedShare) > 0.02+0.8/math.Sqrt(float64(c.Requests)) {
+				t.Errorf("%s serves %.3f of %s, %s %.3f", f.name, c.ServedShare, class, forms[0].name, first[class].ServedShare)
 			}
 		}
 		if first == nil {
@@ -193,9 +193,9 @@
 // TestServices holds the operator's own services, in the program as it is started with --config and in the library, to the rules.
 func TestServices(t *testing.T) {
 	t.Run("daemon", func(t *testing.T) {
-		conformance.RunServices(t, func(t testing.TB, path string) conformance.Running {
+		conformance.RunServices(t, func(t testing.TB, path string) conformance.Services {
 			s := start(t, configText("127.0.0.1:0", "127.0.0.1:1"), "serve", "--config", path)
-			return conformance.Running{Addr: func(name string) string { return s.services[name] }, Reload: func() {
+			return conformance.Services{Addr: func(name string) string { return s.services[name] }, Reload: func() {
 				if err := s.Process.Signal(syscall.SIGHUP); err != nil {
 					t.Error(err)
 				}
@@ -203,7 +203,7 @@
 		})
 	})
 	t.Run("library", func(t *testing.T) {
-		conformance.RunServices(t, func(t testing.TB, path string) conformance.Running {
+		conformance.RunServices(t, func(t testing.TB, path string) conformance.Services {
 			s, err := quillfront.OpenServices(path, 500)
 			if err != nil {
 				t.Fatal(err)
@@ -213,7 +213,7 @@
 					t.Error(err)
 				}
 			})
-			return conformance.Running{Addr: s.Addr, Reload: func() {
+			return conformance.Services{Addr: s.Addr, Reload: func() {
 				if _, err := s.Reload(); err != nil {
 					t.Error(err)
 				}
--- a/cmd/quillfront/demo.go
+++ b/cmd/quillfront/demo.go
@@ -44,13 +44,13 @@
 				fmt.Fprintln(out)
 				err = report.Write(out)
 			}
-			if err == nil && len(report.Broken) > 0 {
-				err = fmt.Errorf("%w: %s", errBroken, strings.Join(report.Broken, "; "))
+			if err == nil && len(report.Violations) > 0 {
+				err = fmt.Errorf("%w: %s", errBroken, strings.Join(report.Violations, "; "))
 			}
 			return err
 		},
 	}
-	cmd.Flags().DurationVar(&o.For, "for", 6*time.Second, "how long requests come")
+	cmd.Flags().DurationVar(&o.Duration, "for", 6*time.Second, "how long requests come")
 	cmd.Flags().Float64Var(&o.Rate, "rate", 300, "requests a second")
 	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "of all chances")
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
--- a/cmd/quillfront/load.go
+++ b/cmd/quillfront/load.go
@@ -153,7 +153,7 @@
 }
 
 // openStage starts boxes and a sidecar for classes: those that bring keys are keyed.
-func openStage(n int, classes []load.Class) (*demo.Stage, error) {
+func openStage(n int, classes []load.Class) (*demo.Environment, error) {
 	if n < 1 || n > 100 {
 		return nil, fmt.Errorf("--standin: %d boxes are outside 1 to 100", n)
 	}
@@ -169,7 +169,7 @@
 	for i := range n {
 		boxes = append(boxes, standin.ServerConfig{ID: fmt.Sprint("box-", i+1), Zone: "clare", Cores: 4, QueueSize: 256, ServiceTimeFromCost: true})
 	}
-	return demo.Open(rules, boxes, 1, 8192)
+	return demo.StartEnvironment(rules, boxes, 1, 8192)
 }
 
 func mergeReports(cmd *cobra.Command, f loadFlags, paths []string) error {
--- a/internal/conformance/conformance.go
+++ b/internal/conformance/conformance.go
@@ -23,36 +23,36 @@
 
 // Form is one running form of the balancer. Its methods may be called from many goroutines at once.
 type Form interface {
-	// Ask sends one request and returns what became of it. The request is withdrawn when ctx ends.
-	Ask(ctx context.Context, q Ask) Answer
+	// Do sends one request and returns what became of it. The request is withdrawn when ctx ends.
+	Do(ctx context.Context, q Request) Result
 }
 
 // Start starts a form by the platform's configuration, until the test ends.
 type Start func(t testing.TB, config []byte) Form
 
-// Ask is one request.
-type Ask struct {
+// Request is one request.
+type Request struct {
 	Method, Path string
 	Header       map[string]string
 	Body         io.Reader // nil: none. Its length is told if it is a *strings.Reader
 }
 
-// Kind says what became of a request.
-type Kind string
+// Outcome says what became of a request.
+type Outcome string
 
 // The kinds.
 const (
-	Served   Kind = "served"
-	Refused  Kind = "refused"
-	Failed   Kind = "failed"
-	Rejected Kind = "rejected" // not usable as it is: nothing was sent for it
-	Gone     Kind = "gone"     // the asker's own time was up, or it left
-	Broken   Kind = "broken"   // no answer at all, which no form may give
+	Served     Outcome = "served"
+	Refused    Outcome = "refused"
+	Failed     Outcome = "failed"
+	Rejected   Outcome = "rejected" // not usable as it is: nothing was sent for it
+	Canceled   Outcome = "gone"     // the asker's own time was up, or it left
+	NoResponse Outcome = "broken"   // no answer at all, which no form may give
 )
 
-// Answer is what became of a request.
-type Answer struct {
-	Kind       Kind
+// Result is what became of a request.
+type Result struct {
+	Outcome    Outcome
 	Status     int // Rejected: as HTTP has it
 	Body       string
 	Header     http.Header   // Served
@@ -61,16 +61,16 @@
 }
 
 // String is what must be the same of all forms.
-func (a Answer) String() string {
-	switch a.Kind {
+func (a Result) String() string {
+	switch a.Outcome {
 	case Served:
-		return string(a.Kind) + " " + a.Body
+		return string(a.Outcome) + " " + a.Body
 	case Rejected:
-		return string(a.Kind) + " " + strconv.Itoa(a.Status)
-	case Broken:
+		return string(a.Outcome) + " " + strconv.Itoa(a.Status)
+	case NoResponse:
 		return fmt.Sprintf("broken: %v", a.Err)
 	}
-	return string(a.Kind)
+	return string(a.Outcome)
 }
 
 // HTTPForm asks whoever serves HTTP at a URL: the daemon, or a server with the library's handler.
@@ -79,41 +79,41 @@
 	Client *http.Client
 }
 
-// Ask is a method of Form.
-func (f HTTPForm) Ask(ctx context.Context, q Ask) Answer {
-	req, err := q.Request(ctx, f.URL)
+// Do implements Form.
+func (f HTTPForm) Do(ctx context.Context, q Request) Result {
+	req, err := q.HTTPRequest(ctx, f.URL)
 	if err != nil {
-		return Answer{Kind: Broken, Err: err}
+		return Result{Outcome: NoResponse, Err: err}
 	}
 	resp, err := f.Client.Do(req)
 	if err != nil {
 		if ctx.Err() != nil {
-			return Answer{Kind: Gone}
+			return Result{Outcome: Canceled}
 		}
-		return Answer{Kind: Broken, Err: err}
+		return Result{Outcome: NoResponse, Err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		if ctx.Err() != nil {
-			return Answer{Kind: Gone}
+			return Result{Outcome: Canceled}
 		}
-		return Answer{Kind: Broken, Err: err}
+		return Result{Outcome: NoResponse, Err: err}
 	}
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		return Answer{Kind: Served, Body: string(body), Header: resp.Header}
+		return Result{Outcome: Served, Body: string(body), Header: resp.Header}
 	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
 		after, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-		return Answer{Kind: Refused, RetryAfter: time.Duration(after * float64(time.Second))}
+		return Result{Outcome: Refused, RetryAfter: time.Duration(after * float64(time.Second))}
 	case resp.StatusCode/100 == 4:
-		return Answer{Kind: Rejected, Status: resp.StatusCode}
+		return Result{Outcome: Rejected, Status: resp.StatusCode}
 	}
-	return Answer{Kind: Failed}
+	return Result{Outcome: Failed}
 }
 
-// Request is q as net/http has it, to the server at base.
-func (q Ask) Request(ctx context.Context, base string) (*http.Request, error) {
+// HTTPRequest is q as net/http has it, to the server at base.
+func (q Request) HTTPRequest(ctx context.Context, base string) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, q.Method, base+q.Path, q.Body)
 	if err != nil {
 		return nil, err
@@ -203,9 +203,9 @@
 var lastID atomic.Int64
 
 // ask makes a request of a class, with an id and a key of its own.
-func ask(class string, header ...string) Ask {
+func ask(class string, header ...string) Request {
 	n := lastID.Add(1)
-	q := Ask{Method: http.MethodGet, Path: fmt.Sprintf("/%s/k", class), Header: map[string]string{
+	q := Request{Method: http.MethodGet, Path: fmt.Sprintf("/%s/k", class), Header: map[string]string{
 		"X-Request-ID": fmt.Sprintf("c%d", n), "X-Timeout-Ms": "9000",
 	}}
 	if class != "read" && class != "quick" {
@@ -248,7 +248,7 @@
 	bodied.Method, bodied.Body = http.MethodPost, strings.NewReader("x")
 	for _, tt := range []struct {
 		name string
-		ask  Ask
+		ask  Request
 		want string
 	}{
 		{"unknown class", ask("novel"), "rejected 404"},
@@ -259,7 +259,7 @@
 		{"a body that the class has not", bodied, "rejected 405"},
 		{"an id without end", ask("read", "X-Request-ID", strings.Repeat("x", 300)), "rejected 400"},
 	} {
-		if got := w.Ask(t.Context(), tt.ask); got.String() != tt.want {
+		if got := w.Do(t.Context(), tt.ask); got.String() != tt.want {
 			t.Errorf("%s: %v, want %s", tt.name, got, tt.want)
 		}
 	}
@@ -277,7 +277,7 @@
 	for _, tt := range []struct {
 		class    string
 		fault    standin.Fault
-		want     Kind
+		want     Outcome
 		sent     int64
 		executed int
 	}{
@@ -299,7 +299,7 @@
 			box := standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return tt.fault }}
 			w := build(t, start, nil, box, box, box)
 			q := ask(tt.class)
-			if got := w.Ask(t.Context(), q); got.Kind != tt.want {
+			if got := w.Do(t.Context(), q); got.Outcome != tt.want {
 				t.Errorf("%v, want %s", got, tt.want)
 			}
 			key := q.Header["Idempotency-Key"]
@@ -320,8 +320,8 @@
 func refusal(t *testing.T, start Start) {
 	w := build(t, start, nil, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.Reject }})
 	began := time.Now()
-	a := w.Ask(t.Context(), ask("read"))
-	if a.Kind != Refused || a.RetryAfter <= 0 || a.RetryAfter > time.Second {
+	a := w.Do(t.Context(), ask("read"))
+	if a.Outcome != Refused || a.RetryAfter <= 0 || a.RetryAfter > time.Second {
 		t.Errorf("%v, come back after %v", a, a.RetryAfter)
 	}
 	if d := time.Since(began); d > 5*time.Second { // it had 9 s
@@ -332,17 +332,17 @@
 // nameOpen: while a request is open another under its id is turned away.
 func nameOpen(t *testing.T, start Start) {
 	w := build(t, start, nil, standin.ServerConfig{ServiceTime: 500 * time.Millisecond})
-	first := make(chan Answer, 1)
+	first := make(chan Result, 1)
 	q := ask("read")
-	go func() { first <- w.Ask(context.Background(), q) }()
+	go func() { first <- w.Do(context.Background(), q) }()
 	eventually(t, "the first one is there", func() bool { return requests(w.boxes) == 1 })
-	if got := w.Ask(t.Context(), q); got.String() != "rejected 409" {
+	if got := w.Do(t.Context(), q); got.String() != "rejected 409" {
 		t.Errorf("the second: %v", got)
 	}
-	if got := <-first; got.Kind != Served {
+	if got := <-first; got.Outcome != Served {
 		t.Errorf("the first: %v", got)
 	}
-	if got := w.Ask(t.Context(), q); got.Kind != Served {
+	if got := w.Do(t.Context(), q); got.Outcome != Served {
 		t.Errorf("the id, used again: %v", got)
 	}
 }
@@ -354,12 +354,12 @@
 			Script: func(int, *http.Request) standin.Fault { return standin.NoReply },
 		})
 		ctx, leave := context.WithCancel(t.Context())
-		over := make(chan Answer, 1)
+		over := make(chan Result, 1)
 		q := ask(class)
-		go func() { over <- w.Ask(ctx, q) }()
+		go func() { over <- w.Do(ctx, q) }()
 		eventually(t, "the attempt is out", func() bool { return requests(w.boxes) == 1 })
 		leave()
-		if got := <-over; got.Kind != Gone {
+		if got := <-over; got.Outcome != Canceled {
 			t.Errorf("%s: %v", class, got)
 		}
 		// Its id is free once the form has noticed, and a later request is no worse for it.
@@ -370,7 +370,7 @@
 			if q.Body != nil {
 				again.Body = strings.NewReader("body")
 			}
-			return w.Ask(ctx, again).String() != "rejected 409"
+			return w.Do(ctx, again).String() != "rejected 409"
 		})
 		if n := len(w.fleet.ServersReached(q.Header["X-Request-ID"])); n > 2 { // the first one, and the one above that came through
 			t.Errorf("%s: sent %d times for a client that had left", class, n)
@@ -383,7 +383,7 @@
 func ownTime(t *testing.T, start Start) {
 	w := build(t, start, nil, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.NoReply }})
 	began := time.Now()
-	if got := w.Ask(t.Context(), ask("pay", "X-Timeout-Ms", "200")); got.Kind != Failed {
+	if got := w.Do(t.Context(), ask("pay", "X-Timeout-Ms", "200")); got.Outcome != Failed {
 		t.Errorf("200 ms by the header: %v", got)
 	}
 	if d := time.Since(began); d < 150*time.Millisecond || d > 8*time.Second {
@@ -394,7 +394,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	if got := w.Ask(ctx, ask("pay")); got.Kind != Gone {
+	if got := w.Do(ctx, ask("pay")); got.Outcome != Canceled {
 		t.Errorf("200 ms of its own: %v", got)
 	}
 	if n := requests(w.boxes); n != 2 {
@@ -411,10 +411,10 @@
 // bodies: one of unknown length comes whole to the box, and one that is too long or breaks comes not at all.
 func bodies(t *testing.T, start Start) {
 	w := build(t, start, nil, standin.ServerConfig{})
-	post := func(body io.Reader) Answer {
+	post := func(body io.Reader) Result {
 		q := ask("pay")
 		q.Body = body
-		return w.Ask(t.Context(), q)
+		return w.Do(t.Context(), q)
 	}
 	for _, n := range []int{0, 1, 100, 64 << 10, 64<<10 + 1, 3 << 20} {
 		text := strings.Repeat("x", n)
@@ -429,13 +429,13 @@
 	before := requests(w.boxes)
 	long := bytes.Repeat([]byte("x"), 32<<20+1)
 	// Over sockets the end of the connection may overtake the answer: not served is what counts.
-	if got := post(bytes.NewReader(long)); got.Kind != Rejected && got.Kind != Broken {
+	if got := post(bytes.NewReader(long)); got.Outcome != Rejected && got.Outcome != NoResponse {
 		t.Errorf("over the limit: %v", got)
 	}
-	if got := post(unknownLength{bytes.NewReader(long)}); got.Kind != Rejected && got.Kind != Broken {
+	if got := post(unknownLength{bytes.NewReader(long)}); got.Outcome != Rejected && got.Outcome != NoResponse {
 		t.Errorf("over the limit, of unknown length: %v", got)
 	}
-	if got := post(io.MultiReader(strings.NewReader("half"), failing{})); got.Kind == Served || got.Kind == Refused {
+	if got := post(io.MultiReader(strings.NewReader("half"), failing{})); got.Outcome == Served || got.Outcome == Refused {
 		t.Errorf("a body that breaks: %v", got)
 	}
 	if n := requests(w.boxes) - before; n > 0 {
@@ -459,7 +459,7 @@
 	eventually(t, "nothing goes to the one that drains", func() bool {
 		before := w.boxes[0].Counts().Requests
 		for range 20 {
-			if got := live.Ask(t.Context(), ask("read")); got.Kind != Served {
+			if got := live.Do(t.Context(), ask("read")); got.Outcome != Served {
 				t.Errorf("%v", got)
 			}
 		}
@@ -467,7 +467,7 @@
 	})
 	before := w.boxes[0].Counts().Requests
 	for range 50 {
-		live.Ask(t.Context(), ask("read"))
+		live.Do(t.Context(), ask("read"))
 	}
 	if n := w.boxes[0].Counts(); n.Requests != before || n.Late > 0 {
 		t.Errorf("%d more sends after that, %d of them late", n.Requests-before, n.Late)
@@ -478,7 +478,7 @@
 }
 
 // emptyAndFull: while the list is empty requests wait for their time, end as the form has it, and are served once a box is listed.
-func emptyAndFull(t *testing.T, start Start, unserved Kind) {
+func emptyAndFull(t *testing.T, start Start, unserved Outcome) {
 	w := build(t, start, nil, standin.ServerConfig{})
 	live := build(t, start, func(p *standin.PlatformConfig) {
 		known := w.fleet.Discovery.List()
@@ -487,15 +487,15 @@
 	eventually(t, "the list is watched", func() bool { return w.fleet.Discovery.RequestCount() > 0 })
 	w.fleet.Kill(w.boxes[0])
 	eventually(t, "an empty list leaves nobody to ask", func() bool {
-		return live.Ask(t.Context(), ask("quick", "X-Timeout-Ms", "100")).Kind == unserved
+		return live.Do(t.Context(), ask("quick", "X-Timeout-Ms", "100")).Outcome == unserved
 	})
-	over := make(chan Answer, 1)
-	go func() { over <- live.Ask(context.Background(), ask("read")) }()
+	over := make(chan Result, 1)
+	go func() { over <- live.Do(context.Background(), ask("read")) }()
 	b, err := w.fleet.Start(standin.ServerConfig{ID: "new"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := <-over; got.Kind != Served {
+	if got := <-over; got.Outcome != Served {
 		t.Errorf("%v once a box is there", got)
 	}
 	if b.Counts().Requests == 0 {
@@ -515,7 +515,7 @@
 	}
 	classes := []string{"read", "order", "pay"}
 	var mu sync.Mutex
-	var asked []Ask
+	var asked []Request
 	var clients sync.WaitGroup
 	for i := range 32 {
 		clients.Go(func() {
@@ -528,7 +528,7 @@
 				if j%5 == 4 {
 					time.AfterFunc(time.Millisecond, cancel)
 				}
-				if a := w.Ask(ctx, q); a.Kind == Broken || a.Kind == Rejected || a.Kind == Gone && j%5 != 4 {
+				if a := w.Do(ctx, q); a.Outcome == NoResponse || a.Outcome == Rejected || a.Outcome == Canceled && j%5 != 4 {
 					t.Errorf("%v", a)
 				}
 				cancel()
@@ -548,16 +548,16 @@
 	}
 }
 
-// Record is what one form did on the scripted run: the answers, and for each request the boxes it went to.
-type Record struct {
-	Answers []string
-	Picks   []string
+// Transcript is what one form did on the scripted run: the answers, and for each request the boxes it went to.
+type Transcript struct {
+	Results []string
+	Servers []string
 }
 
-// Scripted plays one run that is the same for every form: one seed, one request at a time, boxes whose reports and
+// RunScripted plays one run that is the same for every form: one seed, one request at a time, boxes whose reports and
 // faults follow a script. Nothing in it depends on how long anything takes: reports come with the answers, the list is
 // pushed, and after a fault the run waits until every ejection is over.
-func Scripted(t testing.TB, start Start, seed uint64) Record {
+func RunScripted(t testing.TB, start Start, seed uint64) Transcript {
 	t.Helper()
 	const boxes, rounds = 5, 60
 	var cfgs []standin.ServerConfig
@@ -579,11 +579,11 @@
 	}
 	w := build(t, start, func(p *standin.PlatformConfig) { p.InlineReports, p.Seed = true, seed }, cfgs...)
 	classes := []string{"read", "order", "pay", "cell"}
-	var r Record
+	var r Transcript
 	for n := range rounds {
 		q := ask(classes[n%len(classes)], "X-Step", strconv.Itoa(n), "X-Request-ID", fmt.Sprintf("step-%d", n))
-		r.Answers = append(r.Answers, w.Ask(t.Context(), q).String())
-		r.Picks = append(r.Picks, strings.Join(w.fleet.ServersReached(q.Header["X-Request-ID"]), "+"))
+		r.Results = append(r.Results, w.Do(t.Context(), q).String())
+		r.Servers = append(r.Servers, strings.Join(w.fleet.ServersReached(q.Header["X-Request-ID"]), "+"))
 		if n == 20 || n == 31 || n == 42 {
 			time.Sleep(2500 * time.Millisecond) // three failures in a row eject for 2 s
 		}
@@ -592,37 +592,37 @@
 }
 
 // Diff tells where two records differ; empty: nowhere.
-func (r Record) Diff(other Record) string {
-	for i := range r.Answers {
-		if i >= len(other.Answers) || r.Answers[i] != other.Answers[i] || r.Picks[i] != other.Picks[i] {
-			return fmt.Sprintf("step %d: %s by %s, and %s by %s", i, r.Answers[i], r.Picks[i], other.Answers[i], other.Picks[i])
+func (r Transcript) Diff(other Transcript) string {
+	for i := range r.Results {
+		if i >= len(other.Results) || r.Results[i] != other.Results[i] || r.Servers[i] != other.Servers[i] {
+			return fmt.Sprintf("step %d: %s by %s, and %s by %s", i, r.Results[i], r.Servers[i], other.Results[i], other.Servers[i])
 		}
 	}
 	return ""
 }
 
 // Varied reports whether the run went to several boxes and met faults, as a run that does not shows nothing.
-func (r Record) Varied() bool {
+func (r Transcript) Varied() bool {
 	kinds, picks := map[string]bool{}, map[string]bool{}
-	for i := range r.Answers {
-		kind, _, _ := strings.Cut(r.Answers[i], " ")
-		kinds[kind], picks[r.Picks[i]] = true, true
+	for i := range r.Results {
+		kind, _, _ := strings.Cut(r.Results[i], " ")
+		kinds[kind], picks[r.Servers[i]] = true, true
 	}
-	return len(picks) >= 5 && len(kinds) >= 2 && slices.ContainsFunc(r.Picks, func(p string) bool { return strings.Contains(p, "+") })
+	return len(picks) >= 5 && len(kinds) >= 2 && slices.ContainsFunc(r.Servers, func(p string) bool { return strings.Contains(p, "+") })
 }
 
-// Figures is what a form gave under load, by class: the share served, and the median time of those.
-type Figures map[string]ClassFigures
+// LoadResults is what a form gave under load, by class: the share served, and the median time of those.
+type LoadResults map[string]ClassLoadResult
 
-// ClassFigures is that of one class.
-type ClassFigures struct {
-	Asked  int
-	Served float64
-	Median time.Duration
+// ClassLoadResult is that of one class.
+type ClassLoadResult struct {
+	Requests    int
+	ServedShare float64
+	Median      time.Duration
 }
 
-// Load plays some seconds of a schedule that does not wait for answers, on boxes of which two err.
-func Load(t testing.TB, start Start, length time.Duration, rate int) Figures {
+// RunLoad plays some seconds of a schedule that does not wait for answers, on boxes of which two err.
+func RunLoad(t testing.TB, start Start, length time.Duration, rate int) LoadResults {
 	t.Helper()
 	var cfgs []standin.ServerConfig
 	for range 6 {
@@ -641,20 +641,20 @@
 		class := classes[i%len(classes)]
 		clients.Go(func() {
 			at := time.Now()
-			a := w.Ask(t.Context(), ask(class))
+			a := w.Do(t.Context(), ask(class))
 			mu.Lock()
 			defer mu.Unlock()
 			asked[class]++
-			if a.Kind == Served {
+			if a.Outcome == Served {
 				times[class] = append(times[class], time.Since(at))
 			}
 		})
 	}
 	clients.Wait()
-	f := Figures{}
+	f := LoadResults{}
 	for _, class := range classes {
 		slices.Sort(times[class])
-		c := ClassFigures{Asked: asked[class], Served: float64(len(times[class])) / float64(max(asked[class], 1))}
+		c := ClassLoadResult{Requests: asked[class], ServedShare: float64(len(times[class])) / float64(max(asked[class], 1))}
 		if n := len(times[class]); n > 0 {
 			c.Median = times[class][n/2]
 		}
--- a/internal/conformance/services.go
+++ b/internal/conformance/services.go
@@ -21,14 +21,14 @@
 	sqlstandin "quillfront/internal/mysql/standin"
 )
 
-// Running are services that run by an operator's file.
-type Running struct {
+// Services are services that run by an operator's file.
+type Services struct {
 	Addr   func(name string) string // where a service listens
 	Reload func()                   // has the file read again
 }
 
 // StartServices starts services by an operator's file, until the test ends.
-type StartServices func(t testing.TB, path string) Running
+type StartServices func(t testing.TB, path string) Services
 
 // RunServices runs the rules as they apply to statements and streams.
 func RunServices(t *testing.T, start StartServices) {
@@ -39,7 +39,7 @@
 
 // ledgers are stand-in servers of MySQL with a front before them.
 type ledgers struct {
-	Running
+	Services
 	db      *sqlstandin.Database
 	servers []*sqlstandin.Server
 	trouble sync.Map // by what a statement holds
@@ -75,7 +75,7 @@
 		}
 	}
 	l.write(t)
-	l.Running = start(t, filepath.Join(l.dir, "quillfront.toml"))
+	l.Services = start(t, filepath.Join(l.dir, "quillfront.toml"))
 	return l
 }
 
--- a/internal/conformance/edge.go
+++ b/internal/conformance/wire.go
@@ -34,50 +34,50 @@
 type RequestCase struct {
 	Name string
 	// Raw has CRLF for each newline, unless Exact; the mark ~ID~ stands for an id that was never used.
-	Raw   string
-	Exact bool
-	Half  bool // the client ends its sending behind it
-	Head  bool // its answer has no body
+	Raw       string
+	Exact     bool
+	HalfClose bool // the client ends its sending behind it
+	Head      bool // its answer has no body
 	// Want is the status codes of all final answers, and then "open" if the connection carries a further request, or "close".
 	Want string
-	// Sent are lines that the server gets, Never parts of lines that it does not. It gets as many requests as there are 200s.
-	Sent, Never []string
-	// Differs has other forms' Want, each with a reason.
-	Differs map[string]Difference
+	// Sent are lines that the server gets, Forbidden parts of lines that it does not. It gets as many requests as there are 200s.
+	Sent, Forbidden []string
+	// Overrides has other forms' Want, each with a reason.
+	Overrides map[string]Override
 	// SocketsOnly tells why the round tripper is not asked, where it could be.
 	SocketsOnly string
 }
 
-// Difference is what another form does, and why it may.
-type Difference struct{ Want, Reason string }
+// Override is what another form does, and why it may.
+type Override struct{ Want, Reason string }
 
-// AnswerCase is one answer of a server's as it writes it, and what must hold of the client's answer.
-type AnswerCase struct {
+// ResponseCase is one answer of a server's as it writes it, and what must hold of the client's answer.
+type ResponseCase struct {
 	Name  string
 	Class string // "pay" if empty: it may not be tried again once it may have run
 	// Raw has CRLF for each newline, unless Exact. An empty one is silence.
-	Raw   string
-	Exact bool
-	Ends  bool // the server ends the connection behind it
+	Raw        string
+	Exact      bool
+	CloseAfter bool // the server ends the connection behind it
 	// Want is what becomes of the request.
-	Want Kind
+	Want Outcome
 	Body string // of a served one
-	// Lines are in the client's answer, Never are lines, or names of lines, that are not.
-	Lines, Never []string
-	Wait         string // the client's, in ms
-	Sent         int    // how often the request reaches a server; 0 is once
-	Kept         bool   // the server's connection carries the next request
+	// Headers are in the client's answer, Forbidden are lines, or names of lines, that are not.
+	Headers, Forbidden []string
+	TimeoutMs          string // the client's, in ms
+	Sent               int    // how often the request reaches a server; 0 is once
+	Reused             bool   // the server's connection carries the next request
 }
 
-// Edge is a form with its bytes. A round tripper has no address.
-type Edge struct {
+// WireForm is a form with its bytes. A round tripper has no address.
+type WireForm struct {
 	Name string
 	Addr string
 	Form
 }
 
-// StartEdge starts a form by the platform's configuration, until the test ends.
-type StartEdge func(t testing.TB, config []byte) Edge
+// StartWireForm starts a form by the platform's configuration, until the test ends.
+type StartWireForm func(t testing.TB, config []byte) WireForm
 
 // arrival is one request as the server got it.
 type arrival struct {
@@ -207,7 +207,7 @@
 func (s *rawServer) count() int { return len(s.since(0)) }
 
 // edge starts a raw server and a form before it.
-func edge(t testing.TB, start StartEdge) (Edge, *rawServer) {
+func edge(t testing.TB, start StartWireForm) (WireForm, *rawServer) {
 	s := startRaw(t)
 	known := engine.List{Seq: 1, Full: true, Servers: []engine.Server{{ID: "raw", Addr: s.ln.Addr().String(), State: policy.Ready, Weight: 1}}}
 	return start(t, standin.PlatformConfig{Seed: 1, CachedList: &known, Classes: Classes(), ListPushed: true, NoProbes: true}.JSON()), s
@@ -221,12 +221,12 @@
 }
 
 // RunRequests sends the corpus of requests to the form that start makes.
-func RunRequests(t *testing.T, start StartEdge) {
+func RunRequests(t *testing.T, start StartWireForm) {
 	form, server := edge(t, start)
 	left := 0
 	for _, tt := range Requests() {
 		want := tt.Want
-		if d, ok := tt.Differs[form.Name]; ok {
+		if d, ok := tt.Overrides[form.Name]; ok {
 			want = d.Want
 		}
 		t.Run(tt.Name, func(t *testing.T) {
@@ -235,7 +235,7 @@
 			raw := crlf(strings.ReplaceAll(tt.Raw, "~ID~", id), tt.Exact)
 			var got string
 			if form.Addr != "" {
-				got = exchange(t, form.Addr, raw, tt.Half, tt.Head, strings.Count(want, " "))
+				got = exchange(t, form.Addr, raw, tt.HalfClose, tt.Head, strings.Count(want, " "))
 			} else {
 				q, ok := expressed(raw)
 				if !ok || tt.SocketsOnly != "" {
@@ -266,7 +266,7 @@
 					t.Errorf("the server did not get %q but %q", line, came[0].raw[:min(len(came[0].raw), 400)])
 				}
 			}
-			for _, part := range tt.Never {
+			for _, part := range tt.Forbidden {
 				if strings.Contains(strings.ToLower(head), strings.ToLower(part)) {
 					t.Errorf("the server got %q in %q", part, head)
 				}
@@ -375,9 +375,9 @@
 }
 
 // express asks a round tripper, and tells the status that the handler would have given.
-func (e Edge) express(q *http.Request) string {
+func (e WireForm) express(q *http.Request) string {
 	rt, ok := e.Form.(interface {
-		Trip(*http.Request) Answer
+		Trip(*http.Request) Result
 	})
 	if !ok {
 		return "no round tripper"
@@ -386,8 +386,8 @@
 }
 
 // status is what becomes of a request as HTTP has it.
-func (a Answer) status() string {
-	switch a.Kind {
+func (a Result) status() string {
+	switch a.Outcome {
 	case Served:
 		return "200"
 	case Refused:
@@ -403,10 +403,10 @@
 // rest is more than a connection has to rest after an answer, also where some server has said more than it was asked for.
 const rest = 100 * time.Millisecond
 
-// RunAnswers has the server give the corpus of answers to requests through the form that start makes.
-func RunAnswers(t *testing.T, start StartEdge) {
+// RunResponses has the server give the corpus of answers to requests through the form that start makes.
+func RunResponses(t *testing.T, start StartWireForm) {
 	form, server := edge(t, start)
-	for _, tt := range Answers() {
+	for _, tt := range Responses() {
 		t.Run(tt.Name, func(t *testing.T) {
 			class := tt.Class
 			if class == "" {
@@ -414,29 +414,29 @@
 			}
 			q, behind := ask(class), ask("read")
 			id := q.Header["X-Request-ID"]
-			if tt.Wait != "" {
-				q.Header["X-Timeout-Ms"] = tt.Wait
+			if tt.TimeoutMs != "" {
+				q.Header["X-Timeout-Ms"] = tt.TimeoutMs
 			}
 			server.mu.Lock()
 			server.answer = func(got string) (string, bool) {
 				if got == id {
-					return crlf(tt.Raw, tt.Exact), tt.Ends
+					return crlf(tt.Raw, tt.Exact), tt.CloseAfter
 				}
 				return plainOK, false
 			}
 			server.mu.Unlock()
 			before := server.count()
-			a := form.Ask(t.Context(), q)
-			if a.Kind != tt.Want || a.Kind == Served && a.Body != tt.Body {
+			a := form.Do(t.Context(), q)
+			if a.Outcome != tt.Want || a.Outcome == Served && a.Body != tt.Body {
 				t.Errorf("%v, want %s %s", a, tt.Want, tt.Body)
 			}
-			for _, line := range tt.Lines {
+			for _, line := range tt.Headers {
 				name, value, _ := strings.Cut(line, ": ")
 				if !slices.Contains(a.Header.Values(name), value) {
 					t.Errorf("%q is not in %v", line, a.Header)
 				}
 			}
-			for _, line := range tt.Never {
+			for _, line := range tt.Forbidden {
 				name, value, exact := strings.Cut(line, ": ")
 				if v := a.Header.Values(name); len(v) > 0 && (!exact || slices.Contains(v, value)) {
 					t.Errorf("%s is %q", name, v)
@@ -446,18 +446,18 @@
 			if len(came) != max(tt.Sent, 1) {
 				t.Fatalf("the server got it %d times, want %d", len(came), max(tt.Sent, 1))
 			}
-			if tt.Kept {
+			if tt.Reused {
 				time.Sleep(rest)
 			}
 			// The next request must be served whatever this answer has left behind.
 			ctx, cancel := context.WithTimeout(t.Context(), patience)
 			defer cancel()
-			if next := form.Ask(ctx, behind); next.Kind != Served || next.Body != "ok" {
+			if next := form.Do(ctx, behind); next.Outcome != Served || next.Body != "ok" {
 				t.Errorf("the next request: %v", next)
 			}
 			all := server.since(before)
-			if kept := all[len(all)-1].conn == came[len(came)-1].conn; kept != tt.Kept {
-				t.Errorf("its connection is used again: %v, want %v", kept, tt.Kept)
+			if kept := all[len(all)-1].conn == came[len(came)-1].conn; kept != tt.Reused {
+				t.Errorf("its connection is used again: %v, want %v", kept, tt.Reused)
 			}
 		})
 	}
@@ -472,7 +472,7 @@
 			errs = append(errs, fmt.Errorf("two requests are named %s", c.Name))
 		}
 		names[c.Name] = true
-		for form, d := range c.Differs {
+		for form, d := range c.Overrides {
 			if d.Reason == "" || d.Want == c.Want {
 				errs = append(errs, fmt.Errorf("%s: %s differs without a reason", c.Name, form))
 			}
@@ -481,14 +481,14 @@
 			errs = append(errs, fmt.Errorf("%s: nothing is said of the connection", c.Name))
 		}
 	}
-	for _, c := range Answers() {
+	for _, c := range Responses() {
 		if names["answer "+c.Name] {
 			errs = append(errs, fmt.Errorf("two answers are named %s", c.Name))
 		}
 		names["answer "+c.Name] = true
 	}
-	if len(Requests()) < 150 || len(Answers()) < 60 {
-		errs = append(errs, fmt.Errorf("%d requests and %d answers: 150 and 60 are wanted", len(Requests()), len(Answers())))
+	if len(Requests()) < 150 || len(Responses()) < 60 {
+		errs = append(errs, fmt.Errorf("%d requests and %d answers: 150 and 60 are wanted", len(Requests()), len(Responses())))
 	}
 	return errors.Join(errs...)
 }
--- a/internal/conformance/edge_requests.go
+++ b/internal/conformance/wire_requests.go
@@ -15,13 +15,13 @@
 )
 
 // by is a difference of the handler's.
-func by(want, reason string) map[string]Difference {
-	return map[string]Difference{Handler: {want, reason}}
+func by(want, reason string) map[string]Override {
+	return map[string]Override{Handler: {want, reason}}
 }
 
 // library is a difference of both forms that live in an application.
-func library(want, reason string) map[string]Difference {
-	return map[string]Difference{Handler: {want, reason}, RoundTripper: {want, reason}}
+func library(want, reason string) map[string]Override {
+	return map[string]Override{Handler: {want, reason}, RoundTripper: {want, reason}}
 }
 
 func rawGet(target string, lines ...string) string {
@@ -51,7 +51,7 @@
 	kib64 := strings.Repeat("0123456789abcdef", 4<<10)
 	cases := []RequestCase{
 		// What is served, and how it comes to the server.
-		{Name: "a plain one", Raw: rawGet("/read/k"), Want: "200 open", Sent: []string{"GET /read/k HTTP/1.1", "Host: s", "X-Request-ID: ~ID~"}, Never: []string{"content-length", "connection"}},
+		{Name: "a plain one", Raw: rawGet("/read/k"), Want: "200 open", Sent: []string{"GET /read/k HTTP/1.1", "Host: s", "X-Request-ID: ~ID~"}, Forbidden: []string{"content-length", "connection"}},
 		{Name: "a query", Raw: rawGet("/read/k?a=/../b&&c=%20;d"), Want: "200 open", Sent: []string{"GET /read/k?a=/../b&&c=%20;d HTTP/1.1"}},
 		{Name: "escapes stay", Raw: rawGet("/read/a%2Fb//c/%41"), Want: "200 open", Sent: []string{"GET /read/a%2Fb//c/%41 HTTP/1.1"}},
 		{Name: "an escape in the class", Raw: rawGet("/re%61d/k"), Want: "200 open", Sent: []string{"GET /re%61d/k HTTP/1.1"}},
@@ -72,16 +72,16 @@
 		{Name: "a length of leading zeros", Raw: rawFramed("hello", "Content-Length: 0005"), Want: "200 open", Sent: []string{"Content-Length: 5", "hello"}},
 		{Name: "no length for a safe one, said", Raw: rawGet("/read/k", "Content-Length: 0"), Want: "200 open"},
 		{Name: "64 KiB", Raw: rawPost("/pay/k", kib64), Want: "200 open", Sent: []string{"Content-Length: 65536", kib64}},
-		{Name: "chunks", Raw: rawFramed("2\nhe\n3\nllo\n0\n\n", chunked), Want: "200 open", Sent: []string{"Content-Length: 5", "hello"}, Never: []string{"transfer-encoding"}},
+		{Name: "chunks", Raw: rawFramed("2\nhe\n3\nllo\n0\n\n", chunked), Want: "200 open", Sent: []string{"Content-Length: 5", "hello"}, Forbidden: []string{"transfer-encoding"}},
 		{Name: "chunks, in another case", Raw: rawFramed("2\nhe\n3\nllo\n0\n\n", "TRANSFER-encoding:\tChunked "), Want: "200 open", Sent: []string{"Content-Length: 5", "hello"}},
 		{Name: "chunks with extensions", Raw: rawFramed("5;a=b;c=\"d\"\nhello\n0;z\n\n", chunked), Want: "200 open", Sent: []string{"Content-Length: 5", "hello"}},
 		{Name: "chunks with leading zeros", Raw: rawFramed("0005\nhello\n000\n\n", chunked), Want: "200 open", Sent: []string{"Content-Length: 5", "hello"}},
 		{Name: "chunks in upper case", Raw: rawFramed("A\n0123456789\n0\n\n", chunked), Want: "200 open", Sent: []string{"Content-Length: 10"}},
 		{Name: "no chunk but the last", Raw: rawFramed("0\n\n", chunked), Want: "200 open", Sent: []string{"Content-Length: 0"}},
 		{Name: "64 KiB in a chunk", Raw: rawFramed("10000\n"+kib64+"\n0\n\n", chunked), Want: "200 open", Sent: []string{"Content-Length: 65536", kib64}},
-		{Name: "a trailer is dropped", Raw: rawFramed("5\nhello\n0\nX-Late: 1\nIdempotency-Key: other\n\n", chunked, "Idempotency-Key: mine"), Want: "200 open", Sent: []string{"Idempotency-Key: mine"}, Never: []string{"other", "x-late"}},
-		{Name: "100-continue", Raw: rawPost("/pay/k", "body", "Expect: 100-continue"), Want: "200 open", Sent: []string{"body"}, Never: []string{"expect"}},
-		{Name: "100-continue without a body", Raw: rawPost("/pay/k", "", "Expect: 100-continue"), Want: "200 open", Never: []string{"expect"}},
+		{Name: "a trailer is dropped", Raw: rawFramed("5\nhello\n0\nX-Late: 1\nIdempotency-Key: other\n\n", chunked, "Idempotency-Key: mine"), Want: "200 open", Sent: []string{"Idempotency-Key: mine"}, Forbidden: []string{"other", "x-late"}},
+		{Name: "100-continue", Raw: rawPost("/pay/k", "body", "Expect: 100-continue"), Want: "200 open", Sent: []string{"body"}, Forbidden: []string{"expect"}},
+		{Name: "100-continue without a body", Raw: rawPost("/pay/k", "", "Expect: 100-continue"), Want: "200 open", Forbidden: []string{"expect"}},
 		{Name: "names in lower case", Raw: "GET /read/k HTTP/1.1\nhost: s\nx-request-id: ~ID~\n\n", Want: "200 open"},
 		{Name: "white space round a value", Raw: rawGet("/read/k", "X-Novel: \t a b \t"), Want: "200 open", Sent: []string{"X-Novel: a b"}},
 		{Name: "no white space before a value", Raw: rawGet("/read/k", "X-Novel:a"), Want: "200 open", Sent: []string{"X-Novel: a"}},
@@ -97,14 +97,14 @@
 		{Name: "HTTP/1.0", Raw: "GET /read/k HTTP/1.0\nHost: s\nX-Request-ID: ~ID~\n\n", Want: "200 close", Sent: []string{"GET /read/k HTTP/1.1"}},
 		{Name: "HTTP/1.0 without a host", Raw: "GET /read/k HTTP/1.0\nX-Request-ID: ~ID~\n\n", Want: "200 close"},
 		{Name: "HTTP/1.0 that is kept", Raw: "GET /read/k HTTP/1.0\nHost: s\nX-Request-ID: ~ID~\nConnection: keep-alive\n\n", Want: "200 open"},
-		{Name: "Connection: close", Raw: rawGet("/read/k", "Connection: close"), Want: "200 close", Never: []string{"connection"}},
-		{Name: "Connection: close among others", Raw: rawGet("/read/k", "Connection: x-a,, CLOSE ,", "X-A: 1"), Want: "200 close", Never: []string{"x-a", "connection"}},
-		{Name: "Connection: keep-alive", Raw: rawGet("/read/k", "Connection: keep-alive", "Keep-Alive: timeout=9999"), Want: "200 open", Never: []string{"keep-alive"}},
+		{Name: "Connection: close", Raw: rawGet("/read/k", "Connection: close"), Want: "200 close", Forbidden: []string{"connection"}},
+		{Name: "Connection: close among others", Raw: rawGet("/read/k", "Connection: x-a,, CLOSE ,", "X-A: 1"), Want: "200 close", Forbidden: []string{"x-a", "connection"}},
+		{Name: "Connection: keep-alive", Raw: rawGet("/read/k", "Connection: keep-alive", "Keep-Alive: timeout=9999"), Want: "200 open", Forbidden: []string{"keep-alive"}},
 		{Name: "close and keep-alive", Raw: rawGet("/read/k", "Connection: keep-alive, close"), Want: "200 close"},
-		{Name: "a nominated line", Raw: rawGet("/read/k", "Connection: X-Mine, x-other", "x-mine: 1", "X-OTHER: 2", "X-Third: 3"), Want: "200 open", Sent: []string{"X-Third: 3"}, Never: []string{"x-mine", "x-other"}},
-		{Name: "lines of one connection", Raw: rawGet("/read/k", "TE: trailers", "Proxy-Connection: keep-alive", "Proxy-Authorization: Basic x", "Upgrade: h2c", "Connection: TE, Upgrade"), Want: "200 open", Never: []string{"te:", "proxy-", "upgrade"}},
-		{Name: "an upgrade is not made", Raw: rawGet("/read/k", "Connection: Upgrade", "Upgrade: websocket", "Sec-Websocket-Key: x"), Want: "200 open", Sent: []string{"Sec-Websocket-Key: x"}, Never: []string{"upgrade"}},
-		{Name: "a trailer that is announced", Raw: rawFramed("0\nX-Late: 1\n\n", chunked, "Trailer: X-Late"), Want: "200 open", Never: []string{"trailer:", "x-late"}},
+		{Name: "a nominated line", Raw: rawGet("/read/k", "Connection: X-Mine, x-other", "x-mine: 1", "X-OTHER: 2", "X-Third: 3"), Want: "200 open", Sent: []string{"X-Third: 3"}, Forbidden: []string{"x-mine", "x-other"}},
+		{Name: "lines of one connection", Raw: rawGet("/read/k", "TE: trailers", "Proxy-Connection: keep-alive", "Proxy-Authorization: Basic x", "Upgrade: h2c", "Connection: TE, Upgrade"), Want: "200 open", Forbidden: []string{"te:", "proxy-", "upgrade"}},
+		{Name: "an upgrade is not made", Raw: rawGet("/read/k", "Connection: Upgrade", "Upgrade: websocket", "Sec-Websocket-Key: x"), Want: "200 open", Sent: []string{"Sec-Websocket-Key: x"}, Forbidden: []string{"upgrade"}},
+		{Name: "a trailer that is announced", Raw: rawFramed("0\nX-Late: 1\n\n", chunked, "Trailer: X-Late"), Want: "200 open", Forbidden: []string{"trailer:", "x-late"}},
 		{Name: "what a server would say", Raw: rawGet("/read/k", "X-Not-Processed: 1", "Retry-After: 9", "X-Server-Load: TEXT queue=1"), Want: "200 open", Sent: []string{"X-Not-Processed: 1"}},
 		{Name: "hints that cannot be read", Raw: rawGet("/read/k", "X-Cost: many", "X-Cost: 7", "X-Retried: yes", "X-Retried: 1", "X-Attrs: ,,=,"), Want: "200 open", Sent: []string{"X-Cost: many", "X-Attrs: ,,=,"}},
 		{Name: "a wait without end", Raw: rawGet("/read/k", "X-Timeout-Ms: 18446744073709551615"), Want: "200 open"},
@@ -114,9 +114,9 @@
 		{Name: "health", Raw: "GET /healthz HTTP/1.1\nHost: s\n\n", Want: "200 open", SocketsOnly: "a round tripper has no listener to ask"},
 
 		// Where a request ends.
-		{Name: "a length and chunks", Raw: rawFramed("0\n\nGET /read/smuggled HTTP/1.1\nHost: s\nX-Request-ID: ~ID~x\n\n", "Content-Length: 60", chunked), Want: bad, Differs: by("200 200 open", notOurs+"; what stands behind the chunks is the next request to it")},
-		{Name: "chunks and a length", Raw: rawFramed("0\n\n", chunked, "Content-Length: 5"), Want: bad, Differs: by("200 open", notOurs)},
-		{Name: "one length twice", Raw: rawFramed("hello", "Content-Length: 5", "Content-Length: 5"), Want: bad, Differs: by("200 open", notOurs)},
+		{Name: "a length and chunks", Raw: rawFramed("0\n\nGET /read/smuggled HTTP/1.1\nHost: s\nX-Request-ID: ~ID~x\n\n", "Content-Length: 60", chunked), Want: bad, Overrides: by("200 200 open", notOurs+"; what stands behind the chunks is the next request to it")},
+		{Name: "chunks and a length", Raw: rawFramed("0\n\n", chunked, "Content-Length: 5"), Want: bad, Overrides: by("200 open", notOurs)},
+		{Name: "one length twice", Raw: rawFramed("hello", "Content-Length: 5", "Content-Length: 5"), Want: bad, Overrides: by("200 open", notOurs)},
 		{Name: "two lengths", Raw: rawFramed("hello", "Content-Length: 5", "Content-Length: 6"), Want: bad},
 		{Name: "a list of lengths", Raw: rawFramed("hello", "Content-Length: 5, 5"), Want: bad},
 		{Name: "a length that is negative", Raw: rawFramed("hello", "Content-Length: -5"), Want: bad},
@@ -131,47 +131,47 @@
 		{Name: "a length of 60 MB", Raw: rawFramed("hello", "Content-Length: 60000000"), Want: "413 close"},
 		{Name: "too long, and asked first", Raw: rawFramed("", "Content-Length: 33554433", "Expect: 100-continue"), Want: "413 close"},
 		{Name: "white space before the colon of a length", Raw: rawFramed("hello", "Content-Length : 5"), Want: bad},
-		{Name: "another coding", Raw: rawFramed("0\n\n", "Transfer-Encoding: xchunked"), Want: bad, Differs: by("501 close", itsWords)},
-		{Name: "two codings", Raw: rawFramed("0\n\n", "Transfer-Encoding: gzip, chunked"), Want: bad, Differs: by("501 close", itsWords)},
-		{Name: "identity", Raw: rawFramed("0\n\n", "Transfer-Encoding: identity"), Want: bad, Differs: by("501 close", itsWords)},
-		{Name: "chunked twice", Raw: rawFramed("0\n\n", chunked, chunked), Want: bad, Differs: by("501 close", itsWords)},
-		{Name: "chunked in a list", Raw: rawFramed("0\n\n", "Transfer-Encoding: chunked, chunked"), Want: bad, Differs: by("501 close", itsWords)},
-		{Name: "chunked with a parameter", Raw: rawFramed("0\n\n", "Transfer-Encoding: chunked;q=1"), Want: bad, Differs: by("501 close", itsWords)},
+		{Name: "another coding", Raw: rawFramed("0\n\n", "Transfer-Encoding: xchunked"), Want: bad, Overrides: by("501 close", itsWords)},
+		{Name: "two codings", Raw: rawFramed("0\n\n", "Transfer-Encoding: gzip, chunked"), Want: bad, Overrides: by("501 close", itsWords)},
+		{Name: "identity", Raw: rawFramed("0\n\n", "Transfer-Encoding: identity"), Want: bad, Overrides: by("501 close", itsWords)},
+		{Name: "chunked twice", Raw: rawFramed("0\n\n", chunked, chunked), Want: bad, Overrides: by("501 close", itsWords)},
+		{Name: "chunked in a list", Raw: rawFramed("0\n\n", "Transfer-Encoding: chunked, chunked"), Want: bad, Overrides: by("501 close", itsWords)},
+		{Name: "chunked with a parameter", Raw: rawFramed("0\n\n", "Transfer-Encoding: chunked;q=1"), Want: bad, Overrides: by("501 close", itsWords)},
 		{Name: "chunked behind a vertical tab", Raw: rawFramed("0\n\n", "Transfer-Encoding: \vchunked"), Want: bad},
-		{Name: "chunked in quotes", Raw: rawFramed("0\n\n", "Transfer-Encoding: \"chunked\""), Want: bad, Differs: by("501 close", itsWords)},
-		{Name: "an empty coding", Raw: rawFramed("0\n\n", "Transfer-Encoding:"), Want: bad, Differs: by("501 close", itsWords)},
+		{Name: "chunked in quotes", Raw: rawFramed("0\n\n", "Transfer-Encoding: \"chunked\""), Want: bad, Overrides: by("501 close", itsWords)},
+		{Name: "an empty coding", Raw: rawFramed("0\n\n", "Transfer-Encoding:"), Want: bad, Overrides: by("501 close", itsWords)},
 		{Name: "white space before the colon of a coding", Raw: rawFramed("0\n\n", "Transfer-Encoding : chunked"), Want: bad},
-		{Name: "a coding on a folded line", Raw: rawFramed("0\n\n", "Transfer-Encoding:", " chunked"), Want: bad, Differs: by("200 open", notOurs)},
+		{Name: "a coding on a folded line", Raw: rawFramed("0\n\n", "Transfer-Encoding:", " chunked"), Want: bad, Overrides: by("200 open", notOurs)},
 		{Name: "a coding hidden behind a bare CR", Raw: rawFramed("0\n\n", "X-A: b\rTransfer-Encoding: chunked"), Want: bad},
-		{Name: "chunks from HTTP/1.0", Raw: "POST /pay/k HTTP/1.0\nHost: s\nX-Request-ID: ~ID~\nTransfer-Encoding: chunked\n\n0\n\n", Want: bad, Differs: by("200 close", notOurs+", without the body that HTTP/1.0 cannot have")},
+		{Name: "chunks from HTTP/1.0", Raw: "POST /pay/k HTTP/1.0\nHost: s\nX-Request-ID: ~ID~\nTransfer-Encoding: chunked\n\n0\n\n", Want: bad, Overrides: by("200 close", notOurs+", without the body that HTTP/1.0 cannot have")},
 		{Name: "a chunk of no number", Raw: rawFramed("zz\nhello\n0\n\n", chunked), Want: bad},
 		{Name: "a negative chunk", Raw: rawFramed("-5\nhello\n0\n\n", chunked), Want: bad},
 		{Name: "a chunk with 0x", Raw: rawFramed("0x5\nhello\n0\n\n", chunked), Want: bad},
 		{Name: "a chunk without a size", Raw: rawFramed("\nhello\n0\n\n", chunked), Want: bad},
 		{Name: "a chunk beyond 64 bits", Raw: rawFramed("10000000000000005\nhello\n0\n\n", chunked), Want: bad},
 		{Name: "a chunk that is longer than it says", Raw: rawFramed("3\nhello\n0\n\n", chunked), Want: bad},
-		{Name: "a chunk that is shorter than it says", Raw: rawFramed("9\nhello\n0\n\n", chunked), Half: true, Want: bad},
-		{Name: "chunks without an end", Raw: rawFramed("5\nhello\n", chunked), Half: true, Want: bad},
-		{Name: "chunks without their last line", Raw: rawFramed("5\nhello\n0\n", chunked), Half: true, Want: bad},
+		{Name: "a chunk that is shorter than it says", Raw: rawFramed("9\nhello\n0\n\n", chunked), HalfClose: true, Want: bad},
+		{Name: "chunks without an end", Raw: rawFramed("5\nhello\n", chunked), HalfClose: true, Want: bad},
+		{Name: "chunks without their last line", Raw: rawFramed("5\nhello\n0\n", chunked), HalfClose: true, Want: bad},
 		{Name: "chunks beyond what is held", Raw: rawFramed("10001\n"+kib64+"x\n0\n\n", chunked), Want: "200 open"},
 		{Name: "chunks of one byte beyond it", Raw: rawFramed("10000\n"+kib64+"\n1\nx\n0\n\n", chunked), Want: "200 open"},
 		{Name: "a trailer without end", Raw: rawFramed("0\n"+strings.Repeat("X-Late: 1\n", 2000)+"\n", chunked), Want: bad},
 		{Name: "a trailer that cannot be read", Raw: rawFramed("0\nnonsense\n\n", chunked), Want: bad},
-		{Name: "a trailer with white space in a name", Raw: rawFramed("0\nX A: b\n\n", chunked), Want: bad, Differs: library("200 open", notOurs+", without the trailer")},
-		{Name: "half a body", Raw: rawFramed("hel", "Content-Length: 5"), Half: true, Want: bad},
+		{Name: "a trailer with white space in a name", Raw: rawFramed("0\nX A: b\n\n", chunked), Want: bad, Overrides: library("200 open", notOurs+", without the trailer")},
+		{Name: "half a body", Raw: rawFramed("hel", "Content-Length: 5"), HalfClose: true, Want: bad},
 		{Name: "a body of a safe one", Raw: rawGet("/read/k", "Content-Length: 5") + "hello", Want: bad},
 		{Name: "chunks of a safe one", Raw: rawGet("/read/k", chunked) + "0\n\n", Want: bad},
-		{Name: "a second request at once", Raw: rawGet("/read/k") + strings.ReplaceAll(rawGet("/read/l"), "~ID~", "~ID~-2"), Want: bad, Differs: by("200 200 open", itsQueue)},
-		{Name: "a second request behind a body", Raw: rawPost("/pay/k", "body") + strings.ReplaceAll(rawGet("/read/l"), "~ID~", "~ID~-2"), Want: bad, Differs: by("200 200 open", itsQueue)},
-		{Name: "more than the length", Raw: rawFramed("hello and more", "Content-Length: 5"), Want: bad, Differs: by("200 close", itsQueue+"; here it is no request")},
+		{Name: "a second request at once", Raw: rawGet("/read/k") + strings.ReplaceAll(rawGet("/read/l"), "~ID~", "~ID~-2"), Want: bad, Overrides: by("200 200 open", itsQueue)},
+		{Name: "a second request behind a body", Raw: rawPost("/pay/k", "body") + strings.ReplaceAll(rawGet("/read/l"), "~ID~", "~ID~-2"), Want: bad, Overrides: by("200 200 open", itsQueue)},
+		{Name: "more than the length", Raw: rawFramed("hello and more", "Content-Length: 5"), Want: bad, Overrides: by("200 close", itsQueue+"; here it is no request")},
 
 		// Heads that cannot be read.
 		{Name: "no HTTP", Raw: "HELLO\n\n", Want: bad},
 		{Name: "a hello of TLS", Raw: "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", Exact: true, Want: bad},
 		{Name: "the preface of HTTP/2", Raw: "PRI * HTTP/2.0\n\nSM\n\n", Want: bad},
 		{Name: "HTTP/0.9", Raw: "GET /read/k\n\n", Want: bad},
-		{Name: "HTTP/2.0", Raw: strings.Replace(rawGet("/read/k"), "HTTP/1.1", "HTTP/2.0", 1), Want: bad, Differs: by("505 close", itsWords)},
-		{Name: "HTTP/1.2", Raw: strings.Replace(rawGet("/read/k"), "HTTP/1.1", "HTTP/1.2", 1), Want: bad, Differs: by("200 open", notOurs)},
+		{Name: "HTTP/2.0", Raw: strings.Replace(rawGet("/read/k"), "HTTP/1.1", "HTTP/2.0", 1), Want: bad, Overrides: by("505 close", itsWords)},
+		{Name: "HTTP/1.2", Raw: strings.Replace(rawGet("/read/k"), "HTTP/1.1", "HTTP/1.2", 1), Want: bad, Overrides: by("200 open", notOurs)},
 		{Name: "HTTP/01.1", Raw: strings.Replace(rawGet("/read/k"), "HTTP/1.1", "HTTP/01.1", 1), Want: bad},
 		{Name: "http in lower case", Raw: strings.Replace(rawGet("/read/k"), "HTTP/1.1", "http/1.1", 1), Want: bad},
 		{Name: "something behind the version", Raw: strings.Replace(rawGet("/read/k"), "HTTP/1.1", "HTTP/1.1 x", 1), Want: bad},
@@ -193,13 +193,13 @@
 		{Name: "a bare CR in a value", Raw: rawGet("/read/k", "X-A: b\rc"), Want: bad},
 		{Name: "a bell in a value", Raw: rawGet("/read/k", "X-A: \a"), Want: bad},
 		{Name: "a DEL in a value", Raw: rawGet("/read/k", "X-A: \x7f"), Want: bad},
-		{Name: "a folded line", Raw: rawGet("/read/k", "X-A: b", " c"), Want: bad, Differs: by("200 open", notOurs)},
-		{Name: "a line folded with a tab", Raw: rawGet("/read/k", "X-A: b", "\tX-Request-ID: other"), Want: bad, Differs: by("200 open", notOurs)},
-		{Name: "a head without end", Raw: rawGet("/read/k", "X-A: "+strings.Repeat("x", 20_000)), Want: "431 close", Differs: library("200 open", itsBound)},
-		{Name: "lines without end", Raw: rawGet("/read/k", strings.TrimSuffix(strings.Repeat("A: 1\n", 4000), "\n")), Want: "431 close", Differs: library("200 open", itsBound)},
-		{Name: "a target without end", Raw: rawGet("/read/" + strings.Repeat("k", 20_000)), Want: "431 close", Differs: library("200 open", itsBound)},
-		{Name: "half a head", Raw: "GET /read/k HTTP/1.1\nHost", Half: true, Want: "close", Differs: by("400 close", itsWords)},
-		{Name: "nothing", Raw: "", Half: true, Want: "close"},
+		{Name: "a folded line", Raw: rawGet("/read/k", "X-A: b", " c"), Want: bad, Overrides: by("200 open", notOurs)},
+		{Name: "a line folded with a tab", Raw: rawGet("/read/k", "X-A: b", "\tX-Request-ID: other"), Want: bad, Overrides: by("200 open", notOurs)},
+		{Name: "a head without end", Raw: rawGet("/read/k", "X-A: "+strings.Repeat("x", 20_000)), Want: "431 close", Overrides: library("200 open", itsBound)},
+		{Name: "lines without end", Raw: rawGet("/read/k", strings.TrimSuffix(strings.Repeat("A: 1\n", 4000), "\n")), Want: "431 close", Overrides: library("200 open", itsBound)},
+		{Name: "a target without end", Raw: rawGet("/read/" + strings.Repeat("k", 20_000)), Want: "431 close", Overrides: library("200 open", itsBound)},
+		{Name: "half a head", Raw: "GET /read/k HTTP/1.1\nHost", HalfClose: true, Want: "close", Overrides: by("400 close", itsWords)},
+		{Name: "nothing", Raw: "", HalfClose: true, Want: "close"},
 
 		// Hosts.
 		{Name: "no host", Raw: "GET /read/k HTTP/1.1\nX-Request-ID: ~ID~\n\n", Want: bad, SocketsOnly: "a round tripper takes the host of the URL"},
@@ -219,7 +219,7 @@
 		cases = append(cases, RequestCase{Name: "the target " + target, Raw: rawGet(target), Want: bad})
 	}
 	cases = append(cases,
-		RequestCase{Name: "a whole URL for a target", Raw: rawGet("http://s/read/k"), Want: bad, Differs: by("200 open", notOurs)},
+		RequestCase{Name: "a whole URL for a target", Raw: rawGet("http://s/read/k"), Want: bad, Overrides: by("200 open", notOurs)},
 		RequestCase{Name: "a control in the target", Raw: rawGet("/read/\x01"), Want: bad},
 		RequestCase{Name: "a space in the target", Raw: rawGet("/read/a b"), Want: bad},
 
--- a/internal/conformance/edge_answers.go
+++ b/internal/conformance/wire_responses.go
@@ -2,18 +2,18 @@
 
 import "strings"
 
-// Answers returns the corpus of servers' answers.
-func Answers() []AnswerCase {
+// Responses returns the corpus of servers' answers.
+func Responses() []ResponseCase {
 	kib64 := strings.Repeat("0123456789abcdef", 4<<10)
 	ok := "HTTP/1.1 200 OK\nContent-Length: 2\n\nok"
 	head := func(lines ...string) string { return "HTTP/1.1 200 OK\n" + joined(lines) + "\n" }
 	chunked := "Transfer-Encoding: chunked"
-	served := func(name, raw, body string) AnswerCase {
-		return AnswerCase{Name: name, Raw: raw, Want: Served, Body: body, Kept: true}
+	served := func(name, raw, body string) ResponseCase {
+		return ResponseCase{Name: name, Raw: raw, Want: Served, Body: body, Reused: true}
 	}
 	// spoilt may have run, and nothing of it reaches the client.
-	spoilt := func(name, raw string) AnswerCase { return AnswerCase{Name: name, Raw: raw, Want: Failed} }
-	cases := []AnswerCase{
+	spoilt := func(name, raw string) ResponseCase { return ResponseCase{Name: name, Raw: raw, Want: Failed} }
+	cases := []ResponseCase{
 		// What is served.
 		served("a length", ok, "ok"),
 		served("no body", "HTTP/1.1 200 OK\nContent-Length: 0\n\n", ""),
@@ -32,21 +32,21 @@
 		served("an interim answer", "HTTP/1.1 100 Continue\n\n"+ok, "ok"),
 		served("four interim answers", strings.Repeat("HTTP/1.1 103 Early Hints\nLink: x\n\n", 4)+ok, "ok"),
 		served("102 and 100", "HTTP/1.1 102 Processing\n\nHTTP/1.1 100 Continue\n\n"+ok, "ok"),
-		{Name: "line feeds alone", Raw: ok, Exact: true, Want: Served, Body: "ok", Kept: true},
+		{Name: "line feeds alone", Raw: ok, Exact: true, Want: Served, Body: "ok", Reused: true},
 		{Name: "Connection: close", Raw: head("Connection: close", "Content-Length: 2") + "ok", Want: Served, Body: "ok"},
 		{Name: "HTTP/1.0", Raw: "HTTP/1.0 200 OK\nContent-Length: 2\n\nok", Want: Served, Body: "ok"},
-		{Name: "HTTP/1.0 that is kept", Raw: "HTTP/1.0 200 OK\nConnection: keep-alive\nContent-Length: 2\n\nok", Want: Served, Body: "ok", Kept: true},
-		{Name: "the end of the connection ends it", Raw: head() + "ok", Ends: true, Want: Served, Body: "ok"},
-		{Name: "lines pass", Raw: head("Content-Type: text/plain", "X-Two: a", "X-Two: b", "ETag: \"x\"", "Content-Length: 2") + "ok", Want: Served, Body: "ok", Kept: true,
-			Lines: []string{"Content-Type: text/plain", "X-Two: a", "X-Two: b", "Etag: \"x\""}},
-		{Name: "nominated lines stay", Raw: head("Connection: X-Mine", "X-Mine: 1", "X-Other: 2", "Content-Length: 2") + "ok", Want: Served, Body: "ok", Kept: true,
-			Lines: []string{"X-Other: 2"}, Never: []string{"X-Mine"}},
-		{Name: "lines of one connection stay", Raw: head("Keep-Alive: timeout=77", "Proxy-Authenticate: Basic", "Upgrade: h2c", "Content-Length: 2") + "ok", Want: Served, Body: "ok", Kept: true,
-			Never: []string{"Keep-Alive: timeout=77", "Proxy-Authenticate", "Upgrade"}},
-		{Name: "a Retry-After of a served one", Raw: head("Retry-After: 9", "Content-Length: 2") + "ok", Want: Served, Body: "ok", Kept: true, Lines: []string{"Retry-After: 9"}},
-		{Name: "a load report that cannot be read", Raw: head("X-Server-Load: TEXT queue=-1,,=;;util=NaN", "Content-Length: 2") + "ok", Want: Served, Body: "ok", Kept: true},
-		{Name: "a proof that nothing ran, of a served one", Raw: head("X-Not-Processed: 1", "Content-Length: 2") + "ok", Want: Served, Body: "ok", Kept: true},
-		{Name: "cookies", Raw: head("Set-Cookie: a=b", "Set-Cookie: c=d", "Content-Length: 2") + "ok", Want: Served, Body: "ok", Kept: true, Lines: []string{"Set-Cookie: a=b", "Set-Cookie: c=d"}},
+		{Name: "HTTP/1.0 that is kept", Raw: "HTTP/1.0 200 OK\nConnection: keep-alive\nContent-Length: 2\n\nok", Want: Served, Body: "ok", Reused: true},
+		{Name: "the end of the connection ends it", Raw: head() + "ok", CloseAfter: true, Want: Served, Body: "ok"},
+		{Name: "lines pass", Raw: head("Content-Type: text/plain", "X-Two: a", "X-Two: b", "ETag: \"x\"", "Content-Length: 2") + "ok", Want: Served, Body: "ok", Reused: true,
+			Headers: []string{"Content-Type: text/plain", "X-Two: a", "X-Two: b", "Etag: \"x\""}},
+		{Name: "nominated lines stay", Raw: head("Connection: X-Mine", "X-Mine: 1", "X-Other: 2", "Content-Length: 2") + "ok", Want: Served, Body: "ok", Reused: true,
+			Headers: []string{"X-Other: 2"}, Forbidden: []string{"X-Mine"}},
+		{Name: "lines of one connection stay", Raw: head("Keep-Alive: timeout=77", "Proxy-Authenticate: Basic", "Upgrade: h2c", "Content-Length: 2") + "ok", Want: Served, Body: "ok", Reused: true,
+			Forbidden: []string{"Keep-Alive: timeout=77", "Proxy-Authenticate", "Upgrade"}},
+		{Name: "a Retry-After of a served one", Raw: head("Retry-After: 9", "Content-Length: 2") + "ok", Want: Served, Body: "ok", Reused: true, Headers: []string{"Retry-After: 9"}},
+		{Name: "a load report that cannot be read", Raw: head("X-Server-Load: TEXT queue=-1,,=;;util=NaN", "Content-Length: 2") + "ok", Want: Served, Body: "ok", Reused: true},
+		{Name: "a proof that nothing ran, of a served one", Raw: head("X-Not-Processed: 1", "Content-Length: 2") + "ok", Want: Served, Body: "ok", Reused: true},
+		{Name: "cookies", Raw: head("Set-Cookie: a=b", "Set-Cookie: c=d", "Content-Length: 2") + "ok", Want: Served, Body: "ok", Reused: true, Headers: []string{"Set-Cookie: a=b", "Set-Cookie: c=d"}},
 
 		// Good, and more behind it: the connection is of no further use.
 		{Name: "a second copy behind", Raw: ok + ok, Want: Served, Body: "ok"},
@@ -98,29 +98,29 @@
 		spoilt("a Retry-After that is nominated", head("Connection: Retry-After", "Retry-After: 1", "Content-Length: 2")+"ok"),
 		spoilt("a load report that is nominated", head("Connection: X-Server-Load", "X-Server-Load: TEXT queue=1", "Content-Length: 2")+"ok"),
 		{Name: "a proof that is nominated", Raw: "HTTP/1.1 503 No\nConnection: X-Not-Processed\nX-Not-Processed: 1\nContent-Length: 0\n\n", Want: Failed},
-		{Name: "nothing, and the end", Raw: "", Ends: true, Want: Failed},
-		{Name: "half a head, and the end", Raw: "HTTP/1.1 200 OK\nContent-", Ends: true, Want: Failed},
-		{Name: "half a body, and the end", Raw: head("Content-Length: 9") + "half", Ends: true, Want: Failed},
-		{Name: "half a chunk, and the end", Raw: head(chunked) + "9\nhalf", Ends: true, Want: Failed},
-		{Name: "no last chunk, and the end", Raw: head(chunked) + "2\nok\n", Ends: true, Want: Failed},
-		{Name: "no last line, and the end", Raw: head(chunked) + "2\nok\n0\n", Ends: true, Want: Failed},
-		{Name: "an interim answer, and the end", Raw: "HTTP/1.1 100 Continue\n\n", Ends: true, Want: Failed},
-		{Name: "silence", Raw: "", Wait: "300", Want: Failed},
+		{Name: "nothing, and the end", Raw: "", CloseAfter: true, Want: Failed},
+		{Name: "half a head, and the end", Raw: "HTTP/1.1 200 OK\nContent-", CloseAfter: true, Want: Failed},
+		{Name: "half a body, and the end", Raw: head("Content-Length: 9") + "half", CloseAfter: true, Want: Failed},
+		{Name: "half a chunk, and the end", Raw: head(chunked) + "9\nhalf", CloseAfter: true, Want: Failed},
+		{Name: "no last chunk, and the end", Raw: head(chunked) + "2\nok\n", CloseAfter: true, Want: Failed},
+		{Name: "no last line, and the end", Raw: head(chunked) + "2\nok\n0\n", CloseAfter: true, Want: Failed},
+		{Name: "an interim answer, and the end", Raw: "HTTP/1.1 100 Continue\n\n", CloseAfter: true, Want: Failed},
+		{Name: "silence", Raw: "", TimeoutMs: "300", Want: Failed},
 		{Name: "silence in the head", Raw: "HTTP/1.1 200 OK\nContent-", Want: Failed},
 		{Name: "silence in the body", Raw: head("Content-Length: 9") + "half", Want: Failed},
 
 		// Answers of other codes.
-		{Name: "500", Raw: "HTTP/1.1 500 Oh\nContent-Length: 2\n\nno", Want: Failed, Kept: true},
-		{Name: "500 with a proof", Raw: "HTTP/1.1 500 Oh\nX-Not-Processed: 1\nContent-Length: 0\n\n", Want: Failed, Kept: true},
-		{Name: "503 without a proof", Raw: "HTTP/1.1 503 No\nRetry-After: 1\nContent-Length: 0\n\n", Want: Failed, Kept: true},
-		{Name: "a proof of another value", Raw: "HTTP/1.1 503 No\nX-Not-Processed: yes\nContent-Length: 0\n\n", Want: Failed, Kept: true},
-		{Name: "404", Raw: "HTTP/1.1 404 No\nContent-Length: 2\n\nno", Want: Failed, Kept: true},
-		{Name: "204", Raw: "HTTP/1.1 204 No\n\n", Want: Failed, Kept: true},
+		{Name: "500", Raw: "HTTP/1.1 500 Oh\nContent-Length: 2\n\nno", Want: Failed, Reused: true},
+		{Name: "500 with a proof", Raw: "HTTP/1.1 500 Oh\nX-Not-Processed: 1\nContent-Length: 0\n\n", Want: Failed, Reused: true},
+		{Name: "503 without a proof", Raw: "HTTP/1.1 503 No\nRetry-After: 1\nContent-Length: 0\n\n", Want: Failed, Reused: true},
+		{Name: "a proof of another value", Raw: "HTTP/1.1 503 No\nX-Not-Processed: yes\nContent-Length: 0\n\n", Want: Failed, Reused: true},
+		{Name: "404", Raw: "HTTP/1.1 404 No\nContent-Length: 2\n\nno", Want: Failed, Reused: true},
+		{Name: "204", Raw: "HTTP/1.1 204 No\n\n", Want: Failed, Reused: true},
 		{Name: "204 with a body", Raw: "HTTP/1.1 204 No\nContent-Length: 2\n\nok", Want: Failed},
-		{Name: "304 with a length", Raw: "HTTP/1.1 304 No\nContent-Length: 2\n\n", Want: Failed, Kept: true},
-		{Name: "302", Raw: "HTTP/1.1 302 Found\nLocation: /x\nContent-Length: 0\n\n", Want: Failed, Kept: true},
-		{Name: "turned away", Raw: "HTTP/1.1 503 No\nX-Not-Processed: 1\nContent-Length: 0\n\n", Want: Refused, Kept: true},
-		{Name: "over", Raw: "HTTP/1.1 504 No\nX-Not-Processed: 1\nContent-Length: 0\n\n", Want: Refused, Kept: true},
+		{Name: "304 with a length", Raw: "HTTP/1.1 304 No\nContent-Length: 2\n\n", Want: Failed, Reused: true},
+		{Name: "302", Raw: "HTTP/1.1 302 Found\nLocation: /x\nContent-Length: 0\n\n", Want: Failed, Reused: true},
+		{Name: "turned away", Raw: "HTTP/1.1 503 No\nX-Not-Processed: 1\nContent-Length: 0\n\n", Want: Refused, Reused: true},
+		{Name: "over", Raw: "HTTP/1.1 504 No\nX-Not-Processed: 1\nContent-Length: 0\n\n", Want: Refused, Reused: true},
 	}
 	return cases
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -26,11 +26,11 @@
 
 // Options says how a demo runs. Zero values take the defaults.
 type Options struct {
-	For      time.Duration         // how long requests come; 6 s
+	Duration time.Duration         // how long requests come; 6 s
 	Rate     float64               // requests a second; 300
 	Seed     uint64                // 1
 	Progress func(Progress)        // called some times a second; may be nil
-	Sabotage func(*standin.Server) // what else is done to the box that drains, for tests of the account
+	OnDrain  func(*standin.Server) // what else is done to the box that drains, for tests of the account
 }
 
 // Progress is how far a demo is.
@@ -53,30 +53,30 @@
 	P99     float64 `json:"p99_ms"`
 }
 
-// BoxReport is what one box got.
-type BoxReport struct {
-	Share    float64 `json:"share"` // of all sends
-	Requests int     `json:"requests"`
-	Late     int     `json:"late"`
-	Fallen   bool    `json:"fallen"`
-	Note     string  `json:"note,omitempty"`
+// ServerReport is what one box got.
+type ServerReport struct {
+	Share      float64 `json:"share"` // of all sends
+	Requests   int     `json:"requests"`
+	Late       int     `json:"late"`
+	Overloaded bool    `json:"fallen"`
+	Note       string  `json:"note,omitempty"`
 }
 
 // Report is the account of a demo.
 type Report struct {
-	Asked   int                     `json:"asked"`
-	Served  int                     `json:"served"`
-	Refused int                     `json:"refused"`
-	Failed  int                     `json:"failed"`
-	Lost    int                     `json:"lost"` // without one final answer in time
-	Classes map[string]*ClassReport `json:"classes"`
-	Boxes   map[string]*BoxReport   `json:"boxes"`
+	Asked   int                      `json:"asked"`
+	Served  int                      `json:"served"`
+	Refused int                      `json:"refused"`
+	Failed  int                      `json:"failed"`
+	Lost    int                      `json:"lost"` // without one final answer in time
+	Classes map[string]*ClassReport  `json:"classes"`
+	Servers map[string]*ServerReport `json:"boxes"`
 
-	Duplicates     int `json:"duplicates"`             // effects that took place more than once
-	LateToDraining int `json:"late_sends_to_draining"` // sends later than 2 s after discovery told of a drain
-	Fallen         int `json:"fallen"`                 // cold boxes that were pushed over
+	Duplicates          int `json:"duplicates"`             // effects that took place more than once
+	LateSendsToDraining int `json:"late_sends_to_draining"` // sends later than 2 s after discovery told of a drain
+	Overloaded          int `json:"fallen"`                 // cold boxes that were pushed over
 
-	Broken []string `json:"broken"` // the rules that broke, in words
+	Violations []string `json:"broken"` // the rules that broke, in words
 }
 
 // class is a class of the demo's requests and the work that one is.
@@ -118,16 +118,16 @@
 
 // Run plays a demo and returns its account.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	o.For, o.Rate, o.Seed = cmp.Or(o.For, 6*time.Second), cmp.Or(o.Rate, 300), cmp.Or(o.Seed, 1)
-	if o.For < time.Second || o.For > time.Hour {
-		return nil, fmt.Errorf("demo: length %v is outside 1 s to 1 h", o.For)
+	o.Duration, o.Rate, o.Seed = cmp.Or(o.Duration, 6*time.Second), cmp.Or(o.Rate, 300), cmp.Or(o.Seed, 1)
+	if o.Duration < time.Second || o.Duration > time.Hour {
+		return nil, fmt.Errorf("demo: length %v is outside 1 s to 1 h", o.Duration)
 	}
 	if !(o.Rate > 0 && o.Rate <= 5000) {
 		return nil, fmt.Errorf("demo: rate %v is outside 0 to 5000 requests a second", o.Rate)
 	}
 	r := &run{
 		Options: o, hist: map[string]*hdrhistogram.Histogram{}, all: newHistogram(), notes: map[string]string{},
-		report: Report{Classes: map[string]*ClassReport{}, Boxes: map[string]*BoxReport{}, Broken: []string{}},
+		report: Report{Classes: map[string]*ClassReport{}, Servers: map[string]*ServerReport{}, Violations: []string{}},
 	}
 	var rules []policy.Class
 	for _, c := range classes {
@@ -138,7 +138,7 @@
 	for i, id := range []string{"clare-1", "clare-2", "clare-3", "giru-1", "giru-2", "giru-3"} {
 		boxes = append(boxes, standin.ServerConfig{ID: id, Zone: strings.Split(id, "-")[0], Cell: i % 3, Cores: 2, ServiceTimeFromCost: true, QueueSize: 64})
 	}
-	stage, err := Open(rules, boxes, o.Seed, 4096)
+	stage, err := StartEnvironment(rules, boxes, o.Seed, 4096)
 	if err != nil {
 		return nil, err
 	}
@@ -149,7 +149,7 @@
 	r.began = time.Now()
 	var acts sync.WaitGroup
 	playing, played := context.WithCancel(ctx)
-	acts.Go(func() { r.troubles(playing, stage.Boxes) })
+	acts.Go(func() { r.troubles(playing, stage.Servers) })
 	acts.Go(func() { r.progress(playing) })
 	err = r.load(ctx)
 	r.clients.Wait()
@@ -180,8 +180,8 @@
 		{0.15, "clare-2 errs on 60% of its requests", func() error { boxes["clare-2"].SetFaultRates(standin.FaultRates{ServerError: 0.6}); return nil }},
 		{0.30, "giru-3 is to drain", func() error {
 			r.fleet.ListDraining(boxes["giru-3"])
-			if r.Sabotage != nil {
-				r.Sabotage(boxes["giru-3"])
+			if r.OnDrain != nil {
+				r.OnDrain(boxes["giru-3"])
 			}
 			return nil
 		}},
@@ -196,7 +196,7 @@
 		}},
 	}
 	for _, s := range steps {
-		if !sleepUntil(ctx, r.began.Add(time.Duration(s.at*float64(r.For)))) {
+		if !sleepUntil(ctx, r.began.Add(time.Duration(s.at*float64(r.Duration)))) {
 			return
 		}
 		if err := s.do(); err != nil {
@@ -253,7 +253,7 @@
 func (r *run) load(ctx context.Context) error {
 	rng := rand.New(rand.NewPCG(r.Seed, 7))
 	n := 0
-	for at := range load.Arrivals(load.Chain{{Shape: "constant", Last: r.For, From: r.Rate}}, rng) {
+	for at := range load.Arrivals(load.Chain{{Shape: "constant", Last: r.Duration, From: r.Rate}}, rng) {
 		due := r.began.Add(at)
 		n++
 		if !sleepUntil(ctx, due) {
@@ -350,14 +350,14 @@
 	total := 0
 	for _, b := range r.fleet.Servers() {
 		n := b.Counts()
-		r.report.Boxes[b.ID()] = &BoxReport{Requests: int(n.Requests), Late: int(n.Late), Fallen: n.Overloaded, Note: r.notes[b.ID()]}
-		r.report.LateToDraining += int(n.Late)
+		r.report.Servers[b.ID()] = &ServerReport{Requests: int(n.Requests), Late: int(n.Late), Overloaded: n.Overloaded, Note: r.notes[b.ID()]}
+		r.report.LateSendsToDraining += int(n.Late)
 		total += int(n.Requests)
 		if n.Overloaded {
-			r.report.Fallen++
+			r.report.Overloaded++
 		}
 	}
-	for _, b := range r.report.Boxes {
+	for _, b := range r.report.Servers {
 		b.Share = float64(b.Requests) / float64(max(total, 1))
 	}
 	for name, k := range r.report.Classes {
@@ -370,11 +370,11 @@
 	}{
 		{r.report.Lost, "requests without one final answer in time"},
 		{r.report.Duplicates, "effects that took place twice"},
-		{r.report.LateToDraining, "sends to a draining box later than 2 s after it was told"},
-		{r.report.Fallen, "cold boxes pushed over"},
+		{r.report.LateSendsToDraining, "sends to a draining box later than 2 s after it was told"},
+		{r.report.Overloaded, "cold boxes pushed over"},
 	} {
 		if rule.n > 0 {
-			r.report.Broken = append(r.report.Broken, fmt.Sprintf("%d %s", rule.n, rule.text))
+			r.report.Violations = append(r.report.Violations, fmt.Sprintf("%d %s", rule.n, rule.text))
 		}
 	}
 }
@@ -390,8 +390,8 @@
 		fmt.Fprintf(&b, "%-18s %7d %7d %6d %8d %7d %9.1f %9.1f\n", name, c.Asked, c.Served, c.Late, c.Refused, c.Failed, c.P50, c.P99)
 	}
 	fmt.Fprintf(&b, "\n%-18s %7s %7s  %s\n", "box", "sends", "share", "")
-	for _, name := range slices.Sorted(maps.Keys(r.Boxes)) {
-		x := r.Boxes[name]
+	for _, name := range slices.Sorted(maps.Keys(r.Servers)) {
+		x := r.Servers[name]
 		fmt.Fprintf(&b, "%-18s %7d %6.1f%%  %s\n", name, x.Requests, 100*x.Share, x.Note)
 	}
 	b.WriteString("\nthe four rules\n")
@@ -400,7 +400,7 @@
 		text string
 	}{
 		{r.Lost, "each request has one final answer in time"}, {r.Duplicates, "no effect happens twice"},
-		{r.LateToDraining, "nothing new to a draining box after 2 s"}, {r.Fallen, "no cold box is pushed over"},
+		{r.LateSendsToDraining, "nothing new to a draining box after 2 s"}, {r.Overloaded, "no cold box is pushed over"},
 	} {
 		verdict := "kept"
 		if rule.n > 0 {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -19,7 +19,7 @@
 // TestRun: the account adds up, shows the troubles, and no rule breaks.
 func TestRun(t *testing.T) {
 	events := map[string]bool{}
-	r, err := Run(t.Context(), Options{For: 5 * time.Second, Rate: 60, Progress: func(p Progress) {
+	r, err := Run(t.Context(), Options{Duration: 5 * time.Second, Rate: 60, Progress: func(p Progress) {
 		if p.Event != "" {
 			events[p.Event] = true
 		}
@@ -30,14 +30,14 @@
 	if r.Served+r.Refused+r.Failed+r.Lost != r.Asked || r.Asked < 150 {
 		t.Errorf("%d asked, %d served, %d refused, %d failed, %d lost", r.Asked, r.Served, r.Refused, r.Failed, r.Lost)
 	}
-	if len(r.Broken) > 0 {
-		t.Errorf("rules broke: %v", r.Broken)
+	if len(r.Violations) > 0 {
+		t.Errorf("rules broke: %v", r.Violations)
 	}
 	if r.Served < r.Asked*8/10 {
 		t.Errorf("%d of %d served", r.Served, r.Asked)
 	}
-	if len(events) < 4 || len(r.Boxes) != 7 || r.Boxes["giru-3"].Requests == 0 {
-		t.Errorf("events %v, boxes %v", events, r.Boxes)
+	if len(events) < 4 || len(r.Servers) != 7 || r.Servers["giru-3"].Requests == 0 {
+		t.Errorf("events %v, boxes %v", events, r.Servers)
 	}
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -58,7 +58,7 @@
 // counts late sends once the grace is over.
 func TestBrokenRuleShows(t *testing.T) {
 	var pokes sync.WaitGroup
-	r, err := Run(t.Context(), Options{For: 5 * time.Second, Rate: 20, Sabotage: func(b *standin.Server) {
+	r, err := Run(t.Context(), Options{Duration: 5 * time.Second, Rate: 20, OnDrain: func(b *standin.Server) {
 		pokes.Go(func() {
 			for range 45 { // one request each 100 ms, until past the 2 s
 				time.Sleep(100 * time.Millisecond)
@@ -70,20 +70,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.LateToDraining == 0 || len(r.Broken) == 0 {
-		t.Errorf("%d late sends, broken %v", r.LateToDraining, r.Broken)
+	if r.LateSendsToDraining == 0 || len(r.Violations) == 0 {
+		t.Errorf("%d late sends, broken %v", r.LateSendsToDraining, r.Violations)
 	}
 }
 
 func TestOptions(t *testing.T) {
-	for _, o := range []Options{{For: time.Millisecond}, {For: 48 * time.Hour}, {Rate: -1}, {Rate: 1e9}} {
+	for _, o := range []Options{{Duration: time.Millisecond}, {Duration: 48 * time.Hour}, {Rate: -1}, {Rate: 1e9}} {
 		if _, err := Run(t.Context(), o); err == nil {
 			t.Errorf("%+v is taken", o)
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := Run(ctx, Options{For: time.Second}); !errors.Is(err, context.Canceled) {
+	if _, err := Run(ctx, Options{Duration: time.Second}); !errors.Is(err, context.Canceled) {
 		t.Errorf("called off: %v", err)
 	}
 }
--- a/internal/demo/stage.go
+++ b/internal/demo/environment.go
@@ -12,24 +12,24 @@
 	"quillfront/policy"
 )
 
-// Stage is a sidecar on a stand-in fleet, in this process.
-type Stage struct {
-	URL   string // of the sidecar
-	Fleet *standin.Fleet
-	Boxes map[string]*standin.Server
+// Environment is a sidecar on a stand-in fleet, in this process.
+type Environment struct {
+	URL     string // of the sidecar
+	Fleet   *standin.Fleet
+	Servers map[string]*standin.Server
 
 	stop   context.CancelFunc
 	served chan error
 }
 
-// Open starts boxes and a sidecar that may hold so many descriptors. Changes of the list are told after 300 ms.
-func Open(rules []policy.Class, boxes []standin.ServerConfig, seed uint64, descriptors int) (*Stage, error) {
+// StartEnvironment starts boxes and a sidecar that may hold so many descriptors. Changes of the list are told after 300 ms.
+func StartEnvironment(rules []policy.Class, boxes []standin.ServerConfig, seed uint64, descriptors int) (*Environment, error) {
 	const lag = 300 * time.Millisecond
 	fleet, err := standin.NewFleet(rules, seed, lag)
 	if err != nil {
 		return nil, err
 	}
-	s := &Stage{Fleet: fleet, Boxes: map[string]*standin.Server{}, served: make(chan error, 1)}
+	s := &Environment{Fleet: fleet, Servers: map[string]*standin.Server{}, served: make(chan error, 1)}
 	fleet.Discovery.SetLag(0) // the list before the start is known to all
 	for _, c := range boxes {
 		b, err := fleet.Start(c)
@@ -37,7 +37,7 @@
 			fleet.Close()
 			return nil, err
 		}
-		s.Boxes[c.ID] = b
+		s.Servers[c.ID] = b
 	}
 	fleet.Discovery.SetLag(lag)
 	if err := s.sidecar(rules, seed, descriptors); err != nil {
@@ -47,7 +47,7 @@
 	return s, nil
 }
 
-func (s *Stage) sidecar(rules []policy.Class, seed uint64, descriptors int) error {
+func (s *Environment) sidecar(rules []policy.Class, seed uint64, descriptors int) error {
 	known := s.Fleet.Discovery.List()
 	cfg, err := config.Parse(standin.PlatformConfig{
 		Discovery: s.Fleet.Discovery.Addr(), Seed: seed, CachedList: &known, Zone: "clare", Classes: rules, Ramp: 8600 * time.Millisecond, Sockets: descriptors,
@@ -71,7 +71,7 @@
 }
 
 // Close drains the sidecar and ends the fleet.
-func (s *Stage) Close() error {
+func (s *Environment) Close() error {
 	s.stop()
 	err := <-s.served
 	s.Fleet.Close()
--- a/internal/lab/lab_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -1,4 +1,4 @@
-package lab
+package fleetsim
 
 import (
 	"fmt"
--- a/internal/lab/world.go
+++ b/internal/fleetsim/simulation.go
@@ -1,8 +1,8 @@
-// Package lab plays a fleet in virtual time: many sidecars, each with a decision module as it runs in production, servers that
+// Package fleetsim plays a fleet in virtual time: many sidecars, each with a decision module as it runs in production, servers that
 // warm up, queue, err, fall over and go dark, a discovery of small capacity, and clients that ask again. Equal configurations
 // give equal accounts on every machine: one seed feeds all that is drawn, and events at one instant keep the order in which they
 // were made.
-package lab
+package fleetsim
 
 import (
 	"container/heap"
