--- a/cmd/quillfront/config.go
+++ b/cmd/quillfront/config.go
@@ -75,9 +75,9 @@
 	}
 	for _, m := range o.MySQL {
 		users := fmt.Sprintf("%d users", len(m.Users))
-		if m.Auth == proxy.Pass {
+		if m.Auth == proxy.AuthPassThrough {
 			users = "users that the servers authenticate"
 		}
-		fmt.Fprintf(w, "mysql %s: at %s, for %s, to pool %s, class %s\n", m.Name, m.Listen, users, m.Pool, m.Default)
+		fmt.Fprintf(w, "mysql %s: at %s, for %s, to pool %s, class %s\n", m.Name, m.Listen, users, m.Pool, m.DefaultClass)
 	}
 }
--- a/cmd/quillfront/demo.go
+++ b/cmd/quillfront/demo.go
@@ -44,13 +44,13 @@
 				fmt.Fprintln(out)
 				err = report.Write(out)
 			}
-			if err == nil && len(report.Broken) > 0 {
-				err = fmt.Errorf("%w: %s", errRuleBroken, strings.Join(report.Broken, "; "))
+			if err == nil && len(report.Violations) > 0 {
+				err = fmt.Errorf("%w: %s", errRuleBroken, strings.Join(report.Violations, "; "))
 			}
 			return err
 		},
 	}
-	cmd.Flags().DurationVar(&o.For, "for", 6*time.Second, "how long requests are sent")
+	cmd.Flags().DurationVar(&o.Duration, "for", 6*time.Second, "how long requests are sent")
 	cmd.Flags().Float64Var(&o.Rate, "rate", 300, "requests a second")
 	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the random generators")
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
--- a/cmd/quillfront/load.go
+++ b/cmd/quillfront/load.go
@@ -157,7 +157,7 @@
 
 // openStage starts n stand-in servers and a sidecar for the given classes. Classes whose method is
 // not GET are keyed.
-func openStage(n int, classes []load.Class) (*demo.Stage, error) {
+func openStage(n int, classes []load.Class) (*demo.Environment, error) {
 	if n < 1 || n > 100 {
 		return nil, fmt.Errorf("--standin: %d is outside 1 to 100", n)
 	}
@@ -173,7 +173,7 @@
 	for i := range n {
 		servers = append(servers, standin.ServerConfig{ID: fmt.Sprint("box-", i+1), Zone: "clare", Cores: 4, QueueSize: 256, ServiceTimeFromCost: true})
 	}
-	return demo.Open(policies, servers, 1, 8192)
+	return demo.StartEnvironment(policies, servers, 1, 8192)
 }
 
 // mergeReports merges the JSON reports at paths and prints the result.
--- a/cmd/quillfront/trial_test.go
+++ b/cmd/quillfront/trial_test.go
@@ -120,7 +120,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
 	program := trial.Program{Command: []string{"/nowhere/quillfront"}}
-	if _, err := trial.Run(ctx, trial.Plan{For: trial.Duration(time.Second)}, program, slog.New(slog.DiscardHandler)); err == nil {
+	if _, err := trial.Run(ctx, trial.Plan{Length: trial.Duration(time.Second)}, program, slog.New(slog.DiscardHandler)); err == nil {
 		t.Error("a trial runs with a program that does not exist")
 	}
 }
--- a/internal/mysql/proxy/users.go
+++ b/internal/mysql/proxy/users.go
@@ -40,8 +40,8 @@
 	return v, nil
 }
 
-// Salt returns a password as it may stand in the users' file.
-func Salt(password string, salt []byte, rounds int) (string, error) {
+// HashPassword returns a password as it may stand in the users' file.
+func HashPassword(password string, salt []byte, rounds int) (string, error) {
 	h, err := pbkdf2.Key(sha256.New, password, salt, rounds, sha256.Size)
 	if err != nil {
 		return "", err
@@ -58,8 +58,8 @@
 type directory struct {
 	mu    sync.Mutex
 	users map[string]User
-	asks  bool                  // some of them are asked for the password itself
-	known map[string]wire.Known // of salted ones; no more than there are users
+	asks  bool                           // some of them are asked for the password itself
+	known map[string]wire.PasswordHashes // of salted ones; no more than there are users
 }
 
 func newDirectory(users []User) *directory {
@@ -72,21 +72,21 @@
 func (d *directory) set(users []User) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.users, d.known, d.asks = map[string]User{}, map[string]wire.Known{}, false
+	d.users, d.known, d.asks = map[string]User{}, map[string]wire.PasswordHashes{}, false
 	for _, u := range users {
 		d.users[u.Name] = u
-		d.asks = d.asks || u.Salted != ""
+		d.asks = d.asks || u.SaltedHash != ""
 	}
 }
 
 // find returns a user, what can be checked of its password, and whether that is so. Who is not known looks like most who are.
-func (d *directory) find(name string) (u User, k wire.Known, fast, ok bool) {
+func (d *directory) find(name string) (u User, k wire.PasswordHashes, fast, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if u, ok = d.users[name]; !ok {
-		return u, wire.Known{}, !d.asks, false
+		return u, wire.PasswordHashes{}, !d.asks, false
 	}
-	if u.Salted == "" {
+	if u.SaltedHash == "" {
 		return u, u.Password, true, true
 	}
 	k, fast = d.known[name]
@@ -95,17 +95,17 @@
 
 // full checks a password as it is, and remembers it if it is the one.
 func (d *directory) full(u User, password string) bool {
-	if u.Salted == "" {
-		return u.Password.Is(password)
+	if u.SaltedHash == "" {
+		return u.Password.Matches(password)
 	}
-	s, err := parseSalted(u.Salted)
+	s, err := parseSalted(u.SaltedHash)
 	if err != nil || !s.is(password) {
 		return false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if now, ok := d.users[u.Name]; ok && now.Salted == u.Salted {
-		d.known[u.Name] = wire.Keep(password)
+	if now, ok := d.users[u.Name]; ok && now.SaltedHash == u.SaltedHash {
+		d.known[u.Name] = wire.NewPasswordHashes(password)
 	}
 	return true
 }
