--- a/cmd/quillfront/conformance_test.go
+++ b/cmd/quillfront/conformance_test.go
@@ -66,9 +66,10 @@
 	return roundTripperForm{&http.Client{Transport: newBalancer(t, config).RoundTripper()}}
 }
 
+// roundTripperForm sends requests of the conformance suite with the library's round tripper.
 type roundTripperForm struct{ client *http.Client }
 
-// Do is a method of conformance.Form.
+// Do implements conformance.Form.
 func (f roundTripperForm) Do(ctx context.Context, q conformance.Request) conformance.Result {
 	req, err := q.HTTPRequest(ctx, "http://fleet")
 	if err != nil {
@@ -77,7 +78,7 @@
 	return f.Trip(req)
 }
 
-// Trip is the method of the edge's round tripper.
+// Trip sends req with the round tripper and returns the result; the wire tests call it directly.
 func (f roundTripperForm) Trip(req *http.Request) conformance.Result {
 	resp, err := f.client.Do(req)
 	var refused *quillfront.RefusedError
@@ -114,8 +115,8 @@
 	}
 }
 
-// edges starts each form as the tests of the edge corpus need it.
-var edges = []conformance.StartWireForm{
+// wireForms starts every form for the tests at the level of bytes on the wire.
+var wireForms = []conformance.StartWireForm{
 	func(t testing.TB, config []byte) conformance.WireForm {
 		f := startDaemon(t, config).(conformance.HTTPForm)
 		return conformance.WireForm{Name: conformance.Daemon, Addr: strings.TrimPrefix(f.URL, "http://"), Form: f}
@@ -129,12 +130,12 @@
 	},
 }
 
-// TestEdge sends the corpus of requests and that of servers' answers through every form.
-func TestEdge(t *testing.T) {
+// TestWire sends the corpus of requests, and the corpus of server responses, through every form.
+func TestWire(t *testing.T) {
 	if err := conformance.CheckCorpus(); err != nil {
 		t.Fatal(err)
 	}
-	for i, start := range edges {
+	for i, start := range wireForms {
 		t.Run(forms[i].name, func(t *testing.T) {
 			t.Run("requests", func(t *testing.T) { conformance.RunRequests(t, start) })
 			t.Run("answers", func(t *testing.T) { conformance.RunResponses(t, start) })
--- a/cmd/quillfront/main.go
+++ b/cmd/quillfront/main.go
@@ -47,7 +47,7 @@
 		SilenceErrors: true,
 		RunE:          serve,
 	}
-	served := &cobra.Command{
+	serveCommand := &cobra.Command{
 		Use:   "serve",
 		Short: "Run as a sidecar with the configuration that GW_CONFIG names, or run the services of an operator's file",
 		Long: "serve accepts requests at the configured address until SIGTERM; it then answers every request that it has accepted\n" +
@@ -57,9 +57,9 @@
 		Args: cobra.NoArgs,
 		RunE: serve,
 	}
-	served.Flags().String("config", "", "the operator's file, such as deploy/quillfront.toml; without it, everything that it can enable is off")
-	served.Flags().Bool("account", false, "log an account once a second, for `quillfront account`")
-	root.AddCommand(demoCommand(), storeCommand(), routesCommand(), accountCommand(), configCommand(), loadCommand(), traceCommand(), membersCommand(), trialCommand(), served)
+	serveCommand.Flags().String("config", "", "the operator's file, such as deploy/quillfront.toml; without it, everything that it can enable is off")
+	serveCommand.Flags().Bool("account", false, "log an account once a second, for `quillfront account`")
+	root.AddCommand(demoCommand(), storeCommand(), routesCommand(), accountCommand(), configCommand(), loadCommand(), traceCommand(), membersCommand(), trialCommand(), serveCommand)
 	return root
 }
 
--- a/cmd/quillfront/main_test.go
+++ b/cmd/quillfront/main_test.go
@@ -169,7 +169,7 @@
 		err  error
 	}
 	results := make(chan result, 10)
-	ask := func() {
+	send := func() {
 		resp, err := getRead(s.addr)
 		if err != nil {
 			results <- result{"", err}
@@ -179,12 +179,12 @@
 		body, err := io.ReadAll(resp.Body)
 		results <- result{string(body), err}
 	}
-	go ask()
+	go send()
 	<-arrived
 	if err := s.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	go ask() // within the time in which new connections are still accepted
+	go send() // within the time in which new connections are still accepted
 	<-arrived
 	close(release)
 	for range 2 {
@@ -203,7 +203,7 @@
 	s.Wait()
 	began := time.Now()
 	s = startSidecar(t, platformConfig(s.addr, srv.Listener.Addr().String()))
-	go ask()
+	go send()
 	if r := <-results; r.err != nil || r.body != "ok" {
 		t.Errorf("answer %q, %v", r.body, r.err)
 	}
@@ -213,10 +213,10 @@
 // TestReloadOnSIGHUP checks that SIGHUP applies a new discovery address, that an invalid file
 // changes nothing, and that the program goes on in both cases.
 func TestReloadOnSIGHUP(t *testing.T) {
-	asked := make(chan string, 100)
+	queried := make(chan string, 100)
 	discovery := func(name string) string {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-			asked <- name
+			queried <- name
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}))
 		t.Cleanup(srv.Close)
@@ -234,12 +234,12 @@
 		t.Helper()
 		for {
 			select {
-			case got := <-asked:
+			case got := <-queried:
 				if got == name {
 					return
 				}
 			case <-time.After(20 * time.Second):
-				t.Fatalf("discovery %s was not asked", name)
+				t.Fatalf("discovery %s was not queried", name)
 			}
 		}
 	}
--- a/cmd/quillfront/shutdown_test.go
+++ b/cmd/quillfront/shutdown_test.go
@@ -146,11 +146,11 @@
 	defer fleet.Close()
 	var hosts []string
 	for i := range 4 {
-		box := standin.ServerConfig{ID: fmt.Sprintf("s%d", i), Cores: 1000, ServiceTime: 5 * time.Millisecond}
+		server := standin.ServerConfig{ID: fmt.Sprintf("s%d", i), Cores: 1000, ServiceTime: 5 * time.Millisecond}
 		if i < trial.hanging {
-			box.Script = func(int, *http.Request) standin.Fault { return standin.NoReply }
+			server.Script = func(int, *http.Request) standin.Fault { return standin.NoReply }
 		}
-		b, err := fleet.Start(box)
+		b, err := fleet.Start(server)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/quillfront/trace.go
+++ b/cmd/quillfront/trace.go
@@ -46,10 +46,9 @@
 	c := &cobra.Command{
 		Use:   "import FILE...",
 		Short: "Convert access logs and HAR captures to one trace, merged by time",
-		Long: "import reads files, which may be compressed with gzip, and writes which request arrived when. A file name that ends in .har is a\n" +
-			"HAR 1.2 capture; logs have the --format common, combined or json, or the one that --nginx (a log_format string) or --apache (a\n" +
-			"LogFormat string) gives. Headers, cookies and parameters are dropped, except for those that --rules keeps. Records that cannot\n" +
-			"be parsed are counted and reported; with --strict they are an error.",
+		Long: "import reads files, which may be gzip-compressed, and writes when each request arrived. A file name that ends in .har is a HAR 1.2\n" +
+			"capture; logs have the --format common, combined or json, or the one of --nginx (a log_format string) or --apache (a LogFormat string).\n" +
+			"Headers, cookies and parameters are dropped unless --rules keeps them. Bad records are counted and reported; --strict makes them an error.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, paths []string) error {
 			r, err := trace.LoadRules(rules)
