--- a/internal/mysql/proxy/basic_test.go
+++ b/internal/mysql/proxy/basic_test.go
@@ -9,10 +9,11 @@
 	"quillfront/internal/mysql/wire"
 )
 
-// script runs what an application does, over both protocols, and returns what it saw.
-func script(t *testing.T, db *sql.DB) string {
+// runScript runs typical application statements over the text and the binary protocol and returns
+// what the application saw.
+func runScript(t *testing.T, db *sql.DB) string {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c, err := db.Conn(ctx)
 	if err != nil {
@@ -21,8 +22,8 @@
 	defer c.Close()
 	var saw []any
 	note := func(v any, err error) { saw = append(saw, v, err) }
-	note(value(t, c, "SELECT 1"))
-	note(value(t, c, "SELECT ?", "a text"))
+	note(queryValue(t, c, "SELECT 1"))
+	note(queryValue(t, c, "SELECT ?", "a text"))
 	r, err := c.ExecContext(ctx, "INSERT INTO orders (id, item, qty) VALUES ('A1', 'hose', 3)")
 	if err == nil {
 		n, _ := r.RowsAffected()
@@ -36,7 +37,7 @@
 	}
 	note(nil, exec(t, tx, "INSERT INTO orders (id, item, qty) VALUES (?, ?, ?)", "A2", "pump", 4))
 	note(nil, exec(t, tx, "UPDATE orders SET qty = qty + ? WHERE id = ?", 5, "A1"))
-	note(value(t, tx, "SELECT COUNT(*) FROM orders"))
+	note(queryValue(t, tx, "SELECT COUNT(*) FROM orders"))
 	note(nil, tx.Commit())
 	tx, _ = c.BeginTx(ctx, nil)
 	note(nil, exec(t, tx, "DELETE FROM orders WHERE id = 'A1'"))
@@ -66,18 +67,18 @@
 	st.Close()
 	note(nil, exec(t, c, "this is no statement"))
 	note(nil, exec(t, c, "SET time_zone = '+10:00'"))
-	note(value(t, c, "SELECT @@time_zone"))
+	note(queryValue(t, c, "SELECT @@time_zone"))
 	note(nil, exec(t, c, "USE stock"))
-	note(value(t, c, "SELECT DATABASE()"))
-	note(value(t, c, "SELECT ROW FROM rows_5000"))
+	note(queryValue(t, c, "SELECT DATABASE()"))
+	note(queryValue(t, c, "SELECT ROW FROM rows_5000"))
 	note(nil, c.PingContext(ctx))
 	return fmt.Sprint(saw...)
 }
 
-// TestRealClient: a real client sees through the front what it sees at the server itself, by either protocol and proof, with TLS and
-// without.
+// TestRealClient checks that the go-sql-driver client sees the same through the frontend as at the
+// server itself, with both protocols, both authentication plugins, and with and without TLS.
 func TestRealClient(t *testing.T) {
-	cert, roots := certificate(t)
+	cert, roots := tlsConfigs(t)
 	tlsOf := func(on bool) options {
 		o := options{servers: 1}
 		if on {
@@ -86,7 +87,7 @@
 		}
 		return o
 	}
-	register(t, roots)
+	registerTLSConfig(t, roots)
 	for _, secure := range []bool{false, true} {
 		for _, plugin := range []string{wire.Native, wire.SHA2} {
 			for _, auth := range []Auth{AuthUsers, AuthPassThrough} {
@@ -98,15 +99,15 @@
 							dsn += "&tls=test"
 						}
 						o.server.Plugin, o.proxy.Plugin, o.proxy.Auth = plugin, plugin, auth
-						w := open(t, o)
-						got := script(t, w.client(dsn))
+						w := newTestEnv(t, o)
+						got := runScript(t, w.newClient(dsn))
 						w.db.Reset()
-						want := script(t, connect(t, w.servers[0].Addr(), "app", "secret", dsn))
+						want := runScript(t, connect(t, w.servers[0].Addr(), "app", "secret", dsn))
 						if got != want {
-							t.Errorf("through the front:\n%s\nat the server:\n%s", got, want)
+							t.Errorf("through the frontend:\n%s\nat the server:\n%s", got, want)
 						}
 						if len(want) < 200 {
-							t.Errorf("the script saw but %q", want)
+							t.Errorf("the script saw only %q", want)
 						}
 					})
 				}
@@ -115,48 +116,49 @@
 	}
 }
 
-// TestWrongPassword: who cannot prove a password is not let in, whether there is such a user or not, and nothing is asked of a server.
+// TestWrongPassword checks that a wrong password is rejected, whether the user exists or not,
+// without a connection to a server.
 func TestWrongPassword(t *testing.T) {
 	salted, err := HashPassword("secret", []byte("gravel"), 100)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, u := range []User{{Name: "app", Password: wire.Keep("secret")}, {Name: "app", SaltedHash: salted}} {
-		w := open(t, options{proxy: Config{Users: []User{u}}})
+		w := newTestEnv(t, options{proxy: Config{Users: []User{u}}})
 		for _, c := range [][2]string{{"app", "wrong"}, {"app", ""}, {"nobody", "secret"}, {"nobody", ""}} {
-			if err := connect(t, w.addr, c[0], c[1], "").Ping(); code(err) != 1045 {
+			if err := connect(t, w.addr, c[0], c[1], "").Ping(); errorCode(err) != 1045 {
 				t.Errorf("%v: %v", c, err)
 			}
 		}
 		if n := w.servers[0].Conns.Load() + w.servers[1].Conns.Load(); n > 0 {
 			t.Errorf("%d connections to servers", n)
 		}
-		for range 2 { // in full, and by what is known then
-			if err := w.client("").Ping(); err != nil {
-				t.Errorf("the right one: %v", err)
+		for range 2 { // by full authentication first, then by the cached hash
+			if err := w.newClient("").Ping(); err != nil {
+				t.Errorf("the right password: %v", err)
 			}
 		}
-		if err := connect(t, w.addr, "app", "wrong", "").Ping(); code(err) != 1045 {
-			t.Errorf("a wrong one once the right one is known: %v", err)
+		if err := connect(t, w.addr, "app", "wrong", "").Ping(); errorCode(err) != 1045 {
+			t.Errorf("a wrong password once the hash of the right one is cached: %v", err)
 		}
 	}
 }
 
-// TestManyShareFew: sessions at rest hold no connection to a server.
+// TestManyShareFew checks that idle sessions hold no server connection.
 func TestManyShareFew(t *testing.T) {
-	w := open(t, options{})
+	w := newTestEnv(t, options{})
 	for i := range 100 {
-		db := w.client("")
-		if v, err := value(t, db, "SELECT 7"); v != "7" || err != nil {
+		db := w.newClient("")
+		if v, err := queryValue(t, db, "SELECT 7"); v != "7" || err != nil {
 			t.Fatalf("%d: %q, %v", i, v, err)
 		}
 	}
 	a, _ := w.servers[0].Sessions()
 	b, _ := w.servers[1].Sessions()
 	if a+b > 10 {
-		t.Errorf("%d connections for 100 sessions that ask one after the other", a+b)
+		t.Errorf("%d connections for 100 sessions that run statements one after the other", a+b)
 	}
-	until(t, "all are counted", func() bool { return w.Stats().Statements["served"] == 100 }) // behind the last answer
+	eventually(t, "all statements are counted", func() bool { return w.Stats().Statements["served"] == 100 }) // counted after the last answer is sent
 	if s := w.Stats(); s.Sessions != 100 || s.ServerConns.Reuses < 90 {
 		t.Errorf("%+v", s)
 	}
--- a/internal/mysql/proxy/bench_test.go
+++ b/internal/mysql/proxy/bench_test.go
@@ -13,21 +13,21 @@
 	"quillfront/internal/mysql/standin"
 )
 
-// BenchmarkStatement tells what the front adds to a statement, beside the server itself and a proxy that only copies bytes, in turns
-// within one run, as medians.
+// BenchmarkStatement measures the median time of a statement through the frontend, directly at the
+// server, and through a relay that only copies bytes. The three take turns within one run.
 func BenchmarkStatement(b *testing.B) {
 	for _, kind := range []struct{ name, sql string }{{"text", "SELECT 1"}, {"prepared", "SELECT ?"}, {"insert", "INSERT INTO orders (id, item, qty) VALUES ('x', 'y', 1)"},
 		{"work of 1 ms", "SELECT 2"}} {
 		b.Run(kind.name, func(b *testing.B) {
-			w := open(b, options{servers: 1})
-			w.make(func(_, sql string) standin.Trouble {
+			w := newTestEnv(b, options{servers: 1})
+			w.setFault(func(_, sql string) standin.Trouble {
 				if sql == "SELECT 2" {
 					return standin.Trouble{Delay: time.Millisecond}
 				}
 				return standin.Trouble{}
 			})
-			bare := relay(b, w.servers[0].Addr())
-			through, direct, hop := w.client(""), connect(b, w.servers[0].Addr(), "app", "secret", ""), connect(b, bare, "app", "secret", "")
+			bare := startRelay(b, w.servers[0].Addr())
+			through, direct, hop := w.newClient(""), connect(b, w.servers[0].Addr(), "app", "secret", ""), connect(b, bare, "app", "secret", "")
 			var args []any
 			if kind.name == "prepared" {
 				args = []any{"text"}
@@ -81,13 +81,13 @@
 			b.ReportMetric(float64(d.Microseconds()), "direct-us")
 			b.ReportMetric(float64(p.Microseconds()), "front-us")
 			b.ReportMetric(float64(h.Microseconds()), "bare-us")
-			b.ReportMetric(float64(p)/(1.15*float64(d)+float64(h-d)), "of-aim") // 1.15 times the direct one and a loopback hop
+			b.ReportMetric(float64(p)/(1.15*float64(d)+float64(h-d)), "of-aim") // the target is 1.15 times the direct time plus a loopback hop
 		})
 	}
 }
 
-// relay copies bytes to a server and back, and returns where it listens.
-func relay(b *testing.B, to string) string {
+// startRelay starts a relay that copies bytes to a server and back. It returns the relay's address.
+func startRelay(b *testing.B, to string) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -117,20 +117,20 @@
 	return ln.Addr().String()
 }
 
-// BenchmarkIdleSessions tells the memory of a session at rest, both its ends in this process.
+// BenchmarkIdleSessions measures the memory of an idle session, with both ends in this process.
 func BenchmarkIdleSessions(b *testing.B) {
 	for range b.N {
-		const n = 9_000 // as many as the usual limit of descriptors allows
-		w := open(b, options{servers: 1, descriptors: 4 * n, proxy: Config{ConnLimits: connlimit.Limits{Total: 2 * n}}})
+		const n = 9_000 // as many as the usual descriptor limit allows
+		w := newTestEnv(b, options{servers: 1, descriptors: 4 * n, proxy: Config{ConnLimits: connlimit.Limits{Total: 2 * n}}})
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		var all []*raw
+		var all []*rawClient
 		for range n {
-			all = append(all, dial(b, w, "app", "secret"))
-			all[len(all)-1].wire.R, all[len(all)-1].wire.W = nil, nil // the client's own buffers are not the front's
+			all = append(all, dialRaw(b, w, "app", "secret"))
+			all[len(all)-1].wire.R, all[len(all)-1].wire.W = nil, nil // exclude the buffers of the client
 		}
-		until(b, "all are in", func() bool { return w.Stats().Sessions == n })
+		eventually(b, "all sessions are open", func() bool { return w.Stats().Sessions == n })
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		used := func(m *runtime.MemStats) uint64 { return m.HeapInuse + m.StackInuse }
--- a/internal/mysql/proxy/client.go
+++ b/internal/mysql/proxy/client.go
@@ -20,155 +20,158 @@
 )
 
 const (
-	// version is what clients are told. Some clients go by it.
+	// version is the server version in the greeting. Some clients depend on it.
 	version = "8.4.0-quillfront"
-	// mostStatements and mostPreparedText bound what a session has prepared.
-	mostStatements   = 1024
-	mostPreparedText = 1 << 20
-	// watchEvery is how often it is looked whether a client that waits has left.
-	watchEvery = 20 * time.Millisecond
-	clientBuf  = 8 << 10
+	// maxStatements and maxPreparedBytes limit the number and the total SQL size of the prepared
+	// statements of a session.
+	maxStatements    = 1024
+	maxPreparedBytes = 1 << 20
+	// disconnectPollInterval is the interval at which a waiting client's connection is checked for
+	// a disconnect.
+	disconnectPollInterval = 20 * time.Millisecond
+	clientWriteBuffer      = 8 << 10
 )
 
-var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, clientBuf) }}
-
-// client is a session of a client.
-type client struct {
-	f       *Frontend
-	id      uint32
-	guest   *connlimit.Slot
-	raw     net.Conn // the socket
-	conn    net.Conn // raw, or TLS on it
-	wire    wire.Conn
-	user    User
-	caps    wire.Capability
-	charset byte
-	text    int // bytes of what is prepared
-
-	// mu is held while a command is dealt with, so that whoever gets it finds the session at rest.
-	mu         sync.Mutex
-	state      *session.State // nil: not logged in
-	x          *exchange      // the connection that the session has; nil: none
-	statements map[uint32]*prepared
-	last       uint32    // number of a statement
-	rested     time.Time // since when it has been at rest
-	drained    time.Time // since when its server takes nothing new; zero: it does
-
-	named   atomic.Pointer[string] // its user, for others
-	bound   atomic.Bool
-	closing atomic.Pointer[wire.Error] // what the client is told before it is closed
-	target  atomic.Pointer[server]     // where its statement runs; nil: nowhere
-	forever bool                       // x is the session's for its whole life
-}
-
-func newClient(f *Frontend, id uint32, c net.Conn, g *connlimit.Slot) *client {
-	s := &client{f: f, id: id, guest: g, raw: c, conn: c, statements: map[uint32]*prepared{}, rested: time.Now()}
-	s.wire.R = bufio.NewReaderSize(c, clientRead)
+var writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, clientWriteBuffer) }}
+
+// clientSession is the session of a client connection.
+type clientSession struct {
+	frontend      *Frontend
+	id            uint32
+	slot          *connlimit.Slot
+	raw           net.Conn // the TCP connection
+	conn          net.Conn // raw, or TLS on top of it
+	wire          wire.Conn
+	user          User
+	caps          wire.Capability
+	charset       byte
+	preparedBytes int // total SQL size of statements
+
+	// mu is held while a command is processed: the session is idle for whoever else acquires it.
+	mu              sync.Mutex
+	state           *session.State // nil: not logged in
+	exchange        *exchange      // the server connection that the session holds; nil: none
+	statements      map[uint32]*preparedStatement
+	lastStatementID uint32    // ID of the last prepared statement
+	idleSince       time.Time // end of the last command
+	drainingSince   time.Time // when its server was first seen unusable; zero: it is usable
+
+	userName   atomic.Pointer[string] // for readers that do not hold mu
+	bound      atomic.Bool
+	closeError atomic.Pointer[wire.Error] // error with which the session was closed while idle; nil: open
+	runningOn  atomic.Pointer[serverConn] // connection on which its statement runs; nil: none
+	dedicated  bool                       // exchange is kept for the whole session (AuthPassThrough)
+}
+
+func newClientSession(f *Frontend, id uint32, c net.Conn, g *connlimit.Slot) *clientSession {
+	s := &clientSession{frontend: f, id: id, slot: g, raw: c, conn: c, statements: map[uint32]*preparedStatement{}, idleSince: time.Now()}
+	s.wire.R = bufio.NewReaderSize(c, clientReadBuffer)
 	return s
 }
 
-// name returns the user, for whoever does not hold mu.
-func (s *client) name() string {
-	if n := s.named.Load(); n != nil {
+// currentUser returns the user's name. It may be called without holding mu.
+func (s *clientSession) currentUser() string {
+	if n := s.userName.Load(); n != nil {
 		return *n
 	}
 	return ""
 }
 
-// is makes u the session's user.
-func (s *client) is(u User) {
+// setUser makes u the session's user.
+func (s *clientSession) setUser(u User) {
 	s.user = u
-	s.named.Store(&u.Name)
+	s.userName.Store(&u.Name)
 }
 
-// slow writes to a client that may take nothing only for so long.
-type slow struct{ s *client }
+// stallWriter writes to the client with the stall timeout as the deadline of each write.
+type stallWriter struct{ s *clientSession }
 
-// Write is the method of io.Writer.
-func (w slow) Write(b []byte) (int, error) {
-	w.s.conn.SetWriteDeadline(time.Now().Add(w.s.f.cfg.StallTimeout))
+// Write implements io.Writer.
+func (w stallWriter) Write(b []byte) (int, error) {
+	w.s.conn.SetWriteDeadline(time.Now().Add(w.s.frontend.cfg.StallTimeout))
 	return w.s.conn.Write(b)
 }
 
-// buffer gives the session a buffer for what it writes, until the function that is returned.
-func (s *client) buffer() func() {
-	w := writers.Get().(*bufio.Writer)
-	w.Reset(slow{s})
+// attachWriter gives the session a write buffer from the pool. The returned function puts it back.
+func (s *clientSession) attachWriter() func() {
+	w := writerPool.Get().(*bufio.Writer)
+	w.Reset(stallWriter{s})
 	s.wire.W = w
 	return func() {
 		s.wire.W = nil
 		w.Reset(nil)
-		writers.Put(w)
+		writerPool.Put(w)
 	}
 }
 
-func (s *client) send(b []byte) error {
+func (s *clientSession) send(b []byte) error {
 	if err := s.wire.Write(b); err != nil {
 		return err
 	}
 	return s.wire.W.Flush()
 }
 
-func (s *client) fail(e *wire.Error) error { return s.send(e.Append(nil)) }
+func (s *clientSession) sendError(e *wire.Error) error { return s.send(e.Append(nil)) }
 
-// errEnd ends a session without a word.
-var errEnd = errors.New("the session has ended")
+// errSessionEnded ends a session without a further message to the client.
+var errSessionEnded = errors.New("the session has ended")
 
-// run serves the client until it leaves.
-func (s *client) run() {
-	s.raw.SetDeadline(time.Now().Add(s.f.cfg.LoginTimeout))
-	done := s.buffer()
-	s.mu.Lock() // it is not at rest
+// serve serves the client until it disconnects.
+func (s *clientSession) serve() {
+	s.raw.SetDeadline(time.Now().Add(s.frontend.cfg.LoginTimeout))
+	done := s.attachWriter()
+	s.mu.Lock() // the session is not idle during the login
 	err := s.login()
-	s.rested = time.Now()
+	s.idleSince = time.Now()
 	s.mu.Unlock()
 	done()
 	if err != nil {
 		return
 	}
 	s.raw.SetDeadline(time.Time{})
-	defer s.leave()
+	defer s.cleanup()
 	for {
-		if err := s.next(); err != nil {
+		if err := s.serveCommand(); err != nil {
 			return
 		}
 	}
 }
 
-// leave gives back what the session has.
-func (s *client) leave() {
+// cleanup releases or closes the server connection that the session holds.
+func (s *clientSession) cleanup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.x == nil {
+	if s.exchange == nil {
 		return
 	}
-	if s.forever || s.state.Bound() {
-		s.drop(policy.OK)
+	if s.dedicated || s.state.Bound() {
+		s.closeConn(policy.OK)
 	} else {
-		s.give()
+		s.releaseConn()
 	}
 }
 
-// give gives the connection back, on which nothing binds the session.
-func (s *client) give() {
-	x := s.x
-	s.x, s.drained = nil, time.Time{}
+// releaseConn returns the server connection to the pool. The session must not be bound to it.
+func (s *clientSession) releaseConn() {
+	x := s.exchange
+	s.exchange, s.drainingSince = nil, time.Time{}
 	s.state.Gave()
-	s.f.transport.keep(x.server)
-	x.end(policy.OK)
+	s.frontend.transport.putIdle(x.serverConn)
+	x.finish(policy.OK)
 }
 
-// drop closes the connection.
-func (s *client) drop(status policy.Status) {
-	x := s.x
-	s.x, s.drained = nil, time.Time{}
+// closeConn closes the server connection.
+func (s *clientSession) closeConn(status policy.Status) {
+	x := s.exchange
+	s.exchange, s.drainingSince = nil, time.Time{}
 	x.Close()
-	x.end(status)
+	x.finish(status)
 }
 
-// look deals with a session at rest: its connection is given back once it was held for long enough or its server takes nothing new, and
-// the session ends where its time is up.
-func (s *client) look(now time.Time) {
+// checkIdle applies the time limits to an idle session. It releases a connection that has been held
+// for the hold timeout or whose server is unusable, and ends a session whose drain timeout, idle
+// timeout or shutdown has passed.
+func (s *clientSession) checkIdle(now time.Time) {
 	if !s.mu.TryLock() {
 		return
 	}
@@ -176,48 +179,48 @@
 	if s.state == nil {
 		return
 	}
-	f := s.f
-	if x := s.x; x != nil {
-		takes := f.pool.ServerUsable(x.at)
+	f := s.frontend
+	if x := s.exchange; x != nil {
+		usable := f.pool.ServerUsable(x.serverID)
 		switch {
-		case takes:
-			s.drained = time.Time{}
-		case s.drained.IsZero():
-			s.drained = now
+		case usable:
+			s.drainingSince = time.Time{}
+		case s.drainingSince.IsZero():
+			s.drainingSince = now
 		}
 		switch {
-		case !s.forever && !s.state.Bound() && (!takes || now.Sub(s.rested) >= f.cfg.HoldTimeout):
-			if !takes {
-				f.moved.Add(1)
+		case !s.dedicated && !s.state.Bound() && (!usable || now.Sub(s.idleSince) >= f.cfg.HoldTimeout):
+			if !usable {
+				f.migrated.Add(1)
 			}
-			s.give()
-		case !takes && now.Sub(s.drained) >= f.cfg.DrainTimeout:
-			f.drained.Add(1)
-			if s.forever {
-				s.shut(wire.Closing("the server takes nothing new"))
+			s.releaseConn()
+		case !usable && now.Sub(s.drainingSince) >= f.cfg.DrainTimeout:
+			f.drainExpired.Add(1)
+			if s.dedicated {
+				s.closeIdle(wire.Closing("the server takes nothing new"))
 				return
 			}
-			s.drop(policy.OK)
+			s.closeConn(policy.OK)
 			if l := s.state.Lost(nil, false, "its server takes nothing new"); l.Close {
-				s.shut(l.Error)
+				s.closeIdle(l.Error)
 				return
 			}
 		}
 	}
-	s.bound.Store(s.x != nil && (s.forever || s.state.Bound()))
+	s.bound.Store(s.exchange != nil && (s.dedicated || s.state.Bound()))
 	switch {
-	case !f.door.DrainingSince().IsZero() && (!s.bound.Load() || f.ending().MustAnswer(now)):
-		s.shut(wire.Closing("the proxy is ending"))
-	case now.Sub(s.rested) >= f.cfg.IdleTimeout:
-		s.shut(&wire.Error{Code: 4031, State: "HY000", Message: "The client was disconnected because of inactivity"})
+	case !f.acceptor.DrainingSince().IsZero() && (!s.bound.Load() || f.shutdownSchedule().MustAnswer(now)):
+		s.closeIdle(wire.Closing("the proxy is ending"))
+	case now.Sub(s.idleSince) >= f.cfg.IdleTimeout:
+		s.closeIdle(&wire.Error{Code: 4031, State: "HY000", Message: "The client was disconnected because of inactivity"})
 	}
 }
 
-// shut closes a session at rest: its client reads why as the answer to what it says next.
-func (s *client) shut(e *wire.Error) {
-	s.closing.Store(e)
-	if s.state != nil && s.x != nil && (s.forever || s.state.Bound()) {
-		s.drop(policy.OK)
+// closeIdle closes an idle session. The client reads the error as the answer to its next command.
+func (s *clientSession) closeIdle(e *wire.Error) {
+	s.closeError.Store(e)
+	if s.state != nil && s.exchange != nil && (s.dedicated || s.state.Bound()) {
+		s.closeConn(policy.OK)
 	}
 	b := e.Append([]byte{0, 0, 0, 0})
 	n := len(b) - 4
@@ -230,72 +233,73 @@
 	s.raw.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
 }
 
-// next takes one command and answers it.
-func (s *client) next() error {
+// serveCommand reads one command and answers it.
+func (s *clientSession) serveCommand() error {
 	s.wire.Reset()
 	piece, err := s.wire.Peek()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer func() { s.rested = time.Now() }()
-	defer s.buffer()()
-	if s.closing.Load() != nil {
-		return errEnd
+	defer func() { s.idleSince = time.Now() }()
+	defer s.attachWriter()()
+	if s.closeError.Load() != nil {
+		return errSessionEnded
 	}
 	if err != nil {
-		return s.unread(err)
+		return s.rejectCommand(err)
 	}
 	weight := int64(0)
-	if piece.Len > smallStatement {
+	if piece.Len > unaccountedStatementSize {
 		if weight = int64(piece.Len); piece.Len == wire.MaxPayload {
-			weight = int64(s.f.cfg.MaxStatementSize)
+			weight = int64(s.frontend.cfg.MaxStatementSize)
 		}
-		if piece.Len > s.f.cfg.MaxStatementSize {
-			return s.unread(wire.ErrTooLarge)
+		if piece.Len > s.frontend.cfg.MaxStatementSize {
+			return s.rejectCommand(wire.ErrTooLarge)
 		}
-		if !s.f.room.TryAcquire(weight) {
-			s.f.statements[refused].Add(1)
+		if !s.frontend.statementBudget.TryAcquire(weight) {
+			s.frontend.outcomes[refused].Add(1)
 			s.wire.Expect(1)
-			s.fail(wire.Refused(time.Second))
-			return errEnd // what is still coming cannot be taken
+			s.sendError(wire.Refused(time.Second))
+			return errSessionEnded // the rest of the statement cannot be read
 		}
-		defer s.f.room.Release(weight)
+		defer s.frontend.statementBudget.Release(weight)
 	}
-	part := s.wire.R.Buffered() < piece.Len+4 // the rest may never come
-	if part {
-		s.raw.SetReadDeadline(time.Now().Add(s.f.cfg.StallTimeout))
+	incomplete := s.wire.R.Buffered() < piece.Len+4 // the rest may never arrive
+	if incomplete {
+		s.raw.SetReadDeadline(time.Now().Add(s.frontend.cfg.StallTimeout))
 	}
-	b, err := s.wire.Read(s.f.cfg.MaxStatementSize)
-	if part {
+	b, err := s.wire.Read(s.frontend.cfg.MaxStatementSize)
+	if incomplete {
 		s.raw.SetReadDeadline(time.Time{})
 	}
 	if err != nil {
-		return s.unread(err)
+		return s.rejectCommand(err)
 	}
 	if len(b) == 0 {
-		return s.unread(wire.ErrMalformed)
+		return s.rejectCommand(wire.ErrMalformed)
 	}
-	if !s.f.ending().MayForward(time.Now()) {
-		s.fail(wire.Closing("the proxy is ending"))
-		return errEnd
+	if !s.frontend.shutdownSchedule().MayForward(time.Now()) {
+		s.sendError(wire.Closing("the proxy is ending"))
+		return errSessionEnded
 	}
-	return s.command(wire.Command(b[0]), b)
+	return s.dispatch(wire.Command(b[0]), b)
 }
 
-// unread ends a session whose command cannot be read; the client is told why if it may still be there.
-func (s *client) unread(err error) error {
+// rejectCommand ends a session whose command cannot be read. A protocol error is reported to the
+// client; after an I/O error nothing is sent.
+func (s *clientSession) rejectCommand(err error) error {
 	switch {
 	case errors.Is(err, wire.ErrTooLarge):
 		s.wire.Expect(1)
-		s.fail(wire.TooLarge(s.f.cfg.MaxStatementSize))
+		s.sendError(wire.TooLarge(s.frontend.cfg.MaxStatementSize))
 	case errors.Is(err, wire.ErrSequence), errors.Is(err, wire.ErrMalformed):
 		s.wire.Expect(1)
-		s.fail(wire.OutOfOrder(err))
+		s.sendError(wire.OutOfOrder(err))
 	}
-	return errEnd
+	return errSessionEnded
 }
 
-// ok answers with an OK of this side's own.
-func (s *client) ok() error {
+// sendOK sends an OK packet of the proxy itself.
+func (s *clientSession) sendOK() error {
 	status := wire.Status(0)
 	if s.state.Autocommit() {
 		status |= wire.Autocommit
@@ -306,22 +310,24 @@
 	return s.send((&wire.OK{Status: status}).Append(nil, 0, s.caps))
 }
 
-// command answers one command. An error ends the session.
-func (s *client) command(c wire.Command, b []byte) error {
+// dispatch answers one dispatch. An error ends the session.
+func (s *clientSession) dispatch(c wire.Command, b []byte) error {
 	switch c {
 	case wire.Quit:
-		return errEnd
+		return errSessionEnded
 	case wire.Ping:
-		if s.x == nil || !s.forever && !s.state.Bound() { // what a statement has left on a connection stays there
-			return s.ok()
+		// An unbound session is answered here, so that a connection that it holds keeps the state of
+		// the last statement.
+		if s.exchange == nil || !s.dedicated && !s.state.Bound() {
+			return s.sendOK()
 		}
-		return s.here(c, b, &session.Statement{Verb: "ping", Read: true}, 0)
+		return s.runOnCurrent(c, b, &session.Statement{Verb: "ping", Read: true}, 0)
 	case wire.InitDB:
 		schema := string(b[1:])
 		if !s.user.mayUse(schema) {
-			return s.fail(&wire.Error{Code: 1044, State: "42000", Message: "Access denied to this schema"})
+			return s.sendError(&wire.Error{Code: 1044, State: "42000", Message: "Access denied to this schema"})
 		}
-		return s.statement(c, b, session.Statement{Verb: "use", Read: true, Schema: schema}, nil, nil)
+		return s.runStatement(c, b, session.Statement{Verb: "use", Read: true, Schema: schema}, nil, nil)
 	case wire.Query:
 		return s.query(b)
 	case wire.StmtPrepare:
@@ -331,20 +337,20 @@
 	case wire.StmtLongData:
 		return s.longData(b)
 	case wire.StmtClose:
-		if p := s.prepared(b); p != nil {
-			s.text -= len(p.sql)
+		if p := s.findPrepared(b); p != nil {
+			s.preparedBytes -= len(p.sql)
 			delete(s.statements, p.id)
 		}
 		return nil
 	case wire.StmtReset:
-		p := s.prepared(b)
+		p := s.findPrepared(b)
 		if p == nil {
-			return s.fail(wire.UnknownStatement())
+			return s.sendError(wire.UnknownStatement())
 		}
-		p.long, p.size = nil, 0
-		return s.ok()
+		p.longData, p.longDataSize = nil, 0
+		return s.sendOK()
 	case wire.ResetConnection:
-		return s.reset(b)
+		return s.resetConnection(b)
 	case wire.ChangeUser:
 		return s.changeUser(b)
 	}
@@ -354,70 +360,71 @@
 		wire.SetOption: "COM_SET_OPTION", wire.StmtFetch: "COM_STMT_FETCH",
 	}[c]
 	if name == "" {
-		return s.fail(&wire.Error{Code: 1047, State: "08S01", Message: "Unknown command"})
+		return s.sendError(&wire.Error{Code: 1047, State: "08S01", Message: "Unknown command"})
 	}
-	return s.fail(wire.NotCarried(name))
+	return s.sendError(wire.NotCarried(name))
 }
 
-// scan reads a statement. Hints mean nothing where the operator has not said so.
-func (s *client) scan(sql string) session.Statement {
+// scan parses a statement. It drops the hint unless hints are enabled.
+func (s *clientSession) scan(sql string) session.Statement {
 	st := s.state.Scan(sql)
-	if !s.f.cfg.Hints {
+	if !s.frontend.cfg.Hints {
 		st.Hint = session.Hint{}
 	}
 	return st
 }
 
 // query answers COM_QUERY.
-func (s *client) query(b []byte) error {
+func (s *clientSession) query(b []byte) error {
 	st := s.scan(string(b[1:]))
 	if st.Schema != "" && !s.user.mayUse(st.Schema) {
-		return s.fail(&wire.Error{Code: 1044, State: "42000", Message: "Access denied to this schema"})
+		return s.sendError(&wire.Error{Code: 1044, State: "42000", Message: "Access denied to this schema"})
 	}
 	if st.Kill != nil {
-		return s.kill(st.Kill)
+		return s.killSession(st.Kill)
 	}
-	return s.statement(wire.Query, b, st, nil, nil)
+	return s.runStatement(wire.Query, b, st, nil, nil)
 }
 
-// statement has a command run where the session's state allows it, and answers it. p and e are an EXECUTE's.
-func (s *client) statement(c wire.Command, b []byte, st session.Statement, p *prepared, e *session.Execution) error {
+// runStatement runs a command where the session's state allows it and answers it. p and e are set
+// for COM_STMT_EXECUTE only.
+func (s *clientSession) runStatement(c wire.Command, b []byte, st session.Statement, p *preparedStatement, e *session.Execution) error {
 	if st.Hint.Wrong != "" {
-		return s.fail(&wire.Error{Code: 1064, State: "42000", Message: "hint: " + st.Hint.Wrong})
+		return s.sendError(&wire.Error{Code: 1064, State: "42000", Message: "hint: " + st.Hint.Wrong})
 	}
-	plan := s.state.Plan(&st, s.x != nil)
+	plan := s.state.Plan(&st, s.exchange != nil)
 	switch plan.Place {
 	case session.Nowhere:
 		if plan.Error != nil {
-			s.f.statements[lost].Add(1)
-			return s.fail(plan.Error)
+			s.frontend.outcomes[lost].Add(1)
+			return s.sendError(plan.Error)
 		}
-		return s.ok()
+		return s.sendOK()
 	case session.Here:
 		if p == nil {
-			return s.here(c, b, &st, st.Hint.Timeout)
+			return s.runOnCurrent(c, b, &st, st.Hint.Timeout)
 		}
-		return s.executeHere(&st, p, e)
+		return s.executeOnCurrent(&st, p, e)
 	}
-	if s.x != nil {
-		if s.forever {
+	if s.exchange != nil {
+		if s.dedicated {
 			if p != nil {
-				return s.executeHere(&st, p, e)
+				return s.executeOnCurrent(&st, p, e)
 			}
-			return s.here(c, b, &st, st.Hint.Timeout)
+			return s.runOnCurrent(c, b, &st, st.Hint.Timeout)
 		}
-		s.give()
+		s.releaseConn()
 	}
-	return s.anywhere(c, b, &st, p, e)
+	return s.runOnAnyServer(c, b, &st, p, e)
 }
 
-// class returns the class of a statement, and how long its client waits.
-func (s *client) class(st *session.Statement, timeout time.Duration) (string, time.Duration) {
-	known := func(name string) bool { _, ok := s.f.pool.Class(name); return ok }
-	name := s.f.cfg.classOf(s.user.Name, s.state.Schema(), st.Verb, st.Hint.Class, known)
-	class, _ := s.f.pool.Class(name)
+// classify returns the class of a statement and its timeout.
+func (s *clientSession) classify(st *session.Statement, timeout time.Duration) (string, time.Duration) {
+	known := func(name string) bool { _, ok := s.frontend.pool.Class(name); return ok }
+	name := s.frontend.cfg.classOf(s.user.Name, s.state.Schema(), st.Verb, st.Hint.Class, known)
+	class, _ := s.frontend.pool.Class(name)
 	if st.Read {
-		if read, ok := s.f.pool.Class(pool.SafeClass(name)); ok {
+		if read, ok := s.frontend.pool.Class(pool.SafeClass(name)); ok {
 			class = read
 		}
 	}
@@ -428,46 +435,46 @@
 	return class.Name, wait
 }
 
-// anywhere runs a statement at the server that the decision module picks.
-func (s *client) anywhere(c wire.Command, b []byte, st *session.Statement, p *prepared, e *session.Execution) error {
-	f := s.f
+// runOnAnyServer runs a statement on the server that the engine picks.
+func (s *clientSession) runOnAnyServer(c wire.Command, b []byte, st *session.Statement, p *preparedStatement, e *session.Execution) error {
+	f := s.frontend
 	j := &job{
-		command: c, message: b, stmt: p, exec: e, profile: profile{s.caps & shaping, s.charset}, schema: s.state.Schema(),
-		settings: s.state.Settings(), clean: st.Asks != 0, read: st.Read, target: &s.target,
+		command: c, message: b, stmt: p, execution: e, profile: profile{s.caps & replyCapabilities, s.charset}, schema: s.state.Schema(),
+		settings: s.state.Settings(), requireClean: st.Asks != 0, read: st.Read, runningOn: &s.runningOn,
 	}
-	defer s.target.Store(nil)
+	defer s.runningOn.Store(nil)
 	if p != nil {
-		j.long = p.long
+		j.longData = p.longData
 	}
-	name, wait := s.class(st, st.Hint.Timeout)
+	name, wait := s.classify(st, st.Hint.Timeout)
 	r := &engine.Request{Class: name, Key: st.Hint.Key, Timeout: wait, Payload: j}
 	if err := f.pool.Submit(r, f.pool.Now()); err != nil {
-		f.statements[refused].Add(1)
-		return s.fail(wire.Refused(0))
+		f.outcomes[refused].Add(1)
+		return s.sendError(wire.Refused(0))
 	}
-	result, ok := s.await(r)
+	result, ok := s.awaitResult(r)
 	if !ok {
-		f.statements[left].Add(1)
-		return errEnd
+		f.outcomes[left].Add(1)
+		return errSessionEnded
 	}
 	if result.Kind == engine.Served {
-		s.x = result.Reply.(*exchange)
-		return s.relay(st, p)
+		s.exchange = result.Reply.(*exchange)
+		return s.relayReply(st, p)
 	}
-	return s.unserved(st, result)
+	return s.reportUnserved(st, result)
 }
 
-// unserved tells the client of a statement that no server has answered.
-func (s *client) unserved(st *session.Statement, result engine.Result) error {
-	f := s.f
+// reportUnserved sends the client the error for a statement that no server has answered.
+func (s *clientSession) reportUnserved(st *session.Statement, result engine.Result) error {
+	f := s.frontend
 	if result.Kind == engine.Refused {
-		f.statements[refused].Add(1)
-		return s.fail(wire.Refused(result.RetryAfter))
+		f.outcomes[refused].Add(1)
+		return s.sendError(wire.Refused(result.RetryAfter))
 	}
-	sent := !result.NotRun // Last may tell of one attempt, and another be out still
+	sent := !result.NotRun // LastStatus may be of one attempt while another still runs
 	if !sent && !st.Read {
-		f.statements[refused].Add(1)
-		return s.fail(wire.Refused(0))
+		f.outcomes[refused].Add(1)
+		return s.sendError(wire.Refused(0))
 	}
 	why := "no server could be reached in time"
 	switch {
@@ -476,60 +483,61 @@
 	case sent:
 		why = "the server went before it answered"
 	}
-	return s.tell(st, s.state.Lost(st, sent, why))
+	return s.reportLoss(st, s.state.Lost(st, sent, why))
 }
 
-// tell tells the client what became of its session.
-func (s *client) tell(st *session.Statement, l session.Loss) error {
+// reportLoss sends the client the outcome of a statement whose server connection was lost.
+func (s *clientSession) reportLoss(st *session.Statement, l session.Loss) error {
 	var err error
 	switch {
 	case l.Error == nil:
-		s.f.statements[served].Add(1)
-		err = s.ok()
+		s.frontend.outcomes[served].Add(1)
+		err = s.sendOK()
 	case l.Error.Code == wire.Unknown("").Code:
-		s.f.statements[unknown].Add(1)
-		err = s.fail(l.Error)
+		s.frontend.outcomes[unknown].Add(1)
+		err = s.sendError(l.Error)
 	default:
-		s.f.statements[lost].Add(1)
-		err = s.fail(l.Error)
+		s.frontend.outcomes[lost].Add(1)
+		err = s.sendError(l.Error)
 	}
 	if l.Close {
-		return errEnd
+		return errSessionEnded
 	}
 	return err
 }
 
-// await returns a request's result; ok is false if the client left before, and the request is withdrawn.
-func (s *client) await(r *engine.Request) (engine.Result, bool) {
-	tick := time.NewTicker(watchEvery)
+// awaitResult waits for the result of a request. It returns false if the client disconnects or the
+// frontend closes first; the request is then withdrawn.
+func (s *clientSession) awaitResult(r *engine.Request) (engine.Result, bool) {
+	tick := time.NewTicker(disconnectPollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case result := <-r.Result():
 			return result, true
 		case now := <-tick.C:
-			if s.f.ending().MustAnswer(now) {
-				s.f.pool.GiveUp(r)
+			if s.frontend.shutdownSchedule().MustAnswer(now) {
+				s.frontend.pool.GiveUp(r)
 			}
-			if !s.gone() {
+			if !s.disconnected() {
 				continue
 			}
-		case <-s.f.door.Context().Done():
+		case <-s.frontend.acceptor.Context().Done():
 		}
-		if s.f.pool.Withdraw(r) {
+		if s.frontend.pool.Withdraw(r) {
 			return engine.Result{}, false
 		}
 		result := <-r.Result()
 		if x, ok := result.Reply.(*exchange); ok {
 			x.Close()
-			x.end(policy.Canceled)
+			x.finish(policy.Canceled)
 		}
 		return result, false
 	}
 }
 
-// gone reports whether the client has closed its connection, or says that it leaves.
-func (s *client) gone() bool {
+// disconnected reports whether the client has closed its connection or sent COM_QUIT.
+func (s *clientSession) disconnected() bool {
 	if s.wire.R.Buffered() > 0 {
 		return false
 	}
@@ -553,84 +561,86 @@
 	return gone
 }
 
-// here runs a command on the connection that the session has.
-func (s *client) here(c wire.Command, b []byte, st *session.Statement, timeout time.Duration) error {
-	return s.on(st, timeout, func() error {
-		return s.x.write(&job{command: c, message: b})
+// runOnCurrent runs a command on the connection that the session holds.
+func (s *clientSession) runOnCurrent(c wire.Command, b []byte, st *session.Statement, timeout time.Duration) error {
+	return s.runDeferred(st, timeout, func() error {
+		return s.exchange.sendCommand(&job{command: c, message: b})
 	}, c, nil)
 }
 
-// executeHere runs a prepared statement on the connection that the session has.
-func (s *client) executeHere(st *session.Statement, p *prepared, e *session.Execution) error {
-	return s.on(st, st.Hint.Timeout, func() error {
-		return s.x.write(&job{command: wire.StmtExecute, stmt: p, exec: e, long: p.long})
+// executeOnCurrent executes a prepared statement on the connection that the session holds.
+func (s *clientSession) executeOnCurrent(st *session.Statement, p *preparedStatement, e *session.Execution) error {
+	return s.runDeferred(st, st.Hint.Timeout, func() error {
+		return s.exchange.sendCommand(&job{command: wire.StmtExecute, stmt: p, execution: e, longData: p.longData})
 	}, wire.StmtExecute, p)
 }
 
-// on has write send a command on the session's connection, and passes its reply on. There is nothing to decide about where; the engine
-// counts it as a request with its one end all the same.
-func (s *client) on(st *session.Statement, timeout time.Duration, write func() error, c wire.Command, p *prepared) error {
-	f, x := s.f, s.x
-	name, wait := s.class(st, timeout)
+// runDeferred calls write to send a command on the session's connection and relays the reply. The
+// engine does not choose a server for it, but still counts it as a request with exactly one result.
+func (s *clientSession) runDeferred(st *session.Statement, timeout time.Duration, write func() error, c wire.Command, p *preparedStatement) error {
+	f, x := s.frontend, s.exchange
+	name, wait := s.classify(st, timeout)
 	r := &engine.Request{Class: name, Timeout: wait}
 	if err := f.pool.SubmitDeferred(r); err != nil {
-		f.statements[refused].Add(1)
-		return s.fail(wire.Refused(0))
-	}
-	settle := func(k engine.ResultKind) { f.pool.ResolveDeferred(r, engine.Result{Kind: k, Server: x.at}) }
-	x.until = time.Now().Add(wait)
-	if !x.quiet() {
-		settle(engine.Failed)
-		s.drop(policy.Reset)
-		return s.tell(st, s.state.Lost(st, false, "its server had gone"))
-	}
-	x.runs(true)
-	s.target.Store(x.server)
-	defer s.target.Store(nil)
+		f.outcomes[refused].Add(1)
+		return s.sendError(wire.Refused(0))
+	}
+	resolve := func(k engine.ResultKind) { f.pool.ResolveDeferred(r, engine.Result{Kind: k, Server: x.serverID}) }
+	x.deadline = time.Now().Add(wait)
+	if !x.quiescent() {
+		resolve(engine.Failed)
+		s.closeConn(policy.Reset)
+		return s.reportLoss(st, s.state.Lost(st, false, "its server had gone"))
+	}
+	x.setRunning(true)
+	s.runningOn.Store(x.serverConn)
+	defer s.runningOn.Store(nil)
 	err := write()
 	if err == nil {
-		err = s.firstOf(x, c)
+		err = s.awaitReply(x, c)
 	}
 	if err != nil {
-		settle(engine.Failed)
-		if errors.Is(err, errGone) || f.door.Context().Err() != nil {
-			f.transport.kill(x.to, x.thread)
-			s.drop(policy.Canceled)
-			f.statements[left].Add(1)
-			return errEnd
+		resolve(engine.Failed)
+		if errors.Is(err, errClientLeft) || f.acceptor.Context().Err() != nil {
+			f.transport.killAsync(x.endpoint, x.threadID)
+			s.closeConn(policy.Canceled)
+			f.outcomes[left].Add(1)
+			return errSessionEnded
 		}
 		var answer *wire.Error
-		var sync errSync
-		if errors.As(err, &sync) && errors.As(err, &answer) { // to PREPARE: the session goes on
-			f.statements[errored].Add(1)
-			return s.fail(answer)
+		var beforeStatement errBeforeStatement
+		// The server rejected the PREPARE before the EXECUTE: the session continues.
+		if errors.As(err, &beforeStatement) && errors.As(err, &answer) {
+			f.outcomes[errored].Add(1)
+			return s.sendError(answer)
 		}
 		why := "the server went before it answered"
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			why = "the server did not answer in time"
-			f.transport.kill(x.to, x.thread)
+			f.transport.killAsync(x.endpoint, x.threadID)
 		}
-		s.drop(policy.Reset)
-		return s.tell(st, s.state.Lost(st, !errors.As(err, &sync), why))
+		s.closeConn(policy.Reset)
+		return s.reportLoss(st, s.state.Lost(st, !errors.As(err, &beforeStatement), why))
 	}
-	settle(engine.Served)
-	return s.relay(st, p)
+	resolve(engine.Served)
+	return s.relayReply(st, p)
 }
 
-// errGone tells that the client left while it waited.
-var errGone = errors.New("the client has left")
+// errClientLeft means that the client disconnected while it waited for a reply.
+var errClientLeft = errors.New("the client has left")
 
-// firstOf reads the first packet of a reply, and looks meanwhile whether the client is still there.
-func (s *client) firstOf(x *exchange, c wire.Command) error {
-	until := x.until
+// awaitReply waits for a reply and reads its first packets. Meanwhile it checks whether the client
+// has disconnected.
+func (s *clientSession) awaitReply(x *exchange, c wire.Command) error {
+	until := x.deadline
 	for {
-		if end := s.f.ending(); !end.IsZero() && end.Answer.Before(until) {
+		if end := s.frontend.shutdownSchedule(); !end.IsZero() && end.Answer.Before(until) {
 			until = end.Answer
 		}
-		if next := time.Now().Add(watchEvery); next.Before(until) {
-			x.until = next
+		if next := time.Now().Add(disconnectPollInterval); next.Before(until) {
+			x.deadline = next
 		} else {
-			x.until = until
+			x.deadline = until
 		}
 		_, err := x.wire.Peek()
 		if err == nil {
@@ -639,84 +649,86 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) || !time.Now().Before(until) {
 			return err
 		}
-		if s.gone() || s.f.door.Context().Err() != nil {
-			return errGone
+		if s.disconnected() || s.frontend.acceptor.Context().Err() != nil {
+			return errClientLeft
 		}
 	}
-	x.until = until
+	x.deadline = until
 	var err error
-	x.reply, x.held, err = x.begin(c)
+	x.reply, x.heldPackets, err = x.readReplyStart(c)
 	return err
 }
 
-// relay passes on the reply whose first packet has come, notes what it means for the session, and lets go of the connection if nothing
-// keeps it. p is the statement that was prepared or executed.
-func (s *client) relay(st *session.Statement, p *prepared) error {
-	f, x := s.f, s.x
-	s.target.Store(x.server)
-	defer s.target.Store(nil)
-	x.until = time.Time{} // what comes now may be as long as it likes, but may not stand still
+// relayReply relays a reply whose first packets have been read, updates the session state, and
+// releases the connection if the session is not bound to it. p is the statement that was prepared or
+// executed.
+func (s *clientSession) relayReply(st *session.Statement, p *preparedStatement) error {
+	f, x := s.frontend, s.exchange
+	s.runningOn.Store(x.serverConn)
+	defer s.runningOn.Store(nil)
+	x.deadline = time.Time{} // the rest of the reply has no deadline, only the stall timeout
 	wrote := false
-	err := s.pass(x, &wrote)
-	x.runs(false)
+	err := s.copyReply(x, &wrote)
+	x.setRunning(false)
 	var to wire.ErrTo
 	switch {
-	case errors.As(err, &to): // the client has left, or takes nothing
-		f.transport.kill(x.to, x.thread)
-		s.drop(policy.OK)
-		f.statements[left].Add(1)
-		return errEnd
+	case errors.As(err, &to): // the client has disconnected or reads nothing
+		f.transport.killAsync(x.endpoint, x.threadID)
+		s.closeConn(policy.OK)
+		f.outcomes[left].Add(1)
+		return errSessionEnded
 	case err != nil:
-		f.transport.some.Do(func() { f.log.Warn("a reply broke off", "server", string(x.at), "err", err) })
-		s.drop(policy.OK)
-		if wrote { // within a packet: nothing that is sent now would be understood
-			f.statements[lost].Add(1)
-			return errEnd
+		f.transport.warnLimit.Do(func() { f.log.Warn("reply interrupted", "server", string(x.serverID), "err", err) })
+		s.closeConn(policy.OK)
+		if wrote { // within a packet: an error packet would be read as part of it
+			f.outcomes[lost].Add(1)
+			return errSessionEnded
 		}
 		l := s.state.Lost(st, true, "the reply broke off")
 		if l.Error != nil && l.Error.Code == wire.Failed("").Code {
 			l.Error = wire.Broken("its server went")
 		}
-		return s.tell(st, l)
+		return s.reportLoss(st, l)
 	}
 	reply := x.reply
 	if reply.Error != nil {
-		f.statements[errored].Add(1)
+		f.outcomes[errored].Add(1)
 	} else {
-		f.statements[served].Add(1)
+		f.outcomes[served].Add(1)
 	}
-	keep := s.state.Ended(st, reply.Reported) || s.forever
-	if !s.forever && s.state.Bound() {
-		x.said.dirty = true
+	keep := s.state.Ended(st, reply.Reported) || s.dedicated
+	if !s.dedicated && s.state.Bound() {
+		x.applied.dirty = true
 	}
 	if st.Schema != "" && reply.Error == nil {
-		x.said.schema = st.Schema
+		x.applied.schema = st.Schema
 	}
 	if len(st.Settings) > 0 && reply.Error == nil {
-		x.said.settings = joined(s.state.Settings())
+		x.applied.settings = settingsKey(s.state.Settings())
 	} else if len(st.Settings) > 0 || st.Pins != 0 {
-		x.said.dirty, x.said.settings = true, "?"
+		x.applied.dirty, x.applied.settings = true, "?"
 	}
-	s.bound.Store(keep && (s.forever || s.state.Bound()))
+	s.bound.Store(keep && (s.dedicated || s.state.Bound()))
 	if !keep {
-		s.give()
-	} else if !s.forever && !f.pool.ServerUsable(x.at) && !s.state.Bound() {
-		f.moved.Add(1)
-		s.give()
+		s.releaseConn()
+	} else if !s.dedicated && !f.pool.ServerUsable(x.serverID) && !s.state.Bound() {
+		f.migrated.Add(1)
+		s.releaseConn()
 	}
 	return nil
 }
 
-// pass passes a reply on, packet by packet. wrote tells that part of a packet has gone out.
-func (s *client) pass(x *exchange, wrote *bool) error {
-	for _, b := range x.held {
+// copyReply copies a reply to the client, packet by packet. It sets wrote if it fails after part of
+// a packet was written.
+func (s *clientSession) copyReply(x *exchange, wrote *bool) error {
+	for _, b := range x.heldPackets {
 		if err := s.wire.Write(b); err != nil {
 			return wire.NewErrTo(err)
 		}
 	}
-	x.held = nil
+	x.heldPackets = nil
 	for !x.reply.Done() {
-		if x.wire.R.Buffered() == 0 { // what comes next may take a while
+		if x.wire.R.Buffered() == 0 { // the next packet may take a while
 			if err := s.wire.W.Flush(); err != nil {
 				return wire.NewErrTo(err)
 			}
@@ -755,178 +767,180 @@
 	return nil
 }
 
-// prepared returns the statement that a command names, nil if there is none.
-func (s *client) prepared(b []byte) *prepared {
+// findPrepared returns the prepared statement that a command refers to, or nil.
+func (s *clientSession) findPrepared(b []byte) *preparedStatement {
 	if len(b) < 5 {
 		return nil
 	}
 	return s.statements[binary.LittleEndian.Uint32(b[1:])]
 }
 
-// prepare answers COM_STMT_PREPARE. The statement keeps its number whichever server runs it.
-func (s *client) prepare(b []byte) error {
+// prepare answers COM_STMT_PREPARE. The statement keeps its ID whichever server runs it.
+func (s *clientSession) prepare(b []byte) error {
 	sql := string(b[1:])
-	if len(s.statements) >= mostStatements || s.text+len(sql) > mostPreparedText {
-		return s.fail(&wire.Error{Code: 1461, State: "42000", Message: "too many prepared statements in this session"})
+	if len(s.statements) >= maxStatements || s.preparedBytes+len(sql) > maxPreparedBytes {
+		return s.sendError(&wire.Error{Code: 1461, State: "42000", Message: "too many prepared statements in this session"})
 	}
-	p := &prepared{sql: sql, schema: s.state.Schema(), scan: s.scan(sql)}
-	if p.scan.Kill != nil || p.scan.Local {
-		return s.fail(wire.NotCarried("this statement, prepared,"))
+	p := &preparedStatement{sql: sql, schema: s.state.Schema(), parsed: s.scan(sql)}
+	if p.parsed.Kill != nil || p.parsed.Local {
+		return s.sendError(wire.NotCarried("this statement, prepared,"))
 	}
-	for s.last++; s.last == 0 || s.statements[s.last] != nil; s.last++ {
+	for s.lastStatementID++; s.lastStatementID == 0 || s.statements[s.lastStatementID] != nil; s.lastStatementID++ {
 	}
-	p.id = s.last
-	st := session.Statement{Verb: p.scan.Verb, Read: true, Hint: p.scan.Hint}
-	return s.preparing(b, &st, p)
+	p.id = s.lastStatementID
+	st := session.Statement{Verb: p.parsed.Verb, Read: true, Hint: p.parsed.Hint}
+	return s.prepareOnServer(b, &st, p)
 }
 
-// preparing has a server prepare a statement, and tells the client this side's number of it.
-func (s *client) preparing(b []byte, st *session.Statement, p *prepared) error {
-	plan := s.state.Plan(st, s.x != nil)
+// prepareOnServer prepares a statement on a server and replaces the server's statement ID in the
+// reply by the session's own.
+func (s *clientSession) prepareOnServer(b []byte, st *session.Statement, p *preparedStatement) error {
+	plan := s.state.Plan(st, s.exchange != nil)
 	if plan.Place == session.Nowhere {
-		s.f.statements[lost].Add(1)
-		return s.fail(plan.Error)
+		s.frontend.outcomes[lost].Add(1)
+		return s.sendError(plan.Error)
 	}
-	had := s.x != nil && (s.state.Bound() || s.forever)
-	if s.x != nil && !had {
-		s.give()
+	useCurrent := s.exchange != nil && (s.state.Bound() || s.dedicated)
+	if s.exchange != nil && !useCurrent {
+		s.releaseConn()
 	}
-	f := s.f
-	name, wait := s.class(st, st.Hint.Timeout)
-	if had {
+	f := s.frontend
+	name, wait := s.classify(st, st.Hint.Timeout)
+	if useCurrent {
 		r := &engine.Request{Class: name, Timeout: wait}
 		if err := f.pool.SubmitDeferred(r); err != nil {
-			return s.fail(wire.Refused(0))
+			return s.sendError(wire.Refused(0))
 		}
-		x := s.x
-		x.until = time.Now().Add(wait)
-		err := x.write(&job{command: wire.StmtPrepare, message: b})
+		x := s.exchange
+		x.deadline = time.Now().Add(wait)
+		err := x.sendCommand(&job{command: wire.StmtPrepare, message: b})
 		if err == nil {
-			err = s.firstOf(x, wire.StmtPrepare)
+			err = s.awaitReply(x, wire.StmtPrepare)
 		}
 		if err != nil {
-			f.pool.ResolveDeferred(r, engine.Result{Kind: engine.Failed, Server: x.at})
-			s.drop(policy.Reset)
-			if errors.Is(err, errGone) {
-				return errEnd
+			f.pool.ResolveDeferred(r, engine.Result{Kind: engine.Failed, Server: x.serverID})
+			s.closeConn(policy.Reset)
+			if errors.Is(err, errClientLeft) {
+				return errSessionEnded
 			}
-			return s.tell(st, s.state.Lost(st, true, "the server went before it answered"))
+			return s.reportLoss(st, s.state.Lost(st, true, "the server went before it answered"))
 		}
-		f.pool.ResolveDeferred(r, engine.Result{Kind: engine.Served, Server: x.at})
+		f.pool.ResolveDeferred(r, engine.Result{Kind: engine.Served, Server: x.serverID})
 	} else {
 		j := &job{
-			command: wire.StmtPrepare, message: b, profile: profile{s.caps & shaping, s.charset}, schema: s.state.Schema(), settings: s.state.Settings(), read: true,
+			command: wire.StmtPrepare, message: b, profile: profile{s.caps & replyCapabilities, s.charset}, schema: s.state.Schema(), settings: s.state.Settings(), read: true,
 		}
 		r := &engine.Request{Class: name, Timeout: wait, Payload: j}
 		if err := f.pool.Submit(r, f.pool.Now()); err != nil {
-			f.statements[refused].Add(1)
-			return s.fail(wire.Refused(0))
+			f.outcomes[refused].Add(1)
+			return s.sendError(wire.Refused(0))
 		}
-		result, ok := s.await(r)
+		result, ok := s.awaitResult(r)
 		if !ok {
-			return errEnd
+			return errSessionEnded
 		}
 		if result.Kind != engine.Served {
-			return s.unserved(st, result)
+			return s.reportUnserved(st, result)
 		}
-		s.x = result.Reply.(*exchange)
+		s.exchange = result.Reply.(*exchange)
 	}
-	x := s.x
+	x := s.exchange
 	if x.reply.Error == nil {
 		p.params = int(x.reply.Prepared.Params)
-		s.text += len(p.sql)
+		s.preparedBytes += len(p.sql)
 		s.statements[p.id] = p
 		key := p.schema + "\x00" + p.sql
-		if old := x.prepared[key]; old == nil && len(x.order) < mostPrepared {
-			x.know(key, &remote{id: x.reply.Prepared.ID, params: p.params})
+		if old := x.prepared[key]; old == nil && len(x.preparedOrder) < maxPreparedPerConn {
+			x.addPrepared(key, &remoteStatement{id: x.reply.Prepared.ID, params: p.params})
 		}
 		head := x.reply.Prepared
 		head.ID = p.id
-		x.held[0] = head.Append(nil)
+		x.heldPackets[0] = head.Append(nil)
 	}
-	return s.relay(st, p)
+	return s.relayReply(st, p)
 }
 
 // execute answers COM_STMT_EXECUTE.
-func (s *client) execute(b []byte) error {
-	p := s.prepared(b)
+func (s *clientSession) execute(b []byte) error {
+	p := s.findPrepared(b)
 	if p == nil {
-		return s.fail(wire.UnknownStatement())
+		return s.sendError(wire.UnknownStatement())
 	}
 	e, err := session.ParseExecution(b, p.params, p.types)
-	defer func() { p.long, p.size = nil, 0 }()
+	defer func() { p.longData, p.longDataSize = nil, 0 }()
 	if err != nil {
 		var answer *wire.Error
 		if errors.As(err, &answer) {
-			return s.fail(answer)
+			return s.sendError(answer)
 		}
-		return s.fail(wire.OutOfOrder(err))
+		return s.sendError(wire.OutOfOrder(err))
 	}
 	p.types = e.Types
-	return s.statement(wire.StmtExecute, nil, p.scan, p, e)
+	return s.runStatement(wire.StmtExecute, nil, p.parsed, p, e)
 }
 
-// longData keeps a piece of a parameter until the statement is executed, wherever that is. There is no answer to it.
-func (s *client) longData(b []byte) error {
-	p := s.prepared(b)
+// longData stores part of a parameter until the statement is executed, as the server is only known
+// then. COM_STMT_SEND_LONG_DATA has no reply.
+func (s *clientSession) longData(b []byte) error {
+	p := s.findPrepared(b)
 	if p == nil || len(b) < 7 {
-		return nil // the EXECUTE will be told
+		return nil // the EXECUTE reports the error
 	}
-	if p.size += len(b); p.size > s.f.cfg.MaxStatementSize {
+	if p.longDataSize += len(b); p.longDataSize > s.frontend.cfg.MaxStatementSize {
 		s.wire.Expect(1)
-		s.fail(wire.TooLarge(s.f.cfg.MaxStatementSize))
-		return errEnd
+		s.sendError(wire.TooLarge(s.frontend.cfg.MaxStatementSize))
+		return errSessionEnded
 	}
-	p.long = append(p.long, b)
+	p.longData = append(p.longData, b)
 	return nil
 }
 
-// reset answers COM_RESET_CONNECTION.
-func (s *client) reset(b []byte) error {
-	if s.forever {
-		err := s.here(wire.ResetConnection, b, &session.Statement{Verb: "reset"}, 0)
-		if err == nil && s.x != nil {
+// resetConnection answers COM_RESET_CONNECTION.
+func (s *clientSession) resetConnection(b []byte) error {
+	if s.dedicated {
+		err := s.runOnCurrent(wire.ResetConnection, b, &session.Statement{Verb: "reset"}, 0)
+		if err == nil && s.exchange != nil {
 			s.state.Reset(s.state.Schema())
-			s.statements, s.text = map[uint32]*prepared{}, 0
+			s.statements, s.preparedBytes = map[uint32]*preparedStatement{}, 0
 		}
 		return err
 	}
-	s.begin(s.state.Schema())
-	return s.ok()
+	s.resetSession(s.state.Schema())
+	return s.sendOK()
 }
 
-// begin begins the session anew.
-func (s *client) begin(schema string) {
-	if s.x != nil {
+// resetSession resets the session to its initial state with the given schema.
+func (s *clientSession) resetSession(schema string) {
+	if s.exchange != nil {
 		if s.state.Bound() { // the server rolls back
-			s.drop(policy.OK)
+			s.closeConn(policy.OK)
 		} else {
-			s.give()
+			s.releaseConn()
 		}
 	}
 	s.state.Reset(schema)
-	s.statements, s.text = map[uint32]*prepared{}, 0
+	s.statements, s.preparedBytes = map[uint32]*preparedStatement{}, 0
 	s.bound.Store(false)
 }
 
-// kill answers KILL.
-func (s *client) kill(k *session.Kill) error {
-	v := s.f.find(k.ID)
-	if v == nil || s.user.Name == "" || v.name() != s.user.Name {
-		return s.fail(&wire.Error{Code: 1094, State: "HY000", Message: "Unknown thread id"})
+// killSession answers KILL and KILL QUERY.
+func (s *clientSession) killSession(k *session.Kill) error {
+	victim := s.frontend.findSession(k.ID)
+	if victim == nil || s.user.Name == "" || victim.currentUser() != s.user.Name {
+		return s.sendError(&wire.Error{Code: 1094, State: "HY000", Message: "Unknown thread id"})
 	}
-	to := v.target.Load()
+	to := victim.runningOn.Load()
 	if !k.Query {
-		v.raw.Close() // whoever serves it sees to the rest
-		return s.ok()
+		victim.raw.Close() // the goroutine that serves it cleans up
+		return s.sendOK()
 	}
-	if s.f.cfg.Account.User == "" {
-		return s.fail(wire.NotCarried("KILL QUERY without an account"))
+	if s.frontend.cfg.Account.User == "" {
+		return s.sendError(wire.NotCarried("KILL QUERY without an account"))
 	}
 	if to != nil {
-		if _, err := s.f.transport.end(to); err != nil {
-			return s.fail(wire.Failed("the server cannot be told: " + err.Error()))
+		if _, err := s.frontend.transport.killRunning(to); err != nil {
+			return s.sendError(wire.Failed("the server cannot be told: " + err.Error()))
 		}
 	}
-	return s.ok()
+	return s.sendOK()
 }
--- a/internal/mysql/proxy/client_login.go
+++ b/internal/mysql/proxy/client_login.go
@@ -11,139 +11,144 @@
 	"quillfront/policy"
 )
 
-// login lets the client in, or tells it why not.
-func (s *client) login() error {
-	if s.f.cfg.Auth == AuthPassThrough {
-		return s.passLogin()
+// login runs the login of the client. If the login is rejected, the client has been told why.
+func (s *clientSession) login() error {
+	if s.frontend.cfg.Auth == AuthPassThrough {
+		return s.passThroughLogin()
 	}
-	c := s.f.cfg
+	c := s.frontend.cfg
 	g := wire.Greeting{
-		Version: version, ThreadID: s.id, Scramble: wire.NewScramble(), Capabilities: carried, Charset: 45, Status: wire.Autocommit, Plugin: c.Plugin,
+		Version: version, ThreadID: s.id, Scramble: wire.NewScramble(), Capabilities: supportedCapabilities, Charset: 45, Status: wire.Autocommit, Plugin: c.Plugin,
 	}
 	l, err := s.greet(g)
 	if err != nil {
 		return err
 	}
 	s.caps, s.charset = l.Capabilities&g.Capabilities, l.Charset
-	if err := s.proved(l.User, l.Plugin, l.Proof, g.Scramble, l.Schema); err != nil {
+	if err := s.authenticate(l.User, l.Plugin, l.Proof, g.Scramble, l.Schema); err != nil {
 		return err
 	}
 	s.state = session.New(l.Schema, s.charset)
-	return s.ok()
+	return s.sendOK()
 }
 
-// greet sends a greeting, and returns the client's login, over TLS if it asks for it.
-func (s *client) greet(g wire.Greeting) (wire.Login, error) {
-	if s.f.cfg.TLS != nil {
+// greet sends a greeting and returns the client's login. It upgrades the connection to TLS if the
+// client requests it.
+func (s *clientSession) greet(g wire.Greeting) (wire.Login, error) {
+	if s.frontend.cfg.TLS != nil {
 		g.Capabilities |= wire.SSL
 	}
 	if err := s.send(g.Append(nil)); err != nil {
 		return wire.Login{}, err
 	}
-	b, err := s.wire.Read(mostLogin)
+	b, err := s.wire.Read(maxLoginPacket)
 	if err != nil {
-		return wire.Login{}, s.misread(err)
+		return wire.Login{}, s.rejectLogin(err)
 	}
-	if wire.IsSSLRequest(b) && s.f.cfg.TLS != nil {
+	if wire.IsSSLRequest(b) && s.frontend.cfg.TLS != nil {
 		early, _ := s.wire.R.Peek(s.wire.R.Buffered())
-		c := tls.Server(wire.Behind(early, s.raw), s.f.cfg.TLS)
-		if err := c.HandshakeContext(s.f.door.Context()); err != nil {
+		c := tls.Server(wire.Behind(early, s.raw), s.frontend.cfg.TLS)
+		if err := c.HandshakeContext(s.frontend.acceptor.Context()); err != nil {
 			return wire.Login{}, err
 		}
 		s.conn = c
 		s.wire.R.Reset(c)
-		if b, err = s.wire.Read(mostLogin); err != nil {
-			return wire.Login{}, s.misread(err)
+		if b, err = s.wire.Read(maxLoginPacket); err != nil {
+			return wire.Login{}, s.rejectLogin(err)
 		}
 	}
 	l, err := wire.ParseLogin(b)
 	if err != nil {
-		return l, s.misread(err)
+		return l, s.rejectLogin(err)
 	}
 	return l, nil
 }
 
-func (s *client) misread(err error) error {
+func (s *clientSession) rejectLogin(err error) error {
 	if errors.Is(err, wire.ErrMalformed) || errors.Is(err, wire.ErrSequence) || errors.Is(err, wire.ErrTooLarge) || errors.Is(err, wire.ErrOldClient) {
-		s.fail(wire.OutOfOrder(err))
+		s.sendError(wire.OutOfOrder(err))
 	}
-	return errEnd
+	return errSessionEnded
 }
 
-func (s *client) deny(user string) error {
-	s.fail(wire.Denied(user))
-	return errEnd
+func (s *clientSession) denyAccess(user string) error {
+	s.sendError(wire.Denied(user))
+	return errSessionEnded
 }
 
-// proved checks that the client is who it says, and may do what it wants.
-func (s *client) proved(name, plugin string, proof, scramble []byte, schema string) error {
-	u, k, fast, known := s.f.users.find(name)
-	want := s.f.cfg.Plugin
+// authenticate verifies the client's password and checks its connection limit and its access to
+// schema.
+func (s *clientSession) authenticate(name, plugin string, proof, scramble []byte, schema string) error {
+	u, k, fast, known := s.frontend.users.find(name)
+	want := s.frontend.cfg.Plugin
 	if plugin != want {
 		scramble = wire.NewScramble()
 		if err := s.send(wire.AppendSwitch(nil, want, scramble)); err != nil {
 			return err
 		}
 		var err error
-		if proof, err = s.wire.Read(mostLogin); err != nil {
-			return s.misread(err)
+		if proof, err = s.wire.Read(maxLoginPacket); err != nil {
+			return s.rejectLogin(err)
 		}
 	}
 	switch {
 	case fast && (!known || !k.Proves(want, proof, scramble)):
-		// A salted password that was changed is asked for in full.
+		// The fast check also fails when a salted password has been changed. The client is then
+		// asked for the password itself.
 		if !known || u.SaltedHash == "" {
-			return s.deny(name)
+			return s.denyAccess(name)
 		}
 		fallthrough
 	case !fast:
-		ok, err := s.full(known, u, scramble, len(proof) == 0)
+		ok, err := s.verifyFullPassword(known, u, scramble, len(proof) == 0)
 		if err != nil {
 			return err
 		}
 		if !ok {
-			return s.deny(name)
+			return s.denyAccess(name)
 		}
 	case want == wire.SHA2 && len(proof) > 0:
 		if err := s.send([]byte{wire.AuthMore, wire.FastOK}); err != nil {
 			return err
 		}
 	}
-	if why := s.guest.SetUser(name); why != connlimit.Admitted {
-		s.fail(&wire.Error{Code: 1203, State: "42000", Message: why.String()})
-		return errEnd
+	if why := s.slot.SetUser(name); why != connlimit.Admitted {
+		s.sendError(&wire.Error{Code: 1203, State: "42000", Message: why.String()})
+		return errSessionEnded
 	}
 	if !u.mayUse(schema) {
-		s.fail(&wire.Error{Code: 1044, State: "42000", Message: "Access denied to this schema"})
-		return errEnd
+		s.sendError(&wire.Error{Code: 1044, State: "42000", Message: "Access denied to this schema"})
+		return errSessionEnded
 	}
-	s.is(u)
+	s.setUser(u)
 	return nil
 }
 
-// full asks for the password itself: through TLS as it is, else encrypted. Where some are asked so, those who are not known are too.
-func (s *client) full(known bool, u User, scramble []byte, empty bool) (bool, error) {
-	if empty || s.f.cfg.Plugin != wire.SHA2 {
+// verifyFullPassword asks the client for the password itself and verifies it. The password is sent
+// in clear text over TLS and RSA-encrypted otherwise. Unknown users are asked as well, if any user
+// is, so that the exchange does not reveal which users exist.
+func (s *clientSession) verifyFullPassword(known bool, u User, scramble []byte, empty bool) (bool, error) {
+	if empty || s.frontend.cfg.Plugin != wire.SHA2 {
 		return false, nil
 	}
 	if err := s.send([]byte{wire.AuthMore, wire.FullNeeded}); err != nil {
 		return false, err
 	}
-	b, err := s.wire.Read(mostLogin)
+	b, err := s.wire.Read(maxLoginPacket)
 	if err != nil {
-		return false, s.misread(err)
+		return false, s.rejectLogin(err)
 	}
 	password := ""
 	if s.conn != s.raw {
 		if len(b) == 0 || b[len(b)-1] != 0 {
-			return false, s.misread(wire.ErrMalformed)
+			return false, s.rejectLogin(wire.ErrMalformed)
 		}
 		password = string(b[:len(b)-1])
 	} else {
 		if len(b) != 1 || b[0] != wire.KeyRequested {
-			return false, s.misread(wire.ErrMalformed)
+			return false, s.rejectLogin(wire.ErrMalformed)
 		}
-		key, err := theKey()
+		key, err := passwordKey()
 		if err != nil {
 			return false, err
 		}
@@ -154,94 +159,95 @@
 		if err := s.send(append([]byte{wire.AuthMore}, text...)); err != nil {
 			return false, err
 		}
-		if b, err = s.wire.Read(mostLogin); err != nil {
-			return false, s.misread(err)
+		if b, err = s.wire.Read(maxLoginPacket); err != nil {
+			return false, s.rejectLogin(err)
 		}
 		if password, err = wire.Decrypt(b, scramble, key); err != nil {
 			return false, nil
 		}
 	}
-	return known && s.f.users.full(u, password), nil
+	return known && s.frontend.users.verifyPassword(u, password), nil
 }
 
-// passLogin has a server picked for the client, and passes the login on between them.
-func (s *client) passLogin() error {
-	f := s.f
+// passThroughLogin lets the engine pick a server for the client and relays the login between them.
+func (s *clientSession) passThroughLogin() error {
+	f := s.frontend
 	st := &session.Statement{Verb: "connect", Read: true}
-	s.state = session.New("", 45) // for its class
-	name, wait := s.class(st, 0)
+	s.state = session.New("", 45) // classify reads the schema
+	name, wait := s.classify(st, 0)
 	s.state = nil
-	r := &engine.Request{Class: name, Timeout: wait, Payload: &job{open: true, read: true}}
+	r := &engine.Request{Class: name, Timeout: wait, Payload: &job{passThrough: true, read: true}}
 	if err := f.pool.Submit(r, f.pool.Now()); err != nil {
-		s.fail(wire.Closing("the proxy is ending"))
-		return errEnd
+		s.sendError(wire.Closing("the proxy is ending"))
+		return errSessionEnded
 	}
-	result, ok := s.await(r)
+	result, ok := s.awaitResult(r)
 	if !ok {
-		return errEnd
+		return errSessionEnded
 	}
 	if result.Kind != engine.Served {
 		e := wire.TooMany("no server can take a connection now")
-		s.fail(e)
-		return errEnd
+		s.sendError(e)
+		return errSessionEnded
 	}
 	x := result.Reply.(*exchange)
-	err := s.between(x)
+	err := s.relayLogin(x)
 	if err != nil {
 		x.Close()
-		x.end(policy.OK)
-		return errEnd
+		x.finish(policy.OK)
+		return errSessionEnded
 	}
-	s.x, s.forever = x, true
+	s.exchange, s.dedicated = x, true
 	s.bound.Store(true)
 	return nil
 }
 
-// between passes the login on, with the server's own scramble, so that neither proof nor password is known here.
-func (s *client) between(x *exchange) error {
-	g := x.hello
-	if !g.Capabilities.Has(needed) {
-		s.fail(wire.Closing("the server is too old"))
-		return errEnd
+// relayLogin relays the login with the server's own scramble. The proxy therefore needs neither the
+// password nor a hash of it.
+func (s *clientSession) relayLogin(x *exchange) error {
+	g := x.greeting
+	if !g.Capabilities.Has(requiredCapabilities) {
+		s.sendError(wire.Closing("the server is too old"))
+		return errSessionEnded
 	}
 	g.ThreadID = s.id
-	g.Capabilities &= carried
+	g.Capabilities &= supportedCapabilities
 	l, err := s.greet(g)
 	if err != nil {
 		return err
 	}
-	if (s.conn == s.raw) != (s.f.cfg.ServerTLS == nil) {
-		s.fail(&wire.Error{Code: 3159, State: "HY000", Message: "Connections using insecure transport are prohibited"})
-		return errEnd
+	if (s.conn == s.raw) != (s.frontend.cfg.ServerTLS == nil) {
+		s.sendError(&wire.Error{Code: 3159, State: "HY000", Message: "Connections using insecure transport are prohibited"})
+		return errSessionEnded
 	}
 	l.Capabilities &= g.Capabilities
 	s.caps, s.charset = l.Capabilities, l.Charset
-	if why := s.guest.SetUser(l.User); why != connlimit.Admitted {
-		s.fail(&wire.Error{Code: 1203, State: "42000", Message: why.String()})
-		return errEnd
+	if why := s.slot.SetUser(l.User); why != connlimit.Admitted {
+		s.sendError(&wire.Error{Code: 1203, State: "42000", Message: why.String()})
+		return errSessionEnded
 	}
-	if err := s.f.transport.secure(s.f.door.Context(), x.server, x.hello, &l); err != nil {
-		s.fail(wire.Closing("no TLS with the server"))
+	if err := s.frontend.transport.startTLS(s.frontend.acceptor.Context(), x.serverConn, x.greeting, &l); err != nil {
+		s.sendError(wire.Closing("no TLS with the server"))
 		return err
 	}
 	if err := x.send(l.Append(nil)); err != nil {
 		return err
 	}
-	x.profile, x.said.schema = profile{s.caps & shaping, s.charset}, l.Schema
-	if err := s.prove(x); err != nil {
+	x.profile, x.applied.schema = profile{s.caps & replyCapabilities, s.charset}, l.Schema
+	if err := s.relayAuthExchange(x); err != nil {
 		return err
 	}
-	s.is(User{Name: l.User})
+	s.setUser(User{Name: l.User})
 	s.state = session.New(l.Schema, s.charset)
 	return nil
 }
 
-// prove passes the messages of a login on until the server lets the client in.
-func (s *client) prove(x *exchange) error {
-	for range mostRounds {
-		b, err := x.wire.Read(mostLogin)
+// relayAuthExchange relays authentication packets until the server accepts the client.
+func (s *clientSession) relayAuthExchange(x *exchange) error {
+	for range maxLoginPackets {
+		b, err := x.wire.Read(maxLoginPacket)
 		if err != nil {
-			s.fail(wire.Closing("the server went"))
+			s.sendError(wire.Closing("the server went"))
 			return err
 		}
 		if err := s.send(b); err != nil {
@@ -249,70 +255,71 @@
 		}
 		switch {
 		case len(b) == 0:
-			return errEnd
+			return errSessionEnded
 		case b[0] == 0:
 			return nil
 		case b[0] == 0xff:
-			return errEnd
+			return errSessionEnded
 		case b[0] == wire.AuthMore && len(b) == 2 && b[1] == wire.FastOK:
 			continue
 		}
-		if b, err = s.wire.Read(mostLogin); err != nil {
+		if b, err = s.wire.Read(maxLoginPacket); err != nil {
 			return err
 		}
 		if err := x.send(b); err != nil {
 			return err
 		}
 	}
-	return errEnd
+	return errSessionEnded
 }
 
 // changeUser answers COM_CHANGE_USER.
-func (s *client) changeUser(b []byte) error {
+func (s *clientSession) changeUser(b []byte) error {
 	u, err := wire.ParseUserChange(b, s.caps)
 	if err != nil {
-		return s.unread(err)
+		return s.rejectCommand(err)
 	}
-	if s.forever {
-		return s.passChange(b, u)
+	if s.dedicated {
+		return s.passThroughChangeUser(b, u)
 	}
-	s.begin("")
+	s.resetSession("")
 	if u.Charset != 0 {
 		s.charset = u.Charset
 	}
-	// Its proof is of a scramble that has been used: it is asked for another.
+	// The proof in the command is for a scramble that was already used, so the client is asked for
+	// a proof of a new one.
 	scramble := wire.NewScramble()
-	if err := s.send(wire.AppendSwitch(nil, s.f.cfg.Plugin, scramble)); err != nil {
+	if err := s.send(wire.AppendSwitch(nil, s.frontend.cfg.Plugin, scramble)); err != nil {
 		return err
 	}
-	proof, err := s.wire.Read(mostLogin)
+	proof, err := s.wire.Read(maxLoginPacket)
 	if err != nil {
-		return s.misread(err)
+		return s.rejectLogin(err)
 	}
-	if err := s.proved(u.User, s.f.cfg.Plugin, proof, scramble, u.Schema); err != nil {
+	if err := s.authenticate(u.User, s.frontend.cfg.Plugin, proof, scramble, u.Schema); err != nil {
 		return err
 	}
 	s.state = session.New(u.Schema, s.charset)
-	return s.ok()
+	return s.sendOK()
 }
 
-// passChange passes a change of user on to the session's server.
-func (s *client) passChange(b []byte, u wire.UserChange) error {
-	if why := s.guest.SetUser(u.User); why != connlimit.Admitted {
-		s.fail(&wire.Error{Code: 1203, State: "42000", Message: why.String()})
-		return errEnd
+// passThroughChangeUser relays COM_CHANGE_USER to the session's server.
+func (s *clientSession) passThroughChangeUser(b []byte, u wire.UserChange) error {
+	if why := s.slot.SetUser(u.User); why != connlimit.Admitted {
+		s.sendError(&wire.Error{Code: 1203, State: "42000", Message: why.String()})
+		return errSessionEnded
 	}
-	x := s.x
+	x := s.exchange
 	x.wire.Reset()
 	if err := x.send(b); err != nil {
 		return err
 	}
-	if err := s.prove(x); err != nil {
+	if err := s.relayAuthExchange(x); err != nil {
 		return err
 	}
-	s.is(User{Name: u.User})
+	s.setUser(User{Name: u.User})
 	s.state = session.New(u.Schema, s.charset)
-	s.statements, s.text = map[uint32]*prepared{}, 0
-	x.prepared, x.order = map[string]*remote{}, nil
+	s.statements, s.preparedBytes = map[uint32]*preparedStatement{}, 0
+	x.prepared, x.preparedOrder = map[string]*remoteStatement{}, nil
 	return nil
 }
--- a/internal/mysql/proxy/config.go
+++ b/internal/mysql/proxy/config.go
@@ -1,6 +1,7 @@
-// Package proxy takes MySQL clients and passes their statements on: a front that listens, keeps their sessions and asks the decision
-// module for a server for each statement that may run anywhere, and a transport that keeps the connections to the servers. What a
-// session means for where a statement may run is decided in package session.
+// Package proxy is a MySQL proxy. The Frontend accepts clients, keeps their sessions and submits
+// each statement that may run on any server to the engine, which picks a server. The Transport
+// manages the connections to the servers. Package session decides from the state of a session where
+// a statement may run.
 package proxy
 
 import (
@@ -14,73 +15,76 @@
 	"quillfront/internal/mysql/wire"
 )
 
-// Auth says who looks at clients' credentials.
+// Auth selects who checks the credentials of clients.
 type Auth int
 
-// The ways.
+// The authentication modes.
 const (
-	// AuthUsers are checked here, and servers are reached with an account of the operator's: connections to them serve many clients.
+	// AuthUsers checks clients against Config.Users and logs in to servers with Config.Account, so
+	// that a server connection can serve many clients.
 	AuthUsers Auth = iota
-	// AuthPassThrough has the server check them: a client has one connection to one server for its whole life.
+	// AuthPassThrough leaves the check to the server: each client has one connection to one server
+	// for its whole life.
 	AuthPassThrough
 )
 
-// Config is a MySQL service. Zero values take their defaults.
+// Config configures a MySQL service. WithDefaults replaces zero values by their defaults.
 type Config struct {
 	Name   string
 	Listen string // host:port
 	Pool   string
 
 	Auth    Auth
-	Plugin  string // with Users: by which clients are asked to prove their passwords; caching_sha2_password
-	Users   []User // with Users
+	Plugin  string // authentication plugin for clients, with AuthUsers; caching_sha2_password
+	Users   []User // with AuthUsers
 	Account Account
 
-	TLS       *tls.Config // offered to clients; nil: none
-	ServerTLS *tls.Config // with servers; nil: none
-
-	Rules        []Rule // what class a statement is of; the first that matches holds
-	DefaultClass string // the class of those that no rule matches
-	Hints        bool   // a comment in a statement may name its class, key and timeout
-
-	MaxStatementSize  int           // bytes of a statement; 16 MiB
-	StatementMemory   int64         // bytes of all statements under way that are over 64 KiB; 64 MiB
-	StallTimeout      time.Duration // how long a peer may take nothing, or pause within a message; 30 s
-	IdleTimeout       time.Duration // how long a client may say nothing; 8 h
-	LoginTimeout      time.Duration // how long it may take to log in; 10 s
-	HoldTimeout       time.Duration // how long a connection is kept for what a statement has left on it; 1 s
-	DrainTimeout      time.Duration // how long a transaction may stay at a server that takes nothing new; 10 s
-	ShutdownTimeout   time.Duration // how long sessions may go on once this process is to end; 10 s
-	MaxIdlePerServer  int           // idle connections kept to each server; 32
-	MaxConnsPerServer int           // connections in use at each server; one more is tried elsewhere, or refused; 0: no bound
-
-	// LoadQuery asks a server for its load: the last value of its first row is the queue. Empty: this process's own statements at it
-	// are.
+	TLS       *tls.Config // offered to clients; nil: no TLS
+	ServerTLS *tls.Config // used with servers; nil: no TLS
+
+	Rules        []Rule // determine the class of a statement; the first match applies
+	DefaultClass string // class of statements that no rule matches
+	Hints        bool   // whether a comment in a statement may set its class, key and timeout
+
+	MaxStatementSize  int           // bytes per statement; 16 MiB
+	StatementMemory   int64         // total bytes of the running statements that are over 64 KiB; 64 MiB
+	StallTimeout      time.Duration // longest time a peer may read nothing or pause within a message; 30 s
+	IdleTimeout       time.Duration // longest time between commands of a client; 8 h
+	LoginTimeout      time.Duration // time limit for the login of a client; 10 s
+	HoldTimeout       time.Duration // how long state of the last statement keeps a connection held; 1 s
+	DrainTimeout      time.Duration // how long a transaction may stay on a draining server; 10 s
+	ShutdownTimeout   time.Duration // how long sessions may continue after shutdown begins; 10 s
+	MaxIdlePerServer  int           // idle connections per server; 32
+	MaxConnsPerServer int           // connections in use; others go to another server or fail; 0: no limit
+
+	// LoadQuery is a query for the load of a server: the last value of its first row is the queue
+	// length. If it is empty, the number of this process's own statements on the server is used.
 	LoadQuery string
 
 	ConnLimits connlimit.Limits
 }
 
-// Account is how servers are reached with Users.
+// Account holds the credentials that the proxy uses on servers.
 type Account struct{ User, Password string }
 
-// User is somebody who may log in.
+// User is a client account with AuthUsers.
 type User struct {
 	Name     string
 	Password wire.Known
-	// SaltedHash, in place of Password, is a hash that takes the password itself to check: "pbkdf2$rounds$salt$hash", in hex.
+	// SaltedHash replaces Password by "pbkdf2$rounds$salt$hash", with salt and hash in hex. The
+	// client has to send the password itself, as this hash cannot verify a challenge response.
 	SaltedHash string
-	Schemas    []string // that it may choose; nil: all
+	Schemas    []string // allowed schemas; nil: all
 }
 
-// Rule says what class some statements are of. An empty field matches all.
+// Rule assigns a class to the statements that match it. An empty field matches everything.
 type Rule struct {
 	User, Schema string
-	Verb         string // the statement's first word, in lower case
+	Verb         string // first word of the statement, in lower case
 	Class        string
 }
 
-// WithDefaults returns c with its defaults.
+// WithDefaults returns c with zero values replaced by their defaults.
 func (c Config) WithDefaults() Config {
 	c.Plugin = cmp.Or(c.Plugin, wire.SHA2)
 	c.MaxStatementSize, c.StatementMemory = cmp.Or(c.MaxStatementSize, 16<<20), cmp.Or(c.StatementMemory, 64<<20)
@@ -90,7 +94,8 @@
 	return c
 }
 
-// Check tells the first key that cannot be used. class tells whether the pool has a class of that name.
+// Check returns an error that names the first invalid key. class reports whether the pool has a
+// class of the given name.
 func (c Config) Check(class func(string) bool) error {
 	d := c.WithDefaults()
 	switch {
@@ -107,11 +112,11 @@
 	case c.Auth == AuthUsers && c.Account.User == "":
 		return errors.New("account: not set")
 	case c.Auth == AuthPassThrough && len(c.Users) > 0:
-		return errors.New("users: they are not looked at with auth \"pass\"")
+		return errors.New("users: not used with auth \"pass\"")
 	case c.Auth == AuthPassThrough && (c.TLS == nil) != (c.ServerTLS == nil):
-		return errors.New("tls: with auth \"pass\" both sides or neither: a password sent through one of them alone would be refused or laid open")
+		return errors.New("tls: auth \"pass\" needs TLS on both sides or neither: with one alone a password would be refused or exposed")
 	case c.Auth == AuthPassThrough && c.LoadQuery != "" && c.Account.User == "":
-		return errors.New("load_query: it takes an account")
+		return errors.New("load_query: requires an account")
 	case d.MaxStatementSize < 1<<10 || d.MaxStatementSize > 1<<30:
 		return fmt.Errorf("most_statement: %d is outside 1 KiB to 1 GiB", c.MaxStatementSize)
 	case d.StatementMemory < int64(d.MaxStatementSize):
@@ -132,18 +137,18 @@
 	seen := map[string]bool{}
 	for _, u := range c.Users {
 		if u.Name == "" {
-			return errors.New("users: one has no name")
+			return errors.New("users: a user has no name")
 		}
 		if seen[u.Name] {
 			return fmt.Errorf("users: %q is there twice", u.Name)
 		}
 		seen[u.Name] = true
 		if u.SaltedHash != "" {
-			if _, err := parseSalted(u.SaltedHash); err != nil {
+			if _, err := parseSaltedHash(u.SaltedHash); err != nil {
 				return fmt.Errorf("users: %q: %w", u.Name, err)
 			}
 			if d.Plugin != wire.SHA2 {
-				return fmt.Errorf("users: %q: a salted password takes plugin %s", u.Name, wire.SHA2)
+				return fmt.Errorf("users: %q: a salted password requires plugin %s", u.Name, wire.SHA2)
 			}
 		}
 	}
@@ -155,7 +160,8 @@
 	return c.ConnLimits.Check()
 }
 
-// classOf returns the class of a statement: what its hint says if that may be said and is a class, else what the rules say.
+// classOf returns the class of a statement: that of its hint if hints are enabled and the class
+// exists, else that of the first matching rule, else the default class.
 func (c *Config) classOf(user, schema, verb, hint string, class func(string) bool) string {
 	if c.Hints && hint != "" && class(hint) {
 		return hint
--- a/internal/mysql/proxy/frontend.go
+++ b/internal/mysql/proxy/frontend.go
@@ -20,64 +20,70 @@
 	"quillfront/internal/sockets"
 )
 
-// lookEvery is how often sessions at rest are looked at: their limits are as exact.
-const lookEvery = 50 * time.Millisecond
+// idleCheckInterval is the interval at which idle sessions are checked. The time limits of sessions
+// are accurate to within it.
+const idleCheckInterval = 50 * time.Millisecond
 
-// smallStatement is what a statement may have without its bytes being counted.
-const smallStatement = 64 << 10
+// unaccountedStatementSize is the largest statement whose bytes do not count towards
+// Config.StatementMemory.
+const unaccountedStatementSize = 64 << 10
 
-// Frontend takes the clients of one service.
+// Frontend serves the clients of one service.
 type Frontend struct {
-	cfg       Config
-	pool      *pool.Pool
-	transport *Transport
-	budget    *sockets.Budget
-	users     *directory
-	door      *acceptor.Acceptor
-	room      *semaphore.Weighted // for the bytes of statements
-	log       *slog.Logger
-	schedule  atomic.Pointer[shutdown.Schedule] // of the end; nil: it is not to end
+	cfg             Config
+	pool            *pool.Pool
+	transport       *Transport
+	budget          *sockets.Budget
+	users           *userDirectory
+	acceptor        *acceptor.Acceptor
+	statementBudget *semaphore.Weighted // bytes of large statements
+	log             *slog.Logger
+	schedule        atomic.Pointer[shutdown.Schedule] // nil until Shutdown is called
 
 	mu       sync.Mutex
-	sessions map[uint32]*client
-	last     uint32
+	sessions map[uint32]*clientSession
+	lastID   uint32
 
-	statements [answers]atomic.Uint64
-	moved      atomic.Uint64
-	drained    atomic.Uint64
+	outcomes     [outcomeCount]atomic.Uint64
+	migrated     atomic.Uint64
+	drainExpired atomic.Uint64
 }
 
-// answer is how a statement was answered.
-type answer int
+// outcome says how a statement was answered.
+type outcome int
 
 const (
-	served  answer = iota
-	errored        // by a server
-	refused        // with 9001
-	unknown        // with 9002
-	lost           // with any other of this side's errors
-	left           // its client left
-	answers
+	served  outcome = iota
+	errored         // with an error of a server
+	refused         // with 9001
+	unknown         // with 9002
+	lost            // with any other error of the proxy
+	left            // not answered: the client disconnected
+	outcomeCount
 )
 
-// New returns a front of p, whose servers t reaches, which takes descriptors from b. c must have been checked.
+// New returns a frontend that submits statements to p. t is the transport of p, and b is the
+// descriptor budget. c must have passed Check.
 func New(c Config, p *pool.Pool, t *Transport, b *sockets.Budget, log *slog.Logger) *Frontend {
 	c = c.WithDefaults()
 	log = log.With("mysql", c.Name)
 	return &Frontend{
-		cfg: c, pool: p, transport: t, budget: b, users: newDirectory(c.Users), door: acceptor.New(c.ConnLimits, log), room: semaphore.NewWeighted(c.StatementMemory), log: log,
-		sessions: map[uint32]*client{},
+		cfg: c, pool: p, transport: t, budget: b, users: newUserDirectory(c.Users), acceptor: acceptor.New(c.ConnLimits, log), statementBudget: semaphore.NewWeighted(c.StatementMemory), log: log,
+		sessions: map[uint32]*clientSession{},
 	}
 }
 
-// SetUsers makes users those that may log in from now on.
+// SetUsers replaces the users that may log in. Sessions that are logged in continue.
 func (f *Frontend) SetUsers(users []User) { f.users.set(users) }
 
-// Serve takes connections from ln until Shutdown or Close. It closes ln.
-func (f *Frontend) Serve(ln net.Listener) error { return f.door.Serve(ln, f.look, turnAway, f.take) }
+// Serve accepts connections from ln until Shutdown or Close is called. It closes ln.
+func (f *Frontend) Serve(ln net.Listener) error {
+	return f.acceptor.Serve(ln, f.checkIdleSessions, reject, f.serveClient)
+}
 
-// turnAway tells a client that it may not connect. It waits for nobody.
-func turnAway(c net.Conn, why connlimit.Reason) {
+// reject tells a client that it may not connect and closes the connection. The write may block for
+// 10 ms at most.
+func reject(c net.Conn, why connlimit.Reason) {
 	e := wire.TooMany(why.String())
 	if why == connlimit.Closed {
 		e = wire.Closing("the proxy is ending")
@@ -90,25 +96,25 @@
 	c.Close()
 }
 
-// take serves one client until it leaves.
-func (f *Frontend) take(c net.Conn, g *connlimit.Slot) {
+// serveClient serves one client until it disconnects.
+func (f *Frontend) serveClient(c net.Conn, g *connlimit.Slot) {
 	defer c.Close()
-	ctx, cancel := context.WithTimeout(f.door.Context(), f.cfg.LoginTimeout)
+	ctx, cancel := context.WithTimeout(f.acceptor.Context(), f.cfg.LoginTimeout)
 	release, err := f.budget.AcquireClient(ctx)
 	cancel()
 	if err != nil {
-		turnAway(c, connlimit.TotalLimit)
+		reject(c, connlimit.TotalLimit)
 		return
 	}
 	defer release()
 	f.mu.Lock()
-	if f.door.Context().Err() != nil {
+	if f.acceptor.Context().Err() != nil {
 		f.mu.Unlock()
 		return
 	}
-	for f.last++; f.last == 0 || f.sessions[f.last] != nil; f.last++ {
+	for f.lastID++; f.lastID == 0 || f.sessions[f.lastID] != nil; f.lastID++ {
 	}
-	s := newClient(f, f.last, c, g)
+	s := newClientSession(f, f.lastID, c, g)
 	f.sessions[s.id] = s
 	f.mu.Unlock()
 	defer func() {
@@ -116,90 +122,92 @@
 		delete(f.sessions, s.id)
 		f.mu.Unlock()
 	}()
-	s.run()
+	s.serve()
 }
 
-// find returns a session by its number.
-func (f *Frontend) find(id uint32) *client {
+// findSession returns the session with the given connection ID, or nil.
+func (f *Frontend) findSession(id uint32) *clientSession {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sessions[id]
 }
 
-func (f *Frontend) all() []*client {
+func (f *Frontend) allSessions() []*clientSession {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Collect(maps.Values(f.sessions))
 }
 
-// look looks at sessions at rest until the front is closed.
-func (f *Frontend) look() {
-	tick := time.NewTicker(lookEvery)
+// checkIdleSessions checks idle sessions periodically until the frontend is closed.
+func (f *Frontend) checkIdleSessions() {
+	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-f.door.Context().Done():
+		case <-f.acceptor.Context().Done():
 			return
 		case <-tick.C:
 		}
 		now := time.Now()
-		for _, s := range f.all() {
-			s.look(now)
+		for _, s := range f.allSessions() {
+			s.checkIdle(now)
 		}
 	}
 }
 
-// Shutdown takes nobody new, closes sessions as they come to rest outside of a transaction, and all that are left as the
-// patience ends. A statement that has no answer then is told as one that may have run. If ctx ends before, they are cut off.
+// Shutdown stops accepting clients and closes each session as soon as it is idle outside of a
+// transaction. Sessions that remain at the end of Config.ShutdownTimeout are closed; a statement
+// without an answer by then is reported as one that may have run. If ctx ends earlier, the remaining
+// sessions are disconnected.
 func (f *Frontend) Shutdown(ctx context.Context) error {
 	schedule := shutdown.WithinContext(ctx, f.cfg.ShutdownTimeout)
 	f.schedule.Store(&schedule)
 	ctx, cancel := context.WithDeadline(ctx, schedule.Exit)
 	defer cancel()
-	err := f.door.Drain(ctx)
+	err := f.acceptor.Drain(ctx)
 	f.Close()
 	return err
 }
 
-// ending returns the schedule by which the front ends; it is zero as long as it is not to.
-func (f *Frontend) ending() shutdown.Schedule {
+// shutdownSchedule returns the schedule of the shutdown, or zero if Shutdown was not called.
+func (f *Frontend) shutdownSchedule() shutdown.Schedule {
 	if s := f.schedule.Load(); s != nil {
 		return *s
 	}
 	return shutdown.Schedule{}
 }
 
-// Close cuts all sessions off, and returns once nothing of the front runs.
+// Close disconnects all sessions and returns when all goroutines of the frontend have ended.
 func (f *Frontend) Close() {
-	f.door.Close(func() {
-		for _, s := range f.all() {
+	f.acceptor.Close(func() {
+		for _, s := range f.allSessions() {
 			s.raw.Close()
 		}
 	})
 }
 
-// Stats counts what a front does.
+// Stats holds the statistics of a frontend.
 type Stats struct {
 	Connections  connlimit.Stats
 	Sessions     int
-	Bound        int               // of them, in a transaction or otherwise bound to their server
-	Statements   map[string]uint64 // by answer
-	Migrated     uint64            // sessions that went on at another server
-	DrainExpired uint64            // sessions whose server took nothing more and whose time there was up
+	Bound        int               // sessions in a transaction or otherwise bound to their server
+	Statements   map[string]uint64 // by outcome
+	Migrated     uint64            // times a session left a draining server that it was not bound to
+	DrainExpired uint64            // sessions cut from a draining server after Config.DrainTimeout
 	ServerConns  ConnCounts
 }
 
-// Stats returns the present counts.
+// Stats returns the current statistics.
 func (f *Frontend) Stats() Stats {
-	all := f.all()
-	s := Stats{Connections: f.door.Stats(), Sessions: len(all), Statements: map[string]uint64{}, Migrated: f.moved.Load(), DrainExpired: f.drained.Load(), ServerConns: f.transport.Stats()}
+	all := f.allSessions()
+	s := Stats{Connections: f.acceptor.Stats(), Sessions: len(all), Statements: map[string]uint64{}, Migrated: f.migrated.Load(), DrainExpired: f.drainExpired.Load(), ServerConns: f.transport.Stats()}
 	for _, c := range all {
 		if c.bound.Load() {
 			s.Bound++
 		}
 	}
 	for i, name := range []string{"served", "error", "refused", "unknown", "lost", "left"} {
-		if n := f.statements[i].Load(); n > 0 {
+		if n := f.outcomes[i].Load(); n > 0 {
 			s.Statements[name] = n
 		}
 	}
--- a/internal/mysql/proxy/mysql2_test.go
+++ b/internal/mysql/proxy/mysql2_test.go
@@ -10,8 +10,9 @@
 	"testing"
 )
 
-// TestSecondClient: another client, written independently in another language, sees through the front what it sees at the server itself. It
-// runs where QUILLFRONT_MYSQL2 names a directory in which `npm install mysql2` was run; docs/operate/mysql.md says how.
+// TestSecondClient checks that mysql2, an independent client in another language, sees the same
+// through the frontend as at the server itself. It runs if QUILLFRONT_MYSQL2 names a directory in
+// which `npm install mysql2` was run; docs/operate/mysql.md describes this.
 func TestSecondClient(t *testing.T) {
 	dir := os.Getenv("QUILLFRONT_MYSQL2")
 	if dir == "" {
@@ -21,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	script := filepath.Join(dir, "quillfront-session.mjs") // a module is found from where the script stands
+	script := filepath.Join(dir, "quillfront-session.mjs") // node resolves modules relative to the script
 	if err := os.WriteFile(script, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -38,12 +39,12 @@
 	}
 	for _, auth := range []Auth{AuthUsers, AuthPassThrough} {
 		for _, many := range []string{"0", "1"} {
-			w := open(t, options{servers: 1, proxy: Config{Auth: auth}})
+			w := newTestEnv(t, options{servers: 1, proxy: Config{Auth: auth}})
 			got := session(w.addr, many)
 			w.db.Reset()
 			want := session(w.servers[0].Addr(), many)
 			if got != want || strings.Count(want, "\n") < 22 {
-				t.Errorf("%v, %s: through the front\n%sat the server\n%s", auth, many, got, want)
+				t.Errorf("%v, %s: through the frontend\n%sat the server\n%s", auth, many, got, want)
 			}
 		}
 	}
--- a/internal/mysql/proxy/orders_test.go
+++ b/internal/mysql/proxy/orders_test.go
@@ -19,47 +19,48 @@
 	"quillfront/internal/pool"
 )
 
-// tally is what became of a run of orders.
-type tally struct {
-	acknowledged, refused, unknown, rolledBack, twice, missing, ranThough, other int
+// orderCounts counts the outcomes of a run of orders.
+type orderCounts struct {
+	acknowledged, refused, unknown, rolledBack, duplicated, missing, ranUnreported, other int
 }
 
-// TestOrders: thousands of orders, alone, in transactions and prepared, while servers are killed before, during and after each phase, drain
-// and dawdle: none is executed twice, none is acknowledged and missing, none that is called not run has run, and each statement has one
-// answer.
+// TestOrders runs thousands of orders as single, transactional and prepared statements while servers
+// fail before, during and after statements, drain and respond slowly. No order may be executed
+// twice, be acknowledged but missing, or have run although it was reported as not run, and each
+// statement gets exactly one answer.
 func TestOrders(t *testing.T) {
 	n := 4000
-	got := run(t, n, nil)
+	got := runOrders(t, n, nil)
 	t.Logf("%+v", got)
-	if got.twice+got.missing+got.ranThough+got.other > 0 {
+	if got.duplicated+got.missing+got.ranUnreported+got.other > 0 {
 		t.Errorf("%+v", got)
 	}
 	if got.acknowledged < n*8/10 || got.unknown == 0 || got.rolledBack == 0 {
-		t.Errorf("the run shows too little: %+v", got)
+		t.Errorf("the run covers too few outcomes: %+v", got)
 	}
 }
 
-// TestOrdersUnguarded: the same run shows orders that are executed twice once the decision module is told that statements may all be
-// repeated.
+// TestOrdersUnguarded checks that TestOrders can detect duplicates: orders are executed twice when
+// the class declares all statements as safe to repeat.
 func TestOrdersUnguarded(t *testing.T) {
-	got := run(t, 1000, func(c *pool.Class) { c.ByRequest, c.Safe = false, true })
+	got := runOrders(t, 1000, func(c *pool.Class) { c.ByRequest, c.Safe = false, true })
 	t.Logf("%+v", got)
-	if got.twice == 0 {
-		t.Error("the run does not show what the guard is for")
+	if got.duplicated == 0 {
+		t.Error("no order was executed twice without the protection")
 	}
 }
 
-// run plays n orders.
-func run(t *testing.T, n int, class func(*pool.Class)) (got tally) {
-	w := open(t, options{servers: 4, deadline: 4 * time.Second, class: class, proxy: Config{DrainTimeout: 300 * time.Millisecond}})
-	w.make(func(server, sql string) standin.Trouble { // by the statement alone, so that a seed gives the same
+// runOrders places n orders and counts their outcomes.
+func runOrders(t *testing.T, n int, class func(*pool.Class)) (got orderCounts) {
+	w := newTestEnv(t, options{servers: 4, deadline: 4 * time.Second, class: class, proxy: Config{DrainTimeout: 300 * time.Millisecond}})
+	w.setFault(func(server, sql string) standin.Trouble { // by the number of the statement and the seed alone, to be reproducible
 		if !strings.Contains(sql, "INSERT") && sql != "COMMIT" && sql != "BEGIN" && !strings.HasPrefix(sql, "UPDATE") {
 			return standin.Trouble{}
 		}
 		w.mu.Lock()
-		w.count++
+		w.faultCalls++
 		h := fnv.New32a()
-		fmt.Fprint(h, w.count, "seed 12")
+		fmt.Fprint(h, w.faultCalls, "seed 12")
 		w.mu.Unlock()
 		switch v := h.Sum32() % 400; {
 		case v < 2:
@@ -77,16 +78,16 @@
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	var chaos sync.WaitGroup
-	chaos.Go(func() { // servers drain and come back, and drop all their connections
+	chaos.Go(func() { // servers drain, come back and drop all their connections
 		rng := rand.New(rand.NewPCG(3, 12))
 		for ctx.Err() == nil {
 			i := rng.IntN(4)
-			w.set(i, true)
+			w.setDraining(i, true)
 			select {
 			case <-time.After(150 * time.Millisecond):
 			case <-ctx.Done():
 			}
-			w.set(i, false)
+			w.setDraining(i, false)
 			if i := rng.IntN(4); rng.IntN(3) == 0 {
 				w.servers[i].BreakOff()
 			}
@@ -101,13 +102,13 @@
 	acknowledged, unsure := map[string]bool{}, map[string]bool{}
 	var work sync.WaitGroup
 	for range 12 {
-		db := w.client("")
+		db := w.newClient("")
 		work.Go(func() {
 			for i := range jobs {
 				id := fmt.Sprint("order-", i)
-				err := order(db, id, i%3)
+				err := placeOrder(db, id, i%3)
 				mu.Lock()
-				switch c := code(err); {
+				switch c := errorCode(err); {
 				case err == nil:
 					acknowledged[id] = true
 					got.acknowledged++
@@ -132,10 +133,10 @@
 	ran := w.db.Executed()
 	for id, times := range ran {
 		if times > 1 {
-			got.twice++
+			got.duplicated++
 		}
 		if !acknowledged[id] && !unsure[id] {
-			got.ranThough++
+			got.ranUnreported++
 		}
 	}
 	for id := range acknowledged {
@@ -146,9 +147,9 @@
 	return got
 }
 
-// order executes one order: alone, in a transaction, or prepared.
-func order(db *sql.DB, id string, how int) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// placeOrder places one order: as a single statement, prepared, or in a transaction.
+func placeOrder(db *sql.DB, id string, how int) error {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c, err := db.Conn(ctx)
 	if err != nil {
@@ -172,7 +173,7 @@
 	}
 	if err == nil {
 		_, err = c.ExecContext(ctx, "COMMIT")
-		if code(err) != 9003 {
+		if errorCode(err) != 9003 {
 			return err
 		}
 	}
@@ -180,14 +181,14 @@
 	if errors.As(err, &e) {
 		c.ExecContext(ctx, "ROLLBACK")
 	}
-	if code(err) == wire.Failed("").Code {
+	if errorCode(err) == wire.Failed("").Code {
 		return fmt.Errorf("in a transaction: %w", err)
 	}
 	return err
 }
 
-// set lists a server as draining or not.
-func (w *world) set(i int, drain bool) {
+// setDraining marks a server as draining or not.
+func (w *testEnv) setDraining(i int, drain bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cfg.Servers[i].Drain = drain
--- a/internal/mysql/proxy/raw_client_test.go
+++ b/internal/mysql/proxy/raw_client_test.go
@@ -10,8 +10,8 @@
 	"quillfront/internal/mysql/wire"
 )
 
-// raw is a client that says what the real one never does.
-type raw struct {
+// rawClient sends packets that the go-sql-driver client never sends.
+type rawClient struct {
 	net.Conn
 	wire wire.Conn
 	t    testing.TB
@@ -19,16 +19,16 @@
 	caps wire.Capability
 }
 
-// dial logs in.
-func dial(t testing.TB, w *world, user, password string) *raw {
+// dialRaw connects to the frontend and logs in.
+func dialRaw(t testing.TB, w *testEnv, user, password string) *rawClient {
 	t.Helper()
 	c, err := net.Dial("tcp", w.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	r := &raw{Conn: c, t: t, caps: wire.Protocol41 | wire.SecureConnection | wire.PluginAuth | wire.DeprecateEOF | wire.PluginAuthLenenc}
+	c.SetDeadline(time.Now().Add(testTimeout))
+	r := &rawClient{Conn: c, t: t, caps: wire.Protocol41 | wire.SecureConnection | wire.PluginAuth | wire.DeprecateEOF | wire.PluginAuthLenenc}
 	r.wire.R, r.wire.W = bufio.NewReader(c), bufio.NewWriter(c)
 	b, err := r.wire.Read(1 << 16)
 	if err != nil {
@@ -55,19 +55,19 @@
 	}
 }
 
-func (r *raw) send(b []byte) {
+func (r *rawClient) send(b []byte) {
 	r.wire.Write(b)
 	r.wire.W.Flush()
 }
 
-// ask sends a command.
-func (r *raw) ask(c wire.Command, text string) {
+// sendCommand sends a command.
+func (r *rawClient) sendCommand(c wire.Command, text string) {
 	r.wire.Reset()
 	r.send(append([]byte{byte(c)}, text...))
 }
 
-// answer returns the first packet of the answer, nil if there is none.
-func (r *raw) answer() []byte {
+// readAnswer returns the next packet of the answer, or nil after an error.
+func (r *rawClient) readAnswer() []byte {
 	b, err := r.wire.Read(1 << 20)
 	if err != nil {
 		return nil
@@ -75,14 +75,14 @@
 	return b
 }
 
-// next returns the next packet, whose number is that of a first answer.
-func (r *raw) next() ([]byte, error) {
+// readFirstAnswer returns the next packet, which must have sequence number 1.
+func (r *rawClient) readFirstAnswer() ([]byte, error) {
 	r.wire.Expect(1)
 	return r.wire.Read(1 << 20)
 }
 
-// more reads what is left of a result of one column, of which the first packet has been read.
-func (r *raw) more(reply *session.Reply) bool {
+// readRest reads the rest of a result of one column after its first packet.
+func (r *rawClient) readRest(reply *session.Reply) bool {
 	reply.Take([]byte{1})
 	for !reply.Done() {
 		p, err := r.wire.Peek()
@@ -100,15 +100,15 @@
 	return true
 }
 
-// changeUser reports whether it is let in as another user.
-func (r *raw) changeUser(user, password string) bool {
+// changeUser sends COM_CHANGE_USER and reports whether the login as another user succeeds.
+func (r *rawClient) changeUser(user, password string) bool {
 	b := append([]byte{byte(wire.ChangeUser)}, user...)
 	b = append(b, 0, 0, 0, 45, 0)
 	b = append(append(b, wire.SHA2...), 0)
 	r.wire.Reset()
 	r.send(b)
 	for {
-		b := r.answer()
+		b := r.readAnswer()
 		switch {
 		case len(b) == 0 || b[0] == 0xff:
 			return false
--- a/internal/mysql/proxy/rsa_key.go
+++ b/internal/mysql/proxy/rsa_key.go
@@ -6,6 +6,7 @@
 	"sync"
 )
 
-// theKey is the key by which clients encrypt their passwords where there is no TLS. It is made when it is first needed, and lives as long
-// as the process: no client keeps it.
-var theKey = sync.OnceValues(func() (*rsa.PrivateKey, error) { return rsa.GenerateKey(rand.Reader, 2048) })
+// passwordKey returns the RSA key with which clients without TLS encrypt their passwords for
+// caching_sha2_password. It is generated on first use and lives as long as the process; clients do
+// not store it.
+var passwordKey = sync.OnceValues(func() (*rsa.PrivateKey, error) { return rsa.GenerateKey(rand.Reader, 2048) })
--- a/internal/mysql/proxy/server_login.go
+++ b/internal/mysql/proxy/server_login.go
@@ -16,129 +16,134 @@
 )
 
 const (
-	// mostLogin bounds a message of the login, in bytes.
-	mostLogin = 64 << 10
-	// mostRounds bounds its messages.
-	mostRounds = 10
-	// loginDials is how many times the time of a connect a login at a server may take in all: one that stalls is as good as dead.
-	loginDials = 4
-	clientRead = 2 << 10 // of a client's connection at rest
-	serverRead = 16 << 10
+	// maxLoginPacket is the maximum size of a packet of the login, in bytes.
+	maxLoginPacket = 64 << 10
+	// maxLoginPackets is the maximum number of packets that a server may send during a login.
+	maxLoginPackets = 10
+	// loginTimeoutFactor times the dial timeout limits the whole login to a server. A server that
+	// stalls in the login counts as unreachable.
+	loginTimeoutFactor = 4
+	clientReadBuffer   = 2 << 10 // per client connection, also while it is idle
+	serverReadBuffer   = 16 << 10
 )
 
-// carried is what clients may agree on. Compression, files of the client, attributes of queries and results without definitions are
-// not.
-const carried = wire.LongPassword | wire.FoundRows | wire.LongFlag | wire.ConnectWithDB | wire.IgnoreSpace | wire.Protocol41 |
+// supportedCapabilities are the capabilities offered to clients. Compression, LOCAL INFILE, query
+// attributes and optional result set metadata are not supported.
+const supportedCapabilities = wire.LongPassword | wire.FoundRows | wire.LongFlag | wire.ConnectWithDB | wire.IgnoreSpace | wire.Protocol41 |
 	wire.Interactive | wire.Transactions | wire.SecureConnection | wire.MultiStatements | wire.MultiResults | wire.PSMultiResults |
 	wire.PluginAuth | wire.ConnectAttrs | wire.PluginAuthLenenc | wire.SessionTrack | wire.DeprecateEOF
 
-// needed is what a server must have.
-const needed = wire.Protocol41 | wire.SecureConnection | wire.PluginAuth | wire.Transactions
+// requiredCapabilities are the capabilities that a server must have.
+const requiredCapabilities = wire.Protocol41 | wire.SecureConnection | wire.PluginAuth | wire.Transactions
 
-// shaping are the capabilities that change what replies look like or mean: a connection is of use to a client that agreed on the same.
-const shaping = wire.FoundRows | wire.IgnoreSpace | wire.MultiStatements | wire.MultiResults | wire.PSMultiResults | wire.SessionTrack |
+// replyCapabilities are the capabilities that change the format or meaning of replies. A server
+// connection can only be used for clients that negotiated the same ones.
+const replyCapabilities = wire.FoundRows | wire.IgnoreSpace | wire.MultiStatements | wire.MultiResults | wire.PSMultiResults | wire.SessionTrack |
 	wire.DeprecateEOF | wire.Interactive
 
-// askable are those of them that only ask something of a server, which it may not know; replies look the same.
-const askable = wire.IgnoreSpace | wire.Interactive
+// optionalCapabilities are those replyCapabilities that a server need not support, as they do not
+// change the format of replies.
+const optionalCapabilities = wire.IgnoreSpace | wire.Interactive
 
-// profile is what connections to servers that can be used for the same clients have in common.
+// profile holds the negotiated properties that a server connection must share with the clients that
+// it is used for.
 type profile struct {
 	caps    wire.Capability
 	charset byte
 }
 
-// server is a connection to a server that has let it in.
-type server struct {
+// serverConn is a connection to a server. It is authenticated, except while a login runs.
+type serverConn struct {
 	net.Conn
-	raw     net.Conn // under TLS, else Conn itself
-	to      engine.Endpoint
-	release func()
-	peek    *sockets.Peeker
-	wire    wire.Conn
-	thread  uint32
-	version string
-	profile profile
-	stall   time.Duration // how long the server may pause where there is no deadline
-	until   time.Time     // the deadline; zero: none
+	raw          net.Conn // the TCP connection below TLS, or Conn itself
+	endpoint     engine.Endpoint
+	release      func()
+	peeker       *sockets.Peeker
+	wire         wire.Conn
+	threadID     uint32
+	version      string
+	profile      profile
+	stallTimeout time.Duration // longest pause of the server if there is no deadline
+	deadline     time.Time     // zero: none
 
-	killing sync.Mutex // held while the end of its statement is ordered
-	running bool       // a statement
-	killed  bool       // such an order may come late: it is not used for anything else
+	killMu  sync.Mutex // held while a KILL QUERY for the connection runs
+	running bool       // a statement runs on the connection
+	killed  bool       // a KILL QUERY may take effect late, so the connection is not reused
 
-	said     said
-	prepared map[string]*remote // by the schema and text of a statement
-	order    []string           // of prepared, the oldest first
-	since    time.Time          // of its last use
+	applied       sessionState
+	prepared      map[string]*remoteStatement // by schema and SQL text
+	preparedOrder []string                    // keys of prepared, oldest first
+	lastUsed      time.Time                   // when it was last put back; zero: never
 }
 
-// said is what a server was told of a session's settings.
-type said struct {
+// sessionState is the session state that was set on a server connection.
+type sessionState struct {
 	schema   string
-	settings string // joined
-	dirty    bool   // more was left on it than is known
+	settings string // as returned by settingsKey
+	dirty    bool   // the connection may have further state that is not recorded here
 }
 
-// remote is a statement that a server has prepared.
-type remote struct {
+// remoteStatement is a statement prepared on a server connection.
+type remoteStatement struct {
 	id     uint32
 	params int
-	types  string // of the parameters, as they were told last
+	types  string // parameter types of the last execution
 }
 
-// Read is the method of net.Conn, within the deadline and the time that a peer may pause.
-func (s *server) Read(p []byte) (int, error) {
-	end := s.until
+// Read implements net.Conn. It applies the deadline, or the stall timeout if there is none.
+func (s *serverConn) Read(p []byte) (int, error) {
+	end := s.deadline
 	if end.IsZero() {
-		end = time.Now().Add(s.stall)
+		end = time.Now().Add(s.stallTimeout)
 	}
 	s.Conn.SetReadDeadline(end)
 	return s.Conn.Read(p)
 }
 
-// Write is the method of net.Conn.
-func (s *server) Write(p []byte) (int, error) {
-	s.Conn.SetWriteDeadline(time.Now().Add(s.stall))
+// Write implements net.Conn. It applies the stall timeout.
+func (s *serverConn) Write(p []byte) (int, error) {
+	s.Conn.SetWriteDeadline(time.Now().Add(s.stallTimeout))
 	return s.Conn.Write(p)
 }
 
-// Close closes the connection and gives its descriptor back.
-func (s *server) Close() error {
+// Close closes the connection and returns its descriptor to the budget.
+func (s *serverConn) Close() error {
 	err := s.raw.Close()
 	s.release()
 	return err
 }
 
-// runs notes whether a statement is under way. It waits for an order to end it.
-func (s *server) runs(is bool) {
-	s.killing.Lock()
-	defer s.killing.Unlock()
-	s.running = is
+// setRunning records whether a statement runs on the connection. It waits for a KILL QUERY that is
+// in progress.
+func (s *serverConn) setRunning(running bool) {
+	s.killMu.Lock()
+	defer s.killMu.Unlock()
+	s.running = running
 }
 
-// quiet reports whether the server has said nothing that is still to be read, nor closed.
-func (s *server) quiet() bool { return s.wire.R.Buffered() == 0 && s.peek.Empty() }
+// quiescent reports whether there is no unread data and the server has not closed the connection.
+func (s *serverConn) quiescent() bool { return s.wire.R.Buffered() == 0 && s.peeker.Empty() }
 
-// dial connects to a server; the caller logs in.
-func (t *Transport) dial(ctx context.Context, to engine.Endpoint) (*server, wire.Greeting, error) {
+// dial connects to a server and reads its greeting. The caller logs in.
+func (t *Transport) dial(ctx context.Context, to engine.Endpoint) (*serverConn, wire.Greeting, error) {
 	var g wire.Greeting
 	release, err := t.budget.Acquire(ctx)
 	if err != nil {
 		return nil, g, err
 	}
-	c, err := (&net.Dialer{Timeout: t.dialTime}).DialContext(ctx, "tcp", to.Addr)
+	c, err := (&net.Dialer{Timeout: t.dialTimeout}).DialContext(ctx, "tcp", to.Addr)
 	if err != nil {
 		release()
 		return nil, g, err
 	}
-	s := &server{Conn: c, raw: c, to: to, release: release, peek: sockets.NewPeeker(c), stall: t.cfg.StallTimeout, prepared: map[string]*remote{}}
-	s.wire.R, s.wire.W = bufio.NewReaderSize(s, serverRead), bufio.NewWriterSize(s, serverRead)
+	s := &serverConn{Conn: c, raw: c, endpoint: to, release: release, peeker: sockets.NewPeeker(c), stallTimeout: t.cfg.StallTimeout, prepared: map[string]*remoteStatement{}}
+	s.wire.R, s.wire.W = bufio.NewReaderSize(s, serverReadBuffer), bufio.NewWriterSize(s, serverReadBuffer)
 	if d, ok := ctx.Deadline(); ok {
-		s.until = d
+		s.deadline = d
 	}
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
-	b, err := s.wire.Read(mostLogin)
+	b, err := s.wire.Read(maxLoginPacket)
 	if err == nil {
 		g, err = wire.ParseGreeting(b)
 	}
@@ -146,12 +151,12 @@
 		s.Close()
 		return nil, g, err
 	}
-	s.thread, s.version = g.ThreadID, g.Version
+	s.threadID, s.version = g.ThreadID, g.Version
 	return s, g, nil
 }
 
-// secure begins TLS with a server, if the operator wants it.
-func (t *Transport) secure(ctx context.Context, s *server, g wire.Greeting, l *wire.Login) error {
+// startTLS upgrades the connection to TLS if it is configured.
+func (t *Transport) startTLS(ctx context.Context, s *serverConn, g wire.Greeting, l *wire.Login) error {
 	if t.cfg.ServerTLS == nil {
 		return nil
 	}
@@ -165,7 +170,7 @@
 	cfg := t.cfg.ServerTLS
 	if cfg.ServerName == "" && !cfg.InsecureSkipVerify {
 		cfg = cfg.Clone()
-		cfg.ServerName, _, _ = net.SplitHostPort(s.to.Addr)
+		cfg.ServerName, _, _ = net.SplitHostPort(s.endpoint.Addr)
 	}
 	c := tls.Client(s.raw, cfg)
 	if err := c.HandshakeContext(ctx); err != nil {
@@ -175,16 +180,16 @@
 	return nil
 }
 
-func (s *server) send(b []byte) error {
+func (s *serverConn) send(b []byte) error {
 	if err := s.wire.Write(b); err != nil {
 		return err
 	}
 	return s.wire.W.Flush()
 }
 
-// login logs in with an account.
-func (t *Transport) login(ctx context.Context, to engine.Endpoint, p profile, schema string) (*server, error) {
-	ctx, cancel := context.WithTimeout(ctx, loginDials*t.dialTime)
+// login connects to a server and logs in with the configured account.
+func (t *Transport) login(ctx context.Context, to engine.Endpoint, p profile, schema string) (*serverConn, error) {
+	ctx, cancel := context.WithTimeout(ctx, loginTimeoutFactor*t.dialTimeout)
 	defer cancel()
 	s, g, err := t.dial(ctx, to)
 	if err != nil {
@@ -192,22 +197,22 @@
 	}
 	stop := context.AfterFunc(ctx, func() { s.raw.Close() })
 	defer stop()
-	if err := t.admit(ctx, s, g, p, schema); err != nil {
+	if err := t.authenticate(ctx, s, g, p, schema); err != nil {
 		s.Close()
 		return nil, err
 	}
-	s.profile, s.said = p, said{schema: schema}
-	s.until = time.Time{}
+	s.profile, s.applied = p, sessionState{schema: schema}
+	s.deadline = time.Time{}
 	return s, nil
 }
 
-func (t *Transport) admit(ctx context.Context, s *server, g wire.Greeting, p profile, schema string) error {
-	if must := p.caps &^ askable; !g.Capabilities.Has(needed | must) {
-		return fmt.Errorf("the server's capabilities are %#x, which lack some of %#x", uint32(g.Capabilities), uint32(needed|must))
+func (t *Transport) authenticate(ctx context.Context, s *serverConn, g wire.Greeting, p profile, schema string) error {
+	if must := p.caps &^ optionalCapabilities; !g.Capabilities.Has(requiredCapabilities | must) {
+		return fmt.Errorf("the server's capabilities are %#x, which lack some of %#x", uint32(g.Capabilities), uint32(requiredCapabilities|must))
 	}
 	a := t.cfg.Account
 	l := wire.Login{
-		Capabilities: p.caps&g.Capabilities | needed | wire.LongPassword | wire.LongFlag | wire.PluginAuthLenenc, MaxPacket: 1 << 30, Charset: p.charset,
+		Capabilities: p.caps&g.Capabilities | requiredCapabilities | wire.LongPassword | wire.LongFlag | wire.PluginAuthLenenc, MaxPacket: 1 << 30, Charset: p.charset,
 		User: a.User, Plugin: g.Plugin, Schema: schema,
 	}
 	if schema != "" {
@@ -218,22 +223,22 @@
 	}
 	var err error
 	if l.Proof, err = wire.Prove(g.Plugin, a.Password, g.Scramble); err != nil {
-		l.Plugin = wire.SHA2 // the server will ask for what it wants
+		l.Plugin = wire.SHA2 // the server requests a switch to the plugin that it needs
 		l.Proof, _ = wire.Prove(wire.SHA2, a.Password, g.Scramble)
 	}
-	if err := t.secure(ctx, s, g, &l); err != nil {
+	if err := t.startTLS(ctx, s, g, &l); err != nil {
 		return err
 	}
 	if err := s.send(l.Append(nil)); err != nil {
 		return err
 	}
-	return prove(s, l.Plugin, a.Password, g.Scramble, t.cfg.ServerTLS != nil)
+	return answerAuthRequests(s, l.Plugin, a.Password, g.Scramble, t.cfg.ServerTLS != nil)
 }
 
-// prove answers what a server asks until it lets this side in.
-func prove(s *server, plugin, password string, scramble []byte, secure bool) error {
-	for range mostRounds {
-		b, err := s.wire.Read(mostLogin)
+// answerAuthRequests answers the server's authentication requests until it accepts the login.
+func answerAuthRequests(s *serverConn, plugin, password string, scramble []byte, secure bool) error {
+	for range maxLoginPackets {
+		b, err := s.wire.Read(maxLoginPacket)
 		if err != nil {
 			return err
 		}
--- a/internal/mysql/proxy/setup_test.go
+++ b/internal/mysql/proxy/setup_test.go
@@ -25,39 +25,39 @@
 )
 
 func TestMain(m *testing.M) {
-	mysql.SetLogger(quiet{})
+	mysql.SetLogger(discardLogger{})
 	goleak.VerifyTestMain(m)
 }
 
-type quiet struct{}
+type discardLogger struct{}
 
-func (quiet) Print(...any) {}
+func (discardLogger) Print(...any) {}
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// world is a front with its pool, and the servers behind it.
-type world struct {
+// testEnv is a frontend with its pool and the test servers behind it.
+type testEnv struct {
 	*Frontend
-	t       testing.TB
-	pool    *pool.Pool
-	cfg     pool.Config
-	addr    string
-	budget  *sockets.Budget
-	db      *standin.Database
-	servers []*standin.Server
-	trouble atomic.Pointer[func(server, sql string) standin.Trouble]
-	mu      sync.Mutex
-	count   int // statements with which trouble was thought of
+	t          testing.TB
+	pool       *pool.Pool
+	cfg        pool.Config
+	addr       string
+	budget     *sockets.Budget
+	db         *standin.Database
+	servers    []*standin.Server
+	fault      atomic.Pointer[func(server, sql string) standin.Trouble]
+	mu         sync.Mutex
+	faultCalls int // statements for which a fault was considered
 }
 
 type options struct {
-	servers     int // 2
-	descriptors int // 4000
-	proxy       Config
-	server      standin.Config
-	deadline    time.Duration // 5 s
-	class       func(*pool.Class)
-	hintless    bool
+	servers       int // 2
+	descriptors   int // 4000
+	proxy         Config
+	server        standin.Config
+	deadline      time.Duration // 5 s
+	class         func(*pool.Class)
+	hintsDisabled bool
 }
 
 const (
@@ -65,11 +65,11 @@
 	password = "between you and me"
 )
 
-func open(t testing.TB, o options) *world {
+func newTestEnv(t testing.TB, o options) *testEnv {
 	t.Helper()
-	w := &world{t: t, db: standin.NewDatabase(), budget: sockets.New(cmp.Or(o.descriptors, 4000))}
+	w := &testEnv{t: t, db: standin.NewDatabase(), budget: sockets.New(cmp.Or(o.descriptors, 4000))}
 	for i := range cmp.Or(o.servers, 2) {
-		w.start(o, fmt.Sprint("box", i))
+		w.startServer(o, fmt.Sprint("box", i))
 	}
 	deadline := cmp.Or(o.deadline, 5*time.Second)
 	w.cfg.Name = "ledger"
@@ -82,7 +82,7 @@
 		}
 	}
 	c := o.proxy
-	c.Name, c.Listen, c.Pool, c.DefaultClass, c.Hints = "ledger", "127.0.0.1:0", "ledger", "statement", !o.hintless
+	c.Name, c.Listen, c.Pool, c.DefaultClass, c.Hints = "ledger", "127.0.0.1:0", "ledger", "statement", !o.hintsDisabled
 	if c.Auth == AuthUsers && c.Users == nil {
 		c.Users = []User{{Name: "app", Password: wire.Keep("secret")}, {Name: "other", Password: wire.Keep("hidden")}}
 	}
@@ -121,14 +121,14 @@
 			s.Close()
 		}
 		if all, clients := w.budget.InUse(); all+clients > 0 {
-			t.Errorf("%d descriptors are still taken, %d of them by clients", all, clients)
+			t.Errorf("descriptors still in use: %d in all, %d of clients", all, clients)
 		}
 	})
 	return w
 }
 
-// start starts a server and lists it.
-func (w *world) start(o options, name string) *standin.Server {
+// startServer starts a server and adds it to the pool's configuration.
+func (w *testEnv) startServer(o options, name string) *standin.Server {
 	w.t.Helper()
 	c := o.server
 	c.Name, c.Database = name, w.db
@@ -136,7 +136,7 @@
 		c.Users = map[string]string{account: password, "app": "secret", "other": "hidden"}
 	}
 	c.Trouble = func(sql string) standin.Trouble {
-		if f := w.trouble.Load(); f != nil {
+		if f := w.fault.Load(); f != nil {
 			return (*f)(name, sql)
 		}
 		return standin.Trouble{}
@@ -150,35 +150,35 @@
 	return s
 }
 
-// make makes trouble for statements.
-func (w *world) make(f func(server, sql string) standin.Trouble) { w.trouble.Store(&f) }
+// setFault sets the function that chooses the fault for each statement.
+func (w *testEnv) setFault(f func(server, sql string) standin.Trouble) { w.fault.Store(&f) }
 
-// drain tells the list that a server takes nothing new, and waits until that is known.
-func (w *world) drain(i int) {
+// drain marks a server as draining and waits until the pool uses it no more.
+func (w *testEnv) drain(i int) {
 	w.t.Helper()
 	w.cfg.Servers[i].Drain = true
 	if err := w.pool.Reload(w.cfg); err != nil {
 		w.t.Fatal(err)
 	}
-	until(w.t, "the drain is known", func() bool { return !w.pool.ServerUsable(w.id(i)) })
+	eventually(w.t, "the pool stops using the draining server", func() bool { return !w.pool.ServerUsable(w.serverID(i)) })
 }
 
-func until(t testing.TB, what string, is func() bool) {
+func eventually(t testing.TB, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !is(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timeout waiting until %s", what)
 		}
 	}
 }
 
-// dsn returns how the real client logs in.
+// dsn returns the data source name for the go-sql-driver client.
 func dsn(addr, user, password, options string) string {
 	return fmt.Sprintf("%s:%s@tcp(%s)/?%s", user, password, addr, options)
 }
 
-// client returns a client of the front, which uses one connection.
-func (w *world) client(options string) *sql.DB {
+// newClient returns a client of the frontend that uses a single connection.
+func (w *testEnv) newClient(options string) *sql.DB {
 	w.t.Helper()
 	return connect(w.t, w.addr, "app", "secret", options)
 }
@@ -194,8 +194,8 @@
 	return db
 }
 
-// code returns the number of a server's error, 0 for none, and 1 for any other error.
-func code(err error) uint16 {
+// errorCode returns the code of a MySQL error, 0 for no error, and 1 for any other error.
+func errorCode(err error) uint16 {
 	var e *mysql.MySQLError
 	switch {
 	case err == nil:
@@ -210,21 +210,21 @@
 	ExecContext(context.Context, string, ...any) (sql.Result, error)
 }, sql string, args ...any) error {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_, err := db.ExecContext(ctx, sql, args...)
 	return err
 }
 
-func value(t testing.TB, db interface {
+func queryValue(t testing.TB, db interface {
 	QueryRowContext(context.Context, string, ...any) *sql.Row
 }, query string, args ...any) (string, error) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	var v sql.NullString
 	err := db.QueryRowContext(ctx, query, args...).Scan(&v)
 	return v.String, err
 }
 
-func (w *world) id(i int) policy.ServerID { return policy.ServerID(w.cfg.Servers[i].ID) }
+func (w *testEnv) serverID(i int) policy.ServerID { return policy.ServerID(w.cfg.Servers[i].ID) }
--- a/internal/mysql/proxy/tls_test.go
+++ b/internal/mysql/proxy/tls_test.go
@@ -16,8 +16,8 @@
 	"github.com/go-sql-driver/mysql"
 )
 
-// certificate returns a server's side and a client's side of TLS for loopback addresses.
-func certificate(t *testing.T) (server, client *tls.Config) {
+// tlsConfigs returns TLS configurations of a server and a client for loopback addresses.
+func tlsConfigs(t *testing.T) (server, client *tls.Config) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -40,13 +40,14 @@
 	return &tls.Config{Certificates: []tls.Certificate{{Certificate: [][]byte{der}, PrivateKey: key}}}, &tls.Config{RootCAs: roots, ServerName: "127.0.0.1"}
 }
 
-var registered sync.Mutex
+var tlsConfigMu sync.Mutex
 
-// register makes c what the real client takes for tls=test.
-func register(t *testing.T, c *tls.Config) {
+// registerTLSConfig registers c with the go-sql-driver client as tls=test. The name is global, so
+// tests that use it run one after the other.
+func registerTLSConfig(t *testing.T, c *tls.Config) {
 	t.Helper()
-	registered.Lock()
-	t.Cleanup(registered.Unlock)
+	tlsConfigMu.Lock()
+	t.Cleanup(tlsConfigMu.Unlock)
 	if err := mysql.RegisterTLSConfig("test", c); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/mysql/proxy/transport.go
+++ b/internal/mysql/proxy/transport.go
@@ -24,106 +24,108 @@
 )
 
 const (
-	// mostPrepared bounds the statements that a connection has prepared.
-	mostPrepared = 64
-	// idleShare is the part of a server's idle limit after which an idle connection is closed.
-	idleShare = 0.6
-	// killTime is how long the end of a statement that nobody awaits may take to be ordered, and mostKills how many orders may be under
-	// way.
-	killTime  = 2 * time.Second
-	mostKills = 4
-	probeTime = 400 * time.Millisecond
+	// maxPreparedPerConn limits the prepared statements per server connection.
+	maxPreparedPerConn = 64
+	// idleTimeoutShare is the fraction of a server's idle timeout after which an idle connection is
+	// closed.
+	idleTimeoutShare = 0.6
+	// killTimeout limits a KILL QUERY for an abandoned statement, and maxConcurrentKills the number
+	// of those that run at once.
+	killTimeout        = 2 * time.Second
+	maxConcurrentKills = 4
+	probeTimeout       = 400 * time.Millisecond
 )
 
-// job is what one statement takes to be run anywhere.
+// job holds all that is needed to run a statement on any server.
 type job struct {
-	command  wire.Command
-	message  []byte             // as it is sent, but for an EXECUTE
-	stmt     *prepared          // an EXECUTE's
-	exec     *session.Execution // the same
-	long     [][]byte           // messages to come before it, of stmt
-	profile  profile
-	schema   string
-	settings []session.Setting
-	clean    bool // nothing that another session has left may be on the connection
-	read     bool
-	target   *atomic.Pointer[server] // is told where it runs
-	open     bool                    // a whole session is to be opened instead, with the client's own credentials
-}
-
-// prepared is a statement that a client has prepared.
-type prepared struct {
-	id     uint32 // the client's
-	sql    string
-	schema string
-	params int
-	types  []byte
-	long   [][]byte
-	size   int // of long, in bytes
-	scan   session.Statement
-}
-
-// exchange is a command on a connection whose reply has begun. Whoever was given it ends it once.
+	command      wire.Command
+	message      []byte             // as sent to the server; unused for COM_STMT_EXECUTE
+	stmt         *preparedStatement // for COM_STMT_EXECUTE
+	execution    *session.Execution // for COM_STMT_EXECUTE
+	longData     [][]byte           // COM_STMT_SEND_LONG_DATA commands to send before it
+	profile      profile
+	schema       string
+	settings     []session.Setting
+	requireClean bool // the connection must be free of state of other sessions
+	read         bool
+	runningOn    *atomic.Pointer[serverConn] // set to the connection on which it runs
+	passThrough  bool                        // only connect; the client logs in itself
+}
+
+// preparedStatement is a statement prepared by a client.
+type preparedStatement struct {
+	id           uint32 // as known to the client
+	sql          string
+	schema       string
+	params       int
+	types        []byte
+	longData     [][]byte
+	longDataSize int // of longData, in bytes
+	parsed       session.Statement
+}
+
+// exchange is a command on a server connection whose reply has begun. Its receiver must call finish.
 type exchange struct {
-	*server
-	reply *session.Reply
-	held  [][]byte      // the first messages of the reply
-	hello wire.Greeting // with job.open
-	at    policy.ServerID
-	ended chan policy.Status
-	once  sync.Once
+	*serverConn
+	reply       *session.Reply
+	heldPackets [][]byte      // first packets of the reply, not yet relayed
+	greeting    wire.Greeting // of the server, with job.passThrough
+	serverID    policy.ServerID
+	ended       chan policy.Status
+	once        sync.Once
 }
 
-// end has the attempt end; the connection is the caller's to keep or close before.
-func (x *exchange) end(s policy.Status) { x.once.Do(func() { x.ended <- s }) }
+// finish ends the attempt. The caller has to close the connection or return it to the pool before.
+func (x *exchange) finish(s policy.Status) { x.once.Do(func() { x.ended <- s }) }
 
-// Transport implements engine.Transport for MySQL: an attempt sends one statement on one connection, once, and lasts until the session
-// that it was sent for lets go of the connection.
+// Transport implements engine.Transport for MySQL. An attempt sends one statement once, on one
+// connection, and lasts until the session releases the connection.
 type Transport struct {
-	cfg      Config
-	dialTime time.Duration
-	idleTime time.Duration
-	budget   *sockets.Budget
-	load     func(engine.Endpoint) string
-	prober   pool.Prober // nil: none
-	log      *slog.Logger
-	some     rate.Sometimes // of what servers do wrong
-	ctx      context.Context
-	stop     context.CancelFunc
-	work     sync.WaitGroup
-	kills    chan struct{}
-	out      pool.InFlight // connections in use
+	cfg         Config
+	dialTimeout time.Duration
+	idleTimeout time.Duration
+	budget      *sockets.Budget
+	loadAddr    func(engine.Endpoint) string
+	prober      pool.Prober // reads the load at a separate address; nil: none
+	log         *slog.Logger
+	warnLimit   rate.Sometimes // limits warnings about server faults
+	ctx         context.Context
+	stop        context.CancelFunc
+	work        sync.WaitGroup
+	killSlots   chan struct{}
+	inUse       pool.InFlight // connections in use
 
 	mu     sync.Mutex
-	idle   map[engine.Endpoint][]*server // the last one used comes last
+	idle   map[engine.Endpoint][]*serverConn // most recently used last
 	closed bool
 	counts ConnCounts
 }
 
-// ConnCounts counts what became of connections to servers.
+// ConnCounts holds statistics of server connections.
 type ConnCounts struct {
 	Dials, Reuses, Resets, Kills uint64
 	Idle                         int
 }
 
-// NewTransport returns a Transport that takes descriptors from b. With a prober, load tells where it asks.
+// NewTransport returns a Transport with the given dial and idle timeouts that takes its descriptors
+// from b. If p is not nil, it probes servers at the address that load returns.
 func NewTransport(c Config, dial, idle time.Duration, b *sockets.Budget, load func(engine.Endpoint) string, p pool.Prober, log *slog.Logger) *Transport {
 	t := &Transport{
-		cfg: c.WithDefaults(), dialTime: dial, idleTime: time.Duration(float64(idle) * idleShare), budget: b, load: load, prober: p, log: log,
-		some: rate.Sometimes{First: 1, Interval: 10 * time.Second}, idle: map[engine.Endpoint][]*server{},
-		kills: make(chan struct{}, mostKills),
+		cfg: c.WithDefaults(), dialTimeout: dial, idleTimeout: time.Duration(float64(idle) * idleTimeoutShare), budget: b, loadAddr: load, prober: p, log: log,
+		warnLimit: rate.Sometimes{First: 1, Interval: 10 * time.Second}, idle: map[engine.Endpoint][]*serverConn{},
+		killSlots: make(chan struct{}, maxConcurrentKills),
 	}
 	t.ctx, t.stop = context.WithCancel(context.Background())
 	t.work.Go(t.sweep)
 	return t
 }
 
-// Close closes the idle connections, and keeps none from now on.
+// Close closes the idle connections and stops keeping connections.
 func (t *Transport) Close() {
 	t.stop()
 	t.mu.Lock()
 	t.closed = true
-	var all []*server
+	var all []*serverConn
 	for _, l := range t.idle {
 		all = append(all, l...)
 	}
@@ -135,7 +137,7 @@
 	t.work.Wait()
 }
 
-// Stats returns the present counts.
+// Stats returns the current statistics.
 func (t *Transport) Stats() ConnCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,7 +151,7 @@
 // EvictIdle closes one idle connection, and reports whether there was one.
 func (t *Transport) EvictIdle() bool {
 	t.mu.Lock()
-	var s *server
+	var s *serverConn
 	for to, l := range t.idle {
 		if len(l) > 0 {
 			s = l[0]
@@ -165,7 +167,7 @@
 	return true
 }
 
-// CloseIdle is a method of engine.Transport.
+// CloseIdle implements engine.Transport. It closes the idle connections to a server.
 func (t *Transport) CloseIdle(to engine.Endpoint) {
 	t.mu.Lock()
 	l := t.idle[to]
@@ -176,9 +178,9 @@
 	}
 }
 
-// sweep closes connections that have been idle for too long, until Close.
+// sweep closes connections that exceed the idle timeout, until Close is called.
 func (t *Transport) sweep() {
-	tick := time.NewTicker(max(t.idleTime/4, 10*time.Millisecond))
+	tick := time.NewTicker(max(t.idleTimeout/4, 10*time.Millisecond))
 	defer tick.Stop()
 	for {
 		select {
@@ -186,11 +188,11 @@
 			return
 		case <-tick.C:
 		}
-		var old []*server
+		var old []*serverConn
 		t.mu.Lock()
 		for to, l := range t.idle {
 			n := 0
-			for n < len(l) && time.Since(l[n].since) > t.idleTime {
+			for n < len(l) && time.Since(l[n].lastUsed) > t.idleTimeout {
 				n++
 			}
 			old = append(old, l[:n]...)
@@ -207,25 +209,25 @@
 	}
 }
 
-// keep puts a connection back on which nothing is under way.
-func (t *Transport) keep(s *server) {
-	s.until, s.since = time.Time{}, time.Now()
-	s.runs(false)
-	if s.wire.R.Buffered() > 0 || s.killed || t.budget.Scarce() { // the kernel is asked when it is used again
+// putIdle returns a connection on which no command runs to the idle pool.
+func (t *Transport) putIdle(s *serverConn) {
+	s.deadline, s.lastUsed = time.Time{}, time.Now()
+	s.setRunning(false)
+	if s.wire.R.Buffered() > 0 || s.killed || t.budget.Scarce() { // reuse checks the socket
 		s.Close()
 		return
 	}
-	var old *server
+	var old *serverConn
 	t.mu.Lock()
-	l := t.idle[s.to]
+	l := t.idle[s.endpoint]
 	switch {
 	case t.closed:
 		old = s
 	case len(l) >= t.cfg.MaxIdlePerServer:
 		old = l[0]
-		t.idle[s.to] = append(slices.Clone(l[1:]), s)
+		t.idle[s.endpoint] = append(slices.Clone(l[1:]), s)
 	default:
-		t.idle[s.to] = append(l, s)
+		t.idle[s.endpoint] = append(l, s)
 	}
 	t.mu.Unlock()
 	if old != nil {
@@ -234,18 +236,18 @@
 }
 
 // reuse returns an idle connection for a job: one that was told the same settings if there is one.
-func (t *Transport) reuse(to engine.Endpoint, j *job) *server {
-	want := said{schema: j.schema, settings: joined(j.settings)}
+func (t *Transport) reuse(to engine.Endpoint, j *job) *serverConn {
+	want := sessionState{schema: j.schema, settings: settingsKey(j.settings)}
 	for {
 		t.mu.Lock()
 		l := t.idle[to]
 		best := -1
 		for i := len(l) - 1; i >= 0; i-- {
 			s := l[i]
-			if s.profile != j.profile || s.said.schema != "" && j.schema == "" {
-				continue // there is no way to leave a schema
+			if s.profile != j.profile || s.applied.schema != "" && j.schema == "" {
+				continue // a selected schema cannot be deselected
 			}
-			if s.said == want && !j.clean {
+			if s.applied == want && !j.requireClean {
 				best = i
 				break
 			}
@@ -260,23 +262,24 @@
 		s := l[best]
 		t.idle[to] = slices.Delete(slices.Clone(l), best, best+1)
 		t.mu.Unlock()
-		if time.Since(s.since) < t.idleTime && s.quiet() {
+		if time.Since(s.lastUsed) < t.idleTimeout && s.quiescent() {
 			return s
 		}
 		s.Close()
 	}
 }
 
-// charsets are SET NAMES for the collations that clients mostly log in with, which COM_RESET_CONNECTION forgets.
-var charsets = map[byte]string{
+// setNamesArguments maps the collations that clients commonly log in with to the arguments of SET
+// NAMES, which restores the collation after COM_RESET_CONNECTION.
+var setNamesArguments = map[byte]string{
 	8: "latin1 collate latin1_swedish_ci", 33: "utf8mb3 collate utf8mb3_general_ci", 45: "utf8mb4 collate utf8mb4_general_ci",
 	46: "utf8mb4 collate utf8mb4_bin", 63: "binary", 83: "utf8mb3 collate utf8mb3_bin", 224: "utf8mb4 collate utf8mb4_unicode_ci",
 	255: "utf8mb4 collate utf8mb4_0900_ai_ci",
 }
 
-func resettable(charset byte) bool { return charsets[charset] != "" }
+func resettable(charset byte) bool { return setNamesArguments[charset] != "" }
 
-func joined(settings []session.Setting) string {
+func settingsKey(settings []session.Setting) string {
 	var b strings.Builder
 	for _, s := range settings {
 		b.WriteString(s.SQL)
@@ -285,75 +288,75 @@
 	return b.String()
 }
 
-// errSync marks an error of what is said to a server before a statement: nothing of the statement has run.
-type errSync struct{ error }
+// errBeforeStatement wraps an error of a step before the statement: no part of it has run.
+type errBeforeStatement struct{ error }
 
-func (e errSync) Unwrap() error { return e.error }
+func (e errBeforeStatement) Unwrap() error { return e.error }
 
-// acquire returns a connection that stands as a job wants it.
-func (t *Transport) acquire(ctx context.Context, a *engine.Attempt, to engine.Endpoint, j *job) (*server, error) {
+// acquire returns a connection with the session state that the job requires.
+func (t *Transport) acquire(ctx context.Context, a *engine.Attempt, to engine.Endpoint, j *job) (*serverConn, error) {
 	s := t.reuse(to, j)
 	if s != nil {
-		t.count(func(c *ConnCounts) { c.Reuses++ })
+		t.updateCounts(func(c *ConnCounts) { c.Reuses++ })
 	} else {
 		var err error
 		if s, err = t.login(ctx, to, j.profile, j.schema); err != nil {
-			return nil, errSync{err}
+			return nil, errBeforeStatement{err}
 		}
-		t.count(func(c *ConnCounts) { c.Dials++ })
+		t.updateCounts(func(c *ConnCounts) { c.Dials++ })
 	}
-	s.until = a.Deadline
+	s.deadline = a.Deadline
 	if !a.Sending(func() { s.raw.Close() }) {
-		t.keep(s)
-		return nil, errSync{context.Canceled}
+		t.putIdle(s)
+		return nil, errBeforeStatement{context.Canceled}
 	}
-	if err := t.sync(s, j); err != nil {
+	if err := t.applyState(s, j); err != nil {
 		s.Close()
-		return nil, errSync{err}
+		return nil, errBeforeStatement{err}
 	}
 	return s, nil
 }
 
-func (t *Transport) count(f func(*ConnCounts)) {
+func (t *Transport) updateCounts(f func(*ConnCounts)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(&t.counts)
 }
 
-// sync tells a server the settings of a session.
-func (t *Transport) sync(s *server, j *job) error {
-	want := said{schema: j.schema, settings: joined(j.settings)}
-	if s.said == want && !j.clean {
+// applyState sets the session state that the job requires on the connection.
+func (t *Transport) applyState(s *serverConn, j *job) error {
+	want := sessionState{schema: j.schema, settings: settingsKey(j.settings)}
+	if s.applied == want && !j.requireClean {
 		return nil
 	}
-	if s.said.settings != "" || s.said.dirty || j.clean && s.since != (time.Time{}) {
-		t.count(func(c *ConnCounts) { c.Resets++ })
-		if err := s.simple([]byte{byte(wire.ResetConnection)}); err != nil {
+	if s.applied.settings != "" || s.applied.dirty || j.requireClean && s.lastUsed != (time.Time{}) {
+		t.updateCounts(func(c *ConnCounts) { c.Resets++ })
+		if err := s.execSimple([]byte{byte(wire.ResetConnection)}); err != nil {
 			return err
 		}
-		s.prepared, s.order = map[string]*remote{}, nil
-		s.said.settings, s.said.dirty = "", false
-		if err := s.simple([]byte("\x03set names " + charsets[s.profile.charset])); err != nil {
+		s.prepared, s.preparedOrder = map[string]*remoteStatement{}, nil
+		s.applied.settings, s.applied.dirty = "", false
+		if err := s.execSimple([]byte("\x03set names " + setNamesArguments[s.profile.charset])); err != nil {
 			return err
 		}
 	}
-	if s.said.schema != j.schema {
-		if err := s.simple([]byte("\x02" + j.schema)); err != nil {
+	if s.applied.schema != j.schema {
+		if err := s.execSimple([]byte("\x02" + j.schema)); err != nil {
 			return err
 		}
-		s.said.schema = j.schema
+		s.applied.schema = j.schema
 	}
 	for _, set := range j.settings {
-		if err := s.simple([]byte("\x03" + set.SQL)); err != nil {
+		if err := s.execSimple([]byte("\x03" + set.SQL)); err != nil {
 			return err
 		}
 	}
-	s.said = want
+	s.applied = want
 	return nil
 }
 
-// simple sends a command whose reply is an OK or an error.
-func (s *server) simple(b []byte) error {
+// execSimple sends a command whose reply is an OK or an error packet.
+func (s *serverConn) execSimple(b []byte) error {
 	s.wire.Reset()
 	if err := s.send(b); err != nil {
 		return err
@@ -370,34 +373,35 @@
 	return fmt.Errorf("%w: no OK", wire.ErrMalformed)
 }
 
-// errParams tells that a statement has other parameters than when it was prepared.
-var errParams = errors.New("the statement has other parameters now")
+// errParamCountChanged means that a statement has a different number of parameters on this server
+// than when the client prepared it.
+var errParamCountChanged = errors.New("the number of parameters of the statement has changed")
 
-// prepare has a statement prepared on a server, unless it is.
-func (s *server) prepare(p *prepared) (r *remote, err error) {
+// prepare prepares a statement on the connection unless it already is.
+func (s *serverConn) prepare(p *preparedStatement) (r *remoteStatement, err error) {
 	key := p.schema + "\x00" + p.sql
 	if r := s.prepared[key]; r != nil {
 		return r, nil
 	}
-	for len(s.order) >= mostPrepared {
-		old := s.prepared[s.order[0]]
-		delete(s.prepared, s.order[0])
-		s.order = s.order[1:]
+	for len(s.preparedOrder) >= maxPreparedPerConn {
+		old := s.prepared[s.preparedOrder[0]]
+		delete(s.prepared, s.preparedOrder[0])
+		s.preparedOrder = s.preparedOrder[1:]
 		s.wire.Reset()
 		if err := s.wire.Write([]byte{byte(wire.StmtClose), byte(old.id), byte(old.id >> 8), byte(old.id >> 16), byte(old.id >> 24)}); err != nil {
 			return nil, err
 		}
 	}
-	if now := s.said.schema; p.schema != now { // its names mean what they meant when it was prepared
+	if now := s.applied.schema; p.schema != now { // unqualified names resolve as when it was prepared
 		if p.schema == "" || now == "" {
 			return nil, wire.NotCarried("a statement prepared without a schema, once there is one,")
 		}
-		if err := s.simple([]byte("\x02" + p.schema)); err != nil {
+		if err := s.execSimple([]byte("\x02" + p.schema)); err != nil {
 			return nil, err
 		}
 		defer func() {
 			if err == nil {
-				err = s.simple([]byte("\x02" + now))
+				err = s.execSimple([]byte("\x02" + now))
 			}
 		}()
 	}
@@ -431,48 +435,49 @@
 	if reply.Error != nil {
 		return nil, reply.Error
 	}
-	r = &remote{id: reply.Prepared.ID, params: int(reply.Prepared.Params)}
-	s.know(key, r)
+	r = &remoteStatement{id: reply.Prepared.ID, params: int(reply.Prepared.Params)}
+	s.addPrepared(key, r)
 	if r.params != p.params {
-		return nil, errParams
+		return nil, errParamCountChanged
 	}
 	return r, nil
 }
 
-func (s *server) know(key string, r *remote) {
+func (s *serverConn) addPrepared(key string, r *remoteStatement) {
 	s.prepared[key] = r
-	s.order = append(s.order, key)
+	s.preparedOrder = append(s.preparedOrder, key)
 }
 
-// write sends the command of a job. Nothing of it has been sent where the error is an errSync.
-func (s *server) write(j *job) error {
+// sendCommand sends the command of a job. With an errBeforeStatement no part of it has been sent.
+func (s *serverConn) sendCommand(j *job) error {
 	message := j.message
 	if j.stmt != nil {
 		r, err := s.prepare(j.stmt)
 		if err != nil {
-			return errSync{err}
+			return errBeforeStatement{err}
 		}
-		for _, l := range j.long {
+		for _, l := range j.longData {
 			s.wire.Reset()
 			l = append([]byte(nil), l...)
 			l[1], l[2], l[3], l[4] = byte(r.id), byte(r.id>>8), byte(r.id>>16), byte(r.id>>24)
 			if err := s.wire.Write(l); err != nil {
-				return errSync{err}
+				return errBeforeStatement{err}
 			}
 		}
-		message = j.exec.Message(r.id, r.types == string(j.exec.Types))
-		r.types = string(j.exec.Types)
+		message = j.execution.Message(r.id, r.types == string(j.execution.Types))
+		r.types = string(j.execution.Types)
 	}
 	s.wire.Reset()
 	return s.send(message)
 }
 
-// mostHeld is how much of a reply is held before it is passed on. What is spoilt shows mostly at its begin, another attempt can be made
-// until then, and clients understand an error in the place of a row, but not of a definition.
-const mostHeld = 16 << 10
+// maxHeldReply is how much of a reply is held back before it is relayed. Malformed replies mostly
+// show at their start, and another attempt is possible until then. Clients accept an error packet in
+// place of a row, but not in place of a column definition.
+const maxHeldReply = 16 << 10
 
-// begin reads the first messages of a reply: all of a short one.
-func (s *server) begin(command wire.Command) (*session.Reply, [][]byte, error) {
+// readReplyStart reads the first packets of a reply. It reads a short reply completely.
+func (s *serverConn) readReplyStart(command wire.Command) (*session.Reply, [][]byte, error) {
 	reply := session.NewReply(command, s.profile.caps)
 	var held [][]byte
 	for size := 0; !reply.Done(); {
@@ -484,7 +489,7 @@
 		if err != nil {
 			return reply, held, err
 		}
-		if !whole && reply.InRows() && size+piece.Len > mostHeld {
+		if !whole && reply.InRows() && size+piece.Len > maxHeldReply {
 			break
 		}
 		b, err := s.wire.Read(session.MostControl)
@@ -500,13 +505,13 @@
 		}
 		held = append(held, b)
 		if size += len(b); size > session.MostControl {
-			return reply, held, fmt.Errorf("%w: definitions of over %d bytes", wire.ErrMalformed, session.MostControl)
+			return reply, held, fmt.Errorf("%w: the start of the reply exceeds %d bytes", wire.ErrMalformed, session.MostControl)
 		}
 	}
 	return reply, held, nil
 }
 
-// Do is a method of engine.Transport.
+// Do implements engine.Transport. It runs the attempt of a statement on a server.
 func (t *Transport) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	j := a.Payload().(*job)
 	ctx, cancel := context.WithDeadline(t.ctx, a.Deadline)
@@ -514,95 +519,100 @@
 	if !a.OnCancel(cancel) {
 		return engine.AttemptResult{Status: policy.Canceled}
 	}
-	t.out.Add(a.Server, 1)
-	defer t.out.Add(a.Server, -1)
-	if most := t.cfg.MaxConnsPerServer; most > 0 && t.out.Count(a.Server) > most {
+	t.inUse.Add(a.Server, 1)
+	defer t.inUse.Add(a.Server, -1)
+	if most := t.cfg.MaxConnsPerServer; most > 0 && t.inUse.Count(a.Server) > most {
 		return engine.AttemptResult{Status: policy.Overloaded}
 	}
-	if j.open {
+	if j.passThrough {
 		return t.openSession(ctx, a, to)
 	}
 	s, err := t.acquire(ctx, a, to, j)
 	if err != nil {
-		return t.failed(a, nil, j, err)
+		return t.failureResult(a, nil, j, err)
 	}
-	s.runs(true)
-	if j.target != nil {
-		j.target.Store(s)
+	s.setRunning(true)
+	if j.runningOn != nil {
+		j.runningOn.Store(s)
 	}
-	if err := s.write(j); err != nil {
-		return t.failed(a, s, j, err)
+	if err := s.sendCommand(j); err != nil {
+		return t.failureResult(a, s, j, err)
 	}
-	reply, b, err := s.begin(j.command)
+	reply, b, err := s.readReplyStart(j.command)
 	if err != nil {
-		return t.failed(a, s, j, err)
+		return t.failureResult(a, s, j, err)
 	}
-	if e := reply.Error; e != nil && closing(e.Code) && j.read {
+	if e := reply.Error; e != nil && isUnavailable(e.Code) && j.read {
 		s.Close()
 		return engine.AttemptResult{Status: policy.AppError}
 	}
-	return t.hand(a, &exchange{server: s, reply: reply, held: b, at: a.Server})
+	return t.deliver(a, &exchange{serverConn: s, reply: reply, heldPackets: b, serverID: a.Server})
 }
 
-// hand gives an exchange to whoever awaits it, and waits for its end.
-func (t *Transport) hand(a *engine.Attempt, x *exchange) engine.AttemptResult {
+// deliver passes an exchange to the waiting session and waits until the session finishes it.
+func (t *Transport) deliver(a *engine.Attempt, x *exchange) engine.AttemptResult {
 	x.ended = make(chan policy.Status, 1)
 	if !a.OnCancel(func() {}) || !a.BeginReply(x) {
 		x.Close()
-		t.kill(x.to, x.thread)
+		t.killAsync(x.endpoint, x.threadID)
 		return engine.AttemptResult{Status: policy.Canceled}
 	}
-	return engine.AttemptResult{Status: <-x.ended, Load: t.own(a.Server)}
+	return engine.AttemptResult{Status: <-x.ended, Load: t.inFlightLoad(a.Server)}
 }
 
-// openSession connects for a client that logs in at the server itself.
+// openSession connects to a server for a client that logs in with its own credentials.
 func (t *Transport) openSession(ctx context.Context, a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	s, g, err := t.dial(ctx, to)
 	if err != nil {
-		return t.failed(a, nil, &job{read: true}, errSync{err})
+		return t.failureResult(a, nil, &job{read: true}, errBeforeStatement{err})
 	}
-	s.until = time.Time{}
-	return t.hand(a, &exchange{server: s, hello: g, at: a.Server})
+	s.deadline = time.Time{}
+	return t.deliver(a, &exchange{serverConn: s, greeting: g, serverID: a.Server})
 }
 
-// closing are the codes by which a server says that it takes nothing more.
-func closing(code uint16) bool { return code == 1053 || code == 3032 || code == 1040 || code == 1203 }
+// isUnavailable reports whether the error code means that the server accepts nothing more: it shuts
+// down or has reached a connection limit.
+func isUnavailable(code uint16) bool {
+	return code == 1053 || code == 3032 || code == 1040 || code == 1203
+}
 
-// failed tells how an attempt has ended that has no reply. What is only due to this side's own shortage says nothing of the server.
-func (t *Transport) failed(a *engine.Attempt, s *server, j *job, err error) engine.AttemptResult {
+// failureResult returns the result of an attempt without a reply. A shortage of descriptors in the
+// proxy is not counted against the server.
+func (t *Transport) failureResult(a *engine.Attempt, s *serverConn, j *job, err error) engine.AttemptResult {
 	if s != nil {
 		s.Close()
 	}
-	var sync errSync
+	var beforeStatement errBeforeStatement
 	status := policy.Reset
 	var answer *wire.Error
 	switch {
 	case a.Canceled():
 		if s != nil {
-			t.kill(s.to, s.thread)
+			t.killAsync(s.endpoint, s.threadID)
 		}
 		return engine.AttemptResult{Status: policy.Canceled}
 	case errors.Is(err, sockets.ErrNoDescriptor) || t.ctx.Err() != nil:
 		status = policy.NotSent
-	case errors.As(err, &sync) && errors.As(err, &answer) && (answer.Code == 1040 || answer.Code == 1203):
+	case errors.As(err, &beforeStatement) && errors.As(err, &answer) && (answer.Code == 1040 || answer.Code == 1203):
 		status = policy.Overloaded
-	case errors.As(err, &sync):
+	case errors.As(err, &beforeStatement):
 		status = policy.ConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		status = policy.Timeout
 		if s != nil {
-			t.kill(s.to, s.thread)
+			t.killAsync(s.endpoint, s.threadID)
 		}
 	}
 	if answer != nil || errors.Is(err, wire.ErrMalformed) || errors.Is(err, session.ErrUnasked) || errors.Is(err, wire.ErrSequence) {
-		t.some.Do(func() { t.log.Warn("a server's answer cannot be used", "server", string(a.Server), "err", err) })
+		t.warnLimit.Do(func() { t.log.Warn("a server's answer cannot be used", "server", string(a.Server), "err", err) })
 	}
-	t.log.Debug("attempt", "server", string(a.Server), "status", status, "err", err)
+	t.log.Debug("attempt failed", "server", string(a.Server), "status", status, "err", err)
 	return engine.AttemptResult{Status: status}
 }
 
-// kill orders the end of a statement that nobody awaits any more: a server that works on it would notice only at its end.
-func (t *Transport) kill(to engine.Endpoint, thread uint32) {
+// killAsync starts a KILL QUERY for an abandoned statement. Without it, the server would notice the
+// closed connection only at the end of the statement.
+func (t *Transport) killAsync(to engine.Endpoint, thread uint32) {
 	if t.cfg.Account.User == "" {
 		return
 	}
@@ -612,41 +622,41 @@
 		return
 	}
 	select {
-	case t.kills <- struct{}{}:
+	case t.killSlots <- struct{}{}:
 	default:
 		return
 	}
 	t.work.Go(func() {
-		defer func() { <-t.kills }()
-		if err := t.order(to, thread); err != nil {
-			t.log.Debug("kill", "server", string(to.ID), "err", err)
+		defer func() { <-t.killSlots }()
+		if err := t.killQuery(to, thread); err != nil {
+			t.log.Debug("KILL QUERY failed", "server", string(to.ID), "err", err)
 		}
 	})
 }
 
-// end orders the end of a statement that is under way on a connection, and reports whether one was.
-func (t *Transport) end(s *server) (bool, error) {
-	s.killing.Lock()
-	defer s.killing.Unlock()
+// killRunning kills the statement that runs on a connection and reports whether there was one.
+func (t *Transport) killRunning(s *serverConn) (bool, error) {
+	s.killMu.Lock()
+	defer s.killMu.Unlock()
 	if !s.running {
 		return false, nil
 	}
 	s.killed = true
-	return true, t.order(s.to, s.thread)
+	return true, t.killQuery(s.endpoint, s.threadID)
 }
 
-// order orders a server to end the statement of a thread.
-func (t *Transport) order(to engine.Endpoint, thread uint32) error {
-	ctx, cancel := context.WithTimeout(t.ctx, killTime)
+// killQuery sends KILL QUERY for a thread to a server.
+func (t *Transport) killQuery(to engine.Endpoint, thread uint32) error {
+	ctx, cancel := context.WithTimeout(t.ctx, killTimeout)
 	defer cancel()
-	t.count(func(c *ConnCounts) { c.Kills++ })
-	return t.with(ctx, to, func(s *server) error {
-		return s.simple([]byte("\x03kill query " + strconv.FormatUint(uint64(thread), 10)))
+	t.updateCounts(func(c *ConnCounts) { c.Kills++ })
+	return t.withConn(ctx, to, func(s *serverConn) error {
+		return s.execSimple([]byte("\x03kill query " + strconv.FormatUint(uint64(thread), 10)))
 	})
 }
 
-// own_ has f use a connection of this side's own.
-func (t *Transport) with(ctx context.Context, to engine.Endpoint, f func(*server) error) error {
+// withConn calls f with a connection for the proxy's own commands.
+func (t *Transport) withConn(ctx context.Context, to engine.Endpoint, f func(*serverConn) error) error {
 	j := &job{profile: profile{caps: wire.DeprecateEOF, charset: 45}}
 	s := t.reuse(to, j)
 	if s == nil {
@@ -655,37 +665,38 @@
 			return err
 		}
 	}
-	s.until, _ = ctx.Deadline()
+	s.deadline, _ = ctx.Deadline()
 	if err := f(s); err != nil {
 		s.Close()
 		return err
 	}
-	t.keep(s)
+	t.putIdle(s)
 	return nil
 }
 
-// own is the load of a server as this process makes it, where it is not asked.
-func (t *Transport) own(id policy.ServerID) *policy.Load {
+// inFlightLoad returns the load of a server that results from this process's connections, or nil if
+// the load is probed.
+func (t *Transport) inFlightLoad(id policy.ServerID) *policy.Load {
 	if t.prober != nil || t.cfg.LoadQuery != "" {
 		return nil
 	}
-	return t.out.Load(id)
+	return t.inUse.Load(id)
 }
 
-// Probe is a method of engine.Transport.
+// Probe implements engine.Transport. It returns the load of a server.
 func (t *Transport) Probe(ctx context.Context, to engine.Endpoint) (policy.Status, *policy.Load) {
 	switch {
 	case t.prober != nil:
-		to.Addr = t.load(to)
+		to.Addr = t.loadAddr(to)
 		return t.prober.Probe(ctx, to)
 	case t.cfg.LoadQuery == "":
-		return policy.OK, t.own(to.ID)
+		return policy.OK, t.inFlightLoad(to.ID)
 	}
-	ctx, cancel := context.WithTimeout(ctx, probeTime)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var n float64
-	err := t.with(ctx, to, func(s *server) (err error) {
-		n, err = s.load(t.cfg.LoadQuery)
+	err := t.withConn(ctx, to, func(s *serverConn) (err error) {
+		n, err = s.queryLoad(t.cfg.LoadQuery)
 		return err
 	})
 	var answer *wire.Error
@@ -696,8 +707,8 @@
 		return policy.NotSent, nil
 	case errors.As(err, &answer) && (answer.Code == 1040 || answer.Code == 1203):
 		return policy.Overloaded, nil
-	case errors.As(err, &answer) || errors.Is(err, errLoad):
-		t.some.Do(func() { t.log.Warn("load_query", "server", string(to.ID), "err", err) })
+	case errors.As(err, &answer) || errors.Is(err, errInvalidLoad):
+		t.warnLimit.Do(func() { t.log.Warn("load_query failed", "server", string(to.ID), "err", err) })
 		return policy.AppError, nil
 	case errors.Is(err, os.ErrDeadlineExceeded) || ctx.Err() != nil:
 		return policy.Timeout, nil
@@ -705,11 +716,11 @@
 	return policy.ConnectFailed, nil
 }
 
-// errLoad tells that a server's load is no number.
-var errLoad = errors.New("no number")
+// errInvalidLoad means that the result of the load query is not a valid load.
+var errInvalidLoad = errors.New("no number")
 
-// load asks for one number.
-func (s *server) load(sql string) (float64, error) {
+// queryLoad runs the load query and returns the last value of its first row.
+func (s *serverConn) queryLoad(sql string) (float64, error) {
 	s.wire.Reset()
 	if err := s.send(append([]byte{byte(wire.Query)}, sql...)); err != nil {
 		return 0, err
@@ -737,7 +748,7 @@
 		}
 		if reply.Passed(len(b)); reply.Rows > rows {
 			if rows++; rows > 100 {
-				return 0, fmt.Errorf("%w: over 100 rows", errLoad)
+				return 0, fmt.Errorf("%w: more than 100 rows", errInvalidLoad)
 			}
 			if row, err := wire.RowText(b); err == nil && rows == 1 && len(row) > 0 {
 				value = row[len(row)-1]
@@ -749,7 +760,7 @@
 	}
 	n, err := strconv.ParseFloat(string(value), 64)
 	if err != nil || !(n >= 0 && n <= 1e9) {
-		return 0, fmt.Errorf("%w: %.40q", errLoad, value)
+		return 0, fmt.Errorf("%w: %.40q", errInvalidLoad, value)
 	}
 	return n, nil
 }
--- a/internal/mysql/proxy/unknown_outcome_test.go
+++ b/internal/mysql/proxy/unknown_outcome_test.go
@@ -9,25 +9,25 @@
 	"quillfront/internal/mysql/standin"
 )
 
-// TestStillOut: a write whose first attempt could not connect, and whose second has run and is not answered in time, is not called refused:
-// that would have the client run it again.
+// TestStillOut checks that a write is not reported as refused if its first attempt could not connect
+// but its second has run and is not answered in time. A client would run a refused write again.
 func TestStillOut(t *testing.T) {
-	w := open(t, options{deadline: 400 * time.Millisecond})
-	w.make(func(_, sql string) standin.Trouble {
+	w := newTestEnv(t, options{deadline: 400 * time.Millisecond})
+	w.setFault(func(_, sql string) standin.Trouble {
 		return standin.Trouble{Silent: strings.HasPrefix(sql, "INSERT")}
 	})
 	w.servers[0].Close()
 	ran := 0
 	for i := range 12 {
 		id := fmt.Sprint("A", i)
-		err := exec(t, w.session(""), fmt.Sprintf("INSERT INTO orders (id, item, qty) VALUES ('%s', 'x', 1)", id))
+		err := exec(t, w.newSession(""), fmt.Sprintf("INSERT INTO orders (id, item, qty) VALUES ('%s', 'x', 1)", id))
 		n := w.db.Executed()[id]
 		ran += n
-		if err == nil || n > 0 && code(err) != 9002 {
+		if err == nil || n > 0 && errorCode(err) != 9002 {
 			t.Errorf("%s was executed %d times: %v", id, n, err)
 		}
 	}
 	if ran == 0 {
-		t.Error("none was executed")
+		t.Error("no statement was executed")
 	}
 }
--- a/internal/mysql/proxy/users.go
+++ b/internal/mysql/proxy/users.go
@@ -15,32 +15,32 @@
 	"quillfront/internal/mysql/wire"
 )
 
-// salted is a hash that takes the password itself to check.
-type salted struct {
-	rounds     int
+// saltedHash is a PBKDF2 hash, which can only be checked against the password itself.
+type saltedHash struct {
+	iterations int
 	salt, hash []byte
 }
 
-func parseSalted(s string) (salted, error) {
+func parseSaltedHash(s string) (saltedHash, error) {
 	parts := strings.Split(s, "$")
 	if len(parts) != 4 || parts[0] != "pbkdf2" {
-		return salted{}, errors.New("the hash is not of the form pbkdf2$rounds$salt$hash")
+		return saltedHash{}, errors.New("the hash is not of the form pbkdf2$rounds$salt$hash")
 	}
-	var v salted
+	var v saltedHash
 	var err error
-	if v.rounds, err = strconv.Atoi(parts[1]); err != nil || v.rounds < 1 || v.rounds > 10_000_000 {
-		return v, fmt.Errorf("%q is no number of rounds", parts[1])
+	if v.iterations, err = strconv.Atoi(parts[1]); err != nil || v.iterations < 1 || v.iterations > 10_000_000 {
+		return v, fmt.Errorf("%q is not a valid number of rounds", parts[1])
 	}
 	if v.salt, err = hex.DecodeString(parts[2]); err != nil {
-		return v, fmt.Errorf("the salt: %w", err)
+		return v, fmt.Errorf("decoding the salt: %w", err)
 	}
 	if v.hash, err = hex.DecodeString(parts[3]); err != nil || len(v.hash) != sha256.Size {
-		return v, errors.New("the hash is not of 32 bytes in hex")
+		return v, errors.New("the hash is not 32 bytes in hex")
 	}
 	return v, nil
 }
 
-// HashPassword returns a password as it may stand in the users' file.
+// HashPassword returns the salted hash of a password in the format of User.SaltedHash.
 func HashPassword(password string, salt []byte, rounds int) (string, error) {
 	h, err := pbkdf2.Key(sha256.New, password, salt, rounds, sha256.Size)
 	if err != nil {
@@ -49,68 +49,71 @@
 	return fmt.Sprintf("pbkdf2$%d$%s$%s", rounds, hex.EncodeToString(salt), hex.EncodeToString(h)), nil
 }
 
-func (v salted) is(password string) bool {
-	h, err := pbkdf2.Key(sha256.New, password, v.salt, v.rounds, sha256.Size)
+func (v saltedHash) matches(password string) bool {
+	h, err := pbkdf2.Key(sha256.New, password, v.salt, v.iterations, sha256.Size)
 	return err == nil && subtle.ConstantTimeCompare(h, v.hash) == 1
 }
 
-// directory knows the users, and the passwords that were proved in full.
-type directory struct {
-	mu    sync.Mutex
-	users map[string]User
-	asks  bool                  // some of them are asked for the password itself
-	known map[string]wire.Known // of salted ones; no more than there are users
+// userDirectory holds the users and caches the hashes of passwords that full authentication has
+// verified.
+type userDirectory struct {
+	mu             sync.Mutex
+	users          map[string]User
+	hasSaltedUsers bool                  // at least one user has a salted hash
+	verified       map[string]wire.Known // of users with a salted hash, hence at most one per user
 }
 
-func newDirectory(users []User) *directory {
-	d := &directory{}
+func newUserDirectory(users []User) *userDirectory {
+	d := &userDirectory{}
 	d.set(users)
 	return d
 }
 
-// set makes users those that may log in. Who is logged in stays so.
-func (d *directory) set(users []User) {
+// set replaces the users. It does not affect sessions that are logged in.
+func (d *userDirectory) set(users []User) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.users, d.known, d.asks = map[string]User{}, map[string]wire.Known{}, false
+	d.users, d.verified, d.hasSaltedUsers = map[string]User{}, map[string]wire.Known{}, false
 	for _, u := range users {
 		d.users[u.Name] = u
-		d.asks = d.asks || u.SaltedHash != ""
+		d.hasSaltedUsers = d.hasSaltedUsers || u.SaltedHash != ""
 	}
 }
 
-// find returns a user, what can be checked of its password, and whether that is so. Who is not known looks like most who are.
-func (d *directory) find(name string) (u User, k wire.Known, fast, ok bool) {
+// find returns a user and the hashes of its password. fast reports whether the hashes are known, so
+// that a challenge response can be checked, and ok whether the user exists. For an unknown user, fast
+// is chosen so that the login looks like that of an existing one.
+func (d *userDirectory) find(name string) (u User, k wire.Known, fast, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if u, ok = d.users[name]; !ok {
-		return u, wire.Known{}, !d.asks, false
+		return u, wire.Known{}, !d.hasSaltedUsers, false
 	}
 	if u.SaltedHash == "" {
 		return u, u.Password, true, true
 	}
-	k, fast = d.known[name]
+	k, fast = d.verified[name]
 	return u, k, fast, true
 }
 
-// full checks a password as it is, and remembers it if it is the one.
-func (d *directory) full(u User, password string) bool {
+// verifyPassword checks a clear-text password and caches its hashes if it is correct.
+func (d *userDirectory) verifyPassword(u User, password string) bool {
 	if u.SaltedHash == "" {
 		return u.Password.Is(password)
 	}
-	s, err := parseSalted(u.SaltedHash)
-	if err != nil || !s.is(password) {
+	s, err := parseSaltedHash(u.SaltedHash)
+	if err != nil || !s.matches(password) {
 		return false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if now, ok := d.users[u.Name]; ok && now.SaltedHash == u.SaltedHash {
-		d.known[u.Name] = wire.Keep(password)
+		d.verified[u.Name] = wire.Keep(password)
 	}
 	return true
 }
 
-// mayUse reports whether a user may choose a schema.
+// mayUse reports whether the user may select the schema.
 func (u *User) mayUse(schema string) bool {
 	return schema == "" || u.Schemas == nil || slices.Contains(u.Schemas, schema)
 }
