--- a/internal/mysql/proxy/basic_test.go
+++ b/internal/mysql/proxy/basic_test.go
@@ -123,7 +123,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, u := range []User{{Name: "app", Password: wire.Keep("secret")}, {Name: "app", SaltedHash: salted}} {
+	for _, u := range []User{{Name: "app", Password: wire.NewPasswordHashes("secret")}, {Name: "app", SaltedHash: salted}} {
 		w := newTestEnv(t, options{proxy: Config{Users: []User{u}}})
 		for _, c := range [][2]string{{"app", "wrong"}, {"app", ""}, {"nobody", "secret"}, {"nobody", ""}} {
 			if err := connect(t, w.addr, c[0], c[1], "").Ping(); errorCode(err) != 1045 {
--- a/internal/mysql/proxy/client.go
+++ b/internal/mysql/proxy/client.go
@@ -155,7 +155,7 @@
 func (s *clientSession) releaseConn() {
 	x := s.exchange
 	s.exchange, s.drainingSince = nil, time.Time{}
-	s.state.Gave()
+	s.state.ConnectionReleased()
 	s.frontend.transport.putIdle(x.serverConn)
 	x.finish(policy.OK)
 }
@@ -197,11 +197,11 @@
 		case !usable && now.Sub(s.drainingSince) >= f.cfg.DrainTimeout:
 			f.drainExpired.Add(1)
 			if s.dedicated {
-				s.closeIdle(wire.Closing("the server takes nothing new"))
+				s.closeIdle(wire.ConnectionClosing("the server takes nothing new"))
 				return
 			}
 			s.closeConn(policy.OK)
-			if l := s.state.Lost(nil, false, "its server takes nothing new"); l.Close {
+			if l := s.state.ConnectionLost(nil, false, "its server takes nothing new"); l.Close {
 				s.closeIdle(l.Error)
 				return
 			}
@@ -210,7 +210,7 @@
 	s.bound.Store(s.exchange != nil && (s.dedicated || s.state.Bound()))
 	switch {
 	case !f.acceptor.DrainingSince().IsZero() && (!s.bound.Load() || f.shutdownSchedule().MustAnswer(now)):
-		s.closeIdle(wire.Closing("the proxy is ending"))
+		s.closeIdle(wire.ConnectionClosing("the proxy is ending"))
 	case now.Sub(s.idleSince) >= f.cfg.IdleTimeout:
 		s.closeIdle(&wire.Error{Code: 4031, State: "HY000", Message: "The client was disconnected because of inactivity"})
 	}
@@ -257,7 +257,7 @@
 		}
 		if !s.frontend.statementBudget.TryAcquire(weight) {
 			s.frontend.outcomes[refused].Add(1)
-			s.wire.Expect(1)
+			s.wire.SetSequence(1)
 			s.sendError(wire.Refused(time.Second))
 			return errSessionEnded // the rest of the statement cannot be read
 		}
@@ -278,7 +278,7 @@
 		return s.rejectCommand(wire.ErrMalformed)
 	}
 	if !s.frontend.shutdownSchedule().MayForward(time.Now()) {
-		s.sendError(wire.Closing("the proxy is ending"))
+		s.sendError(wire.ConnectionClosing("the proxy is ending"))
 		return errSessionEnded
 	}
 	return s.dispatch(wire.Command(b[0]), b)
@@ -289,11 +289,11 @@
 func (s *clientSession) rejectCommand(err error) error {
 	switch {
 	case errors.Is(err, wire.ErrTooLarge):
-		s.wire.Expect(1)
-		s.sendError(wire.TooLarge(s.frontend.cfg.MaxStatementSize))
+		s.wire.SetSequence(1)
+		s.sendError(wire.StatementTooLarge(s.frontend.cfg.MaxStatementSize))
 	case errors.Is(err, wire.ErrSequence), errors.Is(err, wire.ErrMalformed):
-		s.wire.Expect(1)
-		s.sendError(wire.OutOfOrder(err))
+		s.wire.SetSequence(1)
+		s.sendError(wire.ProtocolError(err))
 	}
 	return errSessionEnded
 }
@@ -321,13 +321,13 @@
 		if s.exchange == nil || !s.dedicated && !s.state.Bound() {
 			return s.sendOK()
 		}
-		return s.runOnCurrent(c, b, &session.Statement{Verb: "ping", Read: true}, 0)
+		return s.runOnCurrent(c, b, &session.Statement{Verb: "ping", ReadOnly: true}, 0)
 	case wire.InitDB:
 		schema := string(b[1:])
 		if !s.user.mayUse(schema) {
 			return s.sendError(&wire.Error{Code: 1044, State: "42000", Message: "Access denied to this schema"})
 		}
-		return s.runStatement(c, b, session.Statement{Verb: "use", Read: true, Schema: schema}, nil, nil)
+		return s.runStatement(c, b, session.Statement{Verb: "use", ReadOnly: true, Schema: schema}, nil, nil)
 	case wire.Query:
 		return s.query(b)
 	case wire.StmtPrepare:
@@ -362,7 +362,7 @@
 	if name == "" {
 		return s.sendError(&wire.Error{Code: 1047, State: "08S01", Message: "Unknown command"})
 	}
-	return s.sendError(wire.NotCarried(name))
+	return s.sendError(wire.NotSupported(name))
 }
 
 // scan parses a statement. It drops the hint unless hints are enabled.
@@ -389,18 +389,18 @@
 // runStatement runs a command where the session's state allows it and answers it. p and e are set
 // for COM_STMT_EXECUTE only.
 func (s *clientSession) runStatement(c wire.Command, b []byte, st session.Statement, p *preparedStatement, e *session.Execution) error {
-	if st.Hint.Wrong != "" {
-		return s.sendError(&wire.Error{Code: 1064, State: "42000", Message: "hint: " + st.Hint.Wrong})
+	if st.Hint.Invalid != "" {
+		return s.sendError(&wire.Error{Code: 1064, State: "42000", Message: "hint: " + st.Hint.Invalid})
 	}
 	plan := s.state.Plan(&st, s.exchange != nil)
-	switch plan.Place {
-	case session.Nowhere:
+	switch plan.Placement {
+	case session.LocalReply:
 		if plan.Error != nil {
 			s.frontend.outcomes[lost].Add(1)
 			return s.sendError(plan.Error)
 		}
 		return s.sendOK()
-	case session.Here:
+	case session.CurrentConnection:
 		if p == nil {
 			return s.runOnCurrent(c, b, &st, st.Hint.Timeout)
 		}
@@ -421,9 +421,9 @@
 // classify returns the class of a statement and its timeout.
 func (s *clientSession) classify(st *session.Statement, timeout time.Duration) (string, time.Duration) {
 	known := func(name string) bool { _, ok := s.frontend.pool.Class(name); return ok }
-	name := s.frontend.cfg.classOf(s.user.Name, s.state.Schema(), st.Verb, st.Hint.Class, known)
+	name := s.frontend.cfg.classOf(s.user.Name, s.state.DefaultSchema(), st.Verb, st.Hint.Class, known)
 	class, _ := s.frontend.pool.Class(name)
-	if st.Read {
+	if st.ReadOnly {
 		if read, ok := s.frontend.pool.Class(pool.SafeClass(name)); ok {
 			class = read
 		}
@@ -439,8 +439,8 @@
 func (s *clientSession) runOnAnyServer(c wire.Command, b []byte, st *session.Statement, p *preparedStatement, e *session.Execution) error {
 	f := s.frontend
 	j := &job{
-		command: c, message: b, stmt: p, execution: e, profile: profile{s.caps & replyCapabilities, s.charset}, schema: s.state.Schema(),
-		settings: s.state.Settings(), requireClean: st.Asks != 0, read: st.Read, runningOn: &s.runningOn,
+		command: c, message: b, stmt: p, execution: e, profile: profile{s.caps & replyCapabilities, s.charset}, schema: s.state.DefaultSchema(),
+		settings: s.state.Settings(), requireClean: st.Needs != 0, read: st.ReadOnly, runningOn: &s.runningOn,
 	}
 	defer s.runningOn.Store(nil)
 	if p != nil {
@@ -472,7 +472,7 @@
 		return s.sendError(wire.Refused(result.RetryAfter))
 	}
 	sent := !result.NotRun // LastStatus may be of one attempt while another still runs
-	if !sent && !st.Read {
+	if !sent && !st.ReadOnly {
 		f.outcomes[refused].Add(1)
 		return s.sendError(wire.Refused(0))
 	}
@@ -483,7 +483,7 @@
 	case sent:
 		why = "the server went before it answered"
 	}
-	return s.reportLoss(st, s.state.Lost(st, sent, why))
+	return s.reportLoss(st, s.state.ConnectionLost(st, sent, why))
 }
 
 // reportLoss sends the client the outcome of a statement whose server connection was lost.
@@ -493,7 +493,7 @@
 	case l.Error == nil:
 		s.frontend.outcomes[served].Add(1)
 		err = s.sendOK()
-	case l.Error.Code == wire.Unknown("").Code:
+	case l.Error.Code == wire.OutcomeUnknown("").Code:
 		s.frontend.outcomes[unknown].Add(1)
 		err = s.sendError(l.Error)
 	default:
@@ -590,7 +590,7 @@
 	if !x.quiescent() {
 		resolve(engine.Failed)
 		s.closeConn(policy.Reset)
-		return s.reportLoss(st, s.state.Lost(st, false, "its server had gone"))
+		return s.reportLoss(st, s.state.ConnectionLost(st, false, "its server had gone"))
 	}
 	x.setRunning(true)
 	s.runningOn.Store(x.serverConn)
@@ -620,7 +620,7 @@
 			f.transport.killAsync(x.endpoint, x.threadID)
 		}
 		s.closeConn(policy.Reset)
-		return s.reportLoss(st, s.state.Lost(st, !errors.As(err, &beforeStatement), why))
+		return s.reportLoss(st, s.state.ConnectionLost(st, !errors.As(err, &beforeStatement), why))
 	}
 	resolve(engine.Served)
 	return s.relayReply(st, p)
@@ -670,7 +670,7 @@
 	wrote := false
 	err := s.copyReply(x, &wrote)
 	x.setRunning(false)
-	var to wire.ErrTo
+	var to wire.WriteError
 	switch {
 	case errors.As(err, &to): // the client has disconnected or reads nothing
 		f.transport.killAsync(x.endpoint, x.threadID)
@@ -684,9 +684,9 @@
 			f.outcomes[lost].Add(1)
 			return errSessionEnded
 		}
-		l := s.state.Lost(st, true, "the reply broke off")
+		l := s.state.ConnectionLost(st, true, "the reply broke off")
 		if l.Error != nil && l.Error.Code == wire.Failed("").Code {
-			l.Error = wire.Broken("its server went")
+			l.Error = wire.ResultTruncated("its server went")
 		}
 		return s.reportLoss(st, l)
 	}
@@ -696,7 +696,7 @@
 	} else {
 		f.outcomes[served].Add(1)
 	}
-	keep := s.state.Ended(st, reply.Reported) || s.dedicated
+	keep := s.state.StatementEnded(st, reply.ReplySummary) || s.dedicated
 	if !s.dedicated && s.state.Bound() {
 		x.applied.dirty = true
 	}
@@ -723,46 +723,46 @@
 func (s *clientSession) copyReply(x *exchange, wrote *bool) error {
 	for _, b := range x.heldPackets {
 		if err := s.wire.Write(b); err != nil {
-			return wire.NewErrTo(err)
+			return wire.NewWriteError(err)
 		}
 	}
 	x.heldPackets = nil
 	for !x.reply.Done() {
 		if x.wire.R.Buffered() == 0 { // the next packet may take a while
 			if err := s.wire.W.Flush(); err != nil {
-				return wire.NewErrTo(err)
+				return wire.NewWriteError(err)
 			}
 		}
 		piece, err := x.wire.Peek()
 		if err != nil {
 			return err
 		}
-		whole, err := x.reply.Whole(piece)
+		whole, err := x.reply.MustReadWhole(piece)
 		if err != nil {
 			return err
 		}
 		if whole {
-			b, err := x.wire.Read(session.MostControl)
+			b, err := x.wire.Read(session.MaxControlPacket)
 			if err != nil {
 				return err
 			}
-			if err := x.reply.Take(b); err != nil {
+			if err := x.reply.Consume(b); err != nil {
 				return err
 			}
 			if err := s.wire.Write(b); err != nil {
-				return wire.NewErrTo(err)
+				return wire.NewWriteError(err)
 			}
 			continue
 		}
-		n, begun, err := x.wire.Pass(&s.wire)
+		n, begun, err := x.wire.Forward(&s.wire)
 		if err != nil {
 			*wrote = begun
 			return err
 		}
-		x.reply.Passed(n)
+		x.reply.Forwarded(n)
 	}
 	if err := s.wire.W.Flush(); err != nil {
-		return wire.NewErrTo(err)
+		return wire.NewWriteError(err)
 	}
 	return nil
 }
@@ -781,14 +781,14 @@
 	if len(s.statements) >= maxStatements || s.preparedBytes+len(sql) > maxPreparedBytes {
 		return s.sendError(&wire.Error{Code: 1461, State: "42000", Message: "too many prepared statements in this session"})
 	}
-	p := &preparedStatement{sql: sql, schema: s.state.Schema(), parsed: s.scan(sql)}
-	if p.parsed.Kill != nil || p.parsed.Local {
-		return s.sendError(wire.NotCarried("this statement, prepared,"))
+	p := &preparedStatement{sql: sql, schema: s.state.DefaultSchema(), parsed: s.scan(sql)}
+	if p.parsed.Kill != nil || p.parsed.LocalInfile {
+		return s.sendError(wire.NotSupported("this statement, prepared,"))
 	}
 	for s.lastStatementID++; s.lastStatementID == 0 || s.statements[s.lastStatementID] != nil; s.lastStatementID++ {
 	}
 	p.id = s.lastStatementID
-	st := session.Statement{Verb: p.parsed.Verb, Read: true, Hint: p.parsed.Hint}
+	st := session.Statement{Verb: p.parsed.Verb, ReadOnly: true, Hint: p.parsed.Hint}
 	return s.prepareOnServer(b, &st, p)
 }
 
@@ -796,7 +796,7 @@
 // reply by the session's own.
 func (s *clientSession) prepareOnServer(b []byte, st *session.Statement, p *preparedStatement) error {
 	plan := s.state.Plan(st, s.exchange != nil)
-	if plan.Place == session.Nowhere {
+	if plan.Placement == session.LocalReply {
 		s.frontend.outcomes[lost].Add(1)
 		return s.sendError(plan.Error)
 	}
@@ -823,12 +823,12 @@
 			if errors.Is(err, errClientLeft) {
 				return errSessionEnded
 			}
-			return s.reportLoss(st, s.state.Lost(st, true, "the server went before it answered"))
+			return s.reportLoss(st, s.state.ConnectionLost(st, true, "the server went before it answered"))
 		}
 		f.pool.ResolveDeferred(r, engine.Result{Kind: engine.Served, Server: x.serverID})
 	} else {
 		j := &job{
-			command: wire.StmtPrepare, message: b, profile: profile{s.caps & replyCapabilities, s.charset}, schema: s.state.Schema(), settings: s.state.Settings(), read: true,
+			command: wire.StmtPrepare, message: b, profile: profile{s.caps & replyCapabilities, s.charset}, schema: s.state.DefaultSchema(), settings: s.state.Settings(), read: true,
 		}
 		r := &engine.Request{Class: name, Timeout: wait, Payload: j}
 		if err := f.pool.Submit(r, f.pool.Now()); err != nil {
@@ -873,7 +873,7 @@
 		if errors.As(err, &answer) {
 			return s.sendError(answer)
 		}
-		return s.sendError(wire.OutOfOrder(err))
+		return s.sendError(wire.ProtocolError(err))
 	}
 	p.types = e.Types
 	return s.runStatement(wire.StmtExecute, nil, p.parsed, p, e)
@@ -887,8 +887,8 @@
 		return nil // the EXECUTE reports the error
 	}
 	if p.longDataSize += len(b); p.longDataSize > s.frontend.cfg.MaxStatementSize {
-		s.wire.Expect(1)
-		s.sendError(wire.TooLarge(s.frontend.cfg.MaxStatementSize))
+		s.wire.SetSequence(1)
+		s.sendError(wire.StatementTooLarge(s.frontend.cfg.MaxStatementSize))
 		return errSessionEnded
 	}
 	p.longData = append(p.longData, b)
@@ -900,12 +900,12 @@
 	if s.dedicated {
 		err := s.runOnCurrent(wire.ResetConnection, b, &session.Statement{Verb: "reset"}, 0)
 		if err == nil && s.exchange != nil {
-			s.state.Reset(s.state.Schema())
+			s.state.Reset(s.state.DefaultSchema())
 			s.statements, s.preparedBytes = map[uint32]*preparedStatement{}, 0
 		}
 		return err
 	}
-	s.resetSession(s.state.Schema())
+	s.resetSession(s.state.DefaultSchema())
 	return s.sendOK()
 }
 
@@ -930,12 +930,12 @@
 		return s.sendError(&wire.Error{Code: 1094, State: "HY000", Message: "Unknown thread id"})
 	}
 	to := victim.runningOn.Load()
-	if !k.Query {
+	if !k.QueryOnly {
 		victim.raw.Close() // the goroutine that serves it cleans up
 		return s.sendOK()
 	}
 	if s.frontend.cfg.Account.User == "" {
-		return s.sendError(wire.NotCarried("KILL QUERY without an account"))
+		return s.sendError(wire.NotSupported("KILL QUERY without an account"))
 	}
 	if to != nil {
 		if _, err := s.frontend.transport.killRunning(to); err != nil {
--- a/internal/mysql/proxy/client_login.go
+++ b/internal/mysql/proxy/client_login.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	s.caps, s.charset = l.Capabilities&g.Capabilities, l.Charset
-	if err := s.authenticate(l.User, l.Plugin, l.Proof, g.Scramble, l.Schema); err != nil {
+	if err := s.authenticate(l.User, l.Plugin, l.AuthResponse, g.Scramble, l.Schema); err != nil {
 		return err
 	}
 	s.state = session.New(l.Schema, s.charset)
@@ -47,7 +47,7 @@
 	}
 	if wire.IsSSLRequest(b) && s.frontend.cfg.TLS != nil {
 		early, _ := s.wire.R.Peek(s.wire.R.Buffered())
-		c := tls.Server(wire.Behind(early, s.raw), s.frontend.cfg.TLS)
+		c := tls.Server(wire.PrefixConn(early, s.raw), s.frontend.cfg.TLS)
 		if err := c.HandshakeContext(s.frontend.acceptor.Context()); err != nil {
 			return wire.Login{}, err
 		}
@@ -66,13 +66,13 @@
 
 func (s *clientSession) rejectLogin(err error) error {
 	if errors.Is(err, wire.ErrMalformed) || errors.Is(err, wire.ErrSequence) || errors.Is(err, wire.ErrTooLarge) || errors.Is(err, wire.ErrOldClient) {
-		s.sendError(wire.OutOfOrder(err))
+		s.sendError(wire.ProtocolError(err))
 	}
 	return errSessionEnded
 }
 
 func (s *clientSession) denyAccess(user string) error {
-	s.sendError(wire.Denied(user))
+	s.sendError(wire.AccessDenied(user))
 	return errSessionEnded
 }
 
@@ -83,7 +83,7 @@
 	want := s.frontend.cfg.Plugin
 	if plugin != want {
 		scramble = wire.NewScramble()
-		if err := s.send(wire.AppendSwitch(nil, want, scramble)); err != nil {
+		if err := s.send(wire.AppendAuthSwitch(nil, want, scramble)); err != nil {
 			return err
 		}
 		var err error
@@ -92,7 +92,7 @@
 		}
 	}
 	switch {
-	case fast && (!known || !k.Proves(want, proof, scramble)):
+	case fast && (!known || !k.VerifyResponse(want, proof, scramble)):
 		// The fast check also fails when a salted password has been changed. The client is then
 		// asked for the password itself.
 		if !known || u.SaltedHash == "" {
@@ -108,7 +108,7 @@
 			return s.denyAccess(name)
 		}
 	case want == wire.SHA2 && len(proof) > 0:
-		if err := s.send([]byte{wire.AuthMore, wire.FastOK}); err != nil {
+		if err := s.send([]byte{wire.AuthMoreData, wire.FastAuthSuccess}); err != nil {
 			return err
 		}
 	}
@@ -131,7 +131,7 @@
 	if empty || s.frontend.cfg.Plugin != wire.SHA2 {
 		return false, nil
 	}
-	if err := s.send([]byte{wire.AuthMore, wire.FullNeeded}); err != nil {
+	if err := s.send([]byte{wire.AuthMoreData, wire.PerformFullAuth}); err != nil {
 		return false, err
 	}
 	b, err := s.wire.Read(maxLoginPacket)
@@ -145,24 +145,24 @@
 		}
 		password = string(b[:len(b)-1])
 	} else {
-		if len(b) != 1 || b[0] != wire.KeyRequested {
+		if len(b) != 1 || b[0] != wire.RequestPublicKey {
 			return false, s.rejectLogin(wire.ErrMalformed)
 		}
 		key, err := passwordKey()
 		if err != nil {
 			return false, err
 		}
-		text, err := wire.PublicKey(key)
+		text, err := wire.PublicKeyPEM(key)
 		if err != nil {
 			return false, err
 		}
-		if err := s.send(append([]byte{wire.AuthMore}, text...)); err != nil {
+		if err := s.send(append([]byte{wire.AuthMoreData}, text...)); err != nil {
 			return false, err
 		}
 		if b, err = s.wire.Read(maxLoginPacket); err != nil {
 			return false, s.rejectLogin(err)
 		}
-		if password, err = wire.Decrypt(b, scramble, key); err != nil {
+		if password, err = wire.DecryptPassword(b, scramble, key); err != nil {
 			return false, nil
 		}
 	}
@@ -172,13 +172,13 @@
 // passThroughLogin lets the engine pick a server for the client and relays the login between them.
 func (s *clientSession) passThroughLogin() error {
 	f := s.frontend
-	st := &session.Statement{Verb: "connect", Read: true}
+	st := &session.Statement{Verb: "connect", ReadOnly: true}
 	s.state = session.New("", 45) // classify reads the schema
 	name, wait := s.classify(st, 0)
 	s.state = nil
 	r := &engine.Request{Class: name, Timeout: wait, Payload: &job{passThrough: true, read: true}}
 	if err := f.pool.Submit(r, f.pool.Now()); err != nil {
-		s.sendError(wire.Closing("the proxy is ending"))
+		s.sendError(wire.ConnectionClosing("the proxy is ending"))
 		return errSessionEnded
 	}
 	result, ok := s.awaitResult(r)
@@ -186,7 +186,7 @@
 		return errSessionEnded
 	}
 	if result.Kind != engine.Served {
-		e := wire.TooMany("no server can take a connection now")
+		e := wire.TooManyConnections("no server can take a connection now")
 		s.sendError(e)
 		return errSessionEnded
 	}
@@ -207,7 +207,7 @@
 func (s *clientSession) relayLogin(x *exchange) error {
 	g := x.greeting
 	if !g.Capabilities.Has(requiredCapabilities) {
-		s.sendError(wire.Closing("the server is too old"))
+		s.sendError(wire.ConnectionClosing("the server is too old"))
 		return errSessionEnded
 	}
 	g.ThreadID = s.id
@@ -227,7 +227,7 @@
 		return errSessionEnded
 	}
 	if err := s.frontend.transport.startTLS(s.frontend.acceptor.Context(), x.serverConn, x.greeting, &l); err != nil {
-		s.sendError(wire.Closing("no TLS with the server"))
+		s.sendError(wire.ConnectionClosing("no TLS with the server"))
 		return err
 	}
 	if err := x.send(l.Append(nil)); err != nil {
@@ -247,7 +247,7 @@
 	for range maxLoginPackets {
 		b, err := x.wire.Read(maxLoginPacket)
 		if err != nil {
-			s.sendError(wire.Closing("the server went"))
+			s.sendError(wire.ConnectionClosing("the server went"))
 			return err
 		}
 		if err := s.send(b); err != nil {
@@ -260,7 +260,7 @@
 			return nil
 		case b[0] == 0xff:
 			return errSessionEnded
-		case b[0] == wire.AuthMore && len(b) == 2 && b[1] == wire.FastOK:
+		case b[0] == wire.AuthMoreData && len(b) == 2 && b[1] == wire.FastAuthSuccess:
 			continue
 		}
 		if b, err = s.wire.Read(maxLoginPacket); err != nil {
@@ -289,7 +289,7 @@
 	// The proof in the command is for a scramble that was already used, so the client is asked for
 	// a proof of a new one.
 	scramble := wire.NewScramble()
-	if err := s.send(wire.AppendSwitch(nil, s.frontend.cfg.Plugin, scramble)); err != nil {
+	if err := s.send(wire.AppendAuthSwitch(nil, s.frontend.cfg.Plugin, scramble)); err != nil {
 		return err
 	}
 	proof, err := s.wire.Read(maxLoginPacket)
--- a/internal/mysql/proxy/config.go
+++ b/internal/mysql/proxy/config.go
@@ -70,7 +70,7 @@
 // User is a client account with AuthUsers.
 type User struct {
 	Name     string
-	Password wire.Known
+	Password wire.PasswordHashes
 	// SaltedHash replaces Password by "pbkdf2$rounds$salt$hash", with salt and hash in hex. The
 	// client has to send the password itself, as this hash cannot verify a challenge response.
 	SaltedHash string
--- a/internal/mysql/proxy/frontend.go
+++ b/internal/mysql/proxy/frontend.go
@@ -84,9 +84,9 @@
 // reject tells a client that it may not connect and closes the connection. The write may block for
 // 10 ms at most.
 func reject(c net.Conn, why connlimit.Reason) {
-	e := wire.TooMany(why.String())
+	e := wire.TooManyConnections(why.String())
 	if why == connlimit.Closed {
-		e = wire.Closing("the proxy is ending")
+		e = wire.ConnectionClosing("the proxy is ending")
 	}
 	b := e.Append(make([]byte, 4))
 	n := len(b) - 4
--- a/internal/mysql/proxy/session_test.go
+++ b/internal/mysql/proxy/session_test.go
@@ -75,7 +75,7 @@
 	}
 	exec(t, late, "INSERT INTO orders (id, item, qty) VALUES ('late', 'x', 1)")
 	w.drain(n)
-	begun := w.servers[n].Begun.Load()
+	begun := w.servers[n].TransactionsBegun.Load()
 	if err := exec(t, soon, "UPDATE orders SET qty = qty + 1 WHERE id = 'soon'"); err != nil {
 		t.Errorf("a statement of the transaction: %v", err)
 	}
@@ -86,7 +86,7 @@
 		exec(t, rest, "BEGIN")
 		exec(t, rest, "COMMIT")
 	}
-	if w.servers[n].Begun.Load() != begun {
+	if w.servers[n].TransactionsBegun.Load() != begun {
 		t.Error("a new transaction begins on the draining server")
 	}
 	if err := soon.Commit(); err != nil {
@@ -111,17 +111,17 @@
 // once and get one correct answer, and a read must be answered by another server.
 func TestServerDies(t *testing.T) {
 	w := newTestEnv(t, options{servers: 3})
-	kinds := map[string]standin.Trouble{"before": {Before: true}, "during": {During: true}, "after": {After: true}}
+	kinds := map[string]standin.Fault{"before": {CloseBefore: true}, "during": {CloseDuring: true}, "after": {CloseAfter: true}}
 	for n := 1; n <= 12; n++ { // the reply to an INSERT has about 11 bytes
-		kinds[fmt.Sprint("cut ", n)] = standin.Trouble{Cut: n}
+		kinds[fmt.Sprint("cut ", n)] = standin.Fault{CutAfterBytes: n}
 	}
 	for name, trouble := range kinds {
 		var once atomic.Bool
-		w.setFault(func(_, sql string) standin.Trouble {
+		w.setFault(func(_, sql string) standin.Fault {
 			if strings.Contains(sql, name) && once.CompareAndSwap(false, true) {
 				return trouble
 			}
-			return standin.Trouble{}
+			return standin.Fault{}
 		})
 		c := w.newSession("")
 		err := exec(t, c, fmt.Sprintf("/* class=delivery-order */ INSERT INTO orders (id, item, qty) VALUES ('%s', 'x', 1)", name))
@@ -151,23 +151,23 @@
 func TestCommitDies(t *testing.T) {
 	w := newTestEnv(t, options{})
 	for _, tt := range []struct {
-		trouble standin.Trouble
+		trouble standin.Fault
 		verb    string
 		code    uint16
 		ran     int
 	}{
-		{standin.Trouble{Before: true}, "COMMIT", 9002, 0}, {standin.Trouble{During: true}, "COMMIT", 9002, 0}, {standin.Trouble{After: true}, "COMMIT", 9002, 1},
-		{standin.Trouble{After: true}, "UPDATE", 9003, 0}, {standin.Trouble{After: true}, "ROLLBACK", 0, 0}, {standin.Trouble{After: true}, "CREATE TABLE", 9002, 1},
+		{standin.Fault{CloseBefore: true}, "COMMIT", 9002, 0}, {standin.Fault{CloseDuring: true}, "COMMIT", 9002, 0}, {standin.Fault{CloseAfter: true}, "COMMIT", 9002, 1},
+		{standin.Fault{CloseAfter: true}, "UPDATE", 9003, 0}, {standin.Fault{CloseAfter: true}, "ROLLBACK", 0, 0}, {standin.Fault{CloseAfter: true}, "CREATE TABLE", 9002, 1},
 	} {
-		name := fmt.Sprintf("%s %+v", tt.verb, tt.trouble.After)
-		if tt.trouble.During {
+		name := fmt.Sprintf("%s %+v", tt.verb, tt.trouble.CloseAfter)
+		if tt.trouble.CloseDuring {
 			name = "during"
 		}
-		w.setFault(func(_, sql string) standin.Trouble {
+		w.setFault(func(_, sql string) standin.Fault {
 			if strings.HasPrefix(sql, tt.verb) {
 				return tt.trouble
 			}
-			return standin.Trouble{}
+			return standin.Fault{}
 		})
 		c := w.newSession("")
 		exec(t, c, "BEGIN")
@@ -191,11 +191,11 @@
 	w := newTestEnv(t, options{servers: 1})
 	for _, cut := range []int{1, 40, 60, 70, 100, 999, 5000, 40_000, 300_000} {
 		var once atomic.Bool
-		w.setFault(func(_, sql string) standin.Trouble {
+		w.setFault(func(_, sql string) standin.Fault {
 			if strings.Contains(sql, "rows_") && once.CompareAndSwap(false, true) {
-				return standin.Trouble{Cut: cut}
+				return standin.Fault{CutAfterBytes: cut}
 			}
-			return standin.Trouble{}
+			return standin.Fault{}
 		})
 		c := w.newSession("")
 		rows, err := c.QueryContext(context.Background(), "SELECT ROW FROM rows_50000")
@@ -230,14 +230,14 @@
 	if _, err := w.newClient("").ExecContext(ctx, "SELECT SLEEP(15)"); err == nil {
 		t.Error("it was answered")
 	}
-	eventually(t, "its server is told", func() bool { return w.servers[0].Killed.Load()+w.servers[1].Killed.Load() == 1 })
+	eventually(t, "its server is told", func() bool { return w.servers[0].QueriesKilled.Load()+w.servers[1].QueriesKilled.Load() == 1 })
 	tx := beginTx(t, w.newClient(""))
 	ctx, cancel = context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	if _, err := tx.ExecContext(ctx, "SELECT SLEEP(15)"); err == nil {
 		t.Error("it was answered")
 	}
-	eventually(t, "its server is told", func() bool { return w.servers[0].Killed.Load()+w.servers[1].Killed.Load() == 2 })
+	eventually(t, "its server is told", func() bool { return w.servers[0].QueriesKilled.Load()+w.servers[1].QueriesKilled.Load() == 2 })
 	raw := dialRaw(t, w, "app", "secret")
 	raw.sendCommand(wire.Query, "SELECT ROW FROM rows_1000000")
 	raw.Read(make([]byte, 1000))
@@ -316,7 +316,7 @@
 			t.Fatalf("%q, %v", got, err)
 		}
 	}
-	w.servers[n].BreakOff()
+	w.servers[n].ResetConnections()
 	if _, err := queryValue(t, c, "SELECT COUNT(*) FROM scratch"); errorCode(err) != 9007 {
 		t.Errorf("%v", err)
 	}
@@ -409,7 +409,7 @@
 	if got := fmt.Sprint(w.db.Executed()); got != "map[A3:1]" {
 		t.Errorf("executed %s", got)
 	}
-	eventually(t, "both statements are killed", func() bool { return w.servers[0].Killed.Load() == 2 })
+	eventually(t, "both statements are killed", func() bool { return w.servers[0].QueriesKilled.Load() == 2 })
 	if err := exec(t, c, "/* timeout=never */ SELECT 1"); errorCode(err) != 1064 {
 		t.Errorf("an invalid hint: %v", err)
 	}
@@ -643,18 +643,18 @@
 // write gets a wrong one, and other sessions are not affected.
 func TestBadServers(t *testing.T) {
 	w := newTestEnv(t, options{servers: 2, deadline: 2 * time.Second, proxy: Config{StallTimeout: 500 * time.Millisecond}})
-	for name, trouble := range map[string]standin.Trouble{
-		"noise": {Reply: []byte("HTTP/1.1 200 OK\r\n\r\n")}, "out of order": {Reply: []byte{7, 0, 0, 9, 0, 0, 0, 2, 0, 0, 0}},
-		"an empty packet": {Reply: []byte{0, 0, 0, 1}}, "an endless packet": {Reply: append([]byte{0xff, 0xff, 0xff, 1, 0}, make([]byte, 2<<20)...)},
-		"a file of the client": {Reply: []byte{2, 0, 0, 1, 0xfb, 'x'}}, "columns without end": {Reply: []byte{5, 0, 0, 1, 0xfd, 0xff, 0xff, 0xff, 0}},
-		"silence": {Silent: true}, "more than was asked for": {Extra: []byte{7, 0, 0, 2, 0, 0, 0, 2, 0, 0, 0}},
-		"a result that stops": {Reply: []byte{1, 0, 0, 1, 1}},
+	for name, trouble := range map[string]standin.Fault{
+		"noise": {RawReply: []byte("HTTP/1.1 200 OK\r\n\r\n")}, "out of order": {RawReply: []byte{7, 0, 0, 9, 0, 0, 0, 2, 0, 0, 0}},
+		"an empty packet": {RawReply: []byte{0, 0, 0, 1}}, "an endless packet": {RawReply: append([]byte{0xff, 0xff, 0xff, 1, 0}, make([]byte, 2<<20)...)},
+		"a file of the client": {RawReply: []byte{2, 0, 0, 1, 0xfb, 'x'}}, "columns without end": {RawReply: []byte{5, 0, 0, 1, 0xfd, 0xff, 0xff, 0xff, 0}},
+		"silence": {NoReply: true}, "more than was asked for": {TrailingBytes: []byte{7, 0, 0, 2, 0, 0, 0, 2, 0, 0, 0}},
+		"a result that stops": {RawReply: []byte{1, 0, 0, 1, 1}},
 	} {
-		w.setFault(func(server, sql string) standin.Trouble {
+		w.setFault(func(server, sql string) standin.Fault {
 			if server == "box0" && strings.Contains(sql, "trouble") {
 				return trouble
 			}
-			return standin.Trouble{}
+			return standin.Fault{}
 		})
 		ok := 0
 		for i := range 6 {
@@ -683,7 +683,7 @@
 				t.Errorf("%s: %v", name, took)
 			}
 		}
-		w.setFault(func(string, string) standin.Trouble { return standin.Trouble{} })
+		w.setFault(func(string, string) standin.Fault { return standin.Fault{} })
 		if v, err := queryValue(t, w.newSession(""), "SELECT 5"); v != "5" || err != nil {
 			t.Errorf("after %s: %q, %v", name, v, err)
 		}
@@ -691,7 +691,7 @@
 	for _, greeting := range [][]byte{{}, {10}, []byte("HTTP/1.1 400\r\n\r\n"), {3, 0, 0, 0, 0xff, 0x10, 0x04}, {0xff, 0xff, 0xff, 0, 10}} {
 		// A server that stalls or sends malformed data in the handshake only delays a read.
 		w := newTestEnv(t, options{servers: 1, deadline: 3 * time.Second})
-		w.startServer(options{server: standin.Config{Greeting: greeting}}, "bad")
+		w.startServer(options{server: standin.Config{RawGreeting: greeting}}, "bad")
 		if err := w.pool.Reload(w.cfg); err != nil {
 			t.Fatal(err)
 		}
@@ -741,12 +741,12 @@
 	const patience = 800 * time.Millisecond
 	w := newTestEnv(t, options{deadline: time.Minute, proxy: Config{ShutdownTimeout: patience}})
 	var hung atomic.Int32
-	w.setFault(func(_, sql string) standin.Trouble {
+	w.setFault(func(_, sql string) standin.Fault {
 		if !strings.HasPrefix(sql, "INSERT") {
-			return standin.Trouble{}
+			return standin.Fault{}
 		}
 		hung.Add(1)
-		return standin.Trouble{Silent: true}
+		return standin.Fault{NoReply: true}
 	})
 	free, tx, late := w.newSession(""), beginTx(t, w.newClient("")), beginTx(t, w.newClient(""))
 	answers := make(chan [2]any, 2) // order ID and error code
@@ -763,7 +763,7 @@
 	go func() { ended <- w.Shutdown(context.Background()) }()
 	for range 2 {
 		a := <-answers
-		want := map[any]uint16{"A1": wire.Unknown("").Code, "A2": wire.RolledBack("").Code}[a[0]]
+		want := map[any]uint16{"A1": wire.OutcomeUnknown("").Code, "A2": wire.RolledBack("").Code}[a[0]]
 		if a[1] != want {
 			t.Errorf("%v: error %v, want %v", a[0], a[1], want)
 		}
@@ -832,7 +832,7 @@
 	if do(wire.Query, "LOAD DATA LOCAL INFILE 'x' INTO TABLE orders") != 0xff || do(wire.Query, "SELECT 1") != 1 {
 		t.Error("LOCAL INFILE")
 	}
-	for !c.readRest(session.NewReply(wire.Query, c.caps)) {
+	for !c.readRest(session.NewReplyTracker(wire.Query, c.caps)) {
 	}
 	if !c.changeUser("other", "hidden") || w.findSession(c.id).currentUser() != "other" {
 		t.Error("COM_CHANGE_USER")
@@ -856,7 +856,7 @@
 
 // TestSchemas checks that a user can select only its own schemas, with USE and at login.
 func TestSchemas(t *testing.T) {
-	w := newTestEnv(t, options{proxy: Config{Users: []User{{Name: "app", Password: wire.Keep("secret"), Schemas: []string{"stock"}}}}})
+	w := newTestEnv(t, options{proxy: Config{Users: []User{{Name: "app", Password: wire.NewPasswordHashes("secret"), Schemas: []string{"stock"}}}}})
 	c := w.newSession("")
 	if err := exec(t, c, "USE stock"); err != nil {
 		t.Error(err)
--- a/internal/mysql/proxy/setup_test.go
+++ b/internal/mysql/proxy/setup_test.go
@@ -45,7 +45,7 @@
 	budget     *sockets.Budget
 	db         *standin.Database
 	servers    []*standin.Server
-	fault      atomic.Pointer[func(server, sql string) standin.Trouble]
+	fault      atomic.Pointer[func(server, sql string) standin.Fault]
 	mu         sync.Mutex
 	faultCalls int // statements for which a fault was considered
 }
@@ -84,7 +84,7 @@
 	c := o.proxy
 	c.Name, c.Listen, c.Pool, c.DefaultClass, c.Hints = "ledger", "127.0.0.1:0", "ledger", "statement", !o.hintsDisabled
 	if c.Auth == AuthUsers && c.Users == nil {
-		c.Users = []User{{Name: "app", Password: wire.Keep("secret")}, {Name: "other", Password: wire.Keep("hidden")}}
+		c.Users = []User{{Name: "app", Password: wire.NewPasswordHashes("secret")}, {Name: "other", Password: wire.NewPasswordHashes("hidden")}}
 	}
 	if c.Auth == AuthUsers {
 		c.Account = Account{account, password}
@@ -135,11 +135,11 @@
 	if c.Users == nil {
 		c.Users = map[string]string{account: password, "app": "secret", "other": "hidden"}
 	}
-	c.Trouble = func(sql string) standin.Trouble {
+	c.Fault = func(sql string) standin.Fault {
 		if f := w.fault.Load(); f != nil {
 			return (*f)(name, sql)
 		}
-		return standin.Trouble{}
+		return standin.Fault{}
 	}
 	s, err := standin.Start(c)
 	if err != nil {
@@ -151,7 +151,7 @@
 }
 
 // setFault sets the function that chooses the fault for each statement.
-func (w *testEnv) setFault(f func(server, sql string) standin.Trouble) { w.fault.Store(&f) }
+func (w *testEnv) setFault(f func(server, sql string) standin.Fault) { w.fault.Store(&f) }
 
 // drain marks a server as draining and waits until the pool uses it no more.
 func (w *testEnv) drain(i int) {
--- a/internal/mysql/proxy/transport.go
+++ b/internal/mysql/proxy/transport.go
@@ -67,7 +67,7 @@
 // exchange is a command on a server connection whose reply has begun. Its receiver must call finish.
 type exchange struct {
 	*serverConn
-	reply       *session.Reply
+	reply       *session.ReplyTracker
 	heldPackets [][]byte      // first packets of the reply, not yet relayed
 	greeting    wire.Greeting // of the server, with job.passThrough
 	serverID    policy.ServerID
@@ -361,7 +361,7 @@
 	if err := s.send(b); err != nil {
 		return err
 	}
-	r, err := s.wire.Read(session.MostControl)
+	r, err := s.wire.Read(session.MaxControlPacket)
 	switch {
 	case err != nil:
 		return err
@@ -394,7 +394,7 @@
 	}
 	if now := s.applied.schema; p.schema != now { // unqualified names resolve as when it was prepared
 		if p.schema == "" || now == "" {
-			return nil, wire.NotCarried("a statement prepared without a schema, once there is one,")
+			return nil, wire.NotSupported("a statement prepared without a schema, once there is one,")
 		}
 		if err := s.execSimple([]byte("\x02" + p.schema)); err != nil {
 			return nil, err
@@ -409,24 +409,24 @@
 	if err := s.send(append([]byte{byte(wire.StmtPrepare)}, p.sql...)); err != nil {
 		return nil, err
 	}
-	reply := session.NewReply(wire.StmtPrepare, s.profile.caps)
+	reply := session.NewReplyTracker(wire.StmtPrepare, s.profile.caps)
 	for !reply.Done() {
 		piece, err := s.wire.Peek()
 		if err != nil {
 			return nil, err
 		}
-		whole, err := reply.Whole(piece)
+		whole, err := reply.MustReadWhole(piece)
 		if err != nil {
 			return nil, err
 		}
-		b, err := s.wire.Read(session.MostControl)
+		b, err := s.wire.Read(session.MaxControlPacket)
 		if err != nil {
 			return nil, err
 		}
 		if whole {
-			err = reply.Take(b)
+			err = reply.Consume(b)
 		} else {
-			reply.Passed(len(b))
+			reply.Forwarded(len(b))
 		}
 		if err != nil {
 			return nil, err
@@ -477,35 +477,35 @@
 const maxHeldReply = 16 << 10
 
 // readReplyStart reads the first packets of a reply. It reads a short reply completely.
-func (s *serverConn) readReplyStart(command wire.Command) (*session.Reply, [][]byte, error) {
-	reply := session.NewReply(command, s.profile.caps)
+func (s *serverConn) readReplyStart(command wire.Command) (*session.ReplyTracker, [][]byte, error) {
+	reply := session.NewReplyTracker(command, s.profile.caps)
 	var held [][]byte
 	for size := 0; !reply.Done(); {
 		piece, err := s.wire.Peek()
 		if err != nil {
 			return reply, held, err
 		}
-		whole, err := reply.Whole(piece)
+		whole, err := reply.MustReadWhole(piece)
 		if err != nil {
 			return reply, held, err
 		}
 		if !whole && reply.InRows() && size+piece.Len > maxHeldReply {
 			break
 		}
-		b, err := s.wire.Read(session.MostControl)
+		b, err := s.wire.Read(session.MaxControlPacket)
 		if err != nil {
 			return reply, held, err
 		}
 		if whole {
-			if err := reply.Take(b); err != nil {
+			if err := reply.Consume(b); err != nil {
 				return reply, held, err
 			}
 		} else {
-			reply.Passed(len(b))
+			reply.Forwarded(len(b))
 		}
 		held = append(held, b)
-		if size += len(b); size > session.MostControl {
-			return reply, held, fmt.Errorf("%w: the start of the reply exceeds %d bytes", wire.ErrMalformed, session.MostControl)
+		if size += len(b); size > session.MaxControlPacket {
+			return reply, held, fmt.Errorf("%w: the start of the reply exceeds %d bytes", wire.ErrMalformed, session.MaxControlPacket)
 		}
 	}
 	return reply, held, nil
@@ -603,7 +603,7 @@
 			t.killAsync(s.endpoint, s.threadID)
 		}
 	}
-	if answer != nil || errors.Is(err, wire.ErrMalformed) || errors.Is(err, session.ErrUnasked) || errors.Is(err, wire.ErrSequence) {
+	if answer != nil || errors.Is(err, wire.ErrMalformed) || errors.Is(err, session.ErrUnexpectedData) || errors.Is(err, wire.ErrSequence) {
 		t.warnLimit.Do(func() { t.log.Warn("a server's answer cannot be used", "server", string(a.Server), "err", err) })
 	}
 	t.log.Debug("attempt failed", "server", string(a.Server), "status", status, "err", err)
@@ -725,32 +725,32 @@
 	if err := s.send(append([]byte{byte(wire.Query)}, sql...)); err != nil {
 		return 0, err
 	}
-	reply := session.NewReply(wire.Query, s.profile.caps)
+	reply := session.NewReplyTracker(wire.Query, s.profile.caps)
 	var value []byte
 	for rows := 0; !reply.Done(); {
 		piece, err := s.wire.Peek()
 		if err != nil {
 			return 0, err
 		}
-		whole, err := reply.Whole(piece)
+		whole, err := reply.MustReadWhole(piece)
 		if err != nil {
 			return 0, err
 		}
-		b, err := s.wire.Read(session.MostControl)
+		b, err := s.wire.Read(session.MaxControlPacket)
 		if err != nil {
 			return 0, err
 		}
 		if whole {
-			if err := reply.Take(b); err != nil {
+			if err := reply.Consume(b); err != nil {
 				return 0, err
 			}
 			continue
 		}
-		if reply.Passed(len(b)); reply.Rows > rows {
+		if reply.Forwarded(len(b)); reply.Rows > rows {
 			if rows++; rows > 100 {
 				return 0, fmt.Errorf("%w: more than 100 rows", errInvalidLoad)
 			}
-			if row, err := wire.RowText(b); err == nil && rows == 1 && len(row) > 0 {
+			if row, err := wire.ParseTextRow(b); err == nil && rows == 1 && len(row) > 0 {
 				value = row[len(row)-1]
 			}
 		}
--- a/internal/mysql/proxy/unknown_outcome_test.go
+++ b/internal/mysql/proxy/unknown_outcome_test.go
@@ -13,8 +13,8 @@
 // but its second has run and is not answered in time. A client would run a refused write again.
 func TestStillOut(t *testing.T) {
 	w := newTestEnv(t, options{deadline: 400 * time.Millisecond})
-	w.setFault(func(_, sql string) standin.Trouble {
-		return standin.Trouble{Silent: strings.HasPrefix(sql, "INSERT")}
+	w.setFault(func(_, sql string) standin.Fault {
+		return standin.Fault{NoReply: strings.HasPrefix(sql, "INSERT")}
 	})
 	w.servers[0].Close()
 	ran := 0
--- a/internal/mysql/proxy/users.go
+++ b/internal/mysql/proxy/users.go
@@ -59,8 +59,8 @@
 type userDirectory struct {
 	mu             sync.Mutex
 	users          map[string]User
-	hasSaltedUsers bool                  // at least one user has a salted hash
-	verified       map[string]wire.Known // of users with a salted hash, hence at most one per user
+	hasSaltedUsers bool                           // at least one user has a salted hash
+	verified       map[string]wire.PasswordHashes // of users with a salted hash, hence at most one per user
 }
 
 func newUserDirectory(users []User) *userDirectory {
@@ -73,7 +73,7 @@
 func (d *userDirectory) set(users []User) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.users, d.verified, d.hasSaltedUsers = map[string]User{}, map[string]wire.Known{}, false
+	d.users, d.verified, d.hasSaltedUsers = map[string]User{}, map[string]wire.PasswordHashes{}, false
 	for _, u := range users {
 		d.users[u.Name] = u
 		d.hasSaltedUsers = d.hasSaltedUsers || u.SaltedHash != ""
@@ -83,11 +83,11 @@
 // find returns a user and the hashes of its password. fast reports whether the hashes are known, so
 // that a challenge response can be checked, and ok whether the user exists. For an unknown user, fast
 // is chosen so that the login looks like that of an existing one.
-func (d *userDirectory) find(name string) (u User, k wire.Known, fast, ok bool) {
+func (d *userDirectory) find(name string) (u User, k wire.PasswordHashes, fast, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if u, ok = d.users[name]; !ok {
-		return u, wire.Known{}, !d.hasSaltedUsers, false
+		return u, wire.PasswordHashes{}, !d.hasSaltedUsers, false
 	}
 	if u.SaltedHash == "" {
 		return u, u.Password, true, true
@@ -99,7 +99,7 @@
 // verifyPassword checks a clear-text password and caches its hashes if it is correct.
 func (d *userDirectory) verifyPassword(u User, password string) bool {
 	if u.SaltedHash == "" {
-		return u.Password.Is(password)
+		return u.Password.Matches(password)
 	}
 	s, err := parseSaltedHash(u.SaltedHash)
 	if err != nil || !s.matches(password) {
@@ -108,7 +108,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if now, ok := d.users[u.Name]; ok && now.SaltedHash == u.SaltedHash {
-		d.verified[u.Name] = wire.Keep(password)
+		d.verified[u.Name] = wire.NewPasswordHashes(password)
 	}
 	return true
 }
--- a/internal/orders/coordinator_test.go
+++ b/internal/orders/coordinator_test.go
@@ -42,7 +42,7 @@
 type fixture struct {
 	*Coordinator
 	t           testing.TB
-	servers     *standin.Attempts
+	servers     *standin.Transport
 	mu          sync.Mutex
 	clockOffset time.Duration // added to the real clock
 }
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &fixture{t: t, servers: &standin.Attempts{}}
+	w := &fixture{t: t, servers: &standin.Transport{}}
 	log := slog.New(slog.DiscardHandler)
 	var list engine.List
 	for i, id := range []policy.ServerID{"a", "b", "c"} {
@@ -172,7 +172,7 @@
 	for _, restart := range []bool{false, true} {
 		store := NewMemoryStore(1 << 20)
 		w := newFixture(t, noClose{store})
-		w.servers.SetEnd(endWithReset)
+		w.servers.SetResult(endWithReset)
 		for _, class := range []string{"order", "cell", "pay"} {
 			if got := w.do(class, "k", 1); got.Kind == engine.Served {
 				t.Errorf("%s: %+v", class, got)
@@ -184,7 +184,7 @@
 			w.shutdown()
 			w = newFixture(t, noClose{store})
 		} else {
-			w.servers.SetEnd(nil)
+			w.servers.SetResult(nil)
 		}
 		before := len(w.servers.Sent())
 		if got := w.do("pay", "k", 1); got.Kind != engine.Failed || !got.MayHaveRun {
@@ -200,7 +200,7 @@
 		if again := w.servers.Sent()[before+1]; again != first {
 			t.Errorf("sent to %s, and again to %s in another cell", first, again)
 		}
-		w.servers.SetEnd(endWithReset)
+		w.servers.SetResult(endWithReset)
 		w.do("order", "late", 1)
 		w.advance(6 * time.Second)
 		before = len(w.servers.Sent())
@@ -217,9 +217,9 @@
 func TestConcurrentRequests(t *testing.T) {
 	w := newFixture(t, NewMemoryStore(1<<20))
 	started, release := make(chan struct{}, 10), make(chan struct{})
-	w.servers.SetEnd(func(n int, a *engine.Attempt, _ engine.Endpoint) engine.AttemptResult {
+	w.servers.SetResult(func(n int, a *engine.Attempt, _ engine.Endpoint) engine.AttemptResult {
 		started <- struct{}{}
-		if !standin.Hold(a, 0, release) {
+		if !standin.WaitUnlessCanceled(a, 0, release) {
 			return engine.AttemptResult{Status: policy.Canceled}
 		}
 		return engine.AttemptResult{Status: policy.OK, Reply: "reply"}
