--- a/cmd/quillfront/load.go
+++ b/cmd/quillfront/load.go
@@ -92,7 +92,7 @@
 		if err != nil {
 			return err
 		}
-		s, stop := p.Draw()
+		s, stop := p.NewSource()
 		defer stop()
 		classes, limits, source = p.Classes, p.Limits, s
 	} else {
@@ -120,7 +120,7 @@
 		target = stage.URL
 		f.target = fmt.Sprintf("%d stand-in boxes", f.standin)
 	}
-	o := load.Options{Target: target, Classes: classes, Limits: limits, Mark: strconv.FormatInt(time.Now().UnixNano(), 36)}
+	o := load.Options{Target: target, Classes: classes, Limits: limits, IDPrefix: strconv.FormatInt(time.Now().UnixNano(), 36)}
 	if !f.json && !f.quiet {
 		o.Progress = func(p load.Progress) { fmt.Fprintln(cmd.ErrOrStderr(), p.Line()) }
 	}
@@ -145,7 +145,7 @@
 		return nil, err
 	}
 	defer in.Close()
-	classes, _, err := load.ClassesOf(in, timeout)
+	classes, _, err := load.TraceClasses(in, timeout)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -221,15 +221,15 @@
 
 func printReport(w io.Writer, out outcome) {
 	fmt.Fprintln(w, out.Verdict)
-	fmt.Fprintf(w, "not sent: %d too late, %d with too many open; this process stood still %d times, for up to %.1f ms\n", out.Late, out.Full, out.Pauses, out.Paused)
+	fmt.Fprintf(w, "not sent: %d too late, %d with too many open; this process stood still %d times, for up to %.1f ms\n", out.Late, out.OverLimit, out.Pauses, out.MaxPauseMs)
 	fmt.Fprintf(w, "%-20s %8s %8s %8s %9s %9s %9s %9s %9s  %s\n", "class", "first", "tries", "answered", "p50 ms", "p90", "p99", "p99.9", "max", "tries ended")
-	for _, name := range out.Names() {
+	for _, name := range out.ClassNames() {
 		t := out.Classes[name]
-		at := func(p float64) float64 { return float64(t.Corrected.At(p).Microseconds()) / 1000 }
-		fmt.Fprintf(w, "%-20s %8d %8d %8d %9.2f %9.2f %9.2f %9.2f %9.2f  %v\n", name, t.First, t.Tries, t.Answered, at(50), at(90), at(99), at(99.9), at(100), t.Outcomes)
+		at := func(p float64) float64 { return float64(t.Corrected.Percentile(p).Microseconds()) / 1000 }
+		fmt.Fprintf(w, "%-20s %8d %8d %8d %9.2f %9.2f %9.2f %9.2f %9.2f  %v\n", name, t.FirstTries, t.Tries, t.Answered, at(50), at(90), at(99), at(99.9), at(100), t.Outcomes)
 	}
 	if c := out.Replay; c != nil {
 		fmt.Fprintf(w, "replay: class mix differs by at most %.3f points; %d retries, %d recorded; arrivals late by p50 %v, p99 %v, max %v\n",
-			c.Most, c.Retries[0], c.Retries[1], c.Arrivals.At(50), c.Arrivals.At(99), c.Arrivals.At(100))
+			c.MaxDifference, c.Retries[0], c.Retries[1], c.ArrivalError.Percentile(50), c.ArrivalError.Percentile(99), c.ArrivalError.Percentile(100))
 	}
 }
--- a/cmd/quillfront/trace.go
+++ b/cmd/quillfront/trace.go
@@ -54,7 +54,7 @@
 			if err != nil {
 				return err
 			}
-			log, err := trace.Parser(trace.Format{Name: format, Nginx: nginx, Apache: apache, Fields: fields, Began: began}, r.Zone)
+			log, err := trace.NewParser(trace.Format{Name: format, Nginx: nginx, Apache: apache, Fields: fields, StartTimes: began}, r.Zone)
 			if err != nil {
 				return err
 			}
@@ -62,14 +62,14 @@
 			for _, path := range paths {
 				name := strings.TrimSuffix(path, ".gz")
 				files = append(files, trace.File{
-					Name: path, Open: func() (io.ReadCloser, error) { return os.Open(path) }, HAR: strings.HasSuffix(name, ".har"), Log: log,
+					Name: path, Open: func() (io.ReadCloser, error) { return os.Open(path) }, HAR: strings.HasSuffix(name, ".har"), Parser: log,
 				})
 			}
 			var rep *trace.Report
 			err = write(out, func(w io.Writer) error {
 				var err error
-				if rep, err = trace.Import(files, r, w); err == nil && strict && rep.Faulty > 0 {
-					err = fmt.Errorf("%d records cannot be read, the first: %s:%d: %s", rep.Faulty, rep.Faults[0].File, rep.Faults[0].Line, rep.Faults[0].Why)
+				if rep, err = trace.Import(files, r, w); err == nil && strict && rep.Unreadable > 0 {
+					err = fmt.Errorf("%d records cannot be read, the first: %s:%d: %s", rep.Unreadable, rep.Errors[0].File, rep.Errors[0].Line, rep.Errors[0].Reason)
 				}
 				return err
 			})
@@ -94,11 +94,11 @@
 func printImport(w io.Writer, r *trace.Report) {
 	fmt.Fprintf(w, "%d records read, %d arrivals from %s to %s\n", r.Records, r.Entries, r.From.UTC().Format(time.RFC3339), r.To.UTC().Format(time.RFC3339))
 	fmt.Fprintf(w, "%d logged in several files, %d without a class, %d cannot be read, %d leaps back in time, %d spread over their second\n",
-		r.Repeats, r.Unclassed, r.Faulty, r.Leaps, r.Coarse)
+		r.Duplicates, r.Unclassified, r.Unreadable, r.BackwardJumps, r.WholeSeconds)
 	for _, s := range r.Skews {
 		switch {
-		case s.By != "":
-			fmt.Fprintf(w, "%s: its clock is held to be ahead by %v: median of %d requests shared with %s, half of them within %v\n", s.File, s.Ahead, s.Shared, s.By, s.Spread)
+		case s.Reference != "":
+			fmt.Fprintf(w, "%s: its clock is held to be ahead by %v: median of %d requests shared with %s, half of them within %v\n", s.File, s.Offset, s.Shared, s.Reference, s.Spread)
 		case len(r.Skews) > 1:
 			fmt.Fprintf(w, "%s: its clock is taken as it is\n", s.File)
 		}
@@ -109,8 +109,8 @@
 	for _, rule := range slices.Sorted(maps.Keys(r.Retries)) {
 		fmt.Fprintf(w, "%d retries by: %s\n", r.Retries[rule], rule)
 	}
-	for _, f := range r.Faults {
-		fmt.Fprintf(w, "%s:%d: %s\n", f.File, f.Line, f.Why)
+	for _, f := range r.Errors {
+		fmt.Fprintf(w, "%s:%d: %s\n", f.File, f.Line, f.Reason)
 	}
 }
 
@@ -128,21 +128,21 @@
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			w := cmd.OutOrStdout()
-			fmt.Fprintf(w, "%d arrivals in %v from %s, of %d clients\n", s.Entries, s.For, s.Header.Origin.UTC().Format(time.RFC3339), s.Clients)
+			fmt.Fprintf(w, "%d arrivals in %v from %s, of %d clients\n", s.Entries, s.Duration, s.Header.Origin.UTC().Format(time.RFC3339), s.Clients)
 			for _, n := range s.Header.Notes {
 				fmt.Fprintln(w, n)
 			}
 			for _, name := range slices.Sorted(maps.Keys(s.Classes)) {
 				fmt.Fprintf(w, "%-24s %8d  %5.1f %%\n", name, s.Classes[name], 100*float64(s.Classes[name])/float64(max(s.Entries, 1)))
 			}
-			buckets := trace.Buckets(s.Seconds, 72)
-			fmt.Fprintf(w, "rate  %s  up to %d in %.3g s\n", trace.Plot(buckets), slices.Max(append(buckets, 0)), float64(len(s.Seconds))/float64(max(len(buckets), 1)))
+			buckets := trace.Downsample(s.PerSecond, 72)
+			fmt.Fprintf(w, "rate  %s  up to %d in %.3g s\n", trace.Sparkline(buckets), slices.Max(append(buckets, 0)), float64(len(s.PerSecond))/float64(max(len(buckets), 1)))
 			for _, rule := range slices.Sorted(maps.Keys(s.Retries)) {
 				fmt.Fprintf(w, "%d retries by: %s\n", s.Retries[rule], rule)
 			}
 			for _, g := range s.Gaps {
-				if g.For > time.Second {
-					fmt.Fprintf(w, "nothing for %v from %v on\n", g.For, g.From)
+				if g.Duration > time.Second {
+					fmt.Fprintf(w, "nothing for %v from %v on\n", g.Duration, g.From)
 				}
 			}
 			return nil
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -253,7 +253,7 @@
 func (r *run) load(ctx context.Context) error {
 	rng := rand.New(rand.NewPCG(r.Seed, 7))
 	n := 0
-	for at := range load.Arrivals(load.Chain{{Shape: "constant", Last: r.For, From: r.Rate}}, rng) {
+	for at := range load.Arrivals(load.Chain{{Shape: "constant", Duration: r.For, From: r.Rate}}, rng) {
 		due := r.began.Add(at)
 		n++
 		if !sleepUntil(ctx, due) {
--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -51,14 +51,14 @@
 					worst := 0.0
 					for _, percent := range []float64{50, 90, 99, 99.9} {
 						want := sorted[int(math.Ceil(percent/100*float64(len(sorted))))-1]
-						got := rep.Classes["c"].Corrected.At(percent)
+						got := rep.Classes["c"].Corrected.Percentile(percent)
 						worst = max(worst, float64((got-want).Abs())/max(0.02*float64(want), float64(time.Millisecond)))
 					}
 					b.ReportMetric(worst, "of-aim")
-					b.ReportMetric(float64(rep.Lag.At(50).Microseconds()), "lag-p50-us")
-					b.ReportMetric(float64(rep.Lag.At(99).Microseconds()), "lag-p99-us")
-					b.ReportMetric(float64(rep.Lag.At(100).Microseconds()), "lag-max-us")
-					b.ReportMetric(float64(rep.Late+rep.Full), "unsent")
+					b.ReportMetric(float64(rep.Lag.Percentile(50).Microseconds()), "lag-p50-us")
+					b.ReportMetric(float64(rep.Lag.Percentile(99).Microseconds()), "lag-p99-us")
+					b.ReportMetric(float64(rep.Lag.Percentile(100).Microseconds()), "lag-max-us")
+					b.ReportMetric(float64(rep.Late+rep.OverLimit), "unsent")
 					b.ReportMetric(float64(used.Microseconds())/float64(next.Load()), "cpu-us/request")
 				}
 			})
@@ -69,12 +69,12 @@
 // sendEven sends at a rate for that long, and returns the account of it with the processor time that this process has used.
 func sendEven(b *testing.B, url string, rate float64, last time.Duration) (*Report, time.Duration) {
 	b.Helper()
-	p := &Plan{Even: true, Stages: constant(rate, last), Classes: []Class{{Name: "c", Share: 1}}}
-	g, err := New(Options{Target: url, Classes: p.Classes, Mark: "b"})
+	p := &Plan{EvenlySpaced: true, Stages: constant(rate, last), Classes: []Class{{Name: "c", Share: 1}}}
+	g, err := New(Options{Target: url, Classes: p.Classes, IDPrefix: "b"})
 	if err != nil {
 		b.Fatal(err)
 	}
-	s, stop := p.Draw()
+	s, stop := p.NewSource()
 	defer stop()
 	before := cpu()
 	rep := g.Run(context.Background(), s)
@@ -128,10 +128,10 @@
 		b.Run(fmt.Sprintf("generator/%v", rate), func(b *testing.B) {
 			for range b.N {
 				rep, used := sendEven(b, srv.URL, rate, last)
-				b.ReportMetric(float64(rep.Lag.At(99).Microseconds()), "lag-p99-us")
-				b.ReportMetric(float64(rep.Classes["c"].Corrected.At(50).Microseconds()), "p50-us")
-				b.ReportMetric(float64(rep.Classes["c"].Corrected.At(99).Microseconds()), "p99-us")
-				b.ReportMetric(float64(rep.Late+rep.Full), "unsent")
+				b.ReportMetric(float64(rep.Lag.Percentile(99).Microseconds()), "lag-p99-us")
+				b.ReportMetric(float64(rep.Classes["c"].Corrected.Percentile(50).Microseconds()), "p50-us")
+				b.ReportMetric(float64(rep.Classes["c"].Corrected.Percentile(99).Microseconds()), "p99-us")
+				b.ReportMetric(float64(rep.Late+rep.OverLimit), "unsent")
 				b.ReportMetric(float64(used.Microseconds())/(rate*last.Seconds()), "cpu-us/request")
 			}
 		})
--- a/internal/load/file.go
+++ b/internal/load/file.go
@@ -86,27 +86,27 @@
 		return d
 	}
 	p := &Plan{Seed: f.Seed, Limits: Limits{
-		Open: f.Open, Connections: f.Conns, Lag: dur("trusted_lag", f.Lag), Late: dur("most_late", f.Late), Window: dur("window", f.Window), Pause: dur("pause", f.Pause),
+		MaxOpen: f.Open, MaxConnections: f.Conns, TrustedLag: dur("trusted_lag", f.Lag), MaxLate: dur("most_late", f.Late), Window: dur("window", f.Window), MinPause: dur("pause", f.Pause),
 	}}
 	switch f.Arrive {
 	case "", "random":
 	case "even":
-		p.Even = true
+		p.EvenlySpaced = true
 	default:
 		return nil, fmt.Errorf("arrivals: %q is neither random nor even", f.Arrive)
 	}
 	for i, s := range f.Stages {
 		key := func(k string) string { return fmt.Sprintf("stages: number %d: %s", i+1, k) }
 		p.Stages = append(p.Stages, Stage{
-			Shape: s.Shape, Last: dur(key("for"), s.For), From: s.From, To: s.To, Steps: s.Steps, At: dur(key("at"), s.At), Width: dur(key("width"), s.Width), Sharp: s.Sharp,
+			Shape: s.Shape, Duration: dur(key("for"), s.For), From: s.From, To: s.To, Steps: s.Steps, At: dur(key("at"), s.At), Width: dur(key("width"), s.Width), Doublings: s.Sharp,
 		})
 	}
 	for _, c := range f.Classes {
 		key := func(k string) string { return fmt.Sprintf("classes %q: %s", c.Name, k) }
 		p.Classes = append(p.Classes, Class{
-			Name: c.Name, Share: c.Share, Method: c.Method, Path: c.Path, Header: c.Header, Body: c.Body, Size: c.Size, Tenants: c.Tenants, Keys: c.Keys, Zipf: c.Zipf,
-			Once: c.Once, Cost: dur(key("cost"), c.Cost), Timeout: dur(key("timeout"), c.Timeout),
-			Retry: Retry{Most: c.Retries, Wait: dur(key("retry_wait"), c.RetryWait), Heed: c.Heed},
+			Name: c.Name, Share: c.Share, Method: c.Method, Path: c.Path, Header: c.Header, Body: c.Body, BodySize: c.Size, Tenants: c.Tenants, Keys: c.Keys, Zipf: c.Zipf,
+			IdempotencyKey: c.Once, Cost: dur(key("cost"), c.Cost), Timeout: dur(key("timeout"), c.Timeout),
+			Retry: Retry{Max: c.Retries, Wait: dur(key("retry_wait"), c.RetryWait), HonorRetryAfter: c.Heed},
 		})
 	}
 	if errs != nil {
@@ -115,7 +115,7 @@
 	for _, l := range []struct {
 		key string
 		bad bool
-	}{{"most_open", f.Open < 0}, {"most_connections", f.Conns < 0}, {"trusted_lag", p.Limits.Lag < 0}, {"most_late", p.Limits.Late < 0}, {"window", p.Limits.Window < 0}, {"pause", p.Limits.Pause < 0}} {
+	}{{"most_open", f.Open < 0}, {"most_connections", f.Conns < 0}, {"trusted_lag", p.Limits.TrustedLag < 0}, {"most_late", p.Limits.MaxLate < 0}, {"window", p.Limits.Window < 0}, {"pause", p.Limits.MinPause < 0}} {
 		if l.bad {
 			return nil, errors.New(l.key + ": it is negative")
 		}
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -37,9 +37,9 @@
 	Target   string // http://host:port
 	Classes  []Class
 	Limits   Limits
-	Mark     string         // of the ids that it makes up; it sets runs apart
+	IDPrefix string         // of the ids that it makes up; it sets runs apart
 	Progress func(Progress) // called once a second; nil: nobody
-	Begin    time.Time      // of the schedule; zero: soon after Run is called
+	StartAt  time.Time      // of the schedule; zero: soon after Run is called
 }
 
 // Generator sends what a Source tells, on time. It runs once.
@@ -65,9 +65,9 @@
 	}
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: 10 * time.Second}).DialContext,
-		MaxConnsPerHost:     o.Limits.Connections,
-		MaxIdleConnsPerHost: o.Limits.Connections,
-		MaxIdleConns:        o.Limits.Connections,
+		MaxConnsPerHost:     o.Limits.MaxConnections,
+		MaxIdleConnsPerHost: o.Limits.MaxConnections,
+		MaxIdleConns:        o.Limits.MaxConnections,
 		IdleConnTimeout:     1500 * time.Millisecond, // servers close theirs a little later
 		DisableCompression:  true,
 	}
@@ -81,7 +81,7 @@
 // by more than Limits.Late is not sent at all: to send it then would be a burst that no client has made, and to move all that follows
 // would hide the lateness. It is counted, and its window is not to be trusted.
 func (g *Generator) Run(ctx context.Context, s Source) *Report {
-	if g.begin = g.o.Begin; g.begin.IsZero() {
+	if g.begin = g.o.StartAt; g.begin.IsZero() {
 		g.begin = time.Now().Add(20 * time.Millisecond)
 	}
 	side, stop := context.WithCancel(context.Background())
@@ -104,7 +104,7 @@
 		g.dispatch(ctx, r)
 	}
 	if ctx.Err() == nil { // the last window is as long as the others
-		g.wait(ctx, g.begin.Add(s.For()))
+		g.wait(ctx, g.begin.Add(s.Length()))
 	}
 	g.work.Wait()
 	stop()
@@ -142,14 +142,14 @@
 func (g *Generator) dispatch(ctx context.Context, r Request) {
 	c := &g.o.Classes[r.Class]
 	lag := time.Since(g.begin) - r.At
-	if r.Retry == 0 {
+	if r.RetryOf == 0 {
 		g.rec.due(r.At, c.Name)
 	}
 	switch {
-	case lag > g.o.Limits.Late:
+	case lag > g.o.Limits.MaxLate:
 		g.rec.unsent(r.At, c.Name, true)
 		return
-	case g.open.Load() >= int64(g.o.Limits.Open):
+	case g.open.Load() >= int64(g.o.Limits.MaxOpen):
 		g.rec.unsent(r.At, c.Name, false)
 		return
 	}
@@ -163,19 +163,19 @@
 
 // tries sends a request and its client's retries.
 func (g *Generator) tries(ctx context.Context, c *Class, r Request) {
-	again := r.Retry != 0
+	again := r.RetryOf != 0
 	for n := 0; ; n++ {
 		o, status, after, took := g.try(ctx, c, r, again || n > 0)
 		g.rec.try(r.At, c.Name, again || n > 0, o, status, took, time.Since(g.begin)-r.At)
 		switch o {
-		case Served, Redirect, Rejected:
+		case Served, Redirected, Rejected:
 			return
 		}
-		if n >= c.Retry.Most || ctx.Err() != nil {
+		if n >= c.Retry.Max || ctx.Err() != nil {
 			return
 		}
 		wait := c.Retry.Wait
-		if c.Retry.Heed {
+		if c.Retry.HonorRetryAfter {
 			wait = max(wait, after)
 		}
 		if wait > 0 {
@@ -201,15 +201,15 @@
 	from := time.Since(g.begin)
 	q, err := http.NewRequestWithContext(ctx, cmp.Or(r.Method, c.method()), g.o.Target+r.Path, body)
 	if err != nil {
-		return Unreached, 0, 0, 0
+		return ConnectFailed, 0, 0, 0
 	}
-	q.Header.Set("X-Request-ID", fmt.Sprintf("%s-%d", g.o.Mark, g.ids.Add(1)))
+	q.Header.Set("X-Request-ID", fmt.Sprintf("%s-%d", g.o.IDPrefix, g.ids.Add(1)))
 	q.Header.Set("X-Timeout-Ms", strconv.FormatInt(c.timeout().Milliseconds(), 10))
 	for k, v := range c.Header {
 		q.Header.Set(k, v)
 	}
 	if r.Key != "" {
-		q.Header.Set("Idempotency-Key", g.o.Mark+r.Key)
+		q.Header.Set("Idempotency-Key", g.o.IDPrefix+r.Key)
 	}
 	if r.Tenant != "" {
 		q.Header.Set("X-Tenant-Id", r.Tenant)
@@ -238,7 +238,7 @@
 	case code/100 == 2:
 		o = Served
 	case code/100 == 3:
-		o = Redirect
+		o = Redirected
 	case code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests:
 		o = Refused
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 && s < 3600 {
@@ -259,9 +259,9 @@
 	case errors.As(err, &late) && late.Timeout(), errors.Is(err, context.DeadlineExceeded):
 		return TimedOut
 	case !sent:
-		return Unreached
+		return ConnectFailed
 	}
-	return Broken
+	return Interrupted
 }
 
 // watch notes when this process stands still: a ticker of its own that comes late.
@@ -277,7 +277,7 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		if gap := now.Sub(last) - every; gap > g.o.Limits.Pause && last.After(g.begin) {
+		if gap := now.Sub(last) - every; gap > g.o.Limits.MinPause && last.After(g.begin) {
 			g.rec.paused(last.Sub(g.begin), now.Sub(g.begin))
 		}
 		last = now
@@ -305,18 +305,18 @@
 	defer r.mu.Unlock()
 	p := Progress{
 		At: at, Rate: float64(r.counts.due) / since.Seconds(), ServedRate: float64(r.counts.served) / since.Seconds(), Open: open,
-		P50: r.now.At(50), P99: r.now.At(99), Errors: r.counts.errors, Lag: r.lag.At(99),
+		P50: r.now.Percentile(50), P99: r.now.Percentile(99), Errors: r.counts.errors, Lag: r.lag.Percentile(99),
 	}
 	for _, w := range r.windows {
 		if w.judge(l); !w.Trusted {
 			p.Untrusted++
 		}
-		p.Unsent += w.Late + w.Full
+		p.Unsent += w.Late + w.OverLimit
 	}
 	r.now, r.raw, r.lag = newHistogram(), newHistogram(), newHistogram()
 	r.counts.due, r.counts.served, r.counts.errors = 0, 0, 0
 	return p
 }
 
-// Names returns the classes of a report, in order.
-func (r *Report) Names() []string { return slices.Sorted(maps.Keys(r.Classes)) }
+// ClassNames returns the classes of a report, in order.
+func (r *Report) ClassNames() []string { return slices.Sorted(maps.Keys(r.Classes)) }
--- a/internal/load/html.go
+++ b/internal/load/html.go
@@ -18,16 +18,16 @@
 		Outcomes                 string
 	}
 	var rows []row
-	for _, name := range r.Names() {
+	for _, name := range r.ClassNames() {
 		t := r.Classes[name]
 		var outcomes []string
-		for _, o := range []Outcome{Served, Redirect, Rejected, Refused, Failed, Unreached, Broken, TimedOut, Unsent} {
+		for _, o := range []Outcome{Served, Redirected, Rejected, Refused, Failed, ConnectFailed, Interrupted, TimedOut, Unsent} {
 			if n := t.Outcomes[o]; n > 0 {
 				outcomes = append(outcomes, fmt.Sprintf("%s %d", o, n))
 			}
 		}
-		f := func(p float64) string { return fmt.Sprintf("%.2f", ms(t.Corrected.At(p))) }
-		rows = append(rows, row{name, t.First, t.Tries, t.Answered, f(50), f(90), f(99), f(99.9), f(100), strings.Join(outcomes, ", ")})
+		f := func(p float64) string { return fmt.Sprintf("%.2f", ms(t.Corrected.Percentile(p))) }
+		rows = append(rows, row{name, t.FirstTries, t.Tries, t.Answered, f(50), f(90), f(99), f(99.9), f(100), strings.Join(outcomes, ", ")})
 	}
 	return page.Execute(w, map[string]any{
 		"Title": title, "Report": r, "Rows": rows, "Latency": template.HTML(r.latencyChart()), "Percentiles": template.HTML(r.percentileChart()),
@@ -49,7 +49,7 @@
 <table><thead><tr><th>class</th><th>first tries</th><th>tries</th><th>answered</th><th>p50 ms</th><th>p90</th><th>p99</th><th>p99.9</th><th>max</th><th>tries ended</th></tr></thead>
 <tbody>{{range .Rows}}<tr><td>{{.Class}}</td><td>{{.First}}</td><td>{{.Tries}}</td><td>{{.Answered}}</td><td>{{.P50}}</td><td>{{.P90}}</td><td>{{.P99}}</td><td>{{.P999}}</td><td>{{.Max}}</td><td>{{.Outcomes}}</td></tr>
 {{end}}</tbody></table>
-<p>Times count from when a client's first try was to be sent. Not sent: {{.Report.Late}} too late, {{.Report.Full}} with too many open. This process stood still {{.Report.Pauses}} times.</p>
+<p>Times count from when a client's first try was to be sent. Not sent: {{.Report.Late}} too late, {{.Report.OverLimit}} with too many open. This process stood still {{.Report.Pauses}} times.</p>
 <figure>{{.Latency}}<figcaption>p50, p99 (from when it was to be sent) and p99 of the time on a connection, by window; grey windows are not to be trusted</figcaption></figure>
 <figure>{{.Percentiles}}<figcaption>time by percentile, from when it was to be sent (solid) and on a connection (dashed)</figcaption></figure>
 <figure>{{.Outcomes}}<figcaption>tries a window: served below, all others above</figcaption></figure>
@@ -117,7 +117,7 @@
 func (c *chart) end() string { return c.b.String() + "</svg>" }
 
 // total sums the classes of a window.
-func (w *Window) total() *Tally {
+func (w *Window) total() *Stats {
 	sum := newTally()
 	for _, t := range w.Classes {
 		sum.merge(t)
@@ -136,14 +136,14 @@
 
 func (r *Report) latencyChart() string {
 	var xs, p50, p99, raw []float64
-	c := chart{log: true, least: 0.1, most: 1, xs: r.For, xLabel: seconds, yLabel: millis}
+	c := chart{log: true, least: 0.1, most: 1, xs: r.DurationS, xLabel: seconds, yLabel: millis}
 	for _, w := range r.Windows {
 		t := w.total()
-		xs = append(xs, w.From+r.WindowS/2)
-		p50, p99, raw = append(p50, ms(t.Corrected.At(50))), append(p99, ms(t.Corrected.At(99))), append(raw, ms(t.Raw.At(99)))
-		c.most = max(c.most, ms(t.Corrected.At(99)), ms(t.Raw.At(99)))
+		xs = append(xs, w.StartS+r.WindowS/2)
+		p50, p99, raw = append(p50, ms(t.Corrected.Percentile(50))), append(p99, ms(t.Corrected.Percentile(99))), append(raw, ms(t.Raw.Percentile(99)))
+		c.most = max(c.most, ms(t.Corrected.Percentile(99)), ms(t.Raw.Percentile(99)))
 		if !w.Trusted {
-			c.shade = append(c.shade, [2]float64{w.From, w.From + r.WindowS})
+			c.shade = append(c.shade, [2]float64{w.StartS, w.StartS + r.WindowS})
 		}
 	}
 	c.begin()
@@ -158,14 +158,14 @@
 	for _, t := range r.Classes {
 		all.merge(t)
 	}
-	c := chart{log: true, least: 0.1, most: max(1, ms(all.Corrected.At(100))), xs: 4, yLabel: millis, xLabel: func(v float64) string {
+	c := chart{log: true, least: 0.1, most: max(1, ms(all.Corrected.Percentile(100))), xs: 4, yLabel: millis, xLabel: func(v float64) string {
 		return fmt.Sprintf("%.5g %%", 100*(1-math.Pow(10, -v)))
 	}}
 	c.begin()
 	for i, h := range []*Histogram{all.Corrected, all.Raw} {
 		var xs, ys []float64
 		for x := 0.0; x <= 4; x += 0.05 {
-			xs, ys = append(xs, x), append(ys, ms(h.At(100*(1-math.Pow(10, -x)))))
+			xs, ys = append(xs, x), append(ys, ms(h.Percentile(100*(1-math.Pow(10, -x)))))
 		}
 		c.line(xs, ys, "#1f5f99", []string{"", "4 4"}[i])
 	}
@@ -173,12 +173,12 @@
 }
 
 func (r *Report) outcomeChart() string {
-	c := chart{most: 1, xs: r.For, xLabel: seconds, yLabel: func(v float64) string { return fmt.Sprintf("%.0f", v) }}
+	c := chart{most: 1, xs: r.DurationS, xLabel: seconds, yLabel: func(v float64) string { return fmt.Sprintf("%.0f", v) }}
 	type bar struct{ from, served, other float64 }
 	var bars []bar
 	for _, w := range r.Windows {
 		t := w.total()
-		b := bar{from: w.From, served: float64(t.Outcomes[Served])}
+		b := bar{from: w.StartS, served: float64(t.Outcomes[Served])}
 		for o, n := range t.Outcomes {
 			if o != Served {
 				b.other += float64(n)
--- a/internal/load/morning_test.go
+++ b/internal/load/import_replay_test.go
@@ -76,8 +76,8 @@
 		first.ServeHTTP(w, q)
 	}))
 	defer srv.Close()
-	p := &Plan{Seed: 4, Stages: Chain{{Shape: "ramp", Last: 3 * time.Second, From: 100, To: 300}}, Limits: loose, Classes: []Class{
-		{Name: "check", Share: 2}, {Name: "order", Share: 1, Method: "POST", Once: true, Size: 20, Retry: Retry{Most: 1, Wait: 50 * time.Millisecond}},
+	p := &Plan{Seed: 4, Stages: Chain{{Shape: "ramp", Duration: 3 * time.Second, From: 100, To: 300}}, Limits: loose, Classes: []Class{
+		{Name: "check", Share: 2}, {Name: "order", Share: 1, Method: "POST", IdempotencyKey: true, BodySize: 20, Retry: Retry{Max: 1, Wait: 50 * time.Millisecond}},
 	}}
 	original := send(t, p, srv.URL)
 	var files []trace.File
@@ -86,12 +86,12 @@
 		{Apache: `%h %{usec}t "%r" %>s %D %{X-Request-ID}i %{Idempotency-Key}i`},
 		{Name: "json", Fields: "time_us=ts,took_us=us,method=m,target=u,status=s,request_id=id,key=key"},
 	} {
-		log, err := trace.Parser(f, time.UTC)
+		log, err := trace.NewParser(f, time.UTC)
 		if err != nil {
 			t.Fatal(err)
 		}
 		text := boxes[i].log.Bytes()
-		files = append(files, trace.File{Name: fmt.Sprint("box", i), Open: func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(text)), nil }, Log: log})
+		files = append(files, trace.File{Name: fmt.Sprint("box", i), Open: func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(text)), nil }, Parser: log})
 	}
 	rules, err := trace.LoadRules("")
 	if err != nil {
@@ -99,11 +99,11 @@
 	}
 	var b bytes.Buffer
 	rep, err := trace.Import(files, rules, &b)
-	if err != nil || rep.Faulty > 0 {
+	if err != nil || rep.Unreadable > 0 {
 		t.Fatalf("%+v, %v", rep, err)
 	}
 	for i, s := range rep.Skews {
-		if d := s.Ahead - boxes[i].skew; d.Abs() > 30*time.Millisecond {
+		if d := s.Offset - boxes[i].skew; d.Abs() > 30*time.Millisecond {
 			t.Errorf("%+v, want %v", s, boxes[i].skew)
 		}
 	}
@@ -116,7 +116,7 @@
 	if d := math.Abs(float64(rep.Entries)/float64(tries) - 0.99); d > 0.01 || retries < 10 || rep.Retries[trace.SameKey] < retries-4 || rep.Retries[trace.SameKey] > retries {
 		t.Errorf("%d arrivals and %d retries of %d and %d", rep.Entries, rep.Retries[trace.SameKey], tries, retries)
 	}
-	classes, _, err := ClassesOf(bytes.NewReader(b.Bytes()), time.Second)
+	classes, _, err := TraceClasses(bytes.NewReader(b.Bytes()), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,14 +124,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, err := New(Options{Target: srv.URL, Classes: classes, Limits: loose, Mark: "again"})
+	g, err := New(Options{Target: srv.URL, Classes: classes, Limits: loose, IDPrefix: "again"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	again := g.Run(context.Background(), replay)
 	c := replay.Compare(again)
-	t.Logf("arrivals late by p99 %v", c.Arrivals.At(99))
-	if c.Most > 0.5 || c.Retries[0] != rep.Retries[trace.SameKey] || c.Retries[1] != c.Retries[0] {
+	t.Logf("arrivals late by p99 %v", c.ArrivalError.Percentile(99))
+	if c.MaxDifference > 0.5 || c.Retries[0] != rep.Retries[trace.SameKey] || c.Retries[1] != c.Retries[0] {
 		t.Errorf("%+v", c)
 	}
 	part := func(r *Report) float64 {
@@ -180,7 +180,7 @@
 	if err != nil || rep.Entries != 300 || rep.Retries[trace.SameKey] != retries || retries < 20 {
 		t.Fatalf("%+v, %v", rep, err)
 	}
-	classes, last, err := ClassesOf(bytes.NewReader(out.Bytes()), time.Second)
+	classes, last, err := TraceClasses(bytes.NewReader(out.Bytes()), time.Second)
 	if err != nil || last != 299*7*time.Millisecond {
 		t.Fatalf("%v, %v", last, err)
 	}
@@ -190,13 +190,13 @@
 	}
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer srv.Close()
-	g, err := New(Options{Target: srv.URL, Classes: classes, Limits: loose, Mark: "h"})
+	g, err := New(Options{Target: srv.URL, Classes: classes, Limits: loose, IDPrefix: "h"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := replay.Compare(g.Run(context.Background(), replay))
-	t.Logf("arrivals late by p99 %v", c.Arrivals.At(99))
-	if c.Most > 0.5 || c.Retries != [2]int{retries, retries} || c.Arrivals.At(99) > 200*time.Millisecond || c.Statuses["check"][200] != 225 {
-		t.Errorf("%+v, late by p99 %v", c, c.Arrivals.At(99))
+	t.Logf("arrivals late by p99 %v", c.ArrivalError.Percentile(99))
+	if c.MaxDifference > 0.5 || c.Retries != [2]int{retries, retries} || c.ArrivalError.Percentile(99) > 200*time.Millisecond || c.Statuses["check"][200] != 225 {
+		t.Errorf("%+v, late by p99 %v", c, c.ArrivalError.Percentile(99))
 	}
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -27,7 +27,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func constant(rate float64, last time.Duration) Chain {
-	return Chain{{Shape: "constant", Last: last, From: rate}}
+	return Chain{{Shape: "constant", Duration: last, From: rate}}
 }
 
 // TestArrivals: in order, as many as the shape's integral, the same for a seed.
@@ -37,12 +37,12 @@
 		want float64
 	}{
 		"constant": {constant(300, 10*time.Second), 3000},
-		"ramp":     {Chain{{Shape: "ramp", Last: 10 * time.Second, From: 0, To: 200}}, 1000},
-		"steps":    {Chain{{Shape: "steps", Last: 4 * time.Second, From: 100, To: 400, Steps: 4}}, 1000},
-		"spike":    {Chain{{Shape: "spike", Last: 20 * time.Second, From: 0, To: 100, At: 10 * time.Second, Width: 2 * time.Second}}, 100 * 2 * math.Sqrt(math.Pi/(4*math.Ln2))},
-		"sine":     {Chain{{Shape: "sine", Last: 10 * time.Second, From: 0, To: 100, Width: 5 * time.Second}}, 500},
-		"cutoff":   {Chain{{Shape: "cutoff", Last: 10 * time.Second, From: 100, To: 100}}, 1000},
-		"chain":    {Chain{{Shape: "constant", Last: time.Second, From: 50}, {Shape: "ramp", Last: 2 * time.Second, From: 50, To: 150}}, 250},
+		"ramp":     {Chain{{Shape: "ramp", Duration: 10 * time.Second, From: 0, To: 200}}, 1000},
+		"steps":    {Chain{{Shape: "steps", Duration: 4 * time.Second, From: 100, To: 400, Steps: 4}}, 1000},
+		"spike":    {Chain{{Shape: "spike", Duration: 20 * time.Second, From: 0, To: 100, At: 10 * time.Second, Width: 2 * time.Second}}, 100 * 2 * math.Sqrt(math.Pi/(4*math.Ln2))},
+		"sine":     {Chain{{Shape: "sine", Duration: 10 * time.Second, From: 0, To: 100, Width: 5 * time.Second}}, 500},
+		"cutoff":   {Chain{{Shape: "cutoff", Duration: 10 * time.Second, From: 100, To: 100}}, 1000},
+		"chain":    {Chain{{Shape: "constant", Duration: time.Second, From: 50}, {Shape: "ramp", Duration: 2 * time.Second, From: 50, To: 150}}, 250},
 	} {
 		if err := (&Plan{Stages: tt.c, Classes: []Class{{Name: "c", Share: 1}}}).Check(); err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -58,14 +58,14 @@
 		if d := math.Abs(float64(len(random)) - tt.want); d > 4*math.Sqrt(tt.want) {
 			t.Errorf("%s: %d random arrivals, want about %.1f", name, len(random), tt.want)
 		}
-		if !slices.IsSorted(random) || !slices.IsSorted(even) || random[len(random)-1] > tt.c.For() {
+		if !slices.IsSorted(random) || !slices.IsSorted(even) || random[len(random)-1] > tt.c.Length() {
 			t.Errorf("%s: they are out of order or too late", name)
 		}
 		if !slices.Equal(random, draw(1)) || slices.Equal(random, draw(2)) {
 			t.Errorf("%s: a seed does not make them", name)
 		}
 	}
-	steep := Stage{Shape: "cutoff", Last: time.Minute, From: 100, To: 1300}
+	steep := Stage{Shape: "cutoff", Duration: time.Minute, From: 100, To: 1300}
 	if r := steep.Rate(30 * time.Second); r < 100 || r > 400 || steep.Rate(time.Minute) != 1300 {
 		t.Errorf("half way to the cut-off %v, at it %v", r, steep.Rate(time.Minute))
 	}
@@ -74,12 +74,12 @@
 // TestMix: classes come by their shares, and keys by their law.
 func TestMix(t *testing.T) {
 	p := &Plan{Seed: 3, Stages: constant(10_000, time.Second), Classes: []Class{
-		{Name: "check", Share: 3, Keys: 100, Zipf: 1.5}, {Name: "order", Share: 1, Method: "POST", Once: true, Tenants: []string{"a", "b"}, Size: 10},
+		{Name: "check", Share: 3, Keys: 100, Zipf: 1.5}, {Name: "order", Share: 1, Method: "POST", IdempotencyKey: true, Tenants: []string{"a", "b"}, BodySize: 10},
 	}}
 	if err := p.Check(); err != nil {
 		t.Fatal(err)
 	}
-	s, stop := p.Draw()
+	s, stop := p.NewSource()
 	defer stop()
 	counts, keys, once, tenants := map[int]int{}, map[string]int{}, map[string]bool{}, map[string]int{}
 	for r, ok := s.Next(); ok; r, ok = s.Next() {
@@ -137,17 +137,17 @@
 	if err := p.Check(); err != nil {
 		t.Fatal(err)
 	}
-	g, err := New(Options{Target: url, Classes: p.Classes, Limits: p.Limits, Mark: "t"})
+	g, err := New(Options{Target: url, Classes: p.Classes, Limits: p.Limits, IDPrefix: "t"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, stop := p.Draw()
+	s, stop := p.NewSource()
 	defer stop()
 	return g.Run(context.Background(), s)
 }
 
 // loose are limits under which a busy machine does not spoil what a test looks at.
-var loose = Limits{Lag: time.Second, Late: 10 * time.Second, Pause: 10 * time.Second}
+var loose = Limits{TrustedLag: time.Second, MaxLate: 10 * time.Second, MinPause: 10 * time.Second}
 
 // TestStall: the server stands still for 1 s while one connection is all there is. Counted from when requests were to be sent, every one
 // that was due in that second waited, as computed; counted on the connection only one did.
@@ -156,8 +156,8 @@
 	var began atomic.Pointer[time.Time]
 	var once sync.Once
 	limits := loose
-	limits.Connections = 1
-	p := &Plan{Seed: 1, Even: true, Stages: constant(rate, 4*time.Second), Limits: limits, Classes: []Class{{Name: "c", Share: 1, Timeout: 10 * time.Second}}}
+	limits.MaxConnections = 1
+	p := &Plan{Seed: 1, EvenlySpaced: true, Stages: constant(rate, 4*time.Second), Limits: limits, Classes: []Class{{Name: "c", Share: 1, Timeout: 10 * time.Second}}}
 	rep := play(t, p, func(w http.ResponseWriter, q *http.Request) {
 		now := time.Now()
 		if began.CompareAndSwap(nil, &now); now.Sub(*began.Load()) > time.Second {
@@ -171,14 +171,14 @@
 	// Of 400, 100 were due while it stood still: their waits go down evenly from 1 s. The last 50 of them are p87.5 and so on.
 	for _, percent := range []float64{80, 90, 95, 99} {
 		want := stall.Seconds() * (percent - 75) / 25
-		if got := c.Corrected.At(percent).Seconds(); math.Abs(got-want) > 0.08 {
+		if got := c.Corrected.Percentile(percent).Seconds(); math.Abs(got-want) > 0.08 {
 			t.Errorf("corrected p%v is %.3f s, want %.3f", percent, got, want)
 		}
 	}
-	if got := c.Raw.At(99); got > 300*time.Millisecond {
+	if got := c.Raw.Percentile(99); got > 300*time.Millisecond {
 		t.Errorf("on the connection p99 is %v", got)
 	}
-	if got := c.Raw.At(100); got < 900*time.Millisecond {
+	if got := c.Raw.Percentile(100); got < 900*time.Millisecond {
 		t.Errorf("on the connection the longest is %v", got)
 	}
 }
@@ -218,14 +218,14 @@
 		}
 	}
 	for name, stall := range map[string]func(){"a blocked worker": func() { time.Sleep(400 * time.Millisecond) }, "a busy loop on one core": busy, "the collector": collector} {
-		p := &Plan{Seed: 1, Even: true, Stages: constant(200, 3*time.Second), Limits: Limits{Lag: 100 * time.Millisecond, Late: 100 * time.Millisecond, Pause: 5 * time.Second}, Classes: []Class{{Name: "c", Share: 1}}}
+		p := &Plan{Seed: 1, EvenlySpaced: true, Stages: constant(200, 3*time.Second), Limits: Limits{TrustedLag: 100 * time.Millisecond, MaxLate: 100 * time.Millisecond, MinPause: 5 * time.Second}, Classes: []Class{{Name: "c", Share: 1}}}
 		var came atomic.Int64
 		srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { came.Add(1) }))
-		g, err := New(Options{Target: srv.URL, Classes: p.Classes, Limits: p.Limits, Mark: "t"})
+		g, err := New(Options{Target: srv.URL, Classes: p.Classes, Limits: p.Limits, IDPrefix: "t"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, stop := p.Draw()
+		s, stop := p.NewSource()
 		rep := g.Run(context.Background(), &lazy{s, 300, stall})
 		stop()
 		srv.Close()
@@ -265,7 +265,7 @@
 // TestOutcomes: what goes wrong is told by its kind.
 func TestOutcomes(t *testing.T) {
 	one := func(h http.HandlerFunc) map[Outcome]int {
-		p := &Plan{Even: true, Stages: constant(20, 500*time.Millisecond), Limits: loose, Classes: []Class{{Name: "c", Share: 1, Timeout: 300 * time.Millisecond}}}
+		p := &Plan{EvenlySpaced: true, Stages: constant(20, 500*time.Millisecond), Limits: loose, Classes: []Class{{Name: "c", Share: 1, Timeout: 300 * time.Millisecond}}}
 		return play(t, p, h).Classes["c"].Outcomes
 	}
 	hijack := func(text string, reset bool) http.HandlerFunc {
@@ -284,8 +284,8 @@
 	for want, h := range map[Outcome]http.HandlerFunc{
 		Served: func(w http.ResponseWriter, q *http.Request) {}, Refused: func(w http.ResponseWriter, q *http.Request) { w.WriteHeader(503) },
 		Failed: func(w http.ResponseWriter, q *http.Request) { w.WriteHeader(500) }, Rejected: func(w http.ResponseWriter, q *http.Request) { w.WriteHeader(404) },
-		Redirect: func(w http.ResponseWriter, q *http.Request) { http.Redirect(w, q, "/x", 302) },
-		Broken:   hijack("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf", true),
+		Redirected:  func(w http.ResponseWriter, q *http.Request) { http.Redirect(w, q, "/x", 302) },
+		Interrupted: hijack("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf", true),
 		TimedOut: func(w http.ResponseWriter, q *http.Request) { // a slow read: the answer never ends
 			w.Write([]byte("x"))
 			w.(http.Flusher).Flush()
@@ -301,8 +301,8 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	p := &Plan{Even: true, Stages: constant(20, 500*time.Millisecond), Limits: loose, Classes: []Class{{Name: "c", Share: 1}}}
-	if got := send(t, p, "http://"+ln.Addr().String()).Classes["c"].Outcomes; got[Unreached] != 10 {
+	p := &Plan{EvenlySpaced: true, Stages: constant(20, 500*time.Millisecond), Limits: loose, Classes: []Class{{Name: "c", Share: 1}}}
+	if got := send(t, p, "http://"+ln.Addr().String()).Classes["c"].Outcomes; got[ConnectFailed] != 10 {
 		t.Errorf("nobody listens: %v", got)
 	}
 }
@@ -316,7 +316,7 @@
 	for _, heed := range []bool{false, true} {
 		var mu sync.Mutex
 		keys := map[string][]seen{}
-		p := &Plan{Even: true, Stages: constant(20, 250*time.Millisecond), Limits: loose, Classes: []Class{{Name: "order", Share: 1, Method: "POST", Once: true, Retry: Retry{Most: 3, Heed: heed}}}}
+		p := &Plan{EvenlySpaced: true, Stages: constant(20, 250*time.Millisecond), Limits: loose, Classes: []Class{{Name: "order", Share: 1, Method: "POST", IdempotencyKey: true, Retry: Retry{Max: 3, HonorRetryAfter: heed}}}}
 		rep := play(t, p, func(w http.ResponseWriter, q *http.Request) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -328,7 +328,7 @@
 			}
 		})
 		c := rep.Classes["order"]
-		if c.First != 5 || c.Tries != 15 || c.Retries != 10 || c.Answered != 5 || c.Outcomes[Refused] != 10 || len(keys) != 5 {
+		if c.FirstTries != 5 || c.Tries != 15 || c.Retries != 10 || c.Answered != 5 || c.Outcomes[Refused] != 10 || len(keys) != 5 {
 			t.Errorf("heed %v: %+v, %d keys", heed, c, len(keys))
 		}
 		for k, s := range keys {
@@ -338,8 +338,8 @@
 				t.Errorf("heed %v: it came back after %v", heed, wait)
 			}
 		}
-		if heed && c.Corrected.At(50) < 590*time.Millisecond {
-			t.Errorf("from the first try it took %v", c.Corrected.At(50))
+		if heed && c.Corrected.Percentile(50) < 590*time.Millisecond {
+			t.Errorf("from the first try it took %v", c.Corrected.Percentile(50))
 		}
 	}
 }
@@ -347,8 +347,8 @@
 // TestBounds: one request more than may be open is not sent, and counts; the rest goes on.
 func TestBounds(t *testing.T) {
 	limits := loose
-	limits.Open = 5
-	p := &Plan{Even: true, Stages: constant(100, time.Second), Limits: limits, Classes: []Class{{Name: "c", Share: 1}}}
+	limits.MaxOpen = 5
+	p := &Plan{EvenlySpaced: true, Stages: constant(100, time.Second), Limits: limits, Classes: []Class{{Name: "c", Share: 1}}}
 	var most, now atomic.Int64
 	rep := play(t, p, func(http.ResponseWriter, *http.Request) {
 		if n := now.Add(1); n > most.Load() {
@@ -357,8 +357,8 @@
 		time.Sleep(200 * time.Millisecond)
 		now.Add(-1)
 	})
-	if most.Load() > 5 || rep.Full < 40 || rep.Full+rep.Classes["c"].Tries != 100 || rep.Trusted {
-		t.Errorf("%d at once, %d not sent, %d sent, %s", most.Load(), rep.Full, rep.Classes["c"].Tries, rep.Verdict)
+	if most.Load() > 5 || rep.OverLimit < 40 || rep.OverLimit+rep.Classes["c"].Tries != 100 || rep.Trusted {
+		t.Errorf("%d at once, %d not sent, %d sent, %s", most.Load(), rep.OverLimit, rep.Classes["c"].Tries, rep.Verdict)
 	}
 }
 
@@ -383,12 +383,12 @@
 			delays[i] = draw()
 		}
 		var next atomic.Int64
-		p := &Plan{Even: true, Stages: constant(300, 3*time.Second), Limits: loose, Classes: []Class{{Name: "c", Share: 1}}}
+		p := &Plan{EvenlySpaced: true, Stages: constant(300, 3*time.Second), Limits: loose, Classes: []Class{{Name: "c", Share: 1}}}
 		rep := play(t, p, func(http.ResponseWriter, *http.Request) { time.Sleep(delays[next.Add(1)-1]) })
 		slices.Sort(delays)
 		for _, percent := range []float64{50, 90, 99} {
 			want := delays[int(math.Ceil(percent/100*n))-1]
-			got := rep.Classes["c"].Raw.At(percent)
+			got := rep.Classes["c"].Raw.Percentile(percent)
 			// A machine that is shared wakes up late; BenchmarkAccuracy holds it to 2 % or 1 ms by itself.
 			if d := (got - want).Abs(); d > 30*time.Millisecond {
 				t.Errorf("%s: p%v is %v, injected %v", name, percent, got, want)
@@ -488,21 +488,21 @@
 				e.Key = fmt.Sprint("k", i)
 			}
 			if i%12 == 6 && len(firsts) > 0 {
-				e.Of, e.Rule, e.Sure, e.Key = firsts[len(firsts)-1], trace.SameOrder, 0.9, ""
+				e.RetryOf, e.Rule, e.Confidence, e.Key = firsts[len(firsts)-1], trace.SameRequestAfterFailure, 0.9, ""
 			}
 		}
 		n, err := w.Write(e)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if e.Class == "order" && e.Of == 0 && e.Key == "" {
+		if e.Class == "order" && e.RetryOf == 0 && e.Key == "" {
 			firsts = append(firsts, n)
 		}
 	}
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	classes, last, err := ClassesOf(bytes.NewReader(b.Bytes()), time.Second)
+	classes, last, err := TraceClasses(bytes.NewReader(b.Bytes()), time.Second)
 	if err != nil || len(classes) != 2 || classes[1].Method != "POST" {
 		t.Fatalf("%+v, %v", classes, err)
 	}
@@ -525,7 +525,7 @@
 		}
 	}))
 	defer srv.Close()
-	g, err := New(Options{Target: srv.URL, Classes: classes, Limits: loose, Mark: "r"})
+	g, err := New(Options{Target: srv.URL, Classes: classes, Limits: loose, IDPrefix: "r"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -535,11 +535,11 @@
 		t.Errorf("it took %v of %v, %v", took, last/2, p.Err())
 	}
 	c := p.Compare(rep)
-	if c.Most > 0.5 || c.Retries[0] != c.Retries[1] || c.Retries[0] != retried || retried < 40 || len(paths) != 600 {
+	if c.MaxDifference > 0.5 || c.Retries[0] != c.Retries[1] || c.Retries[0] != retried || retried < 40 || len(paths) != 600 {
 		t.Errorf("%+v, %d came, %d as retries", c, len(paths), retried)
 	}
-	if c.Arrivals.At(99) > 200*time.Millisecond {
-		t.Errorf("arrivals are late by %v", c.Arrivals.At(99))
+	if c.ArrivalError.Percentile(99) > 200*time.Millisecond {
+		t.Errorf("arrivals are late by %v", c.ArrivalError.Percentile(99))
 	}
 	twice := 0
 	for _, n := range keys {
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -11,21 +11,21 @@
 
 // Plan is what is sent, and when.
 type Plan struct {
-	Seed    uint64
-	Even    bool // arrivals at even distances, else random ones
-	Stages  Chain
-	Classes []Class
-	Limits  Limits
+	Seed         uint64
+	EvenlySpaced bool // arrivals at even distances, else random ones
+	Stages       Chain
+	Classes      []Class
+	Limits       Limits
 }
 
 // Limits bound a run, and what is held for right. Zero values take their defaults.
 type Limits struct {
-	Open        int           // requests at once; 10,000. One more is not sent, and counts as such
-	Connections int           // to the target; 1,000
-	Lag         time.Duration // p99 of a window from which on it is not to be trusted; 1 ms
-	Late        time.Duration // an arrival that is later than that is not sent; 50 ms
-	Window      time.Duration // 1 s
-	Pause       time.Duration // from when on a standstill of this process counts; 10 ms
+	MaxOpen        int           // requests at once; 10,000. One more is not sent, and counts as such
+	MaxConnections int           // to the target; 1,000
+	TrustedLag     time.Duration // p99 of a window from which on it is not to be trusted; 1 ms
+	MaxLate        time.Duration // an arrival that is later than that is not sent; 50 ms
+	Window         time.Duration // 1 s
+	MinPause       time.Duration // from when on a standstill of this process counts; 10 ms
 }
 
 func (l Limits) withDefaults() Limits {
@@ -34,42 +34,42 @@
 			*v = d
 		}
 	}
-	if l.Open == 0 {
-		l.Open = 10_000
+	if l.MaxOpen == 0 {
+		l.MaxOpen = 10_000
 	}
-	if l.Connections == 0 {
-		l.Connections = 1000
+	if l.MaxConnections == 0 {
+		l.MaxConnections = 1000
 	}
-	def(&l.Lag, time.Millisecond)
-	def(&l.Late, 50*time.Millisecond)
+	def(&l.TrustedLag, time.Millisecond)
+	def(&l.MaxLate, 50*time.Millisecond)
 	def(&l.Window, time.Second)
-	def(&l.Pause, 10*time.Millisecond)
+	def(&l.MinPause, 10*time.Millisecond)
 	return l
 }
 
 // Class is a kind of request.
 type Class struct {
-	Name    string
-	Share   float64 // of all, beside those of other classes
-	Method  string  // GET
-	Path    string  // {class} and {key} stand for what they say; /{class}/{key}
-	Header  map[string]string
-	Body    string
-	Size    int // of a body of letters, in place of Body
-	Tenants []string
-	Keys    int           // how many there are; 0: each request has a new one
-	Zipf    float64       // above 1: some are asked for more than others, by this power; 0: all alike
-	Once    bool          // it brings an Idempotency-Key
-	Cost    time.Duration // told as X-Cost; 0: not
-	Timeout time.Duration // of one try, told as X-Timeout-Ms; 2 s
-	Retry   Retry
+	Name           string
+	Share          float64 // of all, beside those of other classes
+	Method         string  // GET
+	Path           string  // {class} and {key} stand for what they say; /{class}/{key}
+	Header         map[string]string
+	Body           string
+	BodySize       int // of a body of letters, in place of Body
+	Tenants        []string
+	Keys           int           // how many there are; 0: each request has a new one
+	Zipf           float64       // above 1: some are asked for more than others, by this power; 0: all alike
+	IdempotencyKey bool          // it brings an Idempotency-Key
+	Cost           time.Duration // told as X-Cost; 0: not
+	Timeout        time.Duration // of one try, told as X-Timeout-Ms; 2 s
+	Retry          Retry
 }
 
 // Retry is what a client does that was not served.
 type Retry struct {
-	Most int           // tries after the first; at most 3
-	Wait time.Duration // before each
-	Heed bool          // it comes back no sooner than it was told
+	Max             int           // tries after the first; at most 3
+	Wait            time.Duration // before each
+	HonorRetryAfter bool          // it comes back no sooner than it was told
 }
 
 const (
@@ -83,8 +83,8 @@
 	if len(p.Stages) == 0 {
 		return errors.New("stages: there are none")
 	}
-	if p.Stages.For() > mostFor {
-		return fmt.Errorf("stages: they last %v, over %v", p.Stages.For(), mostFor)
+	if p.Stages.Length() > mostFor {
+		return fmt.Errorf("stages: they last %v, over %v", p.Stages.Length(), mostFor)
 	}
 	for i, s := range p.Stages {
 		if err := s.Check(); err != nil {
@@ -111,9 +111,9 @@
 			return wrong("name", "is there twice")
 		case !(c.Share >= 0):
 			return wrong("share", "%v is below 0", c.Share)
-		case c.Size < 0 || c.Size > mostSize:
-			return wrong("size", "%d is outside 0 to %d", c.Size, mostSize)
-		case c.Body != "" && c.Size > 0:
+		case c.BodySize < 0 || c.BodySize > mostSize:
+			return wrong("size", "%d is outside 0 to %d", c.BodySize, mostSize)
+		case c.Body != "" && c.BodySize > 0:
 			return wrong("size", "body is set too")
 		case c.Keys < 0:
 			return wrong("keys", "%d is below 0", c.Keys)
@@ -123,8 +123,8 @@
 			return wrong("zipf", "keys is not set")
 		case c.Timeout < 0 || c.Timeout > time.Hour:
 			return wrong("timeout", "%v is outside 0 to an hour", c.Timeout)
-		case c.Retry.Most < 0 || c.Retry.Most > mostRetries:
-			return wrong("retries", "%d is outside 0 to %d", c.Retry.Most, mostRetries)
+		case c.Retry.Max < 0 || c.Retry.Max > mostRetries:
+			return wrong("retries", "%d is outside 0 to %d", c.Retry.Max, mostRetries)
 		case c.Retry.Wait < 0:
 			return wrong("retry_wait", "%v is negative", c.Retry.Wait)
 		}
@@ -164,23 +164,23 @@
 
 // Request is one first try that is to be sent.
 type Request struct {
-	At     time.Duration // from the begin
-	Class  int           // its place among the plan's
-	Method string        // empty: its class's
-	Path   string
-	Key    string // its Idempotency-Key; empty: none
-	Tenant string
-	Body   string
-	Cost   time.Duration
-	Retry  int // in a replay: of which request before it this is a retry, -1 of one that is not in it; 0: of none
+	At      time.Duration // from the begin
+	Class   int           // its place among the plan's
+	Method  string        // empty: its class's
+	Path    string
+	Key     string // its Idempotency-Key; empty: none
+	Tenant  string
+	Body    string
+	Cost    time.Duration
+	RetryOf int // in a replay: of which request before it this is a retry, -1 of one that is not in it; 0: of none
 }
 
 // Source tells what is sent, in order.
 type Source interface {
 	// Next returns the next request, or false if there is none.
 	Next() (Request, bool)
-	// For is how long it lasts.
-	For() time.Duration
+	// Length is how long it lasts.
+	Length() time.Duration
 }
 
 // drawn is the Source of a plan.
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -16,15 +16,15 @@
 
 // The outcomes.
 const (
-	Served    Outcome = "served"    // 2xx
-	Redirect  Outcome = "redirect"  // 3xx
-	Rejected  Outcome = "rejected"  // 4xx
-	Refused   Outcome = "refused"   // 503 or 429
-	Failed    Outcome = "failed"    // other 5xx
-	Unreached Outcome = "unreached" // no connection
-	Broken    Outcome = "broken"    // the answer was cut off
-	TimedOut  Outcome = "timed out"
-	Unsent    Outcome = "unsent" // not sent: too late, or too many were open
+	Served        Outcome = "served"    // 2xx
+	Redirected    Outcome = "redirect"  // 3xx
+	Rejected      Outcome = "rejected"  // 4xx
+	Refused       Outcome = "refused"   // 503 or 429
+	Failed        Outcome = "failed"    // other 5xx
+	ConnectFailed Outcome = "unreached" // no connection
+	Interrupted   Outcome = "broken"    // the answer was cut off
+	TimedOut      Outcome = "timed out"
+	Unsent        Outcome = "unsent" // not sent: too late, or too many were open
 )
 
 const (
@@ -80,8 +80,8 @@
 	return h.open().TotalCount()
 }
 
-// At returns the time within which a percentage of them lies.
-func (h *Histogram) At(percent float64) time.Duration {
+// Percentile returns the time within which a percentage of them lies.
+func (h *Histogram) Percentile(percent float64) time.Duration {
 	if h.Count() == 0 {
 		return 0
 	}
@@ -107,7 +107,7 @@
 
 // MarshalJSON is the method of json.Marshaler.
 func (h *Histogram) MarshalJSON() ([]byte, error) {
-	t := histogramText{Count: h.Count(), P50: ms(h.At(50)), P90: ms(h.At(90)), P99: ms(h.At(99)), P999: ms(h.At(99.9)), Max: ms(h.At(100))}
+	t := histogramText{Count: h.Count(), P50: ms(h.Percentile(50)), P90: ms(h.Percentile(90)), P99: ms(h.Percentile(99)), P999: ms(h.Percentile(99.9)), Max: ms(h.Percentile(100))}
 	text, err := h.open().Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	t.HDR = string(text)
 	h.pack()
@@ -133,24 +133,24 @@
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// Tally is what became of some tries.
-type Tally struct {
-	First     int             `json:"first"`   // first tries that were due
-	Tries     int             `json:"tries"`   // that were sent
-	Retries   int             `json:"retries"` // of them, by the clients
-	Outcomes  map[Outcome]int `json:"outcomes"`
-	Statuses  map[int]int     `json:"statuses,omitempty"`
-	Answered  int             `json:"answered"`  // clients that were served, by whichever try
-	Corrected *Histogram      `json:"corrected"` // of those, from when the first try was to be sent
-	Raw       *Histogram      `json:"raw"`       // of tries that were served, from when each was sent
+// Stats is what became of some tries.
+type Stats struct {
+	FirstTries int             `json:"first"`   // first tries that were due
+	Tries      int             `json:"tries"`   // that were sent
+	Retries    int             `json:"retries"` // of them, by the clients
+	Outcomes   map[Outcome]int `json:"outcomes"`
+	Statuses   map[int]int     `json:"statuses,omitempty"`
+	Answered   int             `json:"answered"`  // clients that were served, by whichever try
+	Corrected  *Histogram      `json:"corrected"` // of those, from when the first try was to be sent
+	Raw        *Histogram      `json:"raw"`       // of tries that were served, from when each was sent
 }
 
-func newTally() *Tally {
-	return &Tally{Outcomes: map[Outcome]int{}, Statuses: map[int]int{}, Corrected: newHistogram(), Raw: newHistogram()}
+func newTally() *Stats {
+	return &Stats{Outcomes: map[Outcome]int{}, Statuses: map[int]int{}, Corrected: newHistogram(), Raw: newHistogram()}
 }
 
-func (t *Tally) merge(o *Tally) {
-	t.First += o.First
+func (t *Stats) merge(o *Stats) {
+	t.FirstTries += o.FirstTries
 	t.Tries += o.Tries
 	t.Retries += o.Retries
 	t.Answered += o.Answered
@@ -166,22 +166,22 @@
 
 // Window is a part of a run, by when first tries were due.
 type Window struct {
-	From    float64           `json:"from_s"`
-	Trusted bool              `json:"trusted"`
-	Why     string            `json:"why,omitempty"` // it is not
-	Lag     *Histogram        `json:"lag"`           // from when a first try was due to when it was sent
-	Late    int               `json:"late"`          // first tries that were not sent, as they were too late
-	Full    int               `json:"full"`          // that were not sent, as too many were open
-	Pauses  int               `json:"pauses"`        // of this process
-	Paused  float64           `json:"paused_ms"`     // the longest
-	Classes map[string]*Tally `json:"classes"`
+	StartS          float64           `json:"from_s"`
+	Trusted         bool              `json:"trusted"`
+	UntrustedReason string            `json:"why,omitempty"` // it is not
+	Lag             *Histogram        `json:"lag"`           // from when a first try was due to when it was sent
+	Late            int               `json:"late"`          // first tries that were not sent, as they were too late
+	OverLimit       int               `json:"full"`          // that were not sent, as too many were open
+	Pauses          int               `json:"pauses"`        // of this process
+	MaxPauseMs      float64           `json:"paused_ms"`     // the longest
+	Classes         map[string]*Stats `json:"classes"`
 }
 
 func newWindow(from time.Duration) *Window {
-	return &Window{From: from.Seconds(), Lag: newHistogram(), Classes: map[string]*Tally{}}
+	return &Window{StartS: from.Seconds(), Lag: newHistogram(), Classes: map[string]*Stats{}}
 }
 
-func (w *Window) class(name string) *Tally {
+func (w *Window) class(name string) *Stats {
 	t := w.Classes[name]
 	if t == nil {
 		t = newTally()
@@ -203,52 +203,52 @@
 
 // judge decides whether a window is to be trusted.
 func (w *Window) judge(l Limits) {
-	switch lag := w.Lag.At(99); {
+	switch lag := w.Lag.Percentile(99); {
 	case w.Late > 0:
-		w.Why = fmt.Sprintf("%d arrivals were too late to be sent", w.Late)
-	case w.Full > 0:
-		w.Why = fmt.Sprintf("%d arrivals were not sent, as %d requests were open", w.Full, l.Open)
+		w.UntrustedReason = fmt.Sprintf("%d arrivals were too late to be sent", w.Late)
+	case w.OverLimit > 0:
+		w.UntrustedReason = fmt.Sprintf("%d arrivals were not sent, as %d requests were open", w.OverLimit, l.MaxOpen)
 	case w.Pauses > 0:
-		w.Why = fmt.Sprintf("this process stood still %d times, for up to %.1f ms", w.Pauses, w.Paused)
-	case lag > l.Lag:
-		w.Why = fmt.Sprintf("the schedule's lag is %v at p99, over %v", lag, l.Lag)
+		w.UntrustedReason = fmt.Sprintf("this process stood still %d times, for up to %.1f ms", w.Pauses, w.MaxPauseMs)
+	case lag > l.TrustedLag:
+		w.UntrustedReason = fmt.Sprintf("the schedule's lag is %v at p99, over %v", lag, l.TrustedLag)
 	}
-	w.Trusted = w.Why == ""
+	w.Trusted = w.UntrustedReason == ""
 }
 
 // Report is the account of a run.
 type Report struct {
-	Verdict string            `json:"verdict"` // one line
-	Trusted bool              `json:"trusted"` // all windows are
-	For     float64           `json:"for_s"`
-	WindowS float64           `json:"window_s"`
-	Lag     *Histogram        `json:"lag"`
-	Late    int               `json:"late"`
-	Full    int               `json:"full"`
-	Pauses  int               `json:"pauses"`
-	Paused  float64           `json:"paused_ms"`
-	Classes map[string]*Tally `json:"classes"`         // of all windows
-	Sound   map[string]*Tally `json:"trusted_classes"` // of those that are trusted
-	Windows []*Window         `json:"windows"`
+	Verdict        string            `json:"verdict"` // one line
+	Trusted        bool              `json:"trusted"` // all windows are
+	DurationS      float64           `json:"for_s"`
+	WindowS        float64           `json:"window_s"`
+	Lag            *Histogram        `json:"lag"`
+	Late           int               `json:"late"`
+	OverLimit      int               `json:"full"`
+	Pauses         int               `json:"pauses"`
+	MaxPauseMs     float64           `json:"paused_ms"`
+	Classes        map[string]*Stats `json:"classes"`         // of all windows
+	TrustedClasses map[string]*Stats `json:"trusted_classes"` // of those that are trusted
+	Windows        []*Window         `json:"windows"`
 }
 
 // summary fills in what follows from the windows.
 func (r *Report) summary(l Limits) {
-	r.Lag, r.Late, r.Full, r.Pauses, r.Paused = newHistogram(), 0, 0, 0, 0
-	r.Classes, r.Sound, r.Trusted = map[string]*Tally{}, map[string]*Tally{}, true
+	r.Lag, r.Late, r.OverLimit, r.Pauses, r.MaxPauseMs = newHistogram(), 0, 0, 0, 0
+	r.Classes, r.TrustedClasses, r.Trusted = map[string]*Stats{}, map[string]*Stats{}, true
 	bad := 0
 	for _, w := range r.Windows {
 		w.judge(l)
 		r.Lag.Merge(w.Lag)
 		r.Late += w.Late
-		r.Full += w.Full
+		r.OverLimit += w.OverLimit
 		r.Pauses += w.Pauses
-		r.Paused = max(r.Paused, w.Paused)
+		r.MaxPauseMs = max(r.MaxPauseMs, w.MaxPauseMs)
 		if !w.Trusted {
 			bad++
 		}
 		for name, t := range w.Classes {
-			for i, to := range []map[string]*Tally{r.Classes, r.Sound} {
+			for i, to := range []map[string]*Stats{r.Classes, r.TrustedClasses} {
 				if i == 1 && !w.Trusted {
 					continue
 				}
@@ -259,13 +259,13 @@
 			}
 		}
 	}
-	lag := fmt.Sprintf("schedule lag p50 %v, p99 %v, max %v", r.Lag.At(50), r.Lag.At(99), r.Lag.At(100))
+	lag := fmt.Sprintf("schedule lag p50 %v, p99 %v, max %v", r.Lag.Percentile(50), r.Lag.Percentile(99), r.Lag.Percentile(100))
 	if r.Trusted = bad == 0; r.Trusted {
 		r.Verdict = "trusted: " + lag
 		return
 	}
 	first := slices.IndexFunc(r.Windows, func(w *Window) bool { return !w.Trusted })
-	r.Verdict = fmt.Sprintf("UNTRUSTED: %d of %d windows, the first at %gs, as %s; %s", bad, len(r.Windows), r.Windows[first].From, r.Windows[first].Why, lag)
+	r.Verdict = fmt.Sprintf("UNTRUSTED: %d of %d windows, the first at %gs, as %s; %s", bad, len(r.Windows), r.Windows[first].StartS, r.Windows[first].UntrustedReason, lag)
 }
 
 // Merge adds the reports of workers that ran beside one another from the same moment on. Their windows must be of one length.
@@ -276,17 +276,17 @@
 		if sum.WindowS != 0 && sum.WindowS != r.WindowS {
 			return nil, fmt.Errorf("windows of %g and %g s", sum.WindowS, r.WindowS)
 		}
-		sum.WindowS, sum.For = r.WindowS, max(sum.For, r.For)
+		sum.WindowS, sum.DurationS = r.WindowS, max(sum.DurationS, r.DurationS)
 		for i, w := range r.Windows {
 			if i == len(sum.Windows) {
-				sum.Windows = append(sum.Windows, newWindow(time.Duration(w.From*float64(time.Second))))
+				sum.Windows = append(sum.Windows, newWindow(time.Duration(w.StartS*float64(time.Second))))
 			}
 			to := sum.Windows[i]
 			to.Lag.Merge(w.Lag)
 			to.Late += w.Late
-			to.Full += w.Full
+			to.OverLimit += w.OverLimit
 			to.Pauses += w.Pauses
-			to.Paused = max(to.Paused, w.Paused)
+			to.MaxPauseMs = max(to.MaxPauseMs, w.MaxPauseMs)
 			for _, name := range slices.Sorted(maps.Keys(w.Classes)) {
 				to.class(name).merge(w.Classes[name])
 			}
@@ -327,7 +327,7 @@
 func (r *recorder) due(at time.Duration, class string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.window(at).class(class).First++
+	r.window(at).class(class).FirstTries++
 	r.counts.due++
 }
 
@@ -338,7 +338,7 @@
 	if late {
 		w.Late++
 	} else {
-		w.Full++
+		w.OverLimit++
 	}
 	w.class(class).Outcomes[Unsent]++
 }
@@ -381,7 +381,7 @@
 	for at := max(from, 0); ; at += r.limits.Window { // a window in which it ended or went on
 		w := r.window(min(at, to))
 		w.Pauses++
-		w.Paused = max(w.Paused, ms(to-from))
+		w.MaxPauseMs = max(w.MaxPauseMs, ms(to-from))
 		if at/r.limits.Window >= to/r.limits.Window {
 			return
 		}
@@ -391,7 +391,7 @@
 func (r *recorder) report(lasted time.Duration) *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rep := &Report{For: lasted.Seconds(), WindowS: r.limits.Window.Seconds(), Windows: r.windows}
+	rep := &Report{DurationS: lasted.Seconds(), WindowS: r.limits.Window.Seconds(), Windows: r.windows}
 	rep.summary(r.limits)
 	return rep
 }
--- a/internal/load/replay.go
+++ b/internal/load/replay.go
@@ -22,10 +22,10 @@
 	next    *Request
 	err     error
 
-	// Mix is how many of each class were told so far, and Statuses the recorded answers by class and status.
-	Mix      map[string]int
-	Statuses map[string]map[int]int
-	Retries  int
+	// ClassCounts is how many of each class were told so far, and Statuses the recorded answers by class and status.
+	ClassCounts map[string]int
+	Statuses    map[string]map[int]int
+	Retries     int
 }
 
 // NewReplay returns the Source of a trace whose entries are of some of classes, and so many times as fast. The trace is read as it is told.
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Replay{r: r, speed: speed, classes: map[string]int{}, Mix: map[string]int{}, Statuses: map[string]map[int]int{}}
+	p := &Replay{r: r, speed: speed, classes: map[string]int{}, ClassCounts: map[string]int{}, Statuses: map[string]map[int]int{}}
 	for i, c := range classes {
 		p.classes[c.Name] = i
 	}
@@ -45,8 +45,8 @@
 	return p, nil
 }
 
-// ClassesOf returns the classes that a trace has, with the method of the first entry of each, for a replay. It reads the trace to its end.
-func ClassesOf(in io.Reader, timeout time.Duration) ([]Class, time.Duration, error) {
+// TraceClasses returns the classes that a trace has, with the method of the first entry of each, for a replay. It reads the trace to its end.
+func TraceClasses(in io.Reader, timeout time.Duration) ([]Class, time.Duration, error) {
 	r, err := trace.NewReader(in)
 	if err != nil {
 		return nil, 0, err
@@ -90,19 +90,19 @@
 		}
 		r := &Request{
 			At: time.Duration(float64(e.At)/p.speed) * time.Microsecond, Class: class, Method: e.Method, Path: e.Path, Key: e.Key, Tenant: e.Tenant, Body: string(e.Body),
-			Cost: time.Duration(e.Cost) * time.Microsecond, Retry: e.Of,
+			Cost: time.Duration(e.Cost) * time.Microsecond, RetryOf: e.RetryOf,
 		}
 		if r.Key == "" && e.Method != http.MethodGet && e.Method != http.MethodHead { // none was logged: a retry has that of its first
 			r.Key = fmt.Sprint("trace-", p.n)
-			if e.Of > 0 {
-				r.Key = fmt.Sprint("trace-", e.Of)
+			if e.RetryOf > 0 {
+				r.Key = fmt.Sprint("trace-", e.RetryOf)
 			}
 		}
 		if r.Body == "" && e.Size > 0 {
 			r.Body = strings.Repeat("x", int(min(e.Size, mostSize)))
 		}
-		p.Mix[e.Class]++
-		if e.Of != 0 {
+		p.ClassCounts[e.Class]++
+		if e.RetryOf != 0 {
 			p.Retries++
 		}
 		if e.Status != 0 {
@@ -128,40 +128,40 @@
 	return r, true
 }
 
-// For is a method of Source: until the latest request that was told.
-func (p *Replay) For() time.Duration { return p.last }
+// Length is a method of Source: until the latest request that was told.
+func (p *Replay) Length() time.Duration { return p.last }
 
 // Err returns what ended the trace before its end.
 func (p *Replay) Err() error { return p.err }
 
 // Comparison holds a replay beside its trace.
 type Comparison struct {
-	Classes  map[string]float64     `json:"class_mix_difference"` // of sent and recorded, in percentage points
-	Most     float64                `json:"most_difference"`
-	Retries  [2]int                 `json:"retries"`                 // sent, recorded
-	Statuses map[string]map[int]int `json:"recorded_statuses"`       // by class
-	Arrivals *Histogram             `json:"arrival_error,omitempty"` // of what was sent
+	MixDifference map[string]float64     `json:"class_mix_difference"` // of sent and recorded, in percentage points
+	MaxDifference float64                `json:"most_difference"`
+	Retries       [2]int                 `json:"retries"`                 // sent, recorded
+	Statuses      map[string]map[int]int `json:"recorded_statuses"`       // by class
+	ArrivalError  *Histogram             `json:"arrival_error,omitempty"` // of what was sent
 }
 
 // Compare holds a report beside what was told of its trace.
 func (p *Replay) Compare(rep *Report) Comparison {
-	c := Comparison{Classes: map[string]float64{}, Statuses: p.Statuses, Arrivals: rep.Lag}
+	c := Comparison{MixDifference: map[string]float64{}, Statuses: p.Statuses, ArrivalError: rep.Lag}
 	sent, told := 0, 0
 	for _, t := range rep.Classes {
 		sent += t.Tries
 		c.Retries[0] += t.Retries
 	}
-	for _, n := range p.Mix {
+	for _, n := range p.ClassCounts {
 		told += n
 	}
 	c.Retries[1] = p.Retries
-	for name, n := range p.Mix {
+	for name, n := range p.ClassCounts {
 		got := 0
 		if t := rep.Classes[name]; t != nil {
 			got = t.Tries
 		}
-		c.Classes[name] = 100 * (float64(got)/max(float64(sent), 1) - float64(n)/max(float64(told), 1))
-		c.Most = max(c.Most, math.Abs(c.Classes[name]))
+		c.MixDifference[name] = 100 * (float64(got)/max(float64(sent), 1) - float64(n)/max(float64(told), 1))
+		c.MaxDifference = max(c.MaxDifference, math.Abs(c.MixDifference[name]))
 	}
 	return c
 }
--- a/internal/load/shape.go
+++ b/internal/load/shape.go
@@ -14,20 +14,20 @@
 type Shape interface {
 	// Rate is how many there are a second at a time from the shape's begin.
 	Rate(at time.Duration) float64
-	// For is how long it lasts.
-	For() time.Duration
+	// Length is how long it lasts.
+	Length() time.Duration
 }
 
 // Stage is a Shape by its name, as a plan has it.
 type Stage struct {
-	Shape string        // constant, ramp, steps, spike, sine or cutoff
-	Last  time.Duration // how long it lasts
-	From  float64       // arrivals a second at its begin, and all the time of a constant one
-	To    float64       // at its end; of a spike and a sine: at the top
-	Steps int           // of steps: how many, the first at From, the last at To
-	At    time.Duration // of a spike: when its top is
-	Width time.Duration // of a spike: from half the height to half the height; of a sine: a period
-	Sharp float64       // of a cutoff: how many times the rate doubles on its way from From to To; 5
+	Shape     string        // constant, ramp, steps, spike, sine or cutoff
+	Duration  time.Duration // how long it lasts
+	From      float64       // arrivals a second at its begin, and all the time of a constant one
+	To        float64       // at its end; of a spike and a sine: at the top
+	Steps     int           // of steps: how many, the first at From, the last at To
+	At        time.Duration // of a spike: when its top is
+	Width     time.Duration // of a spike: from half the height to half the height; of a sine: a period
+	Doublings float64       // of a cutoff: how many times the rate doubles on its way from From to To; 5
 }
 
 const (
@@ -38,8 +38,8 @@
 // Check tells the first key that cannot be used.
 func (s Stage) Check() error {
 	switch {
-	case s.Last <= 0 || s.Last > mostFor:
-		return fmt.Errorf("for: %v is outside 0 to %v", s.Last, mostFor)
+	case s.Duration <= 0 || s.Duration > mostFor:
+		return fmt.Errorf("for: %v is outside 0 to %v", s.Duration, mostFor)
 	case !(s.From >= 0 && s.From <= mostRate):
 		return fmt.Errorf("from: %v is outside 0 to %v", s.From, mostRate)
 	case !(s.To >= 0 && s.To <= mostRate):
@@ -52,16 +52,16 @@
 			return fmt.Errorf("steps: %d is outside 2 to 10000", s.Steps)
 		}
 	case "spike":
-		if s.Width <= 0 || s.At < 0 || s.At > s.Last {
-			return fmt.Errorf("at, width: a spike of width %v at %v does not lie within %v", s.Width, s.At, s.Last)
+		if s.Width <= 0 || s.At < 0 || s.At > s.Duration {
+			return fmt.Errorf("at, width: a spike of width %v at %v does not lie within %v", s.Width, s.At, s.Duration)
 		}
 	case "sine":
 		if s.Width <= 0 {
 			return fmt.Errorf("width: %v is no period", s.Width)
 		}
 	case "cutoff":
-		if s.Sharp < 0 || s.Sharp > 30 {
-			return fmt.Errorf("sharp: %v is outside 0 to 30", s.Sharp)
+		if s.Doublings < 0 || s.Doublings > 30 {
+			return fmt.Errorf("sharp: %v is outside 0 to 30", s.Doublings)
 		}
 	default:
 		return fmt.Errorf("shape: %q is none of constant, ramp, steps, spike, sine and cutoff", s.Shape)
@@ -69,12 +69,12 @@
 	return nil
 }
 
-// For is a method of Shape.
-func (s Stage) For() time.Duration { return s.Last }
+// Length is a method of Shape.
+func (s Stage) Length() time.Duration { return s.Duration }
 
 // Rate is a method of Shape.
 func (s Stage) Rate(at time.Duration) float64 {
-	part := min(max(float64(at)/float64(s.Last), 0), 1)
+	part := min(max(float64(at)/float64(s.Duration), 0), 1)
 	switch s.Shape {
 	case "ramp":
 		return s.From + (s.To-s.From)*part
@@ -87,7 +87,7 @@
 	case "sine":
 		return s.From + (s.To-s.From)*(1-math.Cos(2*math.Pi*float64(at)/float64(s.Width)))/2
 	case "cutoff":
-		sharp := s.Sharp
+		sharp := s.Doublings
 		if sharp == 0 {
 			sharp = 5
 		}
@@ -99,10 +99,10 @@
 // Chain is one stage after the other.
 type Chain []Stage
 
-// For is a method of Shape.
-func (c Chain) For() (sum time.Duration) {
+// Length is a method of Shape.
+func (c Chain) Length() (sum time.Duration) {
 	for _, s := range c {
-		sum += s.Last
+		sum += s.Duration
 	}
 	return sum
 }
@@ -110,10 +110,10 @@
 // Rate is a method of Shape.
 func (c Chain) Rate(at time.Duration) float64 {
 	for i, s := range c {
-		if at < s.Last || i == len(c)-1 {
+		if at < s.Duration || i == len(c)-1 {
 			return s.Rate(at)
 		}
-		at -= s.Last
+		at -= s.Duration
 	}
 	return 0
 }
@@ -135,8 +135,8 @@
 		if rng == nil {
 			due = 0.5 // half a distance from the begin, so that a shape brings as many as its integral, rounded
 		}
-		for at := time.Duration(0); at < s.For(); at += step {
-			last := min(step, s.For()-at)
+		for at := time.Duration(0); at < s.Length(); at += step {
+			last := min(step, s.Length()-at)
 			more := s.Rate(at+last/2) * last.Seconds()
 			for more > 0 && due <= sum+more {
 				when := at + time.Duration(float64(last)*(due-sum)/more)
--- a/internal/load/source.go
+++ b/internal/load/source.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Draw returns the Source of a plan, which has been checked. One seed gives the same requests at the same times. Stop ends it.
-func (p *Plan) Draw() (s Source, stop func()) {
+// NewSource returns the Source of a plan, which has been checked. One seed gives the same requests at the same times. Stop ends it.
+func (p *Plan) NewSource() (s Source, stop func()) {
 	arrivals := rand.New(rand.NewPCG(p.Seed, 10))
-	if p.Even {
+	if p.EvenlySpaced {
 		arrivals = nil
 	}
 	d := &drawn{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 11))}
@@ -23,13 +23,13 @@
 			z = rand.NewZipf(d.rng, c.Zipf, 1, uint64(c.Keys-1))
 		}
 		d.zipf = append(d.zipf, z)
-		d.fill = append(d.fill, strings.Repeat("x", c.Size))
+		d.fill = append(d.fill, strings.Repeat("x", c.BodySize))
 	}
 	return d, d.stop
 }
 
-// For is a method of Source.
-func (d *drawn) For() time.Duration { return d.plan.Stages.For() }
+// Length is a method of Source.
+func (d *drawn) Length() time.Duration { return d.plan.Stages.Length() }
 
 // Next is a method of Source.
 func (d *drawn) Next() (Request, bool) {
@@ -53,7 +53,7 @@
 		key = fmt.Sprintf("n%d-%d", d.plan.Seed, d.count)
 	}
 	r := Request{At: at, Class: i, Path: c.path(key), Body: c.Body + d.fill[i], Cost: c.Cost}
-	if c.Once {
+	if c.IdempotencyKey {
 		r.Key = fmt.Sprintf("q%d-%d", d.plan.Seed, d.count)
 	}
 	if len(c.Tenants) > 0 {
--- a/internal/trace/import.go
+++ b/internal/trace/import.go
@@ -18,40 +18,40 @@
 
 // File is one recorded file.
 type File struct {
-	Name string
-	Open func() (io.ReadCloser, error) // it is opened twice
-	HAR  bool
-	Log  LineParser // of a log
+	Name   string
+	Open   func() (io.ReadCloser, error) // it is opened twice
+	HAR    bool
+	Parser LineParser // of a log
 }
 
-// Fault is a record that cannot be used.
-type Fault struct {
-	File string
-	Line int
-	Why  string
+// RecordError is a record that cannot be used.
+type RecordError struct {
+	File   string
+	Line   int
+	Reason string
 }
 
 // Skew is by how much a file's clock is held to be ahead of the first file's, and by what.
 type Skew struct {
-	File   string
-	Ahead  time.Duration
-	Shared int           // requests that both have logged
-	Spread time.Duration // within which half of them lie
-	By     string        // the file that it was compared with; empty: none, it is taken as it is
+	File      string
+	Offset    time.Duration
+	Shared    int           // requests that both have logged
+	Spread    time.Duration // within which half of them lie
+	Reference string        // the file that it was compared with; empty: none, it is taken as it is
 }
 
 // Report is what an import has found.
 type Report struct {
-	Records, Entries, Repeats int // read; kept; the same request in several files
-	Faulty                    int // that could not be read
-	Unclassed                 int // that no rule gives a class
-	Faults                    []Fault
-	Skews                     []Skew
-	Retries                   map[string]int // by rule
-	Leaps                     int            // times that went back by more than lines are out of order
-	Coarse                    int            // records whose times are whole seconds, which were spread over them
-	HAR                       HARNotes
-	From, To                  time.Time
+	Records, Entries, Duplicates int // read; kept; the same request in several files
+	Unreadable                   int // that could not be read
+	Unclassified                 int // that no rule gives a class
+	Errors                       []RecordError
+	Skews                        []Skew
+	Retries                      map[string]int // by rule
+	BackwardJumps                int            // times that went back by more than lines are out of order
+	WholeSeconds                 int            // records whose times are whole seconds, which were spread over them
+	HAR                          HARNotes
+	From, To                     time.Time
 }
 
 const (
@@ -82,7 +82,7 @@
 	rep.Skews = skews
 	var sources merge
 	for i, f := range files {
-		s := &source{file: f, rules: &rules, rep: rep, ahead: skews[i].Ahead}
+		s := &source{file: f, rules: &rules, rep: rep, ahead: skews[i].Offset}
 		if err := s.open(); err != nil {
 			return nil, fmt.Errorf("%s: %w", f.Name, err)
 		}
@@ -104,15 +104,15 @@
 			heap.Pop(&sources)
 		}
 		if r.id != "" && !seen.add("id "+r.id, at) { // boxes log each attempt; clients sent one
-			rep.Repeats++
+			rep.Duplicates++
 			continue
 		}
 		class, path, key, err := rules.classify(r.method, r.host, r.target)
 		if err != nil {
 			if errors.Is(err, errNoClass) {
-				rep.Unclassed++
+				rep.Unclassified++
 			} else {
-				rep.fault(Fault{s.file.Name, r.line, err.Error()})
+				rep.fault(RecordError{s.file.Name, r.line, err.Error()})
 			}
 			continue
 		}
@@ -130,7 +130,7 @@
 			e.Key = ""
 		}
 		marks.mark(&e, w.n+1, at)
-		if e.Of != 0 {
+		if e.RetryOf != 0 {
 			rep.Retries[e.Rule]++
 		}
 		if _, err := w.Write(e); err != nil {
@@ -154,8 +154,8 @@
 
 func notes(skews []Skew) (all []string) {
 	for _, s := range skews {
-		if s.Ahead != 0 {
-			all = append(all, fmt.Sprintf("the clock of %s was held to be ahead by %v, by %d requests shared with %s", s.File, s.Ahead, s.Shared, s.By))
+		if s.Offset != 0 {
+			all = append(all, fmt.Sprintf("the clock of %s was held to be ahead by %v, by %d requests shared with %s", s.File, s.Offset, s.Shared, s.Reference))
 		}
 	}
 	return all
@@ -170,10 +170,10 @@
 	return hex.EncodeToString(h[:6])
 }
 
-func (r *Report) fault(f Fault) {
-	r.Faulty++
-	if len(r.Faults) < mostFaults {
-		r.Faults = append(r.Faults, f)
+func (r *Report) fault(f RecordError) {
+	r.Unreadable++
+	if len(r.Errors) < mostFaults {
+		r.Errors = append(r.Errors, f)
 	}
 }
 
@@ -213,7 +213,7 @@
 	s.closer = f
 	if s.file.HAR {
 		var notes HARNotes
-		s.har, notes, err = readHAR(f, s.file.Name, s.rules.Bodies, func(n int, why error) { s.fault(n, why) })
+		s.har, notes, err = readHAR(f, s.file.Name, s.rules.KeepBodies, func(n int, why error) { s.fault(n, why) })
 		if err == nil && s.rep != nil {
 			h := &s.rep.HAR
 			h.Entries += notes.Entries
@@ -237,7 +237,7 @@
 
 func (s *source) fault(line int, why error) {
 	if s.rep != nil {
-		s.rep.fault(Fault{s.file.Name, line, why.Error()})
+		s.rep.fault(RecordError{s.file.Name, line, why.Error()})
 	}
 }
 
@@ -266,7 +266,7 @@
 			s.fault(s.line, err)
 			continue
 		}
-		r, perr := s.file.Log.parse(text)
+		r, perr := s.file.Parser.parse(text)
 		if perr != nil {
 			s.fault(s.line, perr)
 			continue
@@ -347,7 +347,7 @@
 	s.now = a.logged
 	if s.at = a.at; s.at.Before(s.passed) { // a leap back: what comes is not moved before what has been given out
 		if s.rep != nil {
-			s.rep.Leaps++
+			s.rep.BackwardJumps++
 		}
 		s.at = s.passed
 	}
@@ -362,7 +362,7 @@
 		if len(s.run) == 1 {
 			at = r.end
 		} else if s.rep != nil {
-			s.rep.Coarse++
+			s.rep.WholeSeconds++
 		}
 		s.hold(r, at)
 	}
@@ -451,11 +451,11 @@
 		slices.Sort(diffs)
 		n := len(diffs)
 		known[best] = true
-		ahead := diffs[n/2] + skews[by].Ahead
-		if ahead.Abs() > rules.Skew {
+		ahead := diffs[n/2] + skews[by].Offset
+		if ahead.Abs() > rules.MaxSkew {
 			continue
 		}
-		skews[best] = Skew{File: files[best].Name, Ahead: ahead, Shared: n, Spread: diffs[n*3/4] - diffs[n/4], By: files[by].Name}
+		skews[best] = Skew{File: files[best].Name, Offset: ahead, Shared: n, Spread: diffs[n*3/4] - diffs[n/4], Reference: files[by].Name}
 	}
 	return skews, nil
 }
@@ -554,17 +554,17 @@
 
 // The rules by which an entry is held for a retry.
 const (
-	SameKey    = "same key"
-	SameOrder  = "same client, path and size, the first had failed"
-	SameOrder2 = "same client, path and size"
-	Orphan     = "its first is not in this part"
+	SameKey                 = "same key"
+	SameRequestAfterFailure = "same client, path and size, the first had failed"
+	SameRequest             = "same client, path and size"
+	Orphan                  = "its first is not in this part"
 )
 
 // mark decides whether an entry is a retry of one before it: by its key, for sure; by its client, path and size where no key is logged,
 // less so, and the less if the first one was answered.
 func (m *marker) mark(e *Entry, number int, at time.Time) {
 	n := 0
-	for n < len(m.order) && at.Sub(m.order[n].at) > m.rules.Retry {
+	for n < len(m.order) && at.Sub(m.order[n].at) > m.rules.RetryWindow {
 		delete(m.first, m.order[n].name)
 		n++
 	}
@@ -575,21 +575,21 @@
 	switch {
 	case e.Key != "":
 		name = "key " + e.Class + " " + e.Key
-	case e.Client != "" && slices.Contains(m.rules.Orders, e.Class):
+	case e.Client != "" && slices.Contains(m.rules.InferRetries, e.Class):
 		name = fmt.Sprintf("order %s %s %s %d", e.Class, e.Client, e.Path, e.Size)
 	default:
 		return
 	}
 	failed := e.Status == 0 || e.Status >= 500 || e.Status == 429 || e.Status == 408 || e.Status == 499
 	if first, ok := m.first[name]; ok {
-		e.Of = first.number
+		e.RetryOf = first.number
 		switch {
 		case e.Key != "":
-			e.Rule, e.Sure = SameKey, 1
+			e.Rule, e.Confidence = SameKey, 1
 		case first.failed:
-			e.Rule, e.Sure = SameOrder, 0.9
+			e.Rule, e.Confidence = SameRequestAfterFailure, 0.9
 		default:
-			e.Rule, e.Sure = SameOrder2, 0.5
+			e.Rule, e.Confidence = SameRequest, 0.5
 		}
 		first.failed = failed
 		m.first[name] = first
@@ -599,8 +599,8 @@
 	m.order = append(m.order, named{name, at})
 }
 
-// Plot returns counts as a line of blocks, the tallest of which is the most.
-func Plot(counts []int) string {
+// Sparkline returns counts as a line of blocks, the tallest of which is the most.
+func Sparkline(counts []int) string {
 	most := slices.Max(append([]int{1}, counts...))
 	var b bytes.Buffer
 	for _, n := range counts {
--- a/internal/trace/logformat.go
+++ b/internal/trace/logformat.go
@@ -477,11 +477,11 @@
 	Name          string // common, combined or json
 	Nginx, Apache string // in place of Name
 	Fields        string // of json
-	Began         bool   // of json: times are those of the begin
+	StartTimes    bool   // of json: times are those of the begin
 }
 
-// Parser returns what reads the lines of a log. Times without a zone are in zone.
-func Parser(f Format, zone *time.Location) (LineParser, error) {
+// NewParser returns what reads the lines of a log. Times without a zone are in zone.
+func NewParser(f Format, zone *time.Location) (LineParser, error) {
 	switch {
 	case f.Nginx != "" && f.Apache != "":
 		return nil, errors.New("both a log_format and a LogFormat are set")
@@ -494,7 +494,7 @@
 	case f.Name == "combined":
 		return ParseApache(CombinedLog, zone)
 	case f.Name == "json":
-		return ParseJSON(f.Fields, f.Began, zone)
+		return ParseJSON(f.Fields, f.StartTimes, zone)
 	}
 	return nil, fmt.Errorf("format: %q is none of common, combined and json", f.Name)
 }
--- a/internal/trace/rules.go
+++ b/internal/trace/rules.go
@@ -15,13 +15,13 @@
 
 // Rules say what is made of records.
 type Rules struct {
-	Classes []ClassRule
-	Query   []string      // parameters that are kept; nil: none
-	Bodies  bool          // of requests are kept, where there are any
-	Retry   time.Duration // how long after its first a retry may come; 30 s
-	Orders  []string      // classes whose retries are looked for by client, path and size where no key is logged
-	Zone    *time.Location
-	Skew    time.Duration // most that a clock is held to be wrong; 10 min
+	Classes      []ClassRule
+	KeepQuery    []string      // parameters that are kept; nil: none
+	KeepBodies   bool          // of requests are kept, where there are any
+	RetryWindow  time.Duration // how long after its first a retry may come; 30 s
+	InferRetries []string      // classes whose retries are looked for by client, path and size where no key is logged
+	Zone         *time.Location
+	MaxSkew      time.Duration // most that a clock is held to be wrong; 10 min
 }
 
 // ClassRule gives a class to what it matches. Empty fields match all; the first rule holds.
@@ -54,7 +54,7 @@
 
 // LoadRules reads a file of rules, strictly. With an empty path the first part of a path is its class.
 func LoadRules(path string) (Rules, error) {
-	r := Rules{Retry: usualRetry, Skew: usualSkew, Zone: time.UTC}
+	r := Rules{RetryWindow: usualRetry, MaxSkew: usualSkew, Zone: time.UTC}
 	if path == "" {
 		return r, nil
 	}
@@ -73,7 +73,7 @@
 	for _, d := range []struct {
 		key, text string
 		to        *time.Duration
-	}{{"retry_window", f.Retry, &r.Retry}, {"most_skew", f.Skew, &r.Skew}} {
+	}{{"retry_window", f.Retry, &r.RetryWindow}, {"most_skew", f.Skew, &r.MaxSkew}} {
 		if d.text == "" {
 			continue
 		}
@@ -98,7 +98,7 @@
 		}
 		r.Classes = append(r.Classes, rule)
 	}
-	r.Query, r.Bodies, r.Orders = f.Query, f.Bodies, f.Orders
+	r.KeepQuery, r.KeepBodies, r.InferRetries = f.Query, f.Bodies, f.Orders
 	return r, nil
 }
 
@@ -142,7 +142,7 @@
 	}
 	kept := url.Values{}
 	for name, values := range u.Query() {
-		if slices.Contains(r.Query, name) {
+		if slices.Contains(r.KeepQuery, name) {
 			kept[name] = values
 		}
 	}
--- a/internal/trace/tools.go
+++ b/internal/trace/tools.go
@@ -41,9 +41,9 @@
 			return w.n, w.Close()
 		}
 		e.At -= from.Microseconds()
-		if e.Of > 0 {
-			if e.Of = numbers[e.Of]; e.Of == 0 {
-				e.Of, e.Rule = -1, Orphan
+		if e.RetryOf > 0 {
+			if e.RetryOf = numbers[e.RetryOf]; e.RetryOf == 0 {
+				e.RetryOf, e.Rule = -1, Orphan
 			}
 		} else {
 			numbers[n] = w.n + 1
@@ -117,7 +117,7 @@
 func (s *scaler) add(e Entry, n int) {
 	group := e.Client
 	if group == "" {
-		if group = s.groups[e.Of]; e.Of <= 0 || group == "" {
+		if group = s.groups[e.RetryOf]; e.RetryOf <= 0 || group == "" {
 			group = fmt.Sprint("entry ", n)
 		}
 		s.groups[n] = group
@@ -144,13 +144,13 @@
 
 func (s *scaler) write(w *Writer) error {
 	h := heap.Pop(&s.held).(held)
-	if h.Of > 0 {
-		if h.Of = s.numbers[copyOf{h.Of, h.of.copy}]; h.Of == 0 {
-			h.Of, h.Rule = -1, Orphan
+	if h.RetryOf > 0 {
+		if h.RetryOf = s.numbers[copyOf{h.RetryOf, h.of.copy}]; h.RetryOf == 0 {
+			h.RetryOf, h.Rule = -1, Orphan
 		}
 	}
 	n, err := w.Write(h.Entry)
-	if h.Of == 0 {
+	if h.RetryOf == 0 {
 		s.numbers[h.of] = n
 	}
 	return err
@@ -180,18 +180,18 @@
 
 // Summary is what a trace holds.
 type Summary struct {
-	Header  Header
-	Entries int
-	For     time.Duration
-	Classes map[string]int
-	Retries map[string]int // by rule
-	Clients int            // as many as are counted, at most mostClients
-	Gaps    []Gap          // the longest, in the order of their times
-	Seconds []int          // entries a second
+	Header    Header
+	Entries   int
+	Duration  time.Duration
+	Classes   map[string]int
+	Retries   map[string]int // by rule
+	Clients   int            // as many as are counted, at most mostClients
+	Gaps      []Gap          // the longest, in the order of their times
+	PerSecond []int          // entries a second
 }
 
 // Gap is a time without any arrival.
-type Gap struct{ From, For time.Duration }
+type Gap struct{ From, Duration time.Duration }
 
 const (
 	mostClients = 1 << 20
@@ -222,18 +222,18 @@
 		}
 		s.Entries++
 		s.Classes[e.Class]++
-		if e.Of != 0 {
+		if e.RetryOf != 0 {
 			s.Retries[e.Rule]++
 		}
 		if e.Client != "" && len(clients) < mostClients {
 			clients[e.Client] = true
 		}
-		for len(s.Seconds) <= int(at/time.Second) {
-			s.Seconds = append(s.Seconds, 0)
+		for len(s.PerSecond) <= int(at/time.Second) {
+			s.PerSecond = append(s.PerSecond, 0)
 		}
-		s.Seconds[at/time.Second]++
+		s.PerSecond[at/time.Second]++
 		s.gap(Gap{last, at - last})
-		last, s.For = at, at
+		last, s.Duration = at, at
 	}
 	s.Clients = len(clients)
 	return s, nil
@@ -241,7 +241,7 @@
 
 // gap notes a time without arrivals if it is among the longest.
 func (s *Summary) gap(g Gap) {
-	if g.For <= 0 {
+	if g.Duration <= 0 {
 		return
 	}
 	if len(s.Gaps) < mostGaps {
@@ -250,17 +250,17 @@
 	}
 	least := 0
 	for i := range s.Gaps {
-		if s.Gaps[i].For < s.Gaps[least].For {
+		if s.Gaps[i].Duration < s.Gaps[least].Duration {
 			least = i
 		}
 	}
-	if g.For > s.Gaps[least].For {
+	if g.Duration > s.Gaps[least].Duration {
 		s.Gaps = append(append(s.Gaps[:least:least], s.Gaps[least+1:]...), g)
 	}
 }
 
-// Buckets sums counts a second up to at most n counts.
-func Buckets(seconds []int, n int) []int {
+// Downsample sums counts a second up to at most n counts.
+func Downsample(seconds []int, n int) []int {
 	if len(seconds) <= n {
 		return seconds
 	}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -31,20 +31,20 @@
 
 // Entry is one arrival, a line of a trace. Entries are in the order of their times.
 type Entry struct {
-	At     int64   `json:"at_us"` // from Origin
-	Class  string  `json:"class"`
-	Method string  `json:"method"`
-	Path   string  `json:"path"`
-	Key    string  `json:"key,omitempty"`     // its Idempotency-Key
-	Tenant string  `json:"tenant,omitempty"`  //
-	Cost   int64   `json:"cost_us,omitempty"` //
-	Size   int64   `json:"size,omitempty"`    // of its body
-	Body   []byte  `json:"body,omitempty"`    // in base64
-	Client string  `json:"client,omitempty"`  // a name that tells clients apart and nothing else
-	Status int     `json:"status,omitempty"`  // of the recorded answer; 0: there was none
-	Of     int     `json:"of,omitempty"`      // it is a retry of the entry of that number, from 1; -1: of one that is not in this trace
-	Rule   string  `json:"rule,omitempty"`    // by which it is held for a retry
-	Sure   float64 `json:"sure,omitempty"`    // how sure that is, 0 to 1
+	At         int64   `json:"at_us"` // from Origin
+	Class      string  `json:"class"`
+	Method     string  `json:"method"`
+	Path       string  `json:"path"`
+	Key        string  `json:"key,omitempty"`     // its Idempotency-Key
+	Tenant     string  `json:"tenant,omitempty"`  //
+	Cost       int64   `json:"cost_us,omitempty"` //
+	Size       int64   `json:"size,omitempty"`    // of its body
+	Body       []byte  `json:"body,omitempty"`    // in base64
+	Client     string  `json:"client,omitempty"`  // a name that tells clients apart and nothing else
+	Status     int     `json:"status,omitempty"`  // of the recorded answer; 0: there was none
+	RetryOf    int     `json:"of,omitempty"`      // it is a retry of the entry of that number, from 1; -1: of one that is not in this trace
+	Rule       string  `json:"rule,omitempty"`    // by which it is held for a retry
+	Confidence float64 `json:"sure,omitempty"`    // how sure that is, 0 to 1
 }
 
 // Writer writes a trace.
@@ -78,8 +78,8 @@
 	if e.At < t.at {
 		return 0, fmt.Errorf("trace: an entry at %d us behind one at %d us", e.At, t.at)
 	}
-	if e.Of > t.n {
-		return 0, fmt.Errorf("trace: entry %d is a retry of %d, which comes later", t.n+1, e.Of)
+	if e.RetryOf > t.n {
+		return 0, fmt.Errorf("trace: entry %d is a retry of %d, which comes later", t.n+1, e.RetryOf)
 	}
 	t.at = e.At
 	t.n++
@@ -153,8 +153,8 @@
 	switch {
 	case e.At < t.at:
 		return wrong("it is before the one before it")
-	case e.Of < -1 || e.Of >= t.n:
-		return wrong("it is a retry of %d", e.Of)
+	case e.RetryOf < -1 || e.RetryOf >= t.n:
+		return wrong("it is a retry of %d", e.RetryOf)
 	case e.Class == "":
 		return wrong("it has no class")
 	case len(e.Path) == 0 || e.Path[0] != '/':
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -20,7 +20,7 @@
 
 func parserOf(t testing.TB, f Format) LineParser {
 	t.Helper()
-	p, err := Parser(f, time.UTC)
+	p, err := NewParser(f, time.UTC)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 
 // memory is a file.
 func memory(name string, b []byte, log LineParser) File {
-	return File{Name: name, Open: func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(b)), nil }, HAR: strings.HasSuffix(name, ".har"), Log: log}
+	return File{Name: name, Open: func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(b)), nil }, HAR: strings.HasSuffix(name, ".har"), Parser: log}
 }
 
 func load(t testing.TB, rules Rules, files ...File) ([]Entry, *Report) {
@@ -105,7 +105,7 @@
 
 func usual() Rules {
 	r, _ := LoadRules("")
-	r.Orders = []string{"order"}
+	r.InferRetries = []string{"order"}
 	return r
 }
 
@@ -170,7 +170,7 @@
 		files = append(files, memory(fmt.Sprint("box", b), content, parserOf(t, jsonFormat)))
 	}
 	got, rep := load(t, usual(), files...)
-	if len(got) != len(want) || rep.Repeats != 750 || rep.Faulty > 0 {
+	if len(got) != len(want) || rep.Duplicates != 750 || rep.Unreadable > 0 {
 		t.Fatalf("%d arrivals of %d, %+v", len(got), len(want), rep)
 	}
 	far := 0
@@ -183,7 +183,7 @@
 		t.Errorf("%d of %d arrivals are more than 5 ms off", far, len(got))
 	}
 	for i, s := range rep.Skews[1:] {
-		if (s.Ahead-skew[i+1]).Abs() > 5*time.Millisecond || s.Shared < 100 || s.By == "" {
+		if (s.Offset-skew[i+1]).Abs() > 5*time.Millisecond || s.Shared < 100 || s.Reference == "" {
 			t.Errorf("%+v, want %v", s, skew[i+1])
 		}
 	}
@@ -204,8 +204,8 @@
 	for _, e := range got {
 		at = append(at, e.At/1000)
 	}
-	if fmt.Sprint(at) != "[0 250 500 750 875 2125 2625]" || rep.Coarse != 6 {
-		t.Errorf("arrivals at %v ms, %d spread", at, rep.Coarse)
+	if fmt.Sprint(at) != "[0 250 500 750 875 2125 2625]" || rep.WholeSeconds != 6 {
+		t.Errorf("arrivals at %v ms, %d spread", at, rep.WholeSeconds)
 	}
 	zone, err := time.LoadLocation("Australia/Sydney")
 	if err != nil {
@@ -224,16 +224,16 @@
 	for _, e := range got {
 		at = append(at, e.At/1e6/60)
 	}
-	if fmt.Sprint(at) != "[0 45 75 105 135 165]" || rep.Leaps > 0 {
-		t.Errorf("arrivals at %v min, %d leaps", at, rep.Leaps)
+	if fmt.Sprint(at) != "[0 45 75 105 135 165]" || rep.BackwardJumps > 0 {
+		t.Errorf("arrivals at %v min, %d leaps", at, rep.BackwardJumps)
 	}
 	b.Reset()
 	begin := time.Date(2026, 3, 14, 5, 0, 0, 0, time.UTC)
 	for i, s := range []int{0, 200, 400, 30, 401} {
 		b.WriteString(line(begin.Add(time.Duration(s)*time.Second), time.Millisecond, "GET", fmt.Sprint("/check/", i), 200, ""))
 	}
-	if got, rep = load(t, usual(), memory("log", []byte(b.String()), parserOf(t, jsonFormat))); len(got) != 5 || rep.Leaps != 1 {
-		t.Errorf("%d arrivals, %d leaps", len(got), rep.Leaps)
+	if got, rep = load(t, usual(), memory("log", []byte(b.String()), parserOf(t, jsonFormat))); len(got) != 5 || rep.BackwardJumps != 1 {
+		t.Errorf("%d arrivals, %d leaps", len(got), rep.BackwardJumps)
 	}
 }
 
@@ -244,10 +244,10 @@
 	text := "\x1d}\n" + good + `{"t":1,"m":"GE` + "\n\n" + strings.Repeat("x", mostLogLine+5) + "\n" + strings.Replace(line(at, 0, "GET", "/check/here", 200, ""), "here", "\xff\xfe", 1) +
 		`{"t":"x","m":"GET","u":"/a","s":200}` + "\n" + `{"m":"GET","u":"/a"}` + "\n" + line(at, 0, "GET", "nothing", 200, "") + strings.TrimSuffix(good, "}\n")
 	got, rep := load(t, usual(), memory("log", []byte(text), parserOf(t, jsonFormat)))
-	if len(got) != 2 || rep.Faulty != 7 || len(rep.Faults) != 7 {
-		t.Errorf("%d arrivals, %d faults: %+v", len(got), rep.Faulty, rep.Faults)
+	if len(got) != 2 || rep.Unreadable != 7 || len(rep.Errors) != 7 {
+		t.Errorf("%d arrivals, %d faults: %+v", len(got), rep.Unreadable, rep.Errors)
 	}
-	if f := rep.Faults[2]; f.Line != 5 || !strings.Contains(f.Why, "longer") {
+	if f := rep.Errors[2]; f.Line != 5 || !strings.Contains(f.Reason, "longer") {
 		t.Errorf("%+v", f)
 	}
 	if _, err := Import([]File{memory("log", []byte("x\n"), parserOf(t, jsonFormat))}, usual(), io.Discard); err == nil {
@@ -271,7 +271,7 @@
 	}
 	var marks []mark
 	for _, e := range got {
-		marks = append(marks, mark{e.Of, e.Sure})
+		marks = append(marks, mark{e.RetryOf, e.Confidence})
 		if strings.Contains(fmt.Sprint(e), "addr") || e.Client == "a" || e.Client == "b" {
 			t.Errorf("%+v tells its client's address", e)
 		}
@@ -280,7 +280,7 @@
 	if !reflect.DeepEqual(marks, want) {
 		t.Errorf("marks %v, want %v", marks, want)
 	}
-	if rep.Retries[SameKey] != 1 || rep.Retries[SameOrder] != 1 || rep.Retries[SameOrder2] != 1 {
+	if rep.Retries[SameKey] != 1 || rep.Retries[SameRequestAfterFailure] != 1 || rep.Retries[SameRequest] != 1 {
 		t.Errorf("%v", rep.Retries)
 	}
 }
@@ -304,13 +304,13 @@
 		t.Fatal(err)
 	}
 	got, rep := load(t, rules, memory("a.har", []byte(har), nil))
-	if len(got) != 3 || rep.Unclassed != 1 || rep.Faulty != 2 || rep.HAR != (HARNotes{Entries: 4, Pages: 2, Aborted: 1, Redirects: 1, Bodies: 2, Truncated: 1}) {
+	if len(got) != 3 || rep.Unclassified != 1 || rep.Unreadable != 2 || rep.HAR != (HARNotes{Entries: 4, Pages: 2, Aborted: 1, Redirects: 1, Bodies: 2, Truncated: 1}) {
 		t.Fatalf("%d arrivals, %+v", len(got), rep)
 	}
 	if e := got[0]; string(e.Body) != "hello" || e.Key != "k1" || e.Status != 0 || e.Class != "order" {
 		t.Errorf("%+v", e)
 	}
-	if e := got[1]; e.At != 200_000 || e.Of != 1 || e.Size != 500 || e.Body != nil || e.Status != 302 {
+	if e := got[1]; e.At != 200_000 || e.RetryOf != 1 || e.Size != 500 || e.Body != nil || e.Status != 302 {
 		t.Errorf("%+v", e)
 	}
 	if e := got[2]; e.Path != "/check/7?day=3" || e.At != 1_500_000 {
@@ -322,8 +322,8 @@
 			t.Errorf("%s is kept", secret)
 		}
 	}
-	if got, rep := load(t, rules, memory("cut.har", []byte(har[:len(har)-300]), nil)); len(got) != 3 || rep.Faulty != 1 {
-		t.Errorf("cut: %d arrivals, %+v", len(got), rep.Faults)
+	if got, rep := load(t, rules, memory("cut.har", []byte(har[:len(har)-300]), nil)); len(got) != 3 || rep.Unreadable != 1 {
+		t.Errorf("cut: %d arrivals, %+v", len(got), rep.Errors)
 	}
 	for _, bad := range []string{"", "[]", "{}", `{"log":[]}`, `{"log":{"entries":{}}}`} {
 		if _, err := Import([]File{memory("b.har", []byte(bad), nil)}, rules, io.Discard); err == nil {
@@ -364,7 +364,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []Entry{{At: 0, Class: "a", Method: "GET", Path: "/a/1"}, {At: 5, Class: "b", Method: "POST", Path: "/b", Key: "k", Body: []byte{0, 255}, Of: 1, Rule: SameKey, Sure: 1}}
+	want := []Entry{{At: 0, Class: "a", Method: "GET", Path: "/a/1"}, {At: 5, Class: "b", Method: "POST", Path: "/b", Key: "k", Body: []byte{0, 255}, RetryOf: 1, Rule: SameKey, Confidence: 1}}
 	for _, e := range want {
 		if _, err := w.Write(e); err != nil {
 			t.Fatal(err)
@@ -414,11 +414,11 @@
 		at += int64(rapid.IntRange(0, 400_000).Draw(t, "gap"))
 		e := Entry{At: at, Class: "c", Method: "POST", Path: fmt.Sprint("/c/", i), Client: rapid.SampledFrom([]string{"", "a", "b", "c", "d"}).Draw(t, "client")}
 		if of := rapid.SampledFrom(firsts).Draw(t, "of"); of > 0 && rapid.Bool().Draw(t, "again") {
-			e.Of, e.Rule, e.Client = of, SameKey, "a"
+			e.RetryOf, e.Rule, e.Client = of, SameKey, "a"
 		}
 		if m, err := w.Write(e); err != nil {
 			t.Fatal(err)
-		} else if e.Of == 0 && e.Client == "a" {
+		} else if e.RetryOf == 0 && e.Client == "a" {
 			firsts = append(firsts, m)
 		}
 	}
@@ -444,10 +444,10 @@
 				continue
 			}
 			c := cut[i]
-			if c.Path != e.Path || c.At != e.At-from.Microseconds() || (c.Of != 0) != (e.Of != 0) {
+			if c.Path != e.Path || c.At != e.At-from.Microseconds() || (c.RetryOf != 0) != (e.RetryOf != 0) {
 				t.Fatalf("%+v became %+v", e, c)
 			}
-			if c.Of > 0 && cut[c.Of-1].Path != in[e.Of-1].Path {
+			if c.RetryOf > 0 && cut[c.RetryOf-1].Path != in[e.RetryOf-1].Path {
 				t.Fatalf("%+v is a retry of another", c)
 			}
 			i++
@@ -472,7 +472,7 @@
 			if e.Client != "" {
 				got[e.Client] = append(got[e.Client], e.Path)
 			}
-			if e.Of > 0 && scaled[e.Of-1].Client != e.Client {
+			if e.RetryOf > 0 && scaled[e.RetryOf-1].Client != e.Client {
 				t.Fatalf("%+v is a retry of another client's", e)
 			}
 		}
@@ -484,7 +484,7 @@
 		}
 		retries := func(l []Entry) (n int) {
 			for _, e := range l {
-				if e.Of != 0 {
+				if e.RetryOf != 0 {
 					n++
 				}
 			}
@@ -509,7 +509,7 @@
 		t.Errorf("%d, %v", n, err)
 	}
 	s, err := Summarize(&out)
-	if err != nil || s.Entries != n || s.For > 4300*time.Millisecond || s.Clients < 1200 {
+	if err != nil || s.Entries != n || s.Duration > 4300*time.Millisecond || s.Clients < 1200 {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
@@ -572,7 +572,7 @@
 		t := at.Add(time.Duration(i) * time.Millisecond)
 		fmt.Fprintf(&text, "10.0.0.%d - - [%s] \"GET /check/%d HTTP/1.1\" 200 77 \"-\" \"-\" 0.250 %.3f id-%d\n", i%250, t.Format("02/Jan/2006:15:04:05 -0700"), i, float64(t.UnixMicro())/1e6, i)
 	}
-	log, err := Parser(Format{Nginx: nginx}, time.UTC)
+	log, err := NewParser(Format{Nginx: nginx}, time.UTC)
 	if err != nil {
 		b.Fatal(err)
 	}
