--- a/internal/config/services_test.go
+++ b/internal/config/services_test.go
@@ -21,11 +21,11 @@
 	if len(o.Pools) != 2 || len(o.Streams) != 1 || len(o.MySQL) != 1 {
 		t.Fatalf("%d pools, %d streams, %d of MySQL", len(o.Pools), len(o.Streams), len(o.MySQL))
 	}
-	if s := o.Streams[0]; s.Drain != time.Minute || s.Guests.PerAddress != 100 || s.Pool != "meters" || !o.Pool("meters").Servers[1].Drain {
+	if s := o.Streams[0]; s.DrainTimeout != time.Minute || s.ConnLimits.PerAddress != 100 || s.Pool != "meters" || !o.Pool("meters").Servers[1].Drain {
 		t.Errorf("%+v", s)
 	}
 	m := o.MySQL[0]
-	if m.Auth != proxy.Users || m.Account.User != "sidecar" || len(m.Users) != 1 || m.Users[0].Schemas[1] != "orders" || m.Rules[0].Class != "delivery-order" {
+	if m.Auth != proxy.AuthUsers || m.Account.User != "sidecar" || len(m.Users) != 1 || m.Users[0].Schemas[1] != "orders" || m.Rules[0].Class != "delivery-order" {
 		t.Errorf("%+v", m)
 	}
 	if k, ok := o.Pools[1].Class("delivery-order"); !ok || !k.ByRequest || k.Worth != 10 {
@@ -115,7 +115,7 @@
 		"[[pools.classes]]\nname = \"sql\"\neffect = \"by-statement\"\naim = \"1s\"\ndeadline = \"2s\"\n"
 	const stream = "[[streams]]\nname = \"s\"\nlisten = \"127.0.0.1:0\"\npool = \"p\"\nclass = \"open\"\n"
 	const mysql = "[[mysql]]\nname = \"m\"\nlisten = \"127.0.0.1:0\"\npool = \"p\"\nclass = \"sql\"\nauth = \"users\"\nusers = \"users\"\naccount = {user = \"a\"}\n"
-	if o, err := parseOperator(pools+stream+mysql, dir); err != nil || o.MySQL[0].Users[0].Password != wire.Keep("secret") {
+	if o, err := parseOperator(pools+stream+mysql, dir); err != nil || o.MySQL[0].Users[0].Password != wire.NewPasswordHashes("secret") {
 		t.Fatalf("%+v, %v", o, err)
 	}
 	for _, tt := range []struct{ text, old, new, want string }{
--- a/internal/mysql/proxy/bench_test.go
+++ b/internal/mysql/proxy/bench_test.go
@@ -20,11 +20,11 @@
 		{"work of 1 ms", "SELECT 2"}} {
 		b.Run(kind.name, func(b *testing.B) {
 			w := open(b, options{servers: 1})
-			w.make(func(_, sql string) standin.Trouble {
+			w.make(func(_, sql string) standin.Fault {
 				if sql == "SELECT 2" {
-					return standin.Trouble{Delay: time.Millisecond}
+					return standin.Fault{Delay: time.Millisecond}
 				}
-				return standin.Trouble{}
+				return standin.Fault{}
 			})
 			bare := relay(b, w.servers[0].Addr())
 			through, direct, hop := w.client(""), connect(b, w.servers[0].Addr(), "app", "secret", ""), connect(b, bare, "app", "secret", "")
@@ -121,7 +121,7 @@
 func BenchmarkIdleSessions(b *testing.B) {
 	for range b.N {
 		const n = 9_000 // as many as the usual limit of descriptors allows
-		w := open(b, options{servers: 1, descriptors: 4 * n, proxy: Config{Guests: connlimit.Limits{Total: 2 * n}}})
+		w := open(b, options{servers: 1, descriptors: 4 * n, proxy: Config{ConnLimits: connlimit.Limits{Total: 2 * n}}})
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
