--- a/internal/conformance/conformance.go
+++ b/internal/conformance/conformance.go
@@ -139,21 +139,21 @@
 	}
 }
 
-// patience bounds a failure; no verdict hangs on it.
-const patience = 20 * time.Second
+// testTimeout bounds a failure; no verdict hangs on it.
+const testTimeout = 20 * time.Second
 
 // Run runs the suite against the form that start makes.
 func Run(t *testing.T, start Start) {
 	t.Run("Rejections", func(t *testing.T) { rejections(t, start) })
 	t.Run("Outcomes", func(t *testing.T) { outcomes(t, start) })
 	t.Run("Refusal", func(t *testing.T) { refusal(t, start) })
-	t.Run("NameOpen", func(t *testing.T) { nameOpen(t, start) })
+	t.Run("NameOpen", func(t *testing.T) { duplicateID(t, start) })
 	t.Run("ClientLeaves", func(t *testing.T) { clientLeaves(t, start) })
-	t.Run("OwnTimeIsShorter", func(t *testing.T) { ownTime(t, start) })
+	t.Run("OwnTimeIsShorter", func(t *testing.T) { clientTimeout(t, start) })
 	t.Run("Bodies", func(t *testing.T) { bodies(t, start) })
 	t.Run("Drain", func(t *testing.T) { drain(t, start) })
-	t.Run("EmptyAndFullAgain", func(t *testing.T) { emptyAndFull(t, start, Failed) })
-	t.Run("Crowd", func(t *testing.T) { crowd(t, start) })
+	t.Run("EmptyAndFullAgain", func(t *testing.T) { emptyList(t, start, Failed) })
+	t.Run("Crowd", func(t *testing.T) { concurrentClients(t, start) })
 }
 
 // RunRoutes runs what of the suite is meant for ordinary HTTP too, against a form that serves by routes: what a request says of itself, and
@@ -163,33 +163,33 @@
 	t.Run("Refusal", func(t *testing.T) { refusal(t, start) })
 	t.Run("ClientLeaves", func(t *testing.T) { clientLeaves(t, start) })
 	t.Run("Drain", func(t *testing.T) { drain(t, start) })
-	t.Run("EmptyAndFullAgain", func(t *testing.T) { emptyAndFull(t, start, Refused) })
-	t.Run("Crowd", func(t *testing.T) { crowd(t, start) })
+	t.Run("EmptyAndFullAgain", func(t *testing.T) { emptyList(t, start, Refused) })
+	t.Run("Crowd", func(t *testing.T) { concurrentClients(t, start) })
 }
 
-// world is a fleet with a form before it.
-type world struct {
+// testbed is a fleet with a form before it.
+type testbed struct {
 	Form
-	fleet *standin.Fleet
-	boxes []*standin.Server
+	fleet   *standin.Fleet
+	servers []*standin.Server
 }
 
-// build starts a fleet of boxes and a form whose list is pushed, so that nothing but requests moves its module.
-func build(t testing.TB, start Start, change func(*standin.PlatformConfig), boxes ...standin.ServerConfig) *world {
+// newTestbed starts a fleet of boxes and a form whose list is pushed, so that nothing but requests moves its module.
+func newTestbed(t testing.TB, start Start, change func(*standin.PlatformConfig), boxes ...standin.ServerConfig) *testbed {
 	t.Helper()
 	f, err := standin.NewFleet(Classes(), 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Close)
-	w := &world{fleet: f}
+	w := &testbed{fleet: f}
 	for i, cfg := range boxes {
 		cfg.ID = fmt.Sprintf("box-%d", i)
 		b, err := f.Start(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.boxes = append(w.boxes, b)
+		w.servers = append(w.servers, b)
 	}
 	known := f.Discovery.List()
 	p := standin.PlatformConfig{Seed: 11, CachedList: &known, Classes: Classes(), ListPushed: true, NoProbes: true}
@@ -202,8 +202,8 @@
 
 var lastID atomic.Int64
 
-// ask makes a request of a class, with an id and a key of its own.
-func ask(class string, header ...string) Request {
+// newRequest makes a request of a class, with an id and a key of its own.
+func newRequest(class string, header ...string) Request {
 	n := lastID.Add(1)
 	q := Request{Method: http.MethodGet, Path: fmt.Sprintf("/%s/k", class), Header: map[string]string{
 		"X-Request-ID": fmt.Sprintf("c%d", n), "X-Timeout-Ms": "9000",
@@ -224,7 +224,7 @@
 	return q
 }
 
-func requests(boxes []*standin.Server) (n int64) {
+func totalRequests(boxes []*standin.Server) (n int64) {
 	for _, b := range boxes {
 		n += b.Counts().Requests
 	}
@@ -233,7 +233,7 @@
 
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
@@ -242,8 +242,8 @@
 
 // rejections: what cannot be served as it is comes to no box.
 func rejections(t *testing.T, start Start) {
-	w := build(t, start, nil, standin.ServerConfig{})
-	wrongMethod, bodied := ask("pay"), ask("read")
+	w := newTestbed(t, start, nil, standin.ServerConfig{})
+	wrongMethod, bodied := newRequest("pay"), newRequest("read")
 	wrongMethod.Method, wrongMethod.Body = http.MethodGet, nil
 	bodied.Method, bodied.Body = http.MethodPost, strings.NewReader("x")
 	for _, tt := range []struct {
@@ -251,19 +251,19 @@
 		ask  Request
 		want string
 	}{
-		{"unknown class", ask("novel"), "rejected 404"},
-		{"no time at all", ask("read", "X-Timeout-Ms", "soon"), "rejected 400"},
-		{"a negative time", ask("read", "X-Timeout-Ms", "-4"), "rejected 400"},
-		{"no key", ask("order", "Idempotency-Key", ""), "rejected 400"},
+		{"unknown class", newRequest("novel"), "rejected 404"},
+		{"no time at all", newRequest("read", "X-Timeout-Ms", "soon"), "rejected 400"},
+		{"a negative time", newRequest("read", "X-Timeout-Ms", "-4"), "rejected 400"},
+		{"no key", newRequest("order", "Idempotency-Key", ""), "rejected 400"},
 		{"the method of another effect", wrongMethod, "rejected 405"},
 		{"a body that the class has not", bodied, "rejected 405"},
-		{"an id without end", ask("read", "X-Request-ID", strings.Repeat("x", 300)), "rejected 400"},
+		{"an id without end", newRequest("read", "X-Request-ID", strings.Repeat("x", 300)), "rejected 400"},
 	} {
 		if got := w.Do(t.Context(), tt.ask); got.String() != tt.want {
 			t.Errorf("%s: %v, want %s", tt.name, got, tt.want)
 		}
 	}
-	if n := requests(w.boxes); n > 0 {
+	if n := totalRequests(w.servers); n > 0 {
 		t.Errorf("%d requests came to a box", n)
 	}
 }
@@ -297,8 +297,8 @@
 		}
 		t.Run(fmt.Sprintf("%s fault %d", tt.class, tt.fault), func(t *testing.T) {
 			box := standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return tt.fault }}
-			w := build(t, start, nil, box, box, box)
-			q := ask(tt.class)
+			w := newTestbed(t, start, nil, box, box, box)
+			q := newRequest(tt.class)
 			if got := w.Do(t.Context(), q); got.Outcome != tt.want {
 				t.Errorf("%v, want %s", got, tt.want)
 			}
@@ -306,7 +306,7 @@
 			if key == "" {
 				key = q.Header["X-Request-ID"]
 			}
-			if n := requests(w.boxes); n != tt.sent {
+			if n := totalRequests(w.servers); n != tt.sent {
 				t.Errorf("sent %d times, want %d", n, tt.sent)
 			}
 			if n := w.fleet.Executions(tt.class, key); n != tt.executed {
@@ -318,9 +318,9 @@
 
 // refusal: what is turned away everywhere is refused at once, with a time to come back.
 func refusal(t *testing.T, start Start) {
-	w := build(t, start, nil, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.Reject }})
+	w := newTestbed(t, start, nil, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.Reject }})
 	began := time.Now()
-	a := w.Do(t.Context(), ask("read"))
+	a := w.Do(t.Context(), newRequest("read"))
 	if a.Outcome != Refused || a.RetryAfter <= 0 || a.RetryAfter > time.Second {
 		t.Errorf("%v, come back after %v", a, a.RetryAfter)
 	}
@@ -329,13 +329,13 @@
 	}
 }
 
-// nameOpen: while a request is open another under its id is turned away.
-func nameOpen(t *testing.T, start Start) {
-	w := build(t, start, nil, standin.ServerConfig{ServiceTime: 500 * time.Millisecond})
+// duplicateID: while a request is open another under its id is turned away.
+func duplicateID(t *testing.T, start Start) {
+	w := newTestbed(t, start, nil, standin.ServerConfig{ServiceTime: 500 * time.Millisecond})
 	first := make(chan Result, 1)
-	q := ask("read")
+	q := newRequest("read")
 	go func() { first <- w.Do(context.Background(), q) }()
-	eventually(t, "the first one is there", func() bool { return requests(w.boxes) == 1 })
+	eventually(t, "the first one is there", func() bool { return totalRequests(w.servers) == 1 })
 	if got := w.Do(t.Context(), q); got.String() != "rejected 409" {
 		t.Errorf("the second: %v", got)
 	}
@@ -350,14 +350,14 @@
 // clientLeaves: a client that leaves while an attempt is out has its attempt called off, and nothing more is sent.
 func clientLeaves(t *testing.T, start Start) {
 	for _, class := range []string{"read", "order", "pay"} {
-		w := build(t, start, nil, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.NoReply }}, standin.ServerConfig{
+		w := newTestbed(t, start, nil, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.NoReply }}, standin.ServerConfig{
 			Script: func(int, *http.Request) standin.Fault { return standin.NoReply },
 		})
 		ctx, leave := context.WithCancel(t.Context())
 		over := make(chan Result, 1)
-		q := ask(class)
+		q := newRequest(class)
 		go func() { over <- w.Do(ctx, q) }()
-		eventually(t, "the attempt is out", func() bool { return requests(w.boxes) == 1 })
+		eventually(t, "the attempt is out", func() bool { return totalRequests(w.servers) == 1 })
 		leave()
 		if got := <-over; got.Outcome != Canceled {
 			t.Errorf("%s: %v", class, got)
@@ -378,26 +378,26 @@
 	}
 }
 
-// ownTime: X-Timeout-Ms and the asker's own deadline cut across the class's. There is one end, in time, and an unsafe
+// clientTimeout: X-Timeout-Ms and the asker's own deadline cut across the class's. There is one end, in time, and an unsafe
 // request was sent once.
-func ownTime(t *testing.T, start Start) {
-	w := build(t, start, nil, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.NoReply }})
+func clientTimeout(t *testing.T, start Start) {
+	w := newTestbed(t, start, nil, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.NoReply }})
 	began := time.Now()
-	if got := w.Do(t.Context(), ask("pay", "X-Timeout-Ms", "200")); got.Outcome != Failed {
+	if got := w.Do(t.Context(), newRequest("pay", "X-Timeout-Ms", "200")); got.Outcome != Failed {
 		t.Errorf("200 ms by the header: %v", got)
 	}
 	if d := time.Since(began); d < 150*time.Millisecond || d > 8*time.Second {
 		t.Errorf("it ended after %v", d)
 	}
-	if n := requests(w.boxes); n != 1 {
+	if n := totalRequests(w.servers); n != 1 {
 		t.Errorf("sent %d times", n)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	if got := w.Do(ctx, ask("pay")); got.Outcome != Canceled {
+	if got := w.Do(ctx, newRequest("pay")); got.Outcome != Canceled {
 		t.Errorf("200 ms of its own: %v", got)
 	}
-	if n := requests(w.boxes); n != 2 {
+	if n := totalRequests(w.servers); n != 2 {
 		t.Errorf("sent %d times", n-1)
 	}
 }
@@ -405,14 +405,14 @@
 // unknownLength hides the length of a reader from net/http.
 type unknownLength struct{ io.Reader }
 
-// errHalfWay is what a body fails with.
-var errHalfWay = errors.New("the body broke")
+// errBodyRead is what a body fails with.
+var errBodyRead = errors.New("the body broke")
 
 // bodies: one of unknown length comes whole to the box, and one that is too long or breaks comes not at all.
 func bodies(t *testing.T, start Start) {
-	w := build(t, start, nil, standin.ServerConfig{})
+	w := newTestbed(t, start, nil, standin.ServerConfig{})
 	post := func(body io.Reader) Result {
-		q := ask("pay")
+		q := newRequest("pay")
 		q.Body = body
 		return w.Do(t.Context(), q)
 	}
@@ -426,7 +426,7 @@
 			t.Errorf("of unknown length: %v, want %s", got, want)
 		}
 	}
-	before := requests(w.boxes)
+	before := totalRequests(w.servers)
 	long := bytes.Repeat([]byte("x"), 32<<20+1)
 	// Over sockets the end of the connection may overtake the answer: not served is what counts.
 	if got := post(bytes.NewReader(long)); got.Outcome != Rejected && got.Outcome != NoResponse {
@@ -435,62 +435,62 @@
 	if got := post(unknownLength{bytes.NewReader(long)}); got.Outcome != Rejected && got.Outcome != NoResponse {
 		t.Errorf("over the limit, of unknown length: %v", got)
 	}
-	if got := post(io.MultiReader(strings.NewReader("half"), failing{})); got.Outcome == Served || got.Outcome == Refused {
+	if got := post(io.MultiReader(strings.NewReader("half"), failingReader{})); got.Outcome == Served || got.Outcome == Refused {
 		t.Errorf("a body that breaks: %v", got)
 	}
-	if n := requests(w.boxes) - before; n > 0 {
+	if n := totalRequests(w.servers) - before; n > 0 {
 		t.Errorf("%d of them came to a box", n)
 	}
 }
 
-type failing struct{}
+type failingReader struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, errHalfWay }
+func (failingReader) Read([]byte) (int, error) { return 0, errBodyRead }
 
 // drain: what is told to drain gets nothing new, while requests go on at the others.
 func drain(t *testing.T, start Start) {
-	w := build(t, start, nil, standin.ServerConfig{}, standin.ServerConfig{})
-	live := build(t, start, func(p *standin.PlatformConfig) {
+	w := newTestbed(t, start, nil, standin.ServerConfig{}, standin.ServerConfig{})
+	live := newTestbed(t, start, func(p *standin.PlatformConfig) {
 		known := w.fleet.Discovery.List()
 		p.CachedList, p.Discovery, p.ListPushed, p.RefreshInterval = &known, w.fleet.Discovery.Addr(), false, 100*time.Millisecond
 	}, standin.ServerConfig{})
 	eventually(t, "the list is watched", func() bool { return w.fleet.Discovery.RequestCount() > 0 })
-	w.fleet.ListDraining(w.boxes[0])
+	w.fleet.ListDraining(w.servers[0])
 	eventually(t, "nothing goes to the one that drains", func() bool {
-		before := w.boxes[0].Counts().Requests
+		before := w.servers[0].Counts().Requests
 		for range 20 {
-			if got := live.Do(t.Context(), ask("read")); got.Outcome != Served {
+			if got := live.Do(t.Context(), newRequest("read")); got.Outcome != Served {
 				t.Errorf("%v", got)
 			}
 		}
-		return w.boxes[0].Counts().Requests == before
+		return w.servers[0].Counts().Requests == before
 	})
-	before := w.boxes[0].Counts().Requests
+	before := w.servers[0].Counts().Requests
 	for range 50 {
-		live.Do(t.Context(), ask("read"))
+		live.Do(t.Context(), newRequest("read"))
 	}
-	if n := w.boxes[0].Counts(); n.Requests != before || n.Late > 0 {
+	if n := w.servers[0].Counts(); n.Requests != before || n.Late > 0 {
 		t.Errorf("%d more sends after that, %d of them late", n.Requests-before, n.Late)
 	}
-	if n := w.boxes[1].Counts().Requests; n < 50 {
+	if n := w.servers[1].Counts().Requests; n < 50 {
 		t.Errorf("the other one got %d", n)
 	}
 }
 
-// emptyAndFull: while the list is empty requests wait for their time, end as the form has it, and are served once a box is listed.
-func emptyAndFull(t *testing.T, start Start, unserved Outcome) {
-	w := build(t, start, nil, standin.ServerConfig{})
-	live := build(t, start, func(p *standin.PlatformConfig) {
+// emptyList: while the list is empty requests wait for their time, end as the form has it, and are served once a box is listed.
+func emptyList(t *testing.T, start Start, unserved Outcome) {
+	w := newTestbed(t, start, nil, standin.ServerConfig{})
+	live := newTestbed(t, start, func(p *standin.PlatformConfig) {
 		known := w.fleet.Discovery.List()
 		p.CachedList, p.Discovery, p.ListPushed, p.RefreshInterval = &known, w.fleet.Discovery.Addr(), false, 100*time.Millisecond
 	}, standin.ServerConfig{})
 	eventually(t, "the list is watched", func() bool { return w.fleet.Discovery.RequestCount() > 0 })
-	w.fleet.Kill(w.boxes[0])
+	w.fleet.Kill(w.servers[0])
 	eventually(t, "an empty list leaves nobody to ask", func() bool {
-		return live.Do(t.Context(), ask("quick", "X-Timeout-Ms", "100")).Outcome == unserved
+		return live.Do(t.Context(), newRequest("quick", "X-Timeout-Ms", "100")).Outcome == unserved
 	})
 	over := make(chan Result, 1)
-	go func() { over <- live.Do(context.Background(), ask("read")) }()
+	go func() { over <- live.Do(context.Background(), newRequest("read")) }()
 	b, err := w.fleet.Start(standin.ServerConfig{ID: "new"})
 	if err != nil {
 		t.Fatal(err)
@@ -503,14 +503,14 @@
 	}
 }
 
-// crowd: many at once, some of whom leave: each gets one answer, and no effect takes place twice.
-func crowd(t *testing.T, start Start) {
+// concurrentClients: many at once, some of whom leave: each gets one answer, and no effect takes place twice.
+func concurrentClients(t *testing.T, start Start) {
 	var cfgs []standin.ServerConfig
 	for range 4 {
 		cfgs = append(cfgs, standin.ServerConfig{Cores: 8, ServiceTime: 2 * time.Millisecond})
 	}
-	w := build(t, start, nil, cfgs...)
-	for _, b := range w.boxes {
+	w := newTestbed(t, start, nil, cfgs...)
+	for _, b := range w.servers {
 		b.SetFaultRates(standin.FaultRates{ServerError: 0.1, Malformed: 0.05, Reset: 0.05})
 	}
 	classes := []string{"read", "order", "pay"}
@@ -520,7 +520,7 @@
 	for i := range 32 {
 		clients.Go(func() {
 			for j := range 15 {
-				q := ask(classes[(i+j)%len(classes)])
+				q := newRequest(classes[(i+j)%len(classes)])
 				mu.Lock()
 				asked = append(asked, q)
 				mu.Unlock()
@@ -577,11 +577,11 @@
 			},
 		})
 	}
-	w := build(t, start, func(p *standin.PlatformConfig) { p.InlineReports, p.Seed = true, seed }, cfgs...)
+	w := newTestbed(t, start, func(p *standin.PlatformConfig) { p.InlineReports, p.Seed = true, seed }, cfgs...)
 	classes := []string{"read", "order", "pay", "cell"}
 	var r Transcript
 	for n := range rounds {
-		q := ask(classes[n%len(classes)], "X-Step", strconv.Itoa(n), "X-Request-ID", fmt.Sprintf("step-%d", n))
+		q := newRequest(classes[n%len(classes)], "X-Step", strconv.Itoa(n), "X-Request-ID", fmt.Sprintf("step-%d", n))
 		r.Results = append(r.Results, w.Do(t.Context(), q).String())
 		r.Servers = append(r.Servers, strings.Join(w.fleet.ServersReached(q.Header["X-Request-ID"]), "+"))
 		if n == 20 || n == 31 || n == 42 {
@@ -628,9 +628,9 @@
 	for range 6 {
 		cfgs = append(cfgs, standin.ServerConfig{Cores: 4, ServiceTime: 10 * time.Millisecond})
 	}
-	w := build(t, start, func(p *standin.PlatformConfig) { p.NoProbes = false }, cfgs...)
-	w.boxes[0].SetFaultRates(standin.FaultRates{ServerError: 0.3})
-	w.boxes[1].SetFaultRates(standin.FaultRates{Reset: 0.3})
+	w := newTestbed(t, start, func(p *standin.PlatformConfig) { p.NoProbes = false }, cfgs...)
+	w.servers[0].SetFaultRates(standin.FaultRates{ServerError: 0.3})
+	w.servers[1].SetFaultRates(standin.FaultRates{Reset: 0.3})
 	classes := []string{"read", "order", "pay"}
 	var mu sync.Mutex
 	times, asked := map[string][]time.Duration{}, map[string]int{}
@@ -641,7 +641,7 @@
 		class := classes[i%len(classes)]
 		clients.Go(func() {
 			at := time.Now()
-			a := w.Do(t.Context(), ask(class))
+			a := w.Do(t.Context(), newRequest(class))
 			mu.Lock()
 			defer mu.Unlock()
 			asked[class]++
--- a/internal/conformance/services.go
+++ b/internal/conformance/services.go
@@ -32,30 +32,30 @@
 
 // RunServices runs the rules as they apply to statements and streams.
 func RunServices(t *testing.T, start StartServices) {
-	t.Run("StatementsOnce", func(t *testing.T) { statementsOnce(t, start) })
+	t.Run("StatementsOnce", func(t *testing.T) { statementsExactlyOnce(t, start) })
 	t.Run("StatementsDrain", func(t *testing.T) { statementsDrain(t, start) })
 	t.Run("Streams", func(t *testing.T) { streams(t, start) })
 }
 
-// ledgers are stand-in servers of MySQL with a front before them.
-type ledgers struct {
+// mysqlFixture are stand-in servers of MySQL with a front before them.
+type mysqlFixture struct {
 	Services
 	db      *sqlstandin.Database
 	servers []*sqlstandin.Server
-	trouble sync.Map // by what a statement holds
+	faults  sync.Map // by what a statement holds
 	dir     string
 	drain   [3]bool
 }
 
-func openLedgers(t *testing.T, start StartServices) *ledgers {
+func newMySQLFixture(t *testing.T, start StartServices) *mysqlFixture {
 	t.Helper()
-	l := &ledgers{db: sqlstandin.NewDatabase(), dir: t.TempDir()}
+	l := &mysqlFixture{db: sqlstandin.NewDatabase(), dir: t.TempDir()}
 	for i := range l.drain {
 		s, err := sqlstandin.Start(sqlstandin.Config{
 			Name: fmt.Sprint("l", i), Database: l.db, Users: map[string]string{"sidecar": "inner"},
 			Trouble: func(sql string) (trouble sqlstandin.Trouble) {
-				l.trouble.Range(func(k, v any) bool {
-					if strings.Contains(sql, k.(string)) && l.trouble.CompareAndDelete(k, v) {
+				l.faults.Range(func(k, v any) bool {
+					if strings.Contains(sql, k.(string)) && l.faults.CompareAndDelete(k, v) {
 						trouble = *v.(*sqlstandin.Trouble)
 					}
 					return true
@@ -74,12 +74,12 @@
 			t.Fatal(err)
 		}
 	}
-	l.write(t)
+	l.writeConfig(t)
 	l.Services = start(t, filepath.Join(l.dir, "quillfront.toml"))
 	return l
 }
 
-func (l *ledgers) write(t *testing.T) {
+func (l *mysqlFixture) writeConfig(t *testing.T) {
 	t.Helper()
 	var b strings.Builder
 	b.WriteString("[[pools]]\nname = \"ledger\"\n")
@@ -95,7 +95,7 @@
 	}
 }
 
-func (l *ledgers) session(t *testing.T) *sql.Conn {
+func (l *mysqlFixture) session(t *testing.T) *sql.Conn {
 	t.Helper()
 	db, err := sql.Open("mysql", fmt.Sprintf("app:secret@tcp(%s)/", l.Addr("ledger")))
 	if err != nil {
@@ -118,7 +118,7 @@
 	return 0
 }
 
-func where(t *testing.T, c *sql.Conn) (v string) {
+func currentServer(t *testing.T, c *sql.Conn) (v string) {
 	t.Helper()
 	if err := c.QueryRowContext(context.Background(), "SELECT SERVER()").Scan(&v); err != nil {
 		t.Fatal(err)
@@ -126,18 +126,18 @@
 	return v
 }
 
-// statementsOnce: each statement has one answer; what may have run is never sent again and called unknown, what provably changes nothing
+// statementsExactlyOnce: each statement has one answer; what may have run is never sent again and called unknown, what provably changes nothing
 // is answered by another server, and what no server got is called so.
-func statementsOnce(t *testing.T, start StartServices) {
-	l := openLedgers(t, start)
+func statementsExactlyOnce(t *testing.T, start StartServices) {
+	l := newMySQLFixture(t, start)
 	c := l.session(t)
 	for name, trouble := range map[string]sqlstandin.Trouble{"before": {Before: true}, "during": {During: true}, "after": {After: true}, "cut": {Cut: 5}} {
-		l.trouble.Store(name, &trouble)
+		l.faults.Store(name, &trouble)
 		_, err := c.ExecContext(context.Background(), fmt.Sprintf("INSERT INTO orders (id, item, qty) VALUES ('%s', 'x', 1)", name))
 		if sqlCode(err) != 9002 {
 			t.Errorf("%s: %v, want that the outcome is unknown", name, err)
 		}
-		l.trouble.Store("read "+name, &trouble)
+		l.faults.Store("read "+name, &trouble)
 		var v string
 		if err := c.QueryRowContext(context.Background(), fmt.Sprintf("SELECT 'read %s'", name)).Scan(&v); v != "read "+name || err != nil {
 			t.Errorf("%s: a read gives %q, %v", name, v, err)
@@ -159,20 +159,20 @@
 
 // statementsDrain: from 2 s after it was told on, no statement goes to a server that drains but those of the transactions that it has.
 func statementsDrain(t *testing.T, start StartServices) {
-	l := openLedgers(t, start)
+	l := newMySQLFixture(t, start)
 	in, out := l.session(t), l.session(t)
 	if _, err := in.ExecContext(context.Background(), "BEGIN"); err != nil {
 		t.Fatal(err)
 	}
-	at := where(t, in)
+	at := currentServer(t, in)
 	var n int
 	fmt.Sscanf(at, "l%d", &n)
 	l.drain[n] = true
-	l.write(t)
+	l.writeConfig(t)
 	l.Reload()
 	told := time.Now()
 	for quiet := 0; quiet < 30; quiet++ {
-		if where(t, out) == at {
+		if currentServer(t, out) == at {
 			quiet = 0
 			if time.Since(told) > 2*time.Second {
 				t.Fatalf("a statement goes to the server %v after it was told", time.Since(told))
@@ -180,7 +180,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if where(t, in) != at {
+	if currentServer(t, in) != at {
 		t.Error("the transaction has moved")
 	}
 	for _, sql := range []string{"INSERT INTO orders (id, item, qty) VALUES ('in', 'x', 1)", "COMMIT"} {
@@ -188,7 +188,7 @@
 			t.Errorf("%s: %v", sql, err)
 		}
 	}
-	if where(t, in) == at {
+	if currentServer(t, in) == at {
 		t.Error("the session stays behind COMMIT")
 	}
 }
@@ -248,7 +248,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		io.WriteString(c, text)
 		b, err := io.ReadAll(c)
 		return string(b), err
--- a/internal/conformance/wire.go
+++ b/internal/conformance/wire.go
@@ -79,25 +79,25 @@
 // StartWireForm starts a form by the platform's configuration, until the test ends.
 type StartWireForm func(t testing.TB, config []byte) WireForm
 
-// arrival is one request as the server got it.
-type arrival struct {
+// receivedRequest is one request as the server got it.
+type receivedRequest struct {
 	conn int
 	raw  string
 }
 
 // rawServer is a server that reads no more of HTTP than where a request ends, and keeps what it got.
 type rawServer struct {
-	ln     net.Listener
-	done   sync.WaitGroup
-	mu     sync.Mutex
-	conns  []net.Conn
-	got    []arrival
-	answer func(id string) (text string, ends bool)
+	ln       net.Listener
+	done     sync.WaitGroup
+	mu       sync.Mutex
+	conns    []net.Conn
+	arrivals []receivedRequest
+	answer   func(id string) (text string, ends bool)
 }
 
 const plainOK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-func startRaw(t testing.TB) *rawServer {
+func startRawServer(t testing.TB) *rawServer {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -139,7 +139,7 @@
 			raw.Write(line)
 			if err != nil {
 				if raw.Len() > 0 {
-					s.note(n, raw.String())
+					s.record(n, raw.String())
 				}
 				return
 			}
@@ -152,14 +152,14 @@
 			}
 		}
 		if chunked {
-			if !chunks(&raw, r) {
-				s.note(n, raw.String())
+			if !copyChunked(&raw, r) {
+				s.record(n, raw.String())
 				return
 			}
 		} else {
 			io.CopyN(&raw, r, int64(length))
 		}
-		s.note(n, raw.String())
+		s.record(n, raw.String())
 		_, id, _ := strings.Cut(strings.ToLower(raw.String()), "\r\nx-request-id: ")
 		id, _, _ = strings.Cut(id, "\r\n")
 		s.mu.Lock()
@@ -173,8 +173,8 @@
 	}
 }
 
-// chunks copies a body in chunks, and reports whether its end has come.
-func chunks(to *bytes.Buffer, r *bufio.Reader) bool {
+// copyChunked copies a body in copyChunked, and reports whether its end has come.
+func copyChunked(to *bytes.Buffer, r *bufio.Reader) bool {
 	for {
 		line, err := r.ReadString('\n')
 		to.WriteString(line)
@@ -191,24 +191,24 @@
 	}
 }
 
-func (s *rawServer) note(n int, raw string) {
+func (s *rawServer) record(n int, raw string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.got = append(s.got, arrival{n, raw})
+	s.arrivals = append(s.arrivals, receivedRequest{n, raw})
 }
 
 // since returns what came after the first n.
-func (s *rawServer) since(n int) []arrival {
+func (s *rawServer) since(n int) []receivedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.got[n:])
+	return slices.Clone(s.arrivals[n:])
 }
 
 func (s *rawServer) count() int { return len(s.since(0)) }
 
-// edge starts a raw server and a form before it.
-func edge(t testing.TB, start StartWireForm) (WireForm, *rawServer) {
-	s := startRaw(t)
+// newWireTestbed starts a raw server and a form before it.
+func newWireTestbed(t testing.TB, start StartWireForm) (WireForm, *rawServer) {
+	s := startRawServer(t)
 	known := engine.List{Seq: 1, Full: true, Servers: []engine.Server{{ID: "raw", Addr: s.ln.Addr().String(), State: policy.Ready, Weight: 1}}}
 	return start(t, standin.PlatformConfig{Seed: 1, CachedList: &known, Classes: Classes(), ListPushed: true, NoProbes: true}.JSON()), s
 }
@@ -222,7 +222,7 @@
 
 // RunRequests sends the corpus of requests to the form that start makes.
 func RunRequests(t *testing.T, start StartWireForm) {
-	form, server := edge(t, start)
+	form, server := newWireTestbed(t, start)
 	left := 0
 	for _, tt := range Requests() {
 		want := tt.Want
@@ -237,12 +237,12 @@
 			if form.Addr != "" {
 				got = exchange(t, form.Addr, raw, tt.HalfClose, tt.Head, strings.Count(want, " "))
 			} else {
-				q, ok := expressed(raw)
+				q, ok := parseForClient(raw)
 				if !ok || tt.SocketsOnly != "" {
 					left++
 					return
 				}
-				got = form.express(q)
+				got = form.roundTrip(q)
 				want, _, _ = strings.Cut(want, " ")
 			}
 			if got != want {
@@ -291,7 +291,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
@@ -347,9 +347,9 @@
 	}
 }
 
-// expressed is raw as a client of net/http would say it, if it can: one whole request, whose head can be read and has one
+// parseForClient is raw as a client of net/http would say it, if it can: one whole request, whose head can be read and has one
 // length.
-func expressed(raw string) (*http.Request, bool) {
+func parseForClient(raw string) (*http.Request, bool) {
 	var head httpmsg.Head
 	if err := head.Read(bufio.NewReaderSize(strings.NewReader(raw), 32<<10)); err != nil && !errors.Is(err, httpmsg.ErrConnectionOption) {
 		return nil, false
@@ -374,8 +374,8 @@
 	return q, true
 }
 
-// express asks a round tripper, and tells the status that the handler would have given.
-func (e WireForm) express(q *http.Request) string {
+// roundTrip asks a round tripper, and tells the status that the handler would have given.
+func (e WireForm) roundTrip(q *http.Request) string {
 	rt, ok := e.Form.(interface {
 		Trip(*http.Request) Result
 	})
@@ -400,19 +400,19 @@
 	return fmt.Sprint(a)
 }
 
-// rest is more than a connection has to rest after an answer, also where some server has said more than it was asked for.
-const rest = 100 * time.Millisecond
+// idleWait is more than a connection has to idleWait after an answer, also where some server has said more than it was asked for.
+const idleWait = 100 * time.Millisecond
 
 // RunResponses has the server give the corpus of answers to requests through the form that start makes.
 func RunResponses(t *testing.T, start StartWireForm) {
-	form, server := edge(t, start)
+	form, server := newWireTestbed(t, start)
 	for _, tt := range Responses() {
 		t.Run(tt.Name, func(t *testing.T) {
 			class := tt.Class
 			if class == "" {
 				class = "pay"
 			}
-			q, behind := ask(class), ask("read")
+			q, behind := newRequest(class), newRequest("read")
 			id := q.Header["X-Request-ID"]
 			if tt.TimeoutMs != "" {
 				q.Header["X-Timeout-Ms"] = tt.TimeoutMs
@@ -447,10 +447,10 @@
 				t.Fatalf("the server got it %d times, want %d", len(came), max(tt.Sent, 1))
 			}
 			if tt.Reused {
-				time.Sleep(rest)
+				time.Sleep(idleWait)
 			}
 			// The next request must be served whatever this answer has left behind.
-			ctx, cancel := context.WithTimeout(t.Context(), patience)
+			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 			defer cancel()
 			if next := form.Do(ctx, behind); next.Outcome != Served || next.Body != "ok" {
 				t.Errorf("the next request: %v", next)
--- a/internal/conformance/wire_requests.go
+++ b/internal/conformance/wire_requests.go
@@ -8,36 +8,36 @@
 
 // Reasons for which forms differ.
 const (
-	notOurs  = "net/http's server reads the head; it takes this, and what it has read is sent on anew and framed once"
-	itsWords = "net/http's server turns this away by a status of its own"
-	itsBound = "the bound of a head is the application's, by http.Server.MaxHeaderBytes or its own code"
-	itsQueue = "net/http's server holds what comes behind a request and serves it afterwards"
+	parsedByNetHTTP   = "net/http's server reads the head; it takes this, and what it has read is sent on anew and framed once"
+	netHTTPStatus     = "net/http's server turns this away by a status of its own"
+	applicationLimit  = "the bound of a head is the application's, by http.Server.MaxHeaderBytes or its own code"
+	netHTTPPipelining = "net/http's server holds what comes behind a request and serves it afterwards"
 )
 
-// by is a difference of the handler's.
-func by(want, reason string) map[string]Override {
+// handlerOnly is a difference of the handler's.
+func handlerOnly(want, reason string) map[string]Override {
 	return map[string]Override{Handler: {want, reason}}
 }
 
-// library is a difference of both forms that live in an application.
-func library(want, reason string) map[string]Override {
+// libraryForms is a difference of both forms that live in an application.
+func libraryForms(want, reason string) map[string]Override {
 	return map[string]Override{Handler: {want, reason}, RoundTripper: {want, reason}}
 }
 
 func rawGet(target string, lines ...string) string {
-	return "GET " + target + " HTTP/1.1\nHost: s\nX-Request-ID: ~ID~\n" + joined(lines) + "\n"
+	return "GET " + target + " HTTP/1.1\nHost: s\nX-Request-ID: ~ID~\n" + joinLines(lines) + "\n"
 }
 
 func rawPost(target, body string, lines ...string) string {
-	return fmt.Sprintf("POST %s HTTP/1.1\nHost: s\nX-Request-ID: ~ID~\nIdempotency-Key: key-~ID~\n%sContent-Length: %d\n\n%s", target, joined(lines), len(body), body)
+	return fmt.Sprintf("POST %s HTTP/1.1\nHost: s\nX-Request-ID: ~ID~\nIdempotency-Key: key-~ID~\n%sContent-Length: %d\n\n%s", target, joinLines(lines), len(body), body)
 }
 
 // rawFramed is a request that says itself how long its body is.
 func rawFramed(body string, lines ...string) string {
-	return "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: ~ID~\n" + joined(lines) + "\n" + body
+	return "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: ~ID~\n" + joinLines(lines) + "\n" + body
 }
 
-func joined(lines []string) string {
+func joinLines(lines []string) string {
 	if len(lines) == 0 {
 		return ""
 	}
@@ -114,9 +114,9 @@
 		{Name: "health", Raw: "GET /healthz HTTP/1.1\nHost: s\n\n", Want: "200 open", SocketsOnly: "a round tripper has no listener to ask"},
 
 		// Where a request ends.
-		{Name: "a length and chunks", Raw: rawFramed("0\n\nGET /read/smuggled HTTP/1.1\nHost: s\nX-Request-ID: ~ID~x\n\n", "Content-Length: 60", chunked), Want: bad, Overrides: by("200 200 open", notOurs+"; what stands behind the chunks is the next request to it")},
-		{Name: "chunks and a length", Raw: rawFramed("0\n\n", chunked, "Content-Length: 5"), Want: bad, Overrides: by("200 open", notOurs)},
-		{Name: "one length twice", Raw: rawFramed("hello", "Content-Length: 5", "Content-Length: 5"), Want: bad, Overrides: by("200 open", notOurs)},
+		{Name: "a length and chunks", Raw: rawFramed("0\n\nGET /read/smuggled HTTP/1.1\nHost: s\nX-Request-ID: ~ID~x\n\n", "Content-Length: 60", chunked), Want: bad, Overrides: handlerOnly("200 200 open", parsedByNetHTTP+"; what stands behind the chunks is the next request to it")},
+		{Name: "chunks and a length", Raw: rawFramed("0\n\n", chunked, "Content-Length: 5"), Want: bad, Overrides: handlerOnly("200 open", parsedByNetHTTP)},
+		{Name: "one length twice", Raw: rawFramed("hello", "Content-Length: 5", "Content-Length: 5"), Want: bad, Overrides: handlerOnly("200 open", parsedByNetHTTP)},
 		{Name: "two lengths", Raw: rawFramed("hello", "Content-Length: 5", "Content-Length: 6"), Want: bad},
 		{Name: "a list of lengths", Raw: rawFramed("hello", "Content-Length: 5, 5"), Want: bad},
 		{Name: "a length that is negative", Raw: rawFramed("hello", "Content-Length: -5"), Want: bad},
@@ -131,19 +131,19 @@
 		{Name: "a length of 60 MB", Raw: rawFramed("hello", "Content-Length: 60000000"), Want: "413 close"},
 		{Name: "too long, and asked first", Raw: rawFramed("", "Content-Length: 33554433", "Expect: 100-continue"), Want: "413 close"},
 		{Name: "white space before the colon of a length", Raw: rawFramed("hello", "Content-Length : 5"), Want: bad},
-		{Name: "another coding", Raw: rawFramed("0\n\n", "Transfer-Encoding: xchunked"), Want: bad, Overrides: by("501 close", itsWords)},
-		{Name: "two codings", Raw: rawFramed("0\n\n", "Transfer-Encoding: gzip, chunked"), Want: bad, Overrides: by("501 close", itsWords)},
-		{Name: "identity", Raw: rawFramed("0\n\n", "Transfer-Encoding: identity"), Want: bad, Overrides: by("501 close", itsWords)},
-		{Name: "chunked twice", Raw: rawFramed("0\n\n", chunked, chunked), Want: bad, Overrides: by("501 close", itsWords)},
-		{Name: "chunked in a list", Raw: rawFramed("0\n\n", "Transfer-Encoding: chunked, chunked"), Want: bad, Overrides: by("501 close", itsWords)},
-		{Name: "chunked with a parameter", Raw: rawFramed("0\n\n", "Transfer-Encoding: chunked;q=1"), Want: bad, Overrides: by("501 close", itsWords)},
+		{Name: "another coding", Raw: rawFramed("0\n\n", "Transfer-Encoding: xchunked"), Want: bad, Overrides: handlerOnly("501 close", netHTTPStatus)},
+		{Name: "two codings", Raw: rawFramed("0\n\n", "Transfer-Encoding: gzip, chunked"), Want: bad, Overrides: handlerOnly("501 close", netHTTPStatus)},
+		{Name: "identity", Raw: rawFramed("0\n\n", "Transfer-Encoding: identity"), Want: bad, Overrides: handlerOnly("501 close", netHTTPStatus)},
+		{Name: "chunked twice", Raw: rawFramed("0\n\n", chunked, chunked), Want: bad, Overrides: handlerOnly("501 close", netHTTPStatus)},
+		{Name: "chunked in a list", Raw: rawFramed("0\n\n", "Transfer-Encoding: chunked, chunked"), Want: bad, Overrides: handlerOnly("501 close", netHTTPStatus)},
+		{Name: "chunked with a parameter", Raw: rawFramed("0\n\n", "Transfer-Encoding: chunked;q=1"), Want: bad, Overrides: handlerOnly("501 close", netHTTPStatus)},
 		{Name: "chunked behind a vertical tab", Raw: rawFramed("0\n\n", "Transfer-Encoding: \vchunked"), Want: bad},
-		{Name: "chunked in quotes", Raw: rawFramed("0\n\n", "Transfer-Encoding: \"chunked\""), Want: bad, Overrides: by("501 close", itsWords)},
-		{Name: "an empty coding", Raw: rawFramed("0\n\n", "Transfer-Encoding:"), Want: bad, Overrides: by("501 close", itsWords)},
+		{Name: "chunked in quotes", Raw: rawFramed("0\n\n", "Transfer-Encoding: \"chunked\""), Want: bad, Overrides: handlerOnly("501 close", netHTTPStatus)},
+		{Name: "an empty coding", Raw: rawFramed("0\n\n", "Transfer-Encoding:"), Want: bad, Overrides: handlerOnly("501 close", netHTTPStatus)},
 		{Name: "white space before the colon of a coding", Raw: rawFramed("0\n\n", "Transfer-Encoding : chunked"), Want: bad},
-		{Name: "a coding on a folded line", Raw: rawFramed("0\n\n", "Transfer-Encoding:", " chunked"), Want: bad, Overrides: by("200 open", notOurs)},
+		{Name: "a coding on a folded line", Raw: rawFramed("0\n\n", "Transfer-Encoding:", " chunked"), Want: bad, Overrides: handlerOnly("200 open", parsedByNetHTTP)},
 		{Name: "a coding hidden behind a bare CR", Raw: rawFramed("0\n\n", "X-A: b\rTransfer-Encoding: chunked"), Want: bad},
-		{Name: "chunks from HTTP/1.0", Raw: "POST /pay/k HTTP/1.0\nHost: s\nX-Request-ID: ~ID~\nTransfer-Encoding: chunked\n\n0\n\n", Want: bad, Overrides: by("200 close", notOurs+", without the body that HTTP/1.0 cannot have")},
+		{Name: "chunks from HTTP/1.0", Raw: "POST /pay/k HTTP/1.0\nHost: s\nX-Request-ID: ~ID~\nTransfer-Encoding: chunked\n\n0\n\n", Want: bad, Overrides: handlerOnly("200 close", parsedByNetHTTP+", without the body that HTTP/1.0 cannot have")},
 		{Name: "a chunk of no number", Raw: rawFramed("zz\nhello\n0\n\n", chunked), Want: bad},
 		{Name: "a negative chunk", Raw: rawFramed("-5\nhello\n0\n\n", chunked), Want: bad},
 		{Name: "a chunk with 0x", Raw: rawFramed("0x5\nhello\n0\n\n", chunked), Want: bad},
@@ -157,21 +157,21 @@
 		{Name: "chunks of one byte beyond it", Raw: rawFramed("10000\n"+kib64+"\n1\nx\n0\n\n", chunked), Want: "200 open"},
 		{Name: "a trailer without end", Raw: rawFramed("0\n"+strings.Repeat("X-Late: 1\n", 2000)+"\n", chunked), Want: bad},
 		{Name: "a trailer that cannot be read", Raw: rawFramed("0\nnonsense\n\n", chunked), Want: bad},
-		{Name: "a trailer with white space in a name", Raw: rawFramed("0\nX A: b\n\n", chunked), Want: bad, Overrides: library("200 open", notOurs+", without the trailer")},
+		{Name: "a trailer with white space in a name", Raw: rawFramed("0\nX A: b\n\n", chunked), Want: bad, Overrides: libraryForms("200 open", parsedByNetHTTP+", without the trailer")},
 		{Name: "half a body", Raw: rawFramed("hel", "Content-Length: 5"), HalfClose: true, Want: bad},
 		{Name: "a body of a safe one", Raw: rawGet("/read/k", "Content-Length: 5") + "hello", Want: bad},
 		{Name: "chunks of a safe one", Raw: rawGet("/read/k", chunked) + "0\n\n", Want: bad},
-		{Name: "a second request at once", Raw: rawGet("/read/k") + strings.ReplaceAll(rawGet("/read/l"), "~ID~", "~ID~-2"), Want: bad, Overrides: by("200 200 open", itsQueue)},
-		{Name: "a second request behind a body", Raw: rawPost("/pay/k", "body") + strings.ReplaceAll(rawGet("/read/l"), "~ID~", "~ID~-2"), Want: bad, Overrides: by("200 200 open", itsQueue)},
-		{Name: "more than the length", Raw: rawFramed("hello and more", "Content-Length: 5"), Want: bad, Overrides: by("200 close", itsQueue+"; here it is no request")},
+		{Name: "a second request at once", Raw: rawGet("/read/k") + strings.ReplaceAll(rawGet("/read/l"), "~ID~", "~ID~-2"), Want: bad, Overrides: handlerOnly("200 200 open", netHTTPPipelining)},
+		{Name: "a second request behind a body", Raw: rawPost("/pay/k", "body") + strings.ReplaceAll(rawGet("/read/l"), "~ID~", "~ID~-2"), Want: bad, Overrides: handlerOnly("200 200 open", netHTTPPipelining)},
+		{Name: "more than the length", Raw: rawFramed("hello and more", "Content-Length: 5"), Want: bad, Overrides: handlerOnly("200 close", netHTTPPipelining+"; here it is no request")},
 
 		// Heads that cannot be read.
 		{Name: "no HTTP", Raw: "HELLO\n\n", Want: bad},
 		{Name: "a hello of TLS", Raw: "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", Exact: true, Want: bad},
 		{Name: "the preface of HTTP/2", Raw: "PRI * HTTP/2.0\n\nSM\n\n", Want: bad},
 		{Name: "HTTP/0.9", Raw: "GET /read/k\n\n", Want: bad},
-		{Name: "HTTP/2.0", Raw: strings.Replace(rawGet("/read/k"), "HTTP/1.1", "HTTP/2.0", 1), Want: bad, Overrides: by("505 close", itsWords)},
-		{Name: "HTTP/1.2", Raw: strings.Replace(rawGet("/read/k"), "HTTP/1.1", "HTTP/1.2", 1), Want: bad, Overrides: by("200 open", notOurs)},
+		{Name: "HTTP/2.0", Raw: strings.Replace(rawGet("/read/k"), "HTTP/1.1", "HTTP/2.0", 1), Want: bad, Overrides: handlerOnly("505 close", netHTTPStatus)},
+		{Name: "HTTP/1.2", Raw: strings.Replace(rawGet("/read/k"), "HTTP/1.1", "HTTP/1.2", 1), Want: bad, Overrides: handlerOnly("200 open", parsedByNetHTTP)},
 		{Name: "HTTP/01.1", Raw: strings.Replace(rawGet("/read/k"), "HTTP/1.1", "HTTP/01.1", 1), Want: bad},
 		{Name: "http in lower case", Raw: strings.Replace(rawGet("/read/k"), "HTTP/1.1", "http/1.1", 1), Want: bad},
 		{Name: "something behind the version", Raw: strings.Replace(rawGet("/read/k"), "HTTP/1.1", "HTTP/1.1 x", 1), Want: bad},
@@ -193,12 +193,12 @@
 		{Name: "a bare CR in a value", Raw: rawGet("/read/k", "X-A: b\rc"), Want: bad},
 		{Name: "a bell in a value", Raw: rawGet("/read/k", "X-A: \a"), Want: bad},
 		{Name: "a DEL in a value", Raw: rawGet("/read/k", "X-A: \x7f"), Want: bad},
-		{Name: "a folded line", Raw: rawGet("/read/k", "X-A: b", " c"), Want: bad, Overrides: by("200 open", notOurs)},
-		{Name: "a line folded with a tab", Raw: rawGet("/read/k", "X-A: b", "\tX-Request-ID: other"), Want: bad, Overrides: by("200 open", notOurs)},
-		{Name: "a head without end", Raw: rawGet("/read/k", "X-A: "+strings.Repeat("x", 20_000)), Want: "431 close", Overrides: library("200 open", itsBound)},
-		{Name: "lines without end", Raw: rawGet("/read/k", strings.TrimSuffix(strings.Repeat("A: 1\n", 4000), "\n")), Want: "431 close", Overrides: library("200 open", itsBound)},
-		{Name: "a target without end", Raw: rawGet("/read/" + strings.Repeat("k", 20_000)), Want: "431 close", Overrides: library("200 open", itsBound)},
-		{Name: "half a head", Raw: "GET /read/k HTTP/1.1\nHost", HalfClose: true, Want: "close", Overrides: by("400 close", itsWords)},
+		{Name: "a folded line", Raw: rawGet("/read/k", "X-A: b", " c"), Want: bad, Overrides: handlerOnly("200 open", parsedByNetHTTP)},
+		{Name: "a line folded with a tab", Raw: rawGet("/read/k", "X-A: b", "\tX-Request-ID: other"), Want: bad, Overrides: handlerOnly("200 open", parsedByNetHTTP)},
+		{Name: "a head without end", Raw: rawGet("/read/k", "X-A: "+strings.Repeat("x", 20_000)), Want: "431 close", Overrides: libraryForms("200 open", applicationLimit)},
+		{Name: "lines without end", Raw: rawGet("/read/k", strings.TrimSuffix(strings.Repeat("A: 1\n", 4000), "\n")), Want: "431 close", Overrides: libraryForms("200 open", applicationLimit)},
+		{Name: "a target without end", Raw: rawGet("/read/" + strings.Repeat("k", 20_000)), Want: "431 close", Overrides: libraryForms("200 open", applicationLimit)},
+		{Name: "half a head", Raw: "GET /read/k HTTP/1.1\nHost", HalfClose: true, Want: "close", Overrides: handlerOnly("400 close", netHTTPStatus)},
 		{Name: "nothing", Raw: "", HalfClose: true, Want: "close"},
 
 		// Hosts.
@@ -219,7 +219,7 @@
 		cases = append(cases, RequestCase{Name: "the target " + target, Raw: rawGet(target), Want: bad})
 	}
 	cases = append(cases,
-		RequestCase{Name: "a whole URL for a target", Raw: rawGet("http://s/read/k"), Want: bad, Overrides: by("200 open", notOurs)},
+		RequestCase{Name: "a whole URL for a target", Raw: rawGet("http://s/read/k"), Want: bad, Overrides: handlerOnly("200 open", parsedByNetHTTP)},
 		RequestCase{Name: "a control in the target", Raw: rawGet("/read/\x01"), Want: bad},
 		RequestCase{Name: "a space in the target", Raw: rawGet("/read/a b"), Want: bad},
 
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -95,25 +95,25 @@
 // answerSlack is how much later than its time a client still takes an answer for in time, on a machine that is busy.
 const answerSlack = 250 * time.Millisecond
 
-// mostOpen bounds the requests that are open at once; one that finds no place counts as lost.
-const mostOpen = 2000
+// maxOpenRequests bounds the requests that are open at once; one that finds no place counts as lost.
+const maxOpenRequests = 2000
 
-// run is a demo under way.
-type run struct {
+// runner is a demo under way.
+type runner struct {
 	Options
 	fleet  *standin.Fleet
 	url    string
 	client *http.Client
 
-	mu      sync.Mutex
-	report  Report
-	hist    map[string]*hdrhistogram.Histogram // of the served, in microseconds, by class
-	all     *hdrhistogram.Histogram
-	open    int
-	event   string
-	notes   map[string]string // by box
-	began   time.Time
-	clients sync.WaitGroup
+	mu           sync.Mutex
+	report       Report
+	latencies    map[string]*hdrhistogram.Histogram // of the served, in microseconds, by class
+	allLatencies *hdrhistogram.Histogram
+	open         int
+	event        string
+	notes        map[string]string // by box
+	started      time.Time
+	clients      sync.WaitGroup
 }
 
 // Run plays a demo and returns its account.
@@ -125,14 +125,14 @@
 	if !(o.Rate > 0 && o.Rate <= 5000) {
 		return nil, fmt.Errorf("demo: rate %v is outside 0 to 5000 requests a second", o.Rate)
 	}
-	r := &run{
-		Options: o, hist: map[string]*hdrhistogram.Histogram{}, all: newHistogram(), notes: map[string]string{},
+	r := &runner{
+		Options: o, latencies: map[string]*hdrhistogram.Histogram{}, allLatencies: newHistogram(), notes: map[string]string{},
 		report: Report{Classes: map[string]*ClassReport{}, Servers: map[string]*ServerReport{}, Violations: []string{}},
 	}
 	var rules []policy.Class
 	for _, c := range classes {
 		rules = append(rules, c.Class)
-		r.report.Classes[c.Name], r.hist[c.Name] = &ClassReport{}, newHistogram()
+		r.report.Classes[c.Name], r.latencies[c.Name] = &ClassReport{}, newHistogram()
 	}
 	var boxes []standin.ServerConfig
 	for i, id := range []string{"clare-1", "clare-2", "clare-3", "giru-1", "giru-2", "giru-3"} {
@@ -143,13 +143,13 @@
 		return nil, err
 	}
 	r.fleet = stage.Fleet
-	transport := &http.Transport{MaxIdleConnsPerHost: mostOpen, MaxConnsPerHost: mostOpen, DisableCompression: true}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxOpenRequests, MaxConnsPerHost: maxOpenRequests, DisableCompression: true}
 	r.url, r.client = stage.URL, &http.Client{Transport: transport}
 
-	r.began = time.Now()
+	r.started = time.Now()
 	var acts sync.WaitGroup
 	playing, played := context.WithCancel(ctx)
-	acts.Go(func() { r.troubles(playing, stage.Servers) })
+	acts.Go(func() { r.runEvents(playing, stage.Servers) })
 	acts.Go(func() { r.progress(playing) })
 	err = r.load(ctx)
 	r.clients.Wait()
@@ -162,7 +162,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.account()
+	r.summarize()
 	return &r.report, nil
 }
 
@@ -170,8 +170,8 @@
 	return hdrhistogram.New(1, (10 * time.Second).Microseconds(), 3)
 }
 
-// troubles plays the day: a box that errs, one that drains, a cold one, at fixed shares of its length.
-func (r *run) troubles(ctx context.Context, boxes map[string]*standin.Server) {
+// runEvents plays the day: a box that errs, one that drains, a cold one, at fixed shares of its length.
+func (r *runner) runEvents(ctx context.Context, boxes map[string]*standin.Server) {
 	steps := []struct {
 		at   float64
 		text string
@@ -196,7 +196,7 @@
 		}},
 	}
 	for _, s := range steps {
-		if !sleepUntil(ctx, r.began.Add(time.Duration(s.at*float64(r.Duration)))) {
+		if !sleepUntil(ctx, r.started.Add(time.Duration(s.at*float64(r.Duration)))) {
 			return
 		}
 		if err := s.do(); err != nil {
@@ -222,7 +222,7 @@
 }
 
 // progress tells how far the demo is.
-func (r *run) progress(ctx context.Context) {
+func (r *runner) progress(ctx context.Context) {
 	if r.Progress == nil {
 		return
 	}
@@ -236,8 +236,8 @@
 		}
 		r.mu.Lock()
 		p := Progress{
-			At: time.Since(r.began), Asked: r.report.Asked, Served: r.report.Served, Open: r.open, Refused: r.report.Refused,
-			Failed: r.report.Failed, Event: r.event, P50: quantile(r.all, 50), P99: quantile(r.all, 99),
+			At: time.Since(r.started), Asked: r.report.Asked, Served: r.report.Served, Open: r.open, Refused: r.report.Refused,
+			Failed: r.report.Failed, Event: r.event, P50: quantile(r.allLatencies, 50), P99: quantile(r.allLatencies, 99),
 		}
 		r.event = ""
 		r.mu.Unlock()
@@ -250,11 +250,11 @@
 }
 
 // load sends requests on a schedule that does not wait for answers.
-func (r *run) load(ctx context.Context) error {
+func (r *runner) load(ctx context.Context) error {
 	rng := rand.New(rand.NewPCG(r.Seed, 7))
 	n := 0
 	for at := range load.Arrivals(load.Chain{{Shape: "constant", Last: r.Duration, From: r.Rate}}, rng) {
-		due := r.began.Add(at)
+		due := r.started.Add(at)
 		n++
 		if !sleepUntil(ctx, due) {
 			return ctx.Err()
@@ -270,7 +270,7 @@
 		r.mu.Lock()
 		r.report.Asked++
 		r.report.Classes[c.Name].Asked++
-		full := r.open >= mostOpen
+		full := r.open >= maxOpenRequests
 		if full {
 			r.report.Lost++
 		} else {
@@ -279,14 +279,14 @@
 		r.mu.Unlock()
 		if !full {
 			id := n
-			r.clients.Go(func() { r.ask(c, id, due, work) })
+			r.clients.Go(func() { r.sendRequest(c, id, due, work) })
 		}
 	}
 	return nil
 }
 
-// ask is one request of a client, which asks once.
-func (r *run) ask(c class, n int, due time.Time, work time.Duration) {
+// sendRequest is one request of a client, which asks once.
+func (r *runner) sendRequest(c class, n int, due time.Time, work time.Duration) {
 	status, err := r.exchange(c, n, work)
 	took := time.Since(due)
 	r.mu.Lock()
@@ -302,8 +302,8 @@
 		if took > c.Aim {
 			k.Late++
 		}
-		r.hist[c.Name].RecordValue(min(took, 10*time.Second).Microseconds())
-		r.all.RecordValue(min(took, 10*time.Second).Microseconds())
+		r.latencies[c.Name].RecordValue(min(took, 10*time.Second).Microseconds())
+		r.allLatencies.RecordValue(min(took, 10*time.Second).Microseconds())
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
 		r.report.Refused++
 		k.Refused++
@@ -313,7 +313,7 @@
 	}
 }
 
-func (r *run) exchange(c class, n int, work time.Duration) (status int, err error) {
+func (r *runner) exchange(c class, n int, work time.Duration) (status int, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Deadline+answerSlack)
 	defer cancel()
 	method, body := http.MethodGet, io.Reader(nil)
@@ -345,8 +345,8 @@
 	return resp.StatusCode, nil
 }
 
-// account sums up, and checks the four rules.
-func (r *run) account() {
+// summarize sums up, and checks the four rules.
+func (r *runner) summarize() {
 	total := 0
 	for _, b := range r.fleet.Servers() {
 		n := b.Counts()
@@ -361,7 +361,7 @@
 		b.Share = float64(b.Requests) / float64(max(total, 1))
 	}
 	for name, k := range r.report.Classes {
-		k.P50, k.P99 = ms(quantile(r.hist[name], 50)), ms(quantile(r.hist[name], 99))
+		k.P50, k.P99 = milliseconds(quantile(r.latencies[name], 50)), milliseconds(quantile(r.latencies[name], 99))
 	}
 	r.report.Duplicates = r.fleet.Effects().Duplicates
 	for _, rule := range []struct {
@@ -379,7 +379,7 @@
 	}
 }
 
-func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 // Write writes the account as tables.
 func (r *Report) Write(w io.Writer) error {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestBrokenRuleShows: the account can fail. A box that is told to drain and at once asked by somebody who was never told
+// TestViolationIsReported: the account can fail. A box that is told to drain and at once asked by somebody who was never told
 // counts late sends once the grace is over.
-func TestBrokenRuleShows(t *testing.T) {
+func TestViolationIsReported(t *testing.T) {
 	var pokes sync.WaitGroup
 	r, err := Run(t.Context(), Options{Duration: 5 * time.Second, Rate: 20, OnDrain: func(b *standin.Server) {
 		pokes.Go(func() {
--- a/internal/demo/environment.go
+++ b/internal/demo/environment.go
@@ -40,14 +40,14 @@
 		s.Servers[c.ID] = b
 	}
 	fleet.Discovery.SetLag(lag)
-	if err := s.sidecar(rules, seed, descriptors); err != nil {
+	if err := s.startSidecar(rules, seed, descriptors); err != nil {
 		fleet.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
-func (s *Environment) sidecar(rules []policy.Class, seed uint64, descriptors int) error {
+func (s *Environment) startSidecar(rules []policy.Class, seed uint64, descriptors int) error {
 	known := s.Fleet.Discovery.List()
 	cfg, err := config.Parse(standin.PlatformConfig{
 		Discovery: s.Fleet.Discovery.Addr(), Seed: seed, CachedList: &known, Zone: "clare", Classes: rules, Ramp: 8600 * time.Millisecond, Sockets: descriptors,
--- a/internal/fleetsim/sidecar.go
+++ b/internal/fleetsim/sidecar.go
@@ -11,71 +11,71 @@
 
 // Sidecar is one instance of the module with its clients. It implements policy.Actions.
 type Sidecar struct {
-	// Cut has nothing of what it sends reach anybody: its own link is down.
-	Cut bool
+	// Disconnected has nothing of what it sends reach anybody: its own link is down.
+	Disconnected bool
 
-	world    *World
-	ordinal  int
-	share    float64
-	life     int // starts
-	module   *policy.Balancer
-	watching bool
-	asked    policy.Time                     // the last call for the list, or start
-	failed   bool                            // that call did
-	told     map[policy.ServerID]policy.Time // when it was told that they take nothing more
-	last     policy.RequestID
-	open     map[policy.RequestID]*try
-	idle     map[policy.ServerID][]policy.Time // connections, by when they were last used
-	tally    Tally                             // of its own first tries
-	check    policy.Time                       // when it last sent a first attempt of a check
+	world          *Simulation
+	ordinal        int
+	share          float64
+	incarnation    int // starts
+	module         *policy.Balancer
+	watching       bool
+	lastCall       policy.Time                     // the last call for the list, or start
+	lastCallFailed bool                            // that call did
+	notified       map[policy.ServerID]policy.Time // when it was told that they take nothing more
+	lastID         policy.RequestID
+	openTries      map[policy.RequestID]*try
+	idleConns      map[policy.ServerID][]policy.Time // connections, by when they were last used
+	counts         Counts                            // of its own first tries
+	lastCheck      policy.Time                       // when it last sent a first attempt of a check
 }
 
 // request is what a client wants.
 type request struct {
-	class int
-	key   string
-	work  time.Duration
-	hint  time.Duration
-	asked policy.Time
-	tries int
-	over  bool
+	class   int
+	key     string
+	work    time.Duration
+	hint    time.Duration
+	arrived policy.Time
+	tries   int
+	done    bool
 }
 
 // try is one of its tries at a sidecar.
 type try struct {
 	*request
-	until    policy.Time
+	expires  policy.Time
 	ended    bool
 	attempts []*attempt
 }
 
 type attempt struct {
-	server *Server
-	sent   policy.Time
-	out    bool
-	status policy.Status
+	server   *Server
+	sent     policy.Time
+	inFlight bool
+	status   policy.Status
 }
 
 func (s *Sidecar) zone() string { return string(rune('a' + s.ordinal%2)) }
 
-// Tally returns what became of its own clients' requests so far.
-func (s *Sidecar) Tally() Tally { return s.tally }
+// Counts returns what became of its own clients' requests so far.
+func (s *Sidecar) Counts() Counts { return s.counts }
 
-// boot starts a module that knows an old list.
-func (s *Sidecar) boot(known []policy.Server) {
+// start starts a module that knows an old list.
+func (s *Sidecar) start(known []policy.Server) {
 	w := s.world
-	s.life++
-	s.open, s.idle, s.told = map[policy.RequestID]*try{}, map[policy.ServerID][]policy.Time{}, map[policy.ServerID]policy.Time{}
-	s.watching, s.asked, s.failed = false, w.now, false
+	s.incarnation++
+	s.openTries, s.idleConns, s.notified = map[policy.RequestID]*try{}, map[policy.ServerID][]policy.Time{}, map[policy.ServerID]policy.Time{}
+	s.watching, s.lastCall, s.lastCallFailed = false, w.now, false
 	cfg := policy.Config{
 		Ordinal: s.ordinal, GroupSize: w.cfg.Sidecars, Zone: s.zone(), Classes: w.classes, MayProbe: true, MayCancel: true, MayDuplicate: true,
-		ClientsHonorRetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 1500 * ms, DialTimeout: dialTime, ConnIdleTimeout: 5 * sec, Tick: ms, RefreshInterval: askEvery,
-		AnswerGrace: answerGrace, ColdCapacity: coldFrom, Ramp: ramp, ColdOverloadFactor: tipMultiple, ProbeTariff: 0.08, HandshakeTariff: 0.08, CrossZoneTariff: 0.03,
+		ClientsHonorRetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 1500 * ms, DialTimeout: dialTimeout, ConnIdleTimeout: 5 * sec, Tick: ms, RefreshInterval: refreshInterval,
+		AnswerGrace: answerGrace, ColdCapacity: coldCapacity, Ramp: ramp, ColdOverloadFactor: coldOverloadFactor, ProbeTariff: 0.08, HandshakeTariff: 0.08, CrossZoneTariff: 0.03,
 	}
 	if w.cfg.Policy != nil {
 		w.cfg.Policy(&cfg)
 	}
-	m, err := policy.New(cfg, w.cfg.Seed<<20|uint64(s.ordinal)<<8|uint64(s.life))
+	m, err := policy.New(cfg, w.cfg.Seed<<20|uint64(s.ordinal)<<8|uint64(s.incarnation))
 	if err != nil {
 		panic(err) // by the configuration, which is the test's
 	}
@@ -83,30 +83,30 @@
 	m.UpdateServers(w.now, policy.ListCached, slices.Clone(known), s)
 }
 
-// Kill ends the module and starts another with the list as it was known then. What it held is the clients' to try again.
-func (s *Sidecar) Kill(known []policy.Server) {
-	held := s.open
-	s.boot(known)
+// Restart ends the module and starts another with the list as it was known then. What it held is the clients' to try again.
+func (s *Sidecar) Restart(known []policy.Server) {
+	held := s.openTries
+	s.start(known)
 	ids := make([]policy.RequestID, 0, len(held))
 	for id := range held {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		if t := held[id]; !t.ended && !t.over {
-			s.world.after(ms, func() { s.again(t) })
+		if t := held[id]; !t.ended && !t.done {
+			s.world.after(ms, func() { s.retry(t) })
 		}
 	}
 }
 
 // Known returns the list as discovery has it now.
-func (w *World) Known() []policy.Server { return slices.Clone(w.disco.list) }
+func (w *Simulation) Known() []policy.Server { return slices.Clone(w.discovery.list) }
 
-// hear has the module be told a whole list.
-func (s *Sidecar) hear(after time.Duration, list []policy.Server) {
-	w, life := s.world, s.life
+// deliverList has the module be told a whole list.
+func (s *Sidecar) deliverList(after time.Duration, list []policy.Server) {
+	w, life := s.world, s.incarnation
 	w.after(after, func() {
-		if s.life != life {
+		if s.incarnation != life {
 			return
 		}
 		ready := map[policy.ServerID]bool{}
@@ -115,236 +115,236 @@
 		}
 		for _, v := range w.servers {
 			if ready[v.ID] {
-				delete(s.told, v.ID)
-			} else if _, known := s.told[v.ID]; !known {
-				s.told[v.ID] = w.now
+				delete(s.notified, v.ID)
+			} else if _, known := s.notified[v.ID]; !known {
+				s.notified[v.ID] = w.now
 			}
 		}
 		s.module.UpdateServers(w.now, policy.ListFull, slices.Clone(list), s)
 	})
 }
 
-// next has the next client come.
-func (s *Sidecar) next() {
+// scheduleArrival has the scheduleArrival client come.
+func (s *Sidecar) scheduleArrival() {
 	w := s.world
 	rate := w.rate * s.share
 	if rate <= 0 {
-		w.after(100*ms, s.next)
+		w.after(100*ms, s.scheduleArrival)
 		return
 	}
 	w.after(time.Duration(w.rng.ExpFloat64()/rate*float64(sec)), func() {
 		if w.rate > 0 {
 			s.arrive()
 		}
-		s.next()
+		s.scheduleArrival()
 	})
 }
 
 func (s *Sidecar) arrive() {
 	w := s.world
 	class, u := 0, w.rng.Float64()
-	for u >= mix[class].share && class < len(mix)-1 {
-		u -= mix[class].share
+	for u >= classMix[class].share && class < len(classMix)-1 {
+		u -= classMix[class].share
 		class++
 	}
 	const cv = 0.5
 	sigma := math.Sqrt(math.Log(1 + cv*cv))
-	work := time.Duration(float64(mix[class].work) * math.Exp(sigma*w.rng.NormFloat64()-sigma*sigma/2))
-	r := &request{class: class, work: work, hint: time.Duration(float64(work) * (0.8 + 0.4*w.rng.Float64())), asked: w.now}
-	r.key = fmt.Sprintf("%d/%d", s.ordinal, w.made)
-	w.Account.at(w.second(), class).Asked++
-	w.Account.at(w.second(), class).Work += work.Seconds()
-	s.tally.Asked++
-	s.ask(r)
+	work := time.Duration(float64(classMix[class].work) * math.Exp(sigma*w.rng.NormFloat64()-sigma*sigma/2))
+	r := &request{class: class, work: work, hint: time.Duration(float64(work) * (0.8 + 0.4*w.rng.Float64())), arrived: w.now}
+	r.key = fmt.Sprintf("%d/%d", s.ordinal, w.eventCount)
+	w.Stats.at(w.second(), class).Requests++
+	w.Stats.at(w.second(), class).Work += work.Seconds()
+	s.counts.Requests++
+	s.startTry(r)
 }
 
-func (s *Sidecar) ask(r *request) {
+func (s *Sidecar) startTry(r *request) {
 	w := s.world
 	c := w.classes[r.class]
 	r.tries++
-	left := r.asked + c.Deadline - w.now
-	t := &try{request: r, until: w.now + min(left, time.Duration(tryShare*float64(c.Deadline)))}
-	s.last++
-	id, life := s.last, s.life
-	s.open[id] = t
-	w.Account.at(w.second(), r.class).Tries++
-	w.after(t.until-w.now+answerGrace+ruleSlack, func() {
-		if s.life != life {
+	left := r.arrived + c.Deadline - w.now
+	t := &try{request: r, expires: w.now + min(left, time.Duration(tryShare*float64(c.Deadline)))}
+	s.lastID++
+	id, life := s.lastID, s.incarnation
+	s.openTries[id] = t
+	w.Stats.at(w.second(), r.class).Tries++
+	w.after(t.expires-w.now+answerGrace+ruleSlack, func() {
+		if s.incarnation != life {
 			return
 		}
 		if !t.ended {
-			w.Account.broken("request lost", fmt.Sprintf("%s at sidecar %d", c.Name, s.ordinal))
+			w.Stats.violation("request lost", fmt.Sprintf("%s at sidecar %d", c.Name, s.ordinal))
 		}
-		if !slices.ContainsFunc(t.attempts, func(a *attempt) bool { return a.out }) {
-			delete(s.open, id)
+		if !slices.ContainsFunc(t.attempts, func(a *attempt) bool { return a.inFlight }) {
+			delete(s.openTries, id)
 		}
 	})
-	s.module.Request(w.now, policy.Request{ID: id, Class: c.Name, Key: r.key, Cost: r.hint, Expires: t.until}, s)
+	s.module.Request(w.now, policy.Request{ID: id, Class: c.Name, Key: r.key, Cost: r.hint, Expires: t.expires}, s)
 }
 
-// again has the client of a try that failed ask again, if it does.
-func (s *Sidecar) again(t *try) {
+// retry has the client of a try that failed ask retry, if it does.
+func (s *Sidecar) retry(t *try) {
 	w := s.world
 	c := w.classes[t.class]
-	if t.over || t.tries > w.cfg.Retries || w.now+w.cfg.Backoff+10*ms >= t.asked+c.Deadline {
+	if t.done || t.tries > w.cfg.Retries || w.now+w.cfg.Backoff+10*ms >= t.arrived+c.Deadline {
 		return
 	}
-	w.after(w.cfg.Backoff, func() { s.ask(t.request) })
+	w.after(w.cfg.Backoff, func() { s.startTry(t.request) })
 }
 
-// settle gives an attempt its one ending.
-func (s *Sidecar) settle(id policy.RequestID, number int, life int, status policy.Status) {
-	w, t := s.world, s.open[id]
-	if s.life != life || t == nil || !t.attempts[number].out {
+// finishAttempt gives an attempt its one ending.
+func (s *Sidecar) finishAttempt(id policy.RequestID, number int, life int, status policy.Status) {
+	w, t := s.world, s.openTries[id]
+	if s.incarnation != life || t == nil || !t.attempts[number].inFlight {
 		return
 	}
 	a := t.attempts[number]
-	a.out, a.status = false, status
+	a.inFlight, a.status = false, status
 	if status == policy.OK {
-		s.idle[a.server.ID] = append(s.idle[a.server.ID], w.now)
+		s.idleConns[a.server.ID] = append(s.idleConns[a.server.ID], w.now)
 	}
 	if status == policy.OK && !t.ended {
 		t.ended = true
-		s.served(t)
+		s.recordServed(t)
 	}
 	s.module.Outcome(w.now, policy.Outcome{ID: id, Attempt: number, Server: a.server.ID, Status: status, Delay: w.now - a.sent, Final: t.ended}, s)
 }
 
-func (s *Sidecar) served(t *try) {
+func (s *Sidecar) recordServed(t *try) {
 	w := s.world
-	if t.over {
+	if t.done {
 		return
 	}
-	t.over = true
-	k := w.Account.at(int((t.asked-origin)/sec), t.class)
-	if w.now-t.asked <= w.classes[t.class].Aim {
+	t.done = true
+	k := w.Stats.at(int((t.arrived-origin)/sec), t.class)
+	if w.now-t.arrived <= w.classes[t.class].Aim {
 		k.InTime++
-		k.Won += t.work.Seconds()
-		s.tally.InTime++
+		k.WorkInTime += t.work.Seconds()
+		s.counts.InTime++
 	} else {
 		k.Late++
-		s.tally.Late++
+		s.counts.Late++
 	}
 }
 
 // Send is a method of policy.Actions, as are those below.
 func (s *Sidecar) Send(id policy.RequestID, to policy.ServerID, timeout time.Duration) {
-	w, t, v, life := s.world, s.open[id], s.world.byID[to], s.life
+	w, t, v, life := s.world, s.openTries[id], s.world.byID[to], s.incarnation
 	if t == nil || v == nil {
 		return
 	}
-	s.judge(t, v)
-	k := w.Account.at(w.second(), t.class)
+	s.checkSend(t, v)
+	k := w.Stats.at(w.second(), t.class)
 	k.Sends++
 	if v.Zone != s.zone() {
-		w.Account.Crossings++
+		w.Stats.CrossZoneSends++
 	}
-	a := &attempt{server: v, sent: w.now, out: true}
+	a := &attempt{server: v, sent: w.now, inFlight: true}
 	number := len(t.attempts)
-	if t.class == check && number == 0 {
-		s.check = w.now
+	if t.class == classCheck && number == 0 {
+		s.lastCheck = w.now
 	}
 	t.attempts = append(t.attempts, a)
-	w.after(timeout, func() { s.settle(id, number, life, policy.Timeout) })
+	w.after(timeout, func() { s.finishAttempt(id, number, life, policy.Timeout) })
 	travel, work := w.travel(s, v), t.work
-	idle := slices.DeleteFunc(s.idle[to], func(at policy.Time) bool { return w.now-at > idleTime })
-	if v.heir != nil && v.gone {
-		v, idle = v.listens(), nil // those to the old one are reset
+	idle := slices.DeleteFunc(s.idleConns[to], func(at policy.Time) bool { return w.now-at > connIdleTimeout })
+	if v.successor != nil && v.removed {
+		v, idle = v.listener(), nil // those to the old one are reset
 	}
 	if n := len(idle); n > 0 {
-		s.idle[to] = idle[:n-1]
+		s.idleConns[to] = idle[:n-1]
 	} else {
-		w.Account.Handshakes++
-		if s.Cut || v.dark || v.gone || v.fell {
-			w.after(dialTime, func() { s.settle(id, number, life, policy.ConnectFailed) })
+		w.Stats.Handshakes++
+		if s.Disconnected || v.unresponsive || v.removed || v.overloaded {
+			w.after(dialTimeout, func() { s.finishAttempt(id, number, life, policy.ConnectFailed) })
 			return
 		}
-		travel += 2*w.travel(s, v) + handshake
-		work += handshake
+		travel += 2*w.travel(s, v) + handshakeTime
+		work += handshakeTime
 	}
-	if s.Cut {
+	if s.Disconnected {
 		return
 	}
 	w.after(travel, func() {
-		v.take(work, func(st policy.Status) {
-			w.after(w.travel(s, v), func() { s.settle(id, number, life, st) })
+		v.accept(work, func(st policy.Status) {
+			w.after(w.travel(s, v), func() { s.finishAttempt(id, number, life, st) })
 		})
 	})
 }
 
-// judge notes which rules an attempt of t at v breaks.
-func (s *Sidecar) judge(t *try, v *Server) {
+// checkSend notes which rules an attempt of t at v breaks.
+func (s *Sidecar) checkSend(t *try, v *Server) {
 	w := s.world
 	c := w.classes[t.class]
 	if t.ended {
-		w.Account.broken("sent after its end", c.Name)
+		w.Stats.violation("sent after its end", c.Name)
 	}
-	told, known := s.told[v.ID]
-	if out, listed := w.disco.out[v.ID]; !known && !s.watching && listed {
-		may := askEvery // it may not ask for so long; after a call that failed four times that
-		if s.failed {
+	told, known := s.notified[v.ID]
+	if out, listed := w.discovery.withdrawn[v.ID]; !known && !s.watching && listed {
+		may := refreshInterval // it may not ask for so long; after a call that failed four times that
+		if s.lastCallFailed {
 			may *= 4
 		}
-		told, known = max(out, s.asked)+may, true
+		told, known = max(out, s.lastCall)+may, true
 	}
 	if known && w.now > told+drainGrace+ruleSlack {
-		w.Account.broken("sent to a server that drains", fmt.Sprintf("%s %v after it was told", v.ID, w.now-told))
+		w.Stats.violation("sent to a server that drains", fmt.Sprintf("%s %v after it was told", v.ID, w.now-told))
 	}
 	for _, a := range t.attempts {
-		if !a.out && a.status.NotRun() || c.Effect != policy.Keyed {
+		if !a.inFlight && a.status.NotRun() || c.Effect != policy.Keyed {
 			continue
 		}
 		if w.now > a.sent+c.KeyTTL+ruleSlack || c.Group == policy.GroupCell && a.server.cell != v.cell {
-			w.Account.broken("an effect may happen twice", fmt.Sprintf("%s sent again after %v", c.Name, w.now-a.sent))
+			w.Stats.violation("an effect may happen twice", fmt.Sprintf("%s sent again after %v", c.Name, w.now-a.sent))
 		}
 	}
 }
 
 // Refuse ends a try; its client mostly comes back.
 func (s *Sidecar) Refuse(id policy.RequestID, _ time.Duration) {
-	w, t := s.world, s.open[id]
-	if t != nil && t.class == order && w.now-s.check <= besideCheck {
-		w.Account.Inverted++
+	w, t := s.world, s.openTries[id]
+	if t != nil && t.class == classOrder && w.now-s.lastCheck <= checkWindow {
+		w.Stats.InvertedRefusals++
 	}
 	if t == nil || t.ended {
-		w.Account.broken("answered twice", "refused")
+		w.Stats.violation("answered twice", "refused")
 		return
 	}
 	c := w.classes[t.class]
 	if c.Effect == policy.Keyed && c.Group != policy.GroupAll &&
-		slices.ContainsFunc(t.attempts, func(a *attempt) bool { return a.out || !a.status.NotRun() }) {
-		w.Account.broken("refused what may have run", c.Name)
+		slices.ContainsFunc(t.attempts, func(a *attempt) bool { return a.inFlight || !a.status.NotRun() }) {
+		w.Stats.violation("refused what may have run", c.Name)
 	}
 	t.ended = true
-	w.Account.at(w.second(), t.class).Refused++
-	s.again(t)
+	w.Stats.at(w.second(), t.class).Refused++
+	s.retry(t)
 }
 
 // Fail ends a try; the client of one that may run again comes back.
 func (s *Sidecar) Fail(id policy.RequestID) {
-	w, t := s.world, s.open[id]
+	w, t := s.world, s.openTries[id]
 	if t == nil || t.ended {
-		w.Account.broken("answered twice", "failed")
+		w.Stats.violation("answered twice", "failed")
 		return
 	}
 	t.ended = true
-	w.Account.at(w.second(), t.class).Failed++
-	if c := w.classes[t.class]; c.Effect == policy.Safe || c.Effect == policy.Keyed && c.Group == policy.GroupAll && w.now < t.asked+c.KeyTTL {
-		s.again(t)
+	w.Stats.at(w.second(), t.class).Failed++
+	if c := w.classes[t.class]; c.Effect == policy.Safe || c.Effect == policy.Keyed && c.Group == policy.GroupAll && w.now < t.arrived+c.KeyTTL {
+		s.retry(t)
 	}
 }
 
 // Cancel calls an attempt off; its server works on.
 func (s *Sidecar) Cancel(id policy.RequestID, attempt int) {
-	life := s.life
-	s.world.after(0, func() { s.settle(id, attempt, life, policy.Canceled) })
+	life := s.incarnation
+	s.world.after(0, func() { s.finishAttempt(id, attempt, life, policy.Canceled) })
 }
 
 // SetTimer asks for a Timer event.
 func (s *Sidecar) SetTimer(after time.Duration, token string) {
-	w, life := s.world, s.life
+	w, life := s.world, s.incarnation
 	w.after(after, func() {
-		if s.life == life {
+		if s.incarnation == life {
 			s.module.Timer(w.now, token, s)
 		}
 	})
@@ -352,25 +352,25 @@
 
 // Probe asks a server for its queue.
 func (s *Sidecar) Probe(to policy.ServerID) {
-	w, v, life := s.world, s.world.byID[to], s.life
+	w, v, life := s.world, s.world.byID[to], s.incarnation
 	if v != nil {
-		v = v.listens()
+		v = v.listener()
 	}
-	w.Account.Probes++
-	result, took := policy.ProbeResult{Server: to}, hop
+	w.Stats.Probes++
+	result, took := policy.ProbeResult{Server: to}, zoneLatency
 	switch {
 	case v == nil:
 		result.Status = policy.NotSent
-	case s.Cut || v.dark || v.gone || v.fell:
-		result.Status, took = policy.ConnectFailed, dialTime
+	case s.Disconnected || v.unresponsive || v.removed || v.overloaded:
+		result.Status, took = policy.ConnectFailed, dialTimeout
 	default:
-		v.press(probeWork)
+		v.recordWork(probeWork)
 		result.Load = &policy.Load{Queue: v.report(), Inflight: -1, Latency: -1, ErrorRate: -1}
 		took = 2 * w.travel(s, v)
 	}
 	result.Delay = took
 	w.after(took, func() {
-		if s.life == life {
+		if s.incarnation == life {
 			s.module.Probed(w.now, result, s)
 		}
 	})
@@ -381,22 +381,22 @@
 	if !on {
 		return
 	}
-	s.asked, s.failed = s.world.now, false
-	if s.Cut {
-		life := s.life
-		s.world.after(s.world.cfg.CallTime, func() {
-			if s.life == life {
-				s.failed = true
+	s.lastCall, s.lastCallFailed = s.world.now, false
+	if s.Disconnected {
+		life := s.incarnation
+		s.world.after(s.world.cfg.CallTimeout, func() {
+			if s.incarnation == life {
+				s.lastCallFailed = true
 				s.module.UpdateServers(s.world.now, policy.ListFailed, nil, s)
 			}
 		})
 		return
 	}
-	s.world.disco.call(s)
+	s.world.discovery.call(s)
 }
 
 // CloseIdle closes the idle connections to a server.
-func (s *Sidecar) CloseIdle(to policy.ServerID) { delete(s.idle, to) }
+func (s *Sidecar) CloseIdle(to policy.ServerID) { delete(s.idleConns, to) }
 
 // Log is of no use here.
 func (s *Sidecar) Log(string) {}
