--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -7,11 +7,11 @@
 	"quillfront/policy"
 )
 
-// Server is one that takes attempts.
+// Server is a simulated server that accepts attempts.
 type Server struct {
 	ID   policy.ServerID
 	Zone string
-	// ErrorRate is the share of attempts that it answers with an error at once, 0 to 1.
+	// ErrorRate is the share of attempts that are answered with an error at once, 0 to 1.
 	ErrorRate float64
 
 	world        *Simulation
@@ -19,19 +19,19 @@
 	cell         int
 	cores        int
 	speed        float64
-	started      policy.Time // zero: long ago
-	completed    int         // since its start
-	unresponsive bool        // says nothing, and cannot be connected to
+	started      policy.Time // zero: long ago, so the server is warm
+	completed    int         // requests completed since its start
+	unresponsive bool        // sends no replies and accepts no connections
 	draining     bool
 	removed      bool
-	successor    *Server // who has its address once it is gone; nil: nobody
+	successor    *Server // server that takes over its address once it is removed, or nil
 	overloaded   bool
-	incarnation  int // crashes: what was under way belongs to an earlier one
+	incarnation  int // number of crashes; jobs of an earlier incarnation are lost
 	busy         int
 	queue        []*job
-	reported     float64     // queue, as of the last report
-	reportedAt   policy.Time // the last report
-	recent       []arrival   // of the last second, while cold
+	reported     float64     // queue length in the last report
+	reportedAt   policy.Time // time of the last report
+	recent       []arrival   // arrivals of the last second, while cold
 	recentWork   float64     // seconds of work in recent
 }
 
@@ -45,7 +45,7 @@
 	done func(policy.Status)
 }
 
-// capacityShare is the part of its capacity that it has.
+// capacityShare returns the share of its full capacity that the server has while it warms up.
 func (v *Server) capacityShare() float64 {
 	if v.started == 0 {
 		return 1
@@ -55,7 +55,8 @@
 	return coldCapacity + (1-coldCapacity)*min(1, max(byTime, byWork))
 }
 
-// listener is who listener at the address of v: v itself, or once it is gone who has its address now.
+// listener returns the server that listens at the address of v: v itself, or its successor once v
+// is removed.
 func (v *Server) listener() *Server {
 	for v.removed && v.successor != nil {
 		v = v.successor
@@ -63,7 +64,7 @@
 	return v
 }
 
-// accept takes an attempt, and calls done with its ending, or never.
+// accept takes an attempt and calls done with its outcome. An unresponsive server never calls it.
 func (v *Server) accept(work time.Duration, done func(policy.Status)) {
 	switch {
 	case v.unresponsive || v.overloaded:
@@ -85,7 +86,8 @@
 	}
 }
 
-// recordWork counts what reaches a cold server, and has it fall over beyond what it stands. The slack is for chance.
+// recordWork counts the work that reaches a cold server and crashes the server when the work of one
+// second exceeds coldOverloadFactor times its capacity. The 0.3 s of slack allow for random bursts.
 func (v *Server) recordWork(work time.Duration) {
 	w := v.capacityShare()
 	if w == 1 {
@@ -128,7 +130,7 @@
 	}
 }
 
-// report is the queue as it is reported now: as it was when the report was last renewed.
+// report returns the queue length in the load report, which is renewed every reportInterval.
 func (v *Server) report() float64 {
 	if at := (v.world.now - reportLag).Truncate(reportInterval); at != v.reportedAt {
 		v.reportedAt, v.reported = at, float64(len(v.queue))
@@ -136,24 +138,24 @@
 	return v.reported
 }
 
-// crash loses all that it works on.
+// crash drops all queued and running jobs.
 func (v *Server) crash() {
 	v.incarnation++
 	v.busy, v.queue = 0, nil
 }
 
-// Hang has it say nothing any more.
+// Hang makes the server unresponsive.
 func (v *Server) Hang() {
 	v.unresponsive = true
 	v.crash()
 }
 
-// RestartCold has a dark server come back cold, under its id.
+// RestartCold brings an unresponsive server back, cold and under the same id.
 func (v *Server) RestartCold() {
 	v.unresponsive, v.removed, v.draining, v.overloaded, v.started, v.completed, v.recent, v.recentWork = false, false, false, false, v.world.now, 0, nil, 0
 }
 
-// entry is how discovery lists it.
+// entry returns the server's entry in the discovery list.
 func (v *Server) entry() policy.Server {
 	e := policy.Server{ID: v.ID, Zone: v.Zone, Cell: v.cell, Weight: 1, Started: v.started}
 	if v.draining {
@@ -162,27 +164,28 @@
 	return e
 }
 
-// discovery knows servers late, and lists them through calls in turn.
+// discovery publishes the server list with a lag and handles list calls one after another.
 type discovery struct {
 	world     *Simulation
 	list      []policy.Server
-	withdrawn map[policy.ServerID]policy.Time // when it published that they take nothing more
-	freeAt    policy.Time                     // when it has worked off the calls that wait
+	withdrawn map[policy.ServerID]policy.Time // when it first published each as draining or removed
+	freeAt    policy.Time                     // when the calls in the queue are finished
 	mode      DiscoveryMode
 	Calls     int
 }
 
-// DiscoveryMode is how discovery treats calls.
+// DiscoveryMode is how discovery responds to calls.
 type DiscoveryMode int
 
-// The modes.
+// The modes of discovery.
 const (
-	Answering DiscoveryMode = iota
-	Refusing                // each call fails at once
-	Silent                  // each call fails after its time
+	Answering DiscoveryMode = iota // each call is answered
+	Refusing                       // each call fails at once
+	Silent                         // each call fails after CallTimeout
 )
 
-// SetDiscoveryMode has discovery treat calls in a mode from now on. Watches break where it is not Answering.
+// SetDiscoveryMode changes how discovery responds to calls. Any mode but Answering breaks all
+// watches.
 func (w *Simulation) SetDiscoveryMode(m DiscoveryMode) {
 	w.discovery.mode = m
 	if m == Answering {
@@ -196,7 +199,7 @@
 	}
 }
 
-// publish tells the list as it stands to all that watch.
+// publish sends the current list to all sidecars that watch it.
 func (d *discovery) publish() {
 	w := d.world
 	if d.withdrawn == nil {
@@ -225,7 +228,7 @@
 	}
 }
 
-// call is a sidecar's call for a watch.
+// call handles a sidecar's call to watch the list.
 func (d *discovery) call(s *Sidecar) {
 	w, life := d.world, s.incarnation
 	d.Calls++
--- a/internal/fleetsim/sidecar.go
+++ b/internal/fleetsim/sidecar.go
@@ -9,28 +9,28 @@
 	"quillfront/policy"
 )
 
-// Sidecar is one instance of the module with its clients. It implements policy.Actions.
+// Sidecar is one balancer instance with its clients. It implements policy.Actions.
 type Sidecar struct {
-	// Disconnected has nothing of what it sends reach anybody: its own link is down.
+	// Disconnected simulates a failure of the sidecar's own link: nothing that it sends arrives.
 	Disconnected bool
 
 	world          *Simulation
 	ordinal        int
 	share          float64
-	incarnation    int // starts
+	incarnation    int // number of starts
 	module         *policy.Balancer
 	watching       bool
-	lastCall       policy.Time                     // the last call for the list, or start
-	lastCallFailed bool                            // that call did
-	notified       map[policy.ServerID]policy.Time // when it was told that they take nothing more
+	lastCall       policy.Time                     // time of the last call for the list, or of the start
+	lastCallFailed bool                            // whether that call failed
+	notified       map[policy.ServerID]policy.Time // when it was notified that each server no longer accepts requests
 	lastID         policy.RequestID
 	openTries      map[policy.RequestID]*try
-	idleConns      map[policy.ServerID][]policy.Time // connections, by when they were last used
-	counts         Counts                            // of its own first tries
-	lastCheck      policy.Time                       // when it last sent a first attempt of a check
+	idleConns      map[policy.ServerID][]policy.Time // idle connections, as the time of last use
+	counts         Counts                            // counters of its own clients
+	lastCheck      policy.Time                       // when it last sent the first attempt of a check
 }
 
-// request is what a client wants.
+// request is a client's request with all its tries.
 type request struct {
 	class   int
 	key     string
@@ -41,7 +41,7 @@
 	done    bool
 }
 
-// try is one of its tries at a sidecar.
+// try is one try of a request at a sidecar.
 type try struct {
 	*request
 	expires  policy.Time
@@ -58,10 +58,10 @@
 
 func (s *Sidecar) zone() string { return string(rune('a' + s.ordinal%2)) }
 
-// Counts returns what became of its own clients' requests so far.
+// Counts returns the counters of the sidecar's own clients.
 func (s *Sidecar) Counts() Counts { return s.counts }
 
-// start starts a module that knows an old list.
+// start creates a balancer that knows a cached, possibly outdated list.
 func (s *Sidecar) start(known []policy.Server) {
 	w := s.world
 	s.incarnation++
@@ -77,13 +77,14 @@
 	}
 	m, err := policy.New(cfg, w.cfg.Seed<<20|uint64(s.ordinal)<<8|uint64(s.incarnation))
 	if err != nil {
-		panic(err) // by the configuration, which is the test's
+		panic(err) // only an invalid configuration from the test gets here
 	}
 	s.module = m
 	m.UpdateServers(w.now, policy.ListCached, slices.Clone(known), s)
 }
 
-// Restart ends the module and starts another with the list as it was known then. What it held is the clients' to try again.
+// Restart replaces the balancer by a new one that knows a cached list. Open tries are lost, and
+// their clients may retry.
 func (s *Sidecar) Restart(known []policy.Server) {
 	held := s.openTries
 	s.start(known)
@@ -99,10 +100,10 @@
 	}
 }
 
-// Known returns the list as discovery has it now.
+// Known returns the list that discovery currently holds.
 func (w *Simulation) Known() []policy.Server { return slices.Clone(w.discovery.list) }
 
-// deliverList has the module be told a whole list.
+// deliverList passes a full list to the balancer after a delay.
 func (s *Sidecar) deliverList(after time.Duration, list []policy.Server) {
 	w, life := s.world, s.incarnation
 	w.after(after, func() {
@@ -124,7 +125,7 @@
 	})
 }
 
-// scheduleArrival has the scheduleArrival client come.
+// scheduleArrival schedules the arrival of the next request.
 func (s *Sidecar) scheduleArrival() {
 	w := s.world
 	rate := w.rate * s.share
@@ -182,7 +183,7 @@
 	s.module.Request(w.now, policy.Request{ID: id, Class: c.Name, Key: r.key, Cost: r.hint, Expires: t.expires}, s)
 }
 
-// retry has the client of a try that failed ask retry, if it does.
+// retry starts the client's next try after a failed one, if retries and time remain.
 func (s *Sidecar) retry(t *try) {
 	w := s.world
 	c := w.classes[t.class]
@@ -192,7 +193,7 @@
 	w.after(w.cfg.Backoff, func() { s.startTry(t.request) })
 }
 
-// finishAttempt gives an attempt its one ending.
+// finishAttempt records the outcome of an attempt, once, and reports it to the balancer.
 func (s *Sidecar) finishAttempt(id policy.RequestID, number int, life int, status policy.Status) {
 	w, t := s.world, s.openTries[id]
 	if s.incarnation != life || t == nil || !t.attempts[number].inFlight {
@@ -227,7 +228,7 @@
 	}
 }
 
-// Send is a method of policy.Actions, as are those below.
+// Send implements policy.Actions: it sends an attempt to a server.
 func (s *Sidecar) Send(id policy.RequestID, to policy.ServerID, timeout time.Duration) {
 	w, t, v, life := s.world, s.openTries[id], s.world.byID[to], s.incarnation
 	if t == nil || v == nil {
@@ -249,7 +250,7 @@
 	travel, work := w.travel(s, v), t.work
 	idle := slices.DeleteFunc(s.idleConns[to], func(at policy.Time) bool { return w.now-at > connIdleTimeout })
 	if v.successor != nil && v.removed {
-		v, idle = v.listener(), nil // those to the old one are reset
+		v, idle = v.listener(), nil // connections to the old server are reset
 	}
 	if n := len(idle); n > 0 {
 		s.idleConns[to] = idle[:n-1]
@@ -272,7 +273,7 @@
 	})
 }
 
-// checkSend notes which rules an attempt of t at v breaks.
+// checkSend records the rules that sending an attempt of t to v violates.
 func (s *Sidecar) checkSend(t *try, v *Server) {
 	w := s.world
 	c := w.classes[t.class]
@@ -281,7 +282,7 @@
 	}
 	told, known := s.notified[v.ID]
 	if out, listed := w.discovery.withdrawn[v.ID]; !known && !s.watching && listed {
-		may := refreshInterval // it may not ask for so long; after a call that failed four times that
+		may := refreshInterval // longest interval between calls; four times as long after a failed call
 		if s.lastCallFailed {
 			may *= 4
 		}
@@ -300,7 +301,7 @@
 	}
 }
 
-// Refuse ends a try; its client mostly comes back.
+// Refuse ends a try with a refusal; its client usually retries.
 func (s *Sidecar) Refuse(id policy.RequestID, _ time.Duration) {
 	w, t := s.world, s.openTries[id]
 	if t != nil && t.class == classOrder && w.now-s.lastCheck <= checkWindow {
@@ -320,7 +321,7 @@
 	s.retry(t)
 }
 
-// Fail ends a try; the client of one that may run again comes back.
+// Fail ends a try with a failure; the client retries if a repeated run is safe.
 func (s *Sidecar) Fail(id policy.RequestID) {
 	w, t := s.world, s.openTries[id]
 	if t == nil || t.ended {
@@ -334,13 +335,13 @@
 	}
 }
 
-// Cancel calls an attempt off; its server works on.
+// Cancel cancels an attempt; its server continues to work on it.
 func (s *Sidecar) Cancel(id policy.RequestID, attempt int) {
 	life := s.incarnation
 	s.world.after(0, func() { s.finishAttempt(id, attempt, life, policy.Canceled) })
 }
 
-// SetTimer asks for a Timer event.
+// SetTimer schedules a Timer event.
 func (s *Sidecar) SetTimer(after time.Duration, token string) {
 	w, life := s.world, s.incarnation
 	w.after(after, func() {
@@ -350,7 +351,7 @@
 	})
 }
 
-// Probe asks a server for its queue.
+// Probe requests a server's load report.
 func (s *Sidecar) Probe(to policy.ServerID) {
 	w, v, life := s.world, s.world.byID[to], s.incarnation
 	if v != nil {
@@ -376,7 +377,7 @@
 	})
 }
 
-// Watch asks discovery for the list.
+// Watch requests the list from discovery.
 func (s *Sidecar) Watch(on bool) {
 	if !on {
 		return
@@ -398,5 +399,5 @@
 // CloseIdle closes the idle connections to a server.
 func (s *Sidecar) CloseIdle(to policy.ServerID) { delete(s.idleConns, to) }
 
-// Log is of no use here.
+// Log discards log messages.
 func (s *Sidecar) Log(string) {}
--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -1,7 +1,8 @@
-// Package fleetsim plays a fleet in virtual time: many sidecars, each with a decision module as it runs in production, servers that
-// warm up, queue, err, fall over and go dark, a discovery of small capacity, and clients that ask again. Equal configurations
-// give equal accounts on every machine: one seed feeds all that is drawn, and events at one instant keep the order in which they
-// were made.
+// Package fleetsim simulates a fleet in virtual time: many sidecars, each with the balancer as it
+// runs in production; servers that warm up, queue, return errors, crash and stop responding; a
+// discovery service of small capacity; and clients that retry. Equal configurations give equal
+// statistics on every machine: one seed feeds all random draws, and events at the same instant run
+// in the order in which they were scheduled.
 package fleetsim
 
 import (
@@ -14,21 +15,21 @@
 	"quillfront/policy"
 )
 
-// Config is what a World is made of. The zero value of a field is the default that it names.
+// Config configures a Simulation. A zero value selects the default that the field's comment states.
 type Config struct {
 	Seed           uint64
-	Sidecars       int           // 80
-	Servers        int           // 60, in two zones, three kinds of unequal capacity and cells of six
-	Rate           float64       // first tries a second over all sidecars; 1,500, about 0.65 of what the servers can do
-	Shares         []float64     // of the rate, by sidecar; nil: unequal by a Pareto law
-	Retries        int           // by clients, after the first try; 3
-	Backoff        time.Duration // before a client's retry; none
-	DiscoveryLag   time.Duration // until discovery knows; 1.5 s
-	ListRate       float64       // that discovery can send a second, of lists asked for; 400
-	CallTimeout    time.Duration // a call that has waited for so long fails; 3 s
-	ReuseAddresses bool          // a server that replaces another has its address, though not its id
+	Sidecars       int           // number of sidecars; 80
+	Servers        int           // number of servers; 60, in two zones, three capacity kinds and cells of six
+	Rate           float64       // first tries a second over all sidecars; 1,500, about 0.65 of capacity
+	Shares         []float64     // relative share of the rate by sidecar; nil: Pareto-distributed
+	Retries        int           // retries by a client after the first try; 3
+	Backoff        time.Duration // delay before a client's retry; none
+	DiscoveryLag   time.Duration // delay until discovery publishes a change; 1.5 s
+	ListRate       float64       // list entries that discovery can send a second; 400
+	CallTimeout    time.Duration // time after which a waiting call to discovery fails; 3 s
+	ReuseAddresses bool          // a replacement takes the address, but not the id, of the old server
 
-	// Policy changes what sidecars are told in their settings; nil leaves it.
+	// Policy adjusts the configuration of each sidecar's balancer; nil leaves it unchanged.
 	Policy func(*policy.Config)
 }
 
@@ -36,30 +37,30 @@
 	ms  = time.Millisecond
 	sec = time.Second
 
-	origin             = policy.Time(time.Hour) // far from zero, which the module takes for never
+	origin             = policy.Time(time.Hour) // far from zero, which the balancer treats as never
 	zoneLatency        = 300 * time.Microsecond // one way, within a zone
-	crossZoneLatency   = 6 * ms                 // more, between zones
+	crossZoneLatency   = 6 * ms                 // added to zoneLatency between zones
 	dialTimeout        = 250 * ms
-	handshakeTime      = ms // work of a new connection, and its time
+	handshakeTime      = ms // server work of a new connection, and its duration
 	probeWork          = 100 * time.Microsecond
-	connIdleTimeout    = 3 * sec // a connection is kept so long
+	connIdleTimeout    = 3 * sec // idle connections are closed after this
 	reportInterval     = 150 * ms
 	reportLag          = 60 * ms
 	queuePerCore       = 300
-	slowdownThreshold  = 6    // requests per core from which on a server slows down
-	slowdownPerRequest = 0.08 // for each more
+	slowdownThreshold  = 6    // requests per core above which a server slows down
+	slowdownPerRequest = 0.08 // slowdown for each request per core above the threshold
 	coldCapacity       = 0.31
 	ramp               = 8600 * ms
-	warmRequests       = 60 // or so many answers warm a server up, for each core
+	warmRequests       = 60 // completed requests per core that warm a server up before the ramp ends
 	coldOverloadFactor = 2.5
 	drainGrace         = 2 * sec
 	refreshInterval    = 10 * sec
 	answerGrace        = 20 * ms
 	ruleSlack          = 50 * ms
-	tryShare           = 0.53 // of the deadline is a client's patience for a try
+	tryShare           = 0.53 // share of the deadline that a client waits for one try
 )
 
-// Classes returns the classes of the deployment, with times scaled as on its days at size.
+// Classes returns the request classes of the deployment, with times scaled to a full-size day.
 func Classes() []policy.Class {
 	return []policy.Class{
 		{Name: "allocation-check", Effect: policy.Safe, Aim: 390 * ms, Deadline: 1910 * ms, Worth: 2, LateShare: 0.2},
@@ -68,42 +69,42 @@
 	}
 }
 
-// The places of the classes.
+// Indexes into Classes and classMix.
 const (
 	classCheck = iota
 	classOrder
 	classBooking
 )
 
-// checkWindow is how close together a check and an order come to one sidecar for the same figures to hold for both: reports are
-// renewed so often.
+// checkWindow is the time within which a check and an order at one sidecar are decided on the same
+// load reports; it equals the interval at which reports are renewed.
 const checkWindow = reportInterval
 
-// classMix is the share of each class and its mean work on a standard core.
+// classMix holds the share of each class in the requests and its mean work on a standard core.
 var classMix = []struct {
 	share float64
 	work  time.Duration
 }{{0.47, 80 * ms}, {0.34, 68 * ms}, {0.19, 125 * ms}}
 
-// Simulation is a fleet at one instant of virtual time. It is for one goroutine.
+// Simulation is a simulated fleet. It is not safe for concurrent use.
 type Simulation struct {
 	Stats Stats
 
 	cfg         Config
 	now         policy.Time
 	events      events
-	eventCount  int // events so far
+	eventCount  int // events scheduled so far
 	rng         *rand.Rand
 	classes     []policy.Class
-	servers     []*Server // all that ever were
+	servers     []*Server // including removed ones
 	byID        map[policy.ServerID]*Server
 	sidecars    []*Sidecar
 	discovery   discovery
 	rate        float64
-	serverCount int // servers so far
+	serverCount int // servers added so far
 }
 
-// New returns a fleet in which nothing has happened yet: all servers are warm, all sidecars know the list.
+// New returns a simulation at its start: all servers are warm and all sidecars know the list.
 func New(cfg Config) *Simulation {
 	setDefault(&cfg.Sidecars, 80)
 	setDefault(&cfg.Servers, 60)
@@ -144,10 +145,10 @@
 	}
 }
 
-// At has f be called at an instant, counted from the start.
+// At schedules f for a time counted from the start.
 func (w *Simulation) At(at time.Duration, f func()) { w.after(origin+at-w.now, f) }
 
-// Run lets time pass until an instant, counted from the start.
+// Run processes events up to a time counted from the start.
 func (w *Simulation) Run(until time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= origin+until {
 		e := heap.Pop(&w.events).(event)
@@ -157,19 +158,20 @@
 	w.now = origin + until
 }
 
-// Finish ends all arrivals and lets time pass until everything is answered.
+// Finish stops new requests and runs 4 s more, in which open requests are answered.
 func (w *Simulation) Finish() {
 	w.rate = 0
 	w.Run(w.now - origin + 4*sec)
 }
 
-// SetRate changes how many first tries come a second, over all sidecars.
+// SetRate sets the number of first tries a second over all sidecars.
 func (w *Simulation) SetRate(rate float64) { w.rate = rate }
 
 // Sidecar returns the i-th sidecar.
 func (w *Simulation) Sidecar(i int) *Sidecar { return w.sidecars[i] }
 
-// Up returns the servers that run and are not drained, in the order in which they were added.
+// Up returns the servers that are neither removed nor draining, in the order in which they were
+// added.
 func (w *Simulation) Up() (up []*Server) {
 	for _, v := range w.servers {
 		if !v.removed && !v.draining {
@@ -179,7 +181,8 @@
 	return up
 }
 
-// Add adds a server at a place, which gives it its zone, cell and kind. Unless age is 0, for long ago, it started that long ago.
+// Add adds a server in a slot, which determines its zone, cell and kind. It started age ago; 0
+// means long ago, so that it is warm.
 func (w *Simulation) Add(place int, age time.Duration) *Server {
 	w.serverCount++
 	v := &Server{world: w, ID: policy.ServerID(fmt.Sprintf("s%03d", w.serverCount)), slot: place, Zone: string(rune('a' + place%2)), cell: place / 6}
@@ -200,7 +203,8 @@
 	return v
 }
 
-// Replace drains a server and starts another in its place, under a new id; the old one is gone 3 s later.
+// Replace drains a server and starts another in its slot, under a new id. The old server is removed
+// 3 s later.
 func (w *Simulation) Replace(v *Server) *Server {
 	v.draining = true
 	n := w.Add(v.slot, time.Nanosecond)
@@ -216,7 +220,7 @@
 	return n
 }
 
-// ServersChanged has discovery notice what servers there are, once its lag has passed.
+// ServersChanged schedules the publication of the current servers after the discovery lag.
 func (w *Simulation) ServersChanged() { w.after(w.cfg.DiscoveryLag, w.discovery.publish) }
 
 func (w *Simulation) after(d time.Duration, f func()) {
@@ -226,7 +230,7 @@
 
 func (w *Simulation) second() int { return int((w.now - origin) / sec) }
 
-// travel is the time from a sidecar to a server, one way.
+// travel returns the one-way latency between a sidecar and a server.
 func (w *Simulation) travel(s *Sidecar, v *Server) time.Duration {
 	if s.zone() != v.Zone {
 		return zoneLatency + crossZoneLatency
--- a/internal/fleetsim/stats.go
+++ b/internal/fleetsim/stats.go
@@ -5,27 +5,28 @@
 	"hash/fnv"
 )
 
-// Stats is what a World has counted.
+// Stats holds the counters and rule violations of a Simulation.
 type Stats struct {
 	Seconds          [][]Counts // by second and class
-	Violations       []string   // rules, in the order in which they were broken; mostBroken of them
-	ViolationCount   int        // all of them
+	Violations       []string   // in order of occurrence; at most maxViolations
+	ViolationCount   int        // including those not kept in Violations
 	Probes           int
 	Handshakes       int
-	CrossZoneSends   int     // attempts at servers of another zone
-	ListCalls        int     // for the list
-	InvertedRefusals int     // orders turned away where the same sidecar had sent a check less than besideCheck before
-	MaxColdLoad      float64 // most work that came to a cold server in a second, in what it could do
+	CrossZoneSends   int     // attempts sent to another zone
+	ListCalls        int     // calls to discovery for the server list
+	InvertedRefusals int     // orders refused within checkWindow after the same sidecar sent a check
+	MaxColdLoad      float64 // peak work sent to a cold server in one second, divided by its capacity
 }
 
-// Counts counts first tries by the second in which they came, and what is sent, refused and failed by the second in which it is.
+// Counts holds the counters of one class in one second. Requests, InTime, Late, Work and WorkInTime
+// belong to the second in which the first try arrived; the others to the second of the event.
 type Counts struct {
 	Requests, InTime, Late        int
 	Tries, Sends, Refused, Failed int
-	Work, WorkInTime              float64 // seconds of work asked for, and answered in time
+	Work, WorkInTime              float64 // seconds of work requested, and answered in time
 }
 
-// maxViolations bounds what is kept of breaches.
+// maxViolations bounds the violations that are kept with their text.
 const maxViolations = 20
 
 func (a *Stats) at(second, class int) *Counts {
@@ -42,7 +43,7 @@
 	}
 }
 
-// ClassTotal sums up a class over the seconds from from up to to.
+// ClassTotal sums the counters of a class over the seconds [from, to).
 func (a *Stats) ClassTotal(class, from, to int) (sum Counts) {
 	for i := from; i < to && i < len(a.Seconds); i++ {
 		t := a.Seconds[i][class]
@@ -59,7 +60,7 @@
 	return sum
 }
 
-// ServedShare is the worth that was answered in time of that asked for, counted by work.
+// ServedShare returns the share of the requested work that was answered in time, weighted by worth.
 func (a *Stats) ServedShare(from, to int) float64 {
 	won, work := 0.0, 0.0
 	for i, c := range Classes() {
@@ -70,7 +71,7 @@
 	return won / max(work, 1e-9)
 }
 
-// Hash is a hash of all that was counted.
+// Hash returns a hash of the statistics, for comparing two runs.
 func (a *Stats) Hash() uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, a.Seconds, a.Violations, a.ViolationCount, a.Probes, a.Handshakes, a.CrossZoneSends, a.ListCalls, a.InvertedRefusals)
