--- a/internal/mysql/session/execute.go
+++ b/internal/mysql/session/execute.go
@@ -9,10 +9,10 @@
 
 // Execution is a client's COM_STMT_EXECUTE as it can be sent to any server that has prepared the statement.
 type Execution struct {
-	Types []byte // of the parameters, as the client last told them; nil: there are none
-	text  []byte
-	cut   int // where the parameters begin; 0: there are none
-	bound bool
+	Types        []byte // of the parameters, as the client last told them; nil: there are none
+	message      []byte
+	paramsOffset int // where the parameters begin; 0: there are none
+	hasTypes     bool
 }
 
 // ErrCursor tells that a client asks for a cursor.
@@ -27,7 +27,7 @@
 	if b[5] != 0 {
 		return nil, ErrCursor
 	}
-	e := &Execution{text: b, Types: types}
+	e := &Execution{message: b, Types: types}
 	if params == 0 {
 		return e, nil
 	}
@@ -35,12 +35,12 @@
 	if len(b) < fixed+nulls+1 {
 		return nil, fmt.Errorf("%w: an EXECUTE that is cut", wire.ErrMalformed)
 	}
-	e.cut = fixed + nulls
-	if e.bound = b[e.cut] == 1; e.bound {
-		if len(b) < e.cut+1+2*params {
+	e.paramsOffset = fixed + nulls
+	if e.hasTypes = b[e.paramsOffset] == 1; e.hasTypes {
+		if len(b) < e.paramsOffset+1+2*params {
 			return nil, fmt.Errorf("%w: an EXECUTE that is cut", wire.ErrMalformed)
 		}
-		e.Types = append([]byte(nil), b[e.cut+1:e.cut+1+2*params]...)
+		e.Types = append([]byte(nil), b[e.paramsOffset+1:e.paramsOffset+1+2*params]...)
 	} else if len(types) != 2*params {
 		return nil, fmt.Errorf("%w: an EXECUTE without types of its parameters", wire.ErrMalformed)
 	}
@@ -50,10 +50,10 @@
 // Message returns the command for a server that has the statement under id. told reports whether that server was told these types
 // before.
 func (e *Execution) Message(id uint32, told bool) []byte {
-	b := e.text
-	if e.cut > 0 && !e.bound && !told {
-		b = append(append([]byte(nil), e.text[:e.cut]...), 1)
-		b = append(append(b, e.Types...), e.text[e.cut+1:]...)
+	b := e.message
+	if e.paramsOffset > 0 && !e.hasTypes && !told {
+		b = append(append([]byte(nil), e.message[:e.paramsOffset]...), 1)
+		b = append(append(b, e.Types...), e.message[e.paramsOffset+1:]...)
 	} else {
 		b = append([]byte(nil), b...)
 	}
--- a/internal/mysql/session/lex.go
+++ b/internal/mysql/session/lex.go
@@ -2,163 +2,163 @@
 
 import "strings"
 
-// kind is what a token is.
-type kind byte
+// tokenKind is what a token is.
+type tokenKind byte
 
 const (
-	end    kind = iota
-	word        // a keyword or name without quotes, in lower case
-	name        // a quoted name
-	text        // a quoted text
-	number      // it begins with a digit
-	user        // @x, a variable of the session's own
-	system      // @@x
-	mark        // one byte of anything else; := is one
+	tokenEnd        tokenKind = iota
+	tokenWord                 // a keyword or name without quotes, in lower case
+	tokenQuotedName           // a quoted name
+	tokenString               // a quoted text
+	tokenNumber               // it begins with a digit
+	tokenUserVar              // @x, a variable of the session's own
+	tokenSystemVar            // @@x
+	tokenPunct                // one byte of anything else; := is one
 )
 
 // token is a piece of a statement.
 type token struct {
-	kind kind
-	text string // of a word, a variable without its @, or a mark
-	from int    // where it begins
-	to   int    // and ends
+	kind  tokenKind
+	text  string // of a word, a variable without its @, or a mark
+	start int    // where it begins
+	end   int    // and ends
 }
 
 // lexer cuts a statement into tokens. It is right for the modes that it is told; where it cannot be sure it says so by opaque.
 type lexer struct {
-	s           string
-	at          int
-	noBackslash bool     // a backslash escapes nothing
-	opaque      bool     // what was read may mean something else to the server
-	comments    []string // plain ones, the first few
-	code        bool     // within a comment whose text is code
+	input            string
+	pos              int
+	noBackslash      bool     // a backslash escapes nothing
+	ambiguous        bool     // what was read may mean something else to the server
+	comments         []string // plain ones, the first few
+	inVersionComment bool     // within a comment whose text is code
 }
 
-const mostComments = 4
+const maxComments = 4
 
-func isWord(c byte) bool {
+func isWordByte(c byte) bool {
 	return c == '_' || c == '$' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= 0x80
 }
 
 // next returns the next token.
 func (l *lexer) next() token {
-	l.skip()
-	from := l.at
-	if l.at >= len(l.s) {
-		return token{kind: end, from: from, to: from}
+	l.skipSpace()
+	from := l.pos
+	if l.pos >= len(l.input) {
+		return token{kind: tokenEnd, start: from, end: from}
 	}
-	c := l.s[l.at]
+	c := l.input[l.pos]
 	switch {
 	case c == '\'' || c == '"':
-		l.quoted(c)
-		return token{text, "", from, l.at}
+		l.skipQuoted(c)
+		return token{tokenString, "", from, l.pos}
 	case c == '`':
-		l.quoted(c)
-		return token{name, "", from, l.at}
+		l.skipQuoted(c)
+		return token{tokenQuotedName, "", from, l.pos}
 	case c >= '0' && c <= '9' || c == '.' && l.peek(1) >= '0' && l.peek(1) <= '9':
-		for l.at < len(l.s) && (isWord(l.s[l.at]) || l.s[l.at] == '.') {
-			l.at++
+		for l.pos < len(l.input) && (isWordByte(l.input[l.pos]) || l.input[l.pos] == '.') {
+			l.pos++
 		}
-		return token{number, "", from, l.at}
+		return token{tokenNumber, "", from, l.pos}
 	case (c == 'x' || c == 'X' || c == 'b' || c == 'B' || c == 'n' || c == 'N') && l.peek(1) == '\'':
-		l.at++
-		l.quoted('\'')
-		return token{text, "", from, l.at}
+		l.pos++
+		l.skipQuoted('\'')
+		return token{tokenString, "", from, l.pos}
 	case c == '@':
 		return l.variable(from)
-	case isWord(c):
-		for l.at < len(l.s) && isWord(l.s[l.at]) {
-			l.at++
+	case isWordByte(c):
+		for l.pos < len(l.input) && isWordByte(l.input[l.pos]) {
+			l.pos++
 		}
-		return token{word, strings.ToLower(l.s[from:l.at]), from, l.at}
+		return token{tokenWord, strings.ToLower(l.input[from:l.pos]), from, l.pos}
 	case c == ':' && l.peek(1) == '=':
-		l.at += 2
-		return token{mark, ":=", from, l.at}
+		l.pos += 2
+		return token{tokenPunct, ":=", from, l.pos}
 	}
-	l.at++
-	return token{mark, string(c), from, l.at}
+	l.pos++
+	return token{tokenPunct, string(c), from, l.pos}
 }
 
 func (l *lexer) variable(from int) token {
-	l.at++
-	k := user
+	l.pos++
+	k := tokenUserVar
 	if l.peek(0) == '@' {
-		l.at++
-		k = system
+		l.pos++
+		k = tokenSystemVar
 	}
-	begin := l.at
+	begin := l.pos
 	if q := l.peek(0); q == '\'' || q == '"' || q == '`' {
-		l.quoted(q)
+		l.skipQuoted(q)
 	} else {
-		for l.at < len(l.s) && (isWord(l.s[l.at]) || l.s[l.at] == '.') {
-			l.at++
+		for l.pos < len(l.input) && (isWordByte(l.input[l.pos]) || l.input[l.pos] == '.') {
+			l.pos++
 		}
 	}
-	return token{k, strings.ToLower(l.s[begin:l.at]), from, l.at}
+	return token{k, strings.ToLower(l.input[begin:l.pos]), from, l.pos}
 }
 
 func (l *lexer) peek(n int) byte {
-	if l.at+n < len(l.s) {
-		return l.s[l.at+n]
+	if l.pos+n < len(l.input) {
+		return l.input[l.pos+n]
 	}
 	return 0
 }
 
-// quoted passes over what is quoted by q.
-func (l *lexer) quoted(q byte) {
-	for l.at++; l.at < len(l.s); l.at++ {
-		switch c := l.s[l.at]; {
+// skipQuoted passes over what is skipQuoted by q.
+func (l *lexer) skipQuoted(q byte) {
+	for l.pos++; l.pos < len(l.input); l.pos++ {
+		switch c := l.input[l.pos]; {
 		case c == '\\' && q != '`':
 			if q == '"' { // a text or, by the server's mode, a name, in which it means nothing
-				l.opaque = true
+				l.ambiguous = true
 			}
 			if !l.noBackslash {
-				l.at++
+				l.pos++
 			}
 		case c == q:
-			l.at++
+			l.pos++
 			if l.peek(0) != q {
 				return
 			}
 		}
 	}
-	l.opaque = true // it does not end
-	l.at = len(l.s)
+	l.ambiguous = true // it does not end
+	l.pos = len(l.input)
 }
 
-// skip passes over spaces and comments. The text of a comment that begins with an exclamation mark is code.
-func (l *lexer) skip() {
-	for l.at < len(l.s) {
-		switch c := l.s[l.at]; {
+// skipSpace passes over spaces and comments. The text of a comment that begins with an exclamation mark is code.
+func (l *lexer) skipSpace() {
+	for l.pos < len(l.input) {
+		switch c := l.input[l.pos]; {
 		case c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f' || c == '\v':
-			l.at++
-		case c == '#', c == '-' && l.peek(1) == '-' && (l.at+2 >= len(l.s) || l.s[l.at+2] <= ' '):
-			for l.at < len(l.s) && l.s[l.at] != '\n' {
-				l.at++
+			l.pos++
+		case c == '#', c == '-' && l.peek(1) == '-' && (l.pos+2 >= len(l.input) || l.input[l.pos+2] <= ' '):
+			for l.pos < len(l.input) && l.input[l.pos] != '\n' {
+				l.pos++
 			}
 		case c == '/' && l.peek(1) == '*':
 			if l.peek(2) == '!' || l.peek(2) == 'M' && l.peek(3) == '!' {
 				// Whether it is run hangs on the server's version.
-				l.opaque, l.code = true, true
-				l.at += 3
+				l.ambiguous, l.inVersionComment = true, true
+				l.pos += 3
 				for l.peek(0) == '!' || l.peek(0) >= '0' && l.peek(0) <= '9' {
-					l.at++
+					l.pos++
 				}
 				continue
 			}
-			n := strings.Index(l.s[l.at+2:], "*/")
+			n := strings.Index(l.input[l.pos+2:], "*/")
 			if n < 0 {
-				l.opaque = true
-				l.at = len(l.s)
+				l.ambiguous = true
+				l.pos = len(l.input)
 				return
 			}
-			if len(l.comments) < mostComments {
-				l.comments = append(l.comments, l.s[l.at+2:l.at+2+n])
+			if len(l.comments) < maxComments {
+				l.comments = append(l.comments, l.input[l.pos+2:l.pos+2+n])
 			}
-			l.at += n + 4
-		case c == '*' && l.peek(1) == '/' && l.code:
-			l.code = false
-			l.at += 2
+			l.pos += n + 4
+		case c == '*' && l.peek(1) == '/' && l.inVersionComment:
+			l.inVersionComment = false
+			l.pos += 2
 		default:
 			return
 		}
--- a/internal/mysql/session/reply.go
+++ b/internal/mysql/session/reply.go
@@ -10,8 +10,8 @@
 const (
 	// MaxControlPacket bounds a message of a reply that is read whole: all but definitions and rows.
 	MaxControlPacket = 1 << 20
-	// mostColumns bounds the columns of a result; MySQL has 4,096 at most.
-	mostColumns = 1 << 16
+	// maxColumns bounds the columns of a result; MySQL has 4,096 at most.
+	maxColumns = 1 << 16
 )
 
 // ErrUnexpectedData tells that a server has sent what nobody asked for.
@@ -21,13 +21,13 @@
 type phase int
 
 const (
-	first    phase = iota // of a result
-	params                // definitions of parameters
-	paramEnd              // the EOF behind them
-	columns               // definitions of columns
-	columnEnd
-	rows
-	done
+	phaseFirst     phase = iota // of a result
+	phaseParams                 // definitions of parameters
+	phaseParamsEOF              // the EOF behind them
+	phaseColumns                // definitions of columns
+	phaseColumnsEOF
+	phaseRows
+	phaseDone
 )
 
 // ReplyTracker follows the packets of a server's reply to one command, so that whoever passes them on knows where it ends and what it says.
@@ -37,12 +37,12 @@
 	Rows     int // packets of rows so far
 	Prepared wire.PrepareOK
 
-	caps    wire.Capability
-	command wire.Command
-	phase   phase
-	left    int // definitions to come
-	then    int // columns behind parameters
-	more    bool
+	caps         wire.Capability
+	command      wire.Command
+	phase        phase
+	remaining    int // definitions to come
+	columnsAfter int // columns behind parameters
+	rowContinues bool
 }
 
 // NewReplyTracker returns a Reply to a command, as those of caps are sent it.
@@ -51,25 +51,25 @@
 }
 
 // Done reports whether the reply has ended.
-func (r *ReplyTracker) Done() bool { return r.phase == done }
+func (r *ReplyTracker) Done() bool { return r.phase == phaseDone }
 
 // InRows reports whether rows come next.
-func (r *ReplyTracker) InRows() bool { return r.phase == rows }
+func (r *ReplyTracker) InRows() bool { return r.phase == phaseRows }
 
 // MustReadWhole decides whether the next packet is to be read whole and given to Take, or is passed on unread and told by Passed.
 func (r *ReplyTracker) MustReadWhole(p wire.PacketPrefix) (bool, error) {
-	if r.more { // it goes on with a row
+	if r.rowContinues { // it goes on with a row
 		return false, nil
 	}
 	switch r.phase {
-	case done:
+	case phaseDone:
 		return false, ErrUnexpectedData
-	case params, columns:
+	case phaseParams, phaseColumns:
 		if p.Len == wire.MaxPayload || p.First == 0xff {
 			return true, nil
 		}
 		return false, nil
-	case rows:
+	case phaseRows:
 		switch {
 		case p.First == 0xff:
 			return true, nil
@@ -86,34 +86,34 @@
 // Forwarded notes a packet that was passed on unread.
 func (r *ReplyTracker) Forwarded(n int) {
 	switch r.phase {
-	case rows:
-		r.more = n == wire.MaxPayload
+	case phaseRows:
+		r.rowContinues = n == wire.MaxPayload
 		r.Rows++
-	case params, columns:
-		r.defined()
+	case phaseParams, phaseColumns:
+		r.definitionSeen()
 	}
 }
 
-func (r *ReplyTracker) defined() {
-	if r.left--; r.left > 0 {
+func (r *ReplyTracker) definitionSeen() {
+	if r.remaining--; r.remaining > 0 {
 		return
 	}
 	if !r.caps.Has(wire.DeprecateEOF) {
 		r.phase++ // to the EOF
 		return
 	}
-	r.behind()
+	r.definitionsDone()
 }
 
-// behind goes on behind definitions.
-func (r *ReplyTracker) behind() {
+// definitionsDone goes on definitionsDone definitions.
+func (r *ReplyTracker) definitionsDone() {
 	switch {
-	case r.phase <= paramEnd && r.then > 0:
-		r.phase, r.left, r.then = columns, r.then, 0
+	case r.phase <= phaseParamsEOF && r.columnsAfter > 0:
+		r.phase, r.remaining, r.columnsAfter = phaseColumns, r.columnsAfter, 0
 	case r.command == wire.StmtPrepare:
-		r.phase = done
+		r.phase = phaseDone
 	default:
-		r.phase = rows
+		r.phase = phaseRows
 	}
 }
 
@@ -124,34 +124,34 @@
 	}
 	if b[0] == 0xff {
 		r.Error = wire.ParseError(b, r.caps)
-		r.phase = done
+		r.phase = phaseDone
 		return nil
 	}
 	switch r.phase {
-	case first:
-		return r.begin(b)
-	case paramEnd, columnEnd:
+	case phaseFirst:
+		return r.beginResult(b)
+	case phaseParamsEOF, phaseColumnsEOF:
 		if b[0] != 0xfe {
 			return fmt.Errorf("%w: no EOF behind definitions", wire.ErrMalformed)
 		}
-		r.behind()
+		r.definitionsDone()
 		return nil
-	case rows:
+	case phaseRows:
 		if r.caps.Has(wire.DeprecateEOF) {
-			return r.finish(b)
+			return r.finishResult(b)
 		}
 		e, err := wire.ParseEOF(b)
 		if err != nil {
 			return err
 		}
-		r.end(wire.OK{Status: e.Status, Warnings: e.Warnings})
+		r.recordEnd(wire.OK{Status: e.Status, Warnings: e.Warnings})
 		return nil
 	}
 	return fmt.Errorf("%w: a definition of a column of %d bytes", wire.ErrMalformed, len(b))
 }
 
-// begin notes the first packet of a result.
-func (r *ReplyTracker) begin(b []byte) error {
+// beginResult notes the first packet of a result.
+func (r *ReplyTracker) beginResult(b []byte) error {
 	switch {
 	case r.command == wire.StmtPrepare:
 		p, err := wire.ParsePrepareOK(b)
@@ -160,15 +160,15 @@
 		}
 		r.Prepared, r.NoStatus = p, true
 		r.Warnings = p.Warnings > 0
-		r.then = int(p.Columns)
-		if r.left = int(p.Params); r.left > 0 {
-			r.phase = params
+		r.columnsAfter = int(p.Columns)
+		if r.remaining = int(p.Params); r.remaining > 0 {
+			r.phase = phaseParams
 			return nil
 		}
-		r.behind()
+		r.definitionsDone()
 		return nil
 	case b[0] == 0:
-		return r.finish(b)
+		return r.finishResult(b)
 	case r.command != wire.Query && r.command != wire.StmtExecute:
 		return fmt.Errorf("%w: neither OK nor an error", wire.ErrMalformed)
 	case b[0] == 0xfb:
@@ -178,33 +178,33 @@
 	if err != nil {
 		return err
 	}
-	if n == 0 || n > mostColumns {
+	if n == 0 || n > maxColumns {
 		return fmt.Errorf("%w: a result of %d columns", wire.ErrMalformed, n)
 	}
 	r.Results++
-	r.phase, r.left = columns, int(n)
+	r.phase, r.remaining = phaseColumns, int(n)
 	return nil
 }
 
-func (r *ReplyTracker) finish(b []byte) error {
+func (r *ReplyTracker) finishResult(b []byte) error {
 	o, err := wire.ParseOK(b, r.caps)
 	if err != nil {
 		return err
 	}
-	r.end(o)
+	r.recordEnd(o)
 	return nil
 }
 
-// end notes the end of a result.
-func (r *ReplyTracker) end(o wire.OK) {
+// recordEnd notes the recordEnd of a result.
+func (r *ReplyTracker) recordEnd(o wire.OK) {
 	if o.LastInsertID == 0 {
 		o.LastInsertID = r.OK.LastInsertID
 	}
 	o.AffectedRows += r.OK.AffectedRows
 	r.OK = o
 	r.Warnings = r.Warnings || o.Warnings > 0
-	r.phase = done
+	r.phase = phaseDone
 	if o.Status&wire.MoreResults != 0 {
-		r.phase = first
+		r.phase = phaseFirst
 	}
 }
--- a/internal/mysql/session/scan.go
+++ b/internal/mysql/session/scan.go
@@ -74,39 +74,39 @@
 }
 
 const (
-	// mostHint bounds a comment that is read as a hint.
-	mostHint = 512
+	// maxHintLength bounds a comment that is read as a hint.
+	maxHintLength = 512
 	// MaxSettingLength bounds a SET that is remembered.
 	MaxSettingLength = 1024
 )
 
 // Scan reads a statement, or several with semicolons between. noBackslash is the server's mode of that name.
 func Scan(sql string, noBackslash bool) Statement {
-	l := &lexer{s: sql, noBackslash: noBackslash}
+	l := &lexer{input: sql, noBackslash: noBackslash}
 	var all []Statement
 	var tokens []token
 	for {
 		t := l.next()
-		if t.kind == end || t.kind == mark && t.text == ";" {
+		if t.kind == tokenEnd || t.kind == tokenPunct && t.text == ";" {
 			if len(tokens) > 0 {
-				all = append(all, one(sql, tokens))
+				all = append(all, scanOne(sql, tokens))
 				tokens = tokens[:0]
 			}
-			if t.kind == end {
+			if t.kind == tokenEnd {
 				break
 			}
 			continue
 		}
 		tokens = append(tokens, t)
 	}
-	s := join(all)
-	s.Ambiguous = l.opaque || l.code
+	s := combine(all)
+	s.Ambiguous = l.ambiguous || l.inVersionComment
 	if s.Ambiguous {
 		s.ReadOnly, s.MayCommit, s.Begin, s.Commit, s.Rollback, s.Settings = false, true, false, false, false, nil
 		s.Pins |= OtherState
 	}
 	for _, c := range l.comments {
-		if h, ok := hint(c); ok {
+		if h, ok := parseHint(c); ok {
 			s.Hint = h
 			break
 		}
@@ -114,8 +114,8 @@
 	return s
 }
 
-// join is what several statements mean that are sent as one.
-func join(all []Statement) Statement {
+// combine is what several statements mean that are sent as one.
+func combine(all []Statement) Statement {
 	switch len(all) {
 	case 0:
 		return Statement{ReadOnly: true}
@@ -138,45 +138,45 @@
 	return s
 }
 
-// commits are the statements that end a transaction on their own account.
-var commits = map[string]bool{
+// implicitCommits are the statements that end a transaction on their own account.
+var implicitCommits = map[string]bool{
 	"alter": true, "create": true, "drop": true, "rename": true, "truncate": true, "analyze": true, "cache": true, "check": true,
 	"flush": true, "load": true, "optimize": true, "repair": true, "reset": true, "grant": true, "revoke": true, "install": true,
 	"uninstall": true, "lock": true, "start": true, "begin": true, "change": true, "stop": true, "call": true, "import": true, "xa": true,
 	"clone": true, "restart": true, "shutdown": true, "do": false, "purge": true,
 }
 
-// one reads one statement.
-func one(sql string, t []token) Statement {
+// scanOne reads scanOne statement.
+func scanOne(sql string, t []token) Statement {
 	s := Statement{}
-	if t[0].kind != word {
-		if t[0].kind == mark && t[0].text == "(" {
+	if t[0].kind != tokenWord {
+		if t[0].kind == tokenPunct && t[0].text == "(" {
 			s.Verb = "("
-			s.selects(t)
+			s.scanQuery(t)
 			return s
 		}
 		s.MayCommit, s.Pins = true, OtherState
 		return s
 	}
 	at := func(i int) string {
-		if i < len(t) && t[i].kind == word {
+		if i < len(t) && t[i].kind == tokenWord {
 			return t[i].text
 		}
 		return ""
 	}
 	s.Verb = t[0].text
-	s.MayCommit = commits[s.Verb]
-	s.functions(t)
+	s.MayCommit = implicitCommits[s.Verb]
+	s.scanReferences(t)
 	switch s.Verb {
 	case "select", "with", "table", "values":
-		s.selects(t)
+		s.scanQuery(t)
 	case "show", "explain", "describe", "desc", "help":
-		s.ReadOnly = !s.calls(t)
+		s.ReadOnly = !s.callsUnknownFunction(t)
 		if s.Verb == "show" && (at(1) == "warnings" || at(1) == "errors" || at(1) == "count") {
 			s.Needs |= WarningInfo
 		}
 		if at(1) == "analyze" { // it runs what it explains
-			s.selects(t[2:])
+			s.scanQuery(t[2:])
 		}
 	case "begin":
 		s.Begin, s.ReadOnly = true, len(t) == 1 || at(1) == "work"
@@ -185,15 +185,15 @@
 		s.ReadOnly = s.Begin
 	case "commit":
 		s.Commit, s.MayCommit = true, true
-		s.chains(t)
+		s.scanCompletion(t)
 	case "rollback":
-		s.Rollback = !words(t, "to")
-		s.chains(t)
+		s.Rollback = !containsWord(t, "to")
+		s.scanCompletion(t)
 	case "set":
-		s.set(sql, t)
+		s.scanSet(sql, t)
 	case "use":
 		if len(t) == 2 {
-			s.Schema = strings.Trim(sql[t[1].from:t[1].to], "`")
+			s.Schema = strings.Trim(sql[t[1].start:t[1].end], "`")
 			s.ReadOnly = true
 		}
 	case "unlock":
@@ -212,15 +212,15 @@
 	case "handler":
 		s.Pins |= OpenHandlers
 	case "flush":
-		if words(t, "lock") || words(t, "export") {
+		if containsWord(t, "lock") || containsWord(t, "export") {
 			s.Pins |= TableLocks
 		}
 	case "xa":
 		s.Pins |= OtherState
 	case "load":
-		s.LocalInfile = words(t, "local")
+		s.LocalInfile = containsWord(t, "local")
 	case "kill":
-		s.kill(sql, t)
+		s.scanKill(sql, t)
 	case "insert", "replace", "update", "delete", "savepoint", "release", "call", "do", "truncate", "alter", "rename", "analyze", "optimize",
 		"check", "checksum", "repair", "grant", "revoke", "import", "binlog", "reset", "purge", "cache", "install", "uninstall":
 	default:
@@ -230,15 +230,15 @@
 	return s
 }
 
-// words reports whether a word stands somewhere in t.
-func words(t []token, w string) bool {
-	return slices.ContainsFunc(t, func(t token) bool { return t.kind == word && t.text == w })
+// containsWord reports whether a word stands somewhere in t.
+func containsWord(t []token, w string) bool {
+	return slices.ContainsFunc(t, func(t token) bool { return t.kind == tokenWord && t.text == w })
 }
 
-// chains notes an end of a transaction that begins the next, or ends the session.
-func (s *Statement) chains(t []token) {
+// scanCompletion notes an end of a transaction that begins the next, or ends the session.
+func (s *Statement) scanCompletion(t []token) {
 	for i := range t {
-		if t[i].kind == word && (t[i].text == "chain" || t[i].text == "release") && (i == 0 || t[i-1].text != "no") && !words(t, "to") {
+		if t[i].kind == tokenWord && (t[i].text == "chain" || t[i].text == "release") && (i == 0 || t[i-1].text != "no") && !containsWord(t, "to") {
 			s.Commit, s.Rollback = false, false
 			if t[i].text == "release" {
 				s.Pins |= OtherState
@@ -247,9 +247,9 @@
 	}
 }
 
-// pure are the functions that change nothing, and the words that may stand before a parenthesis. A function that is not among them
+// pureWords are the functions that change nothing, and the words that may stand before a parenthesis. A function that is not among them
 // may be one that somebody has stored, and may do anything.
-var pure = func() map[string]bool {
+var pureWords = func() map[string]bool {
 	m := map[string]bool{}
 	for _, w := range strings.Fields(`
 		abs acos adddate addtime any any_value ascii asin atan atan2 avg benchmark bin bin_to_uuid bit_and bit_count bit_length bit_or bit_xor
@@ -277,69 +277,69 @@
 	return m
 }()
 
-// asks are the functions and variables that tell of the statement before.
-var asks = map[string]ResultInfo{"last_insert_id": InsertIDInfo, "found_rows": RowCountInfo, "row_count": RowCountInfo}
+// infoFunctions are the functions and variables that tell of the statement before.
+var infoFunctions = map[string]ResultInfo{"last_insert_id": InsertIDInfo, "found_rows": RowCountInfo, "row_count": RowCountInfo}
 
-var asksSystem = map[string]ResultInfo{
+var infoVariables = map[string]ResultInfo{
 	"last_insert_id": InsertIDInfo, "identity": InsertIDInfo, "insert_id": InsertIDInfo, "warning_count": WarningInfo, "error_count": WarningInfo,
 }
 
-// locks are the functions of named locks, which are the session's.
-var locks = map[string]bool{"get_lock": true, "release_lock": true, "release_all_locks": true, "is_free_lock": false, "is_used_lock": false}
+// lockFunctions are the functions of named lockFunctions, which are the session's.
+var lockFunctions = map[string]bool{"get_lock": true, "release_lock": true, "release_all_locks": true, "is_free_lock": false, "is_used_lock": false}
 
-// functions notes what functions and variables in a statement leave in the session, or ask of it.
-func (s *Statement) functions(t []token) {
+// scanReferences notes what scanReferences and variables in a statement leave in the session, or ask of it.
+func (s *Statement) scanReferences(t []token) {
 	for i, k := range t {
 		variable := k.text
 		if n := strings.LastIndexByte(variable, '.'); n >= 0 {
 			variable = variable[n+1:]
 		}
-		called := i+1 < len(t) && t[i+1].kind == mark && t[i+1].text == "("
+		called := i+1 < len(t) && t[i+1].kind == tokenPunct && t[i+1].text == "("
 		switch {
-		case k.kind == word && called && asks[k.text] != 0:
-			s.Needs |= asks[k.text]
-			if k.text == "last_insert_id" && i+2 < len(t) && !(t[i+2].kind == mark && t[i+2].text == ")") {
+		case k.kind == tokenWord && called && infoFunctions[k.text] != 0:
+			s.Needs |= infoFunctions[k.text]
+			if k.text == "last_insert_id" && i+2 < len(t) && !(t[i+2].kind == tokenPunct && t[i+2].text == ")") {
 				s.Pins |= OtherState // it sets it
 			}
-		case k.kind == word && called && locks[k.text]:
+		case k.kind == tokenWord && called && lockFunctions[k.text]:
 			s.Pins |= NamedLocks
-		case k.kind == word && k.text == "sql_calc_found_rows":
+		case k.kind == tokenWord && k.text == "sql_calc_found_rows":
 			s.CalcFoundRows = true
-		case k.kind == system && asksSystem[variable] != 0:
-			s.Needs |= asksSystem[variable]
-		case k.kind == user && i+1 < len(t) && t[i+1].kind == mark && t[i+1].text == ":=":
+		case k.kind == tokenSystemVar && infoVariables[variable] != 0:
+			s.Needs |= infoVariables[variable]
+		case k.kind == tokenUserVar && i+1 < len(t) && t[i+1].kind == tokenPunct && t[i+1].text == ":=":
 			s.Pins |= UserVariables
-		case k.kind == user && i > 0 && (t[i-1].kind == word && t[i-1].text == "into" || t[i-1].kind == mark && t[i-1].text == "," && words(t[:i], "into")):
+		case k.kind == tokenUserVar && i > 0 && (t[i-1].kind == tokenWord && t[i-1].text == "into" || t[i-1].kind == tokenPunct && t[i-1].text == "," && containsWord(t[:i], "into")):
 			s.Pins |= UserVariables
 		}
 	}
 }
 
-// calls reports whether a statement calls a function that may do anything.
-func (s *Statement) calls(t []token) bool {
+// callsUnknownFunction reports whether a statement callsUnknownFunction a function that may do anything.
+func (s *Statement) callsUnknownFunction(t []token) bool {
 	for i, k := range t {
-		if i+1 >= len(t) || t[i+1].kind != mark || t[i+1].text != "(" {
+		if i+1 >= len(t) || t[i+1].kind != tokenPunct || t[i+1].text != "(" {
 			continue
 		}
-		if k.kind == name || k.kind == word && !pure[k.text] && asks[k.text] == 0 && k.text != "is_free_lock" && k.text != "is_used_lock" {
+		if k.kind == tokenQuotedName || k.kind == tokenWord && !pureWords[k.text] && infoFunctions[k.text] == 0 && k.text != "is_free_lock" && k.text != "is_used_lock" {
 			return true
 		}
 	}
 	return false
 }
 
-// selects judges a query.
-func (s *Statement) selects(t []token) {
-	s.functions(t)
-	s.ReadOnly = !s.calls(t) && s.Pins == 0
+// scanQuery judges a query.
+func (s *Statement) scanQuery(t []token) {
+	s.scanReferences(t)
+	s.ReadOnly = !s.callsUnknownFunction(t) && s.Pins == 0
 	for i, k := range t {
-		if k.kind != word {
+		if k.kind != tokenWord {
 			continue
 		}
 		switch k.text {
 		case "into", "update", "delete", "insert", "replace":
 			// A function's name is not what changes something; "for update" and a WITH before UPDATE are.
-			if k.text != "into" && i+1 < len(t) && t[i+1].kind == mark && t[i+1].text == "(" {
+			if k.text != "into" && i+1 < len(t) && t[i+1].kind == tokenPunct && t[i+1].text == "(" {
 				continue
 			}
 			s.ReadOnly = false
@@ -349,16 +349,16 @@
 	}
 }
 
-// kill reads KILL [CONNECTION | QUERY] id.
-func (s *Statement) kill(sql string, t []token) {
+// scanKill reads KILL [CONNECTION | QUERY] id.
+func (s *Statement) scanKill(sql string, t []token) {
 	k := &Kill{}
 	i := 1
-	if i < len(t) && t[i].kind == word && (t[i].text == "query" || t[i].text == "connection") {
+	if i < len(t) && t[i].kind == tokenWord && (t[i].text == "query" || t[i].text == "connection") {
 		k.QueryOnly = t[i].text == "query"
 		i++
 	}
-	if i == len(t)-1 && t[i].kind == number {
-		if n, err := strconv.ParseUint(sql[t[i].from:t[i].to], 10, 32); err == nil {
+	if i == len(t)-1 && t[i].kind == tokenNumber {
+		if n, err := strconv.ParseUint(sql[t[i].start:t[i].end], 10, 32); err == nil {
 			k.ID = uint32(n)
 			s.Kill = k
 			return
@@ -367,24 +367,24 @@
 	s.Pins |= OtherState
 }
 
-// set reads a SET. Only literals can be said again elsewhere.
-func (s *Statement) set(sql string, t []token) {
-	if len(t) < 2 || t[len(t)-1].to-t[0].from > MaxSettingLength {
+// scanSet reads a SET. Only literals can be said again elsewhere.
+func (s *Statement) scanSet(sql string, t []token) {
+	if len(t) < 2 || t[len(t)-1].end-t[0].start > MaxSettingLength {
 		s.Pins |= OtherState
 		s.MayCommit = true
 		return
 	}
-	whole := sql[t[0].from:t[len(t)-1].to]
+	whole := sql[t[0].start:t[len(t)-1].end]
 	first := ""
-	if t[1].kind == word {
+	if t[1].kind == tokenWord {
 		first = t[1].text
 	}
 	switch first {
 	case "names", "charset":
-		s.settle("names", whole)
+		s.addSetting("names", whole)
 		return
 	case "character":
-		s.settle("names", whole)
+		s.addSetting("names", whole)
 		return
 	case "transaction", "role", "resource":
 		s.Pins |= OtherState
@@ -392,21 +392,21 @@
 	case "password", "default", "global", "persist", "persist_only":
 		return // it changes the server
 	}
-	if (first == "session" || first == "local") && len(t) > 2 && t[2].kind == word && t[2].text == "transaction" {
-		s.settle("transaction", whole)
+	if (first == "session" || first == "local") && len(t) > 2 && t[2].kind == tokenWord && t[2].text == "transaction" {
+		s.addSetting("transaction", whole)
 		return
 	}
 	// name = literal, and so on
 	rest := t[1:]
 	for len(rest) > 0 {
-		n := slices.IndexFunc(rest, func(k token) bool { return k.kind == mark && k.text == "," })
+		n := slices.IndexFunc(rest, func(k token) bool { return k.kind == tokenPunct && k.text == "," })
 		part := rest
 		if n >= 0 {
 			part, rest = rest[:n], rest[n+1:]
 		} else {
 			rest = nil
 		}
-		if !s.assignment(sql, part) {
+		if !s.scanAssignment(sql, part) {
 			s.Settings, s.ReadOnly = nil, false
 			s.Pins |= OtherState
 			s.MayCommit = true
@@ -416,26 +416,26 @@
 	s.ReadOnly = s.Pins == 0 && !s.MayCommit
 }
 
-func (s *Statement) settle(name, sql string) {
+func (s *Statement) addSetting(name, sql string) {
 	s.Settings = append(s.Settings, Setting{name, sql})
 	s.ReadOnly = true
 }
 
-// assignment reads a part of a SET, and reports whether it can be said again.
-func (s *Statement) assignment(sql string, t []token) bool {
+// scanAssignment reads a part of a SET, and reports whether it can be said again.
+func (s *Statement) scanAssignment(sql string, t []token) bool {
 	scope := "session "
-	if len(t) > 0 && t[0].kind == word && (t[0].text == "session" || t[0].text == "local") {
+	if len(t) > 0 && t[0].kind == tokenWord && (t[0].text == "session" || t[0].text == "local") {
 		t = t[1:]
 	}
-	if len(t) < 3 || t[1].kind != mark || t[1].text != "=" && t[1].text != ":=" {
+	if len(t) < 3 || t[1].kind != tokenPunct || t[1].text != "=" && t[1].text != ":=" {
 		return false
 	}
 	variable := t[0].text
 	switch t[0].kind {
-	case user:
+	case tokenUserVar:
 		s.Pins |= UserVariables
 		return true
-	case system:
+	case tokenSystemVar:
 		v, ok := strings.CutPrefix(variable, "session.")
 		if !ok {
 			v, ok = strings.CutPrefix(variable, "local.")
@@ -444,31 +444,31 @@
 			return false
 		}
 		variable = v
-	case word:
+	case tokenWord:
 	default:
 		return false
 	}
 	value := t[2:]
-	if value[0].kind == mark && (value[0].text == "-" || value[0].text == "+") {
+	if value[0].kind == tokenPunct && (value[0].text == "-" || value[0].text == "+") {
 		value = value[1:]
 	}
-	if len(value) != 1 || value[0].kind != text && value[0].kind != number && value[0].kind != word {
+	if len(value) != 1 || value[0].kind != tokenString && value[0].kind != tokenNumber && value[0].kind != tokenWord {
 		return false
 	}
 	if variable == "autocommit" {
 		s.MayCommit = true
 	}
-	if asksSystem[variable] != 0 || variable == "timestamp" || variable == "rand_seed1" || variable == "rand_seed2" || variable == "pseudo_thread_id" {
+	if infoVariables[variable] != 0 || variable == "timestamp" || variable == "rand_seed1" || variable == "rand_seed2" || variable == "pseudo_thread_id" {
 		return false
 	}
-	s.Settings = append(s.Settings, Setting{variable, "set " + scope + variable + " = " + sql[t[2].from:t[len(t)-1].to]})
+	s.Settings = append(s.Settings, Setting{variable, "set " + scope + variable + " = " + sql[t[2].start:t[len(t)-1].end]})
 	return true
 }
 
-// hint reads a comment as a Hint, and reports whether it is one.
-func hint(comment string) (Hint, bool) {
+// parseHint reads a comment as a Hint, and reports whether it is one.
+func parseHint(comment string) (Hint, bool) {
 	var h Hint
-	if len(comment) > mostHint {
+	if len(comment) > maxHintLength {
 		return h, false
 	}
 	found := false
--- a/internal/mysql/session/state.go
+++ b/internal/mysql/session/state.go
@@ -12,36 +12,36 @@
 // noBackslash is the status that says so.
 const noBackslash wire.Status = 1 << 9
 
-// mostSettings bounds the settings that are remembered; one more binds the session to its server.
-const mostSettings = 32
+// maxSettings bounds the settings that are remembered; one more binds the session to its server.
+const maxSettings = 32
 
 // State is where a session stands. The zero value is not usable; see New.
 type State struct {
-	status   wire.Status
-	pins     Pin
-	settings []Setting
-	schema   string
-	held     bool       // its connection is kept for what the latest statement has left there
-	left     ResultInfo // what can be asked of that connection
-	gone     ResultInfo // what could be asked of one that was given back, or of a server that has gone
-	aborted  bool       // its transaction has gone with a server
-	doubtful bool       // its charset has backslashes within letters
+	status           wire.Status
+	pins             Pin
+	settings         []Setting
+	schema           string
+	held             bool       // its connection is kept for what the latest statement has left there
+	available        ResultInfo // what can be asked of that connection
+	lost             ResultInfo // what could be asked of one that was given back, or of a server that has gone
+	aborted          bool       // its transaction has gone with a server
+	backslashCharset bool       // its charset has backslashes within letters
 }
 
 // New returns a session that has just begun.
 func New(schema string, charset byte) *State {
-	return &State{status: wire.Autocommit, schema: schema, doubtful: slices.Contains(wideCharsets, charset)}
+	return &State{status: wire.Autocommit, schema: schema, backslashCharset: slices.Contains(backslashCharsetIDs, charset)}
 }
 
-// wideCharsets are those of big5, sjis, gbk, cp932 and gb18030, by their numbers.
-var wideCharsets = []byte{1, 84, 13, 88, 28, 87, 95, 96, 248, 249, 250}
+// backslashCharsetIDs are those of big5, sjis, gbk, cp932 and gb18030, by their numbers.
+var backslashCharsetIDs = []byte{1, 84, 13, 88, 28, 87, 95, 96, 248, 249, 250}
 
-var wideNames = []string{"big5", "sjis", "gbk", "cp932", "gb18030"}
+var backslashCharsetNames = []string{"big5", "sjis", "gbk", "cp932", "gb18030"}
 
 // Scan reads a statement by the session's modes.
 func (s *State) Scan(sql string) Statement {
 	st := Scan(sql, s.status&noBackslash != 0)
-	if s.doubtful && !st.Ambiguous && !ascii(sql) {
+	if s.backslashCharset && !st.Ambiguous && !ascii(sql) {
 		st.Ambiguous, st.ReadOnly, st.MayCommit = true, false, true
 		st.Begin, st.Commit, st.Rollback, st.Settings = false, false, false, nil
 		st.Pins |= OtherState
@@ -109,7 +109,7 @@
 		return Plan{Placement: CurrentConnection}
 	case has && s.held && st.Needs != 0:
 		return Plan{Placement: CurrentConnection}
-	case !has && st.Needs&s.gone != 0:
+	case !has && st.Needs&s.lost != 0:
 		return Plan{LocalReply, wire.SessionLost("what the last statement had left was given up")}
 	case !has && s.Bound(): // it cannot be: whoever loses the connection says so by Lost
 		return Plan{LocalReply, wire.SessionLost("no connection")}
@@ -140,40 +140,40 @@
 			s.schema = st.Schema
 		}
 		for _, set := range st.Settings {
-			s.remember(set)
+			s.rememberSetting(set)
 		}
 	}
 	if st.Needs == 0 || !s.held {
-		s.leave(st, r)
+		s.recordInfo(st, r)
 	}
-	if len(s.settings) > mostSettings {
+	if len(s.settings) > maxSettings {
 		s.pins |= OtherState
 	}
 	return s.Bound() || s.held
 }
 
-// leave notes what st has left on its connection. What changes nothing and has no warnings has left nothing that an answer has not told.
-func (s *State) leave(st *Statement, r ReplySummary) {
-	s.left &^= RowCountInfo | WarningInfo
-	s.gone &^= RowCountInfo | WarningInfo
+// recordInfo notes what st has left on its connection. What changes nothing and has no warnings has left nothing that an answer has not told.
+func (s *State) recordInfo(st *Statement, r ReplySummary) {
+	s.available &^= RowCountInfo | WarningInfo
+	s.lost &^= RowCountInfo | WarningInfo
 	if r.OK.LastInsertID != 0 {
-		s.left |= InsertIDInfo
-		s.gone &^= InsertIDInfo
+		s.available |= InsertIDInfo
+		s.lost &^= InsertIDInfo
 	}
 	if st.CalcFoundRows || !st.ReadOnly {
-		s.left |= RowCountInfo
+		s.available |= RowCountInfo
 	}
 	if r.Warnings || r.Error != nil {
-		s.left |= WarningInfo
+		s.available |= WarningInfo
 	}
-	s.held = s.left&(RowCountInfo|WarningInfo) != 0
+	s.held = s.available&(RowCountInfo|WarningInfo) != 0
 }
 
-func (s *State) remember(set Setting) {
+func (s *State) rememberSetting(set Setting) {
 	s.settings = slices.DeleteFunc(s.settings, func(o Setting) bool { return o.Name == set.Name })
 	s.settings = append(s.settings, set)
 	if set.Name == "names" || set.Name == "character_set_client" {
-		s.doubtful = slices.ContainsFunc(wideNames, func(n string) bool { return containsFold(set.SQL, n) })
+		s.backslashCharset = slices.ContainsFunc(backslashCharsetNames, func(n string) bool { return containsFold(set.SQL, n) })
 	}
 }
 
@@ -195,8 +195,8 @@
 
 // ConnectionReleased notes that the connection has been given back.
 func (s *State) ConnectionReleased() {
-	s.gone |= s.left | RowCountInfo
-	s.left, s.held = 0, false
+	s.lost |= s.available | RowCountInfo
+	s.available, s.held = 0, false
 }
 
 // Loss is what becomes of a session whose server has gone.
@@ -253,7 +253,7 @@
 
 // Reset begins the session anew, as COM_RESET_CONNECTION does, and as COM_CHANGE_USER does with another schema.
 func (s *State) Reset(schema string) {
-	*s = State{status: wire.Autocommit, schema: schema, doubtful: s.doubtful}
+	*s = State{status: wire.Autocommit, schema: schema, backslashCharset: s.backslashCharset}
 }
 
 // MayMove reports whether the session can go on at another server right now.
--- a/internal/mysql/wire/handshake.go
+++ b/internal/mysql/wire/handshake.go
@@ -102,7 +102,7 @@
 // ParseGreeting reads a Greeting. A server that turns the client away at once gives its *Error.
 func ParseGreeting(b []byte) (Greeting, error) {
 	var g Greeting
-	t := text{b: b}
+	t := payloadReader{b: b}
 	switch v := t.byte(); v {
 	case 10:
 	case 0xff:
@@ -110,7 +110,7 @@
 	default:
 		return g, malformed("a greeting of another protocol")
 	}
-	g.Version, g.ThreadID = t.zero(), t.uint32()
+	g.Version, g.ThreadID = t.nulString(), t.uint32()
 	first := t.take(8)
 	t.byte()
 	low := t.uint16()
@@ -118,20 +118,20 @@
 	g.Capabilities = Capability(low) | Capability(t.uint16())<<16
 	n := int(t.byte())
 	t.take(10)
-	if t.bad {
+	if t.malformed {
 		return g, malformed("a greeting that is cut")
 	}
 	if !g.Capabilities.Has(Protocol41 | SecureConnection) {
 		return g, malformed("a greeting of a server before 4.1")
 	}
 	second := t.take(max(13, n-8))
-	if t.bad || len(second) < ScrambleSize-8 {
+	if t.malformed || len(second) < ScrambleSize-8 {
 		return g, malformed("a greeting without a whole scramble")
 	}
 	g.Scramble = append(append([]byte(nil), first...), second[:ScrambleSize-8]...)
 	g.Plugin = Native
 	if g.Capabilities.Has(PluginAuth) {
-		if g.Plugin = t.zero(); t.bad {
+		if g.Plugin = t.nulString(); t.malformed {
 			return g, malformed("a greeting whose plugin does not end")
 		}
 	}
@@ -207,33 +207,33 @@
 // ParseLogin reads a Login.
 func ParseLogin(b []byte) (Login, error) {
 	var l Login
-	t := text{b: b}
+	t := payloadReader{b: b}
 	l.Capabilities = Capability(t.uint32())
-	if !t.bad && !l.Capabilities.Has(Protocol41) {
+	if !t.malformed && !l.Capabilities.Has(Protocol41) {
 		return l, ErrOldClient
 	}
 	l.MaxPacket, l.Charset = t.uint32(), t.byte()
 	t.take(23)
-	l.User = t.zero()
+	l.User = t.nulString()
 	switch {
 	case l.Capabilities.Has(PluginAuthLenenc):
-		l.AuthResponse = t.bytes()
+		l.AuthResponse = t.lenencBytes()
 	case l.Capabilities.Has(SecureConnection):
 		l.AuthResponse = t.take(int(t.byte()))
 	default:
-		l.AuthResponse = []byte(t.zero())
+		l.AuthResponse = []byte(t.nulString())
 	}
 	if l.Capabilities.Has(ConnectWithDB) && len(t.b) > 0 {
-		l.Schema = t.zero()
+		l.Schema = t.nulString()
 	}
 	l.Plugin = Native
 	if l.Capabilities.Has(PluginAuth) && len(t.b) > 0 {
-		l.Plugin = t.zero()
+		l.Plugin = t.nulString()
 	}
 	if l.Capabilities.Has(ConnectAttrs) && len(t.b) > 0 {
-		l.Attributes = t.bytes()
+		l.Attributes = t.lenencBytes()
 	}
-	if t.bad {
+	if t.malformed {
 		return l, malformed("a login that is cut")
 	}
 	return l, nil
@@ -271,19 +271,19 @@
 
 // ParseUserChange reads a UserChange, with the command's byte.
 func ParseUserChange(b []byte, c Capability) (UserChange, error) {
-	t := text{b: b}
+	t := payloadReader{b: b}
 	t.byte()
-	u := UserChange{User: t.zero()}
+	u := UserChange{User: t.nulString()}
 	u.AuthResponse = t.take(int(t.byte()))
-	u.Schema = t.zero()
+	u.Schema = t.nulString()
 	if len(t.b) >= 2 {
 		u.Charset = byte(t.uint16())
 	}
 	u.Plugin = Native
 	if c.Has(PluginAuth) && len(t.b) > 0 {
-		u.Plugin = t.zero()
+		u.Plugin = t.nulString()
 	}
-	if t.bad {
+	if t.malformed {
 		return u, malformed("a change of user that is cut")
 	}
 	return u, nil
@@ -297,10 +297,10 @@
 
 // ParseAuthSwitch reads such a request.
 func ParseAuthSwitch(b []byte) (plugin string, scramble []byte, err error) {
-	t := text{b: b}
+	t := payloadReader{b: b}
 	t.byte()
-	plugin = t.zero()
-	if t.bad || len(t.b) < ScrambleSize {
+	plugin = t.nulString()
+	if t.malformed || len(t.b) < ScrambleSize {
 		return "", nil, malformed("a request for another proof that is cut")
 	}
 	return plugin, append([]byte(nil), t.b[:ScrambleSize]...), nil
--- a/internal/mysql/wire/packet.go
+++ b/internal/mysql/wire/packet.go
@@ -44,8 +44,8 @@
 // SetSequence makes n the number of the next packet.
 func (c *Conn) SetSequence(n byte) { c.seq = n }
 
-// header reads the header of the next packet.
-func (c *Conn) header() (int, error) {
+// readHeader reads the readHeader of the next packet.
+func (c *Conn) readHeader() (int, error) {
 	b, err := c.R.Peek(headerSize)
 	if err != nil {
 		if err == io.EOF && len(b) > 0 {
@@ -67,15 +67,15 @@
 func (c *Conn) Read(most int) ([]byte, error) {
 	var text []byte
 	for {
-		n, err := c.header()
+		n, err := c.readHeader()
 		if err != nil {
-			return nil, whole(err, text)
+			return nil, unexpectedEOF(err, text)
 		}
 		if len(text)+n > most {
 			return nil, fmt.Errorf("%w: over %d bytes", ErrTooLarge, most)
 		}
-		if text, err = c.grow(text, n); err != nil {
-			return nil, whole(err, text)
+		if text, err = c.readPayload(text, n); err != nil {
+			return nil, unexpectedEOF(err, text)
 		}
 		if n < MaxPayload {
 			return text, nil
@@ -83,8 +83,8 @@
 	}
 }
 
-// grow reads n bytes more. It takes room for them as they come: a header alone, which anybody can write, takes none.
-func (c *Conn) grow(text []byte, n int) ([]byte, error) {
+// readPayload reads n bytes more. It takes room for them as they come: a header alone, which anybody can write, takes none.
+func (c *Conn) readPayload(text []byte, n int) ([]byte, error) {
 	const step = 64 << 10
 	if text == nil {
 		text = make([]byte, 0, min(n, step))
@@ -94,15 +94,15 @@
 		at := len(text)
 		text = append(text, make([]byte, part)...)
 		if _, err := io.ReadFull(c.R, text[at:]); err != nil {
-			return text, whole(err, text)
+			return text, unexpectedEOF(err, text)
 		}
 		n -= part
 	}
 	return text, nil
 }
 
-// whole makes an end in the middle of a message an error of its own.
-func whole(err error, text []byte) error {
+// unexpectedEOF makes an end in the middle of a message an error of its own.
+func unexpectedEOF(err error, text []byte) error {
 	if err == io.EOF && text != nil {
 		return io.ErrUnexpectedEOF
 	}
@@ -167,13 +167,13 @@
 // Forward passes the next packet on to another side as it is, under the number that is due there, and returns its length. With an error of
 // to it is an ErrTo. begun tells whether part of the packet may have been written; a packet that fits into R is never passed on in part.
 func (c *Conn) Forward(to *Conn) (n int, begun bool, err error) {
-	n, err = c.header()
+	n, err = c.readHeader()
 	if err != nil {
 		return 0, false, err
 	}
 	if n <= c.R.Size() {
 		if _, err := c.R.Peek(n); err != nil {
-			return n, false, whole(err, []byte{})
+			return n, false, unexpectedEOF(err, []byte{})
 		}
 	}
 	if err := to.writeHeader(n); err != nil {
@@ -182,7 +182,7 @@
 	for left := n; left > 0; {
 		b, err := c.R.Peek(min(left, max(c.R.Buffered(), 1)))
 		if len(b) == 0 {
-			return n, true, whole(err, []byte{})
+			return n, true, unexpectedEOF(err, []byte{})
 		}
 		if _, err := to.W.Write(b); err != nil {
 			return n, true, WriteError{err}
@@ -202,15 +202,15 @@
 // Unwrap returns the error itself.
 func (e WriteError) Unwrap() error { return e.error }
 
-// text reads the parts of a message.
-type text struct {
-	b   []byte
-	bad bool
+// payloadReader reads the parts of a message.
+type payloadReader struct {
+	b         []byte
+	malformed bool
 }
 
-func (t *text) take(n int) []byte {
+func (t *payloadReader) take(n int) []byte {
 	if n < 0 || n > len(t.b) {
-		t.bad, t.b = true, nil
+		t.malformed, t.b = true, nil
 		return nil
 	}
 	b := t.b[:n]
@@ -218,29 +218,29 @@
 	return b
 }
 
-func (t *text) byte() byte {
+func (t *payloadReader) byte() byte {
 	if b := t.take(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (t *text) uint16() uint16 {
+func (t *payloadReader) uint16() uint16 {
 	if b := t.take(2); b != nil {
 		return binary.LittleEndian.Uint16(b)
 	}
 	return 0
 }
 
-func (t *text) uint32() uint32 {
+func (t *payloadReader) uint32() uint32 {
 	if b := t.take(4); b != nil {
 		return binary.LittleEndian.Uint32(b)
 	}
 	return 0
 }
 
-// zero reads a text that ends with a zero.
-func (t *text) zero() string {
+// nulString reads a text that ends with a nulString.
+func (t *payloadReader) nulString() string {
 	for i, c := range t.b {
 		if c == 0 {
 			s := string(t.b[:i])
@@ -248,12 +248,12 @@
 			return s
 		}
 	}
-	t.bad, t.b = true, nil
+	t.malformed, t.b = true, nil
 	return ""
 }
 
-// int reads a length-encoded integer.
-func (t *text) int() uint64 {
+// lenencInt reads a length-encoded integer.
+func (t *payloadReader) lenencInt() uint64 {
 	switch first := t.byte(); first {
 	case 0xfc:
 		return uint64(t.uint16())
@@ -268,18 +268,18 @@
 		}
 		return 0
 	case 0xfb, 0xff:
-		t.bad = true
+		t.malformed = true
 		return 0
 	default:
 		return uint64(first)
 	}
 }
 
-// bytes reads a length-encoded text.
-func (t *text) bytes() []byte {
-	n := t.int()
+// lenencBytes reads a length-encoded text.
+func (t *payloadReader) lenencBytes() []byte {
+	n := t.lenencInt()
 	if n > uint64(len(t.b)) {
-		t.bad, t.b = true, nil
+		t.malformed, t.b = true, nil
 		return nil
 	}
 	return t.take(int(n))
--- a/internal/mysql/wire/reply.go
+++ b/internal/mysql/wire/reply.go
@@ -18,21 +18,21 @@
 // ParseOK reads an OK, or with end one that ends rows, as a client of c is sent it.
 func ParseOK(b []byte, c Capability) (OK, error) {
 	var o OK
-	t := text{b: b}
+	t := payloadReader{b: b}
 	t.byte()
-	o.AffectedRows, o.LastInsertID = t.int(), t.int()
+	o.AffectedRows, o.LastInsertID = t.lenencInt(), t.lenencInt()
 	o.Status, o.Warnings = Status(t.uint16()), t.uint16()
 	if c.Has(SessionTrack) {
 		if len(t.b) > 0 {
-			o.Info = t.bytes()
+			o.Info = t.lenencBytes()
 		}
 		if o.Status&StateChanged != 0 && len(t.b) > 0 {
-			o.StateChanges = t.bytes()
+			o.StateChanges = t.lenencBytes()
 		}
 	} else {
 		o.Info = t.b
 	}
-	if t.bad {
+	if t.malformed {
 		return o, malformed("an OK that is cut")
 	}
 	return o, nil
@@ -63,10 +63,10 @@
 
 // ParseEOF reads an EOF.
 func ParseEOF(b []byte) (EOF, error) {
-	t := text{b: b}
+	t := payloadReader{b: b}
 	t.byte()
 	e := EOF{Warnings: t.uint16(), Status: Status(t.uint16())}
-	if t.bad {
+	if t.malformed {
 		return e, malformed("an EOF that is cut")
 	}
 	return e, nil
@@ -90,7 +90,7 @@
 
 // ParseError reads an Error. c is 0 where it comes before capabilities were agreed on.
 func ParseError(b []byte, c Capability) *Error {
-	t := text{b: b}
+	t := payloadReader{b: b}
 	t.byte()
 	e := &Error{Code: t.uint16(), State: "HY000"}
 	if len(t.b) >= 6 && t.b[0] == '#' {
@@ -98,7 +98,7 @@
 		e.State = string(t.take(5))
 	}
 	e.Message = string(t.b)
-	if t.bad {
+	if t.malformed {
 		return &Error{Code: 1835, State: "HY000", Message: "malformed error"}
 	}
 	return e
@@ -219,12 +219,12 @@
 
 // ParsePrepareOK reads a Prepared.
 func ParsePrepareOK(b []byte) (PrepareOK, error) {
-	t := text{b: b}
+	t := payloadReader{b: b}
 	t.byte()
 	p := PrepareOK{ID: t.uint32(), Columns: t.uint16(), Params: t.uint16()}
 	t.byte()
 	p.Warnings = t.uint16()
-	if t.bad {
+	if t.malformed {
 		return p, malformed("an answer to PREPARE that is cut")
 	}
 	return p, nil
@@ -240,17 +240,17 @@
 
 // ParseTextRow reads the values of a row of the text protocol; nil is NULL.
 func ParseTextRow(b []byte) ([][]byte, error) {
-	t := text{b: b}
+	t := payloadReader{b: b}
 	var row [][]byte
-	for len(t.b) > 0 && !t.bad {
+	for len(t.b) > 0 && !t.malformed {
 		if t.b[0] == 0xfb {
 			t.byte()
 			row = append(row, nil)
 			continue
 		}
-		row = append(row, t.bytes())
+		row = append(row, t.lenencBytes())
 	}
-	if t.bad {
+	if t.malformed {
 		return nil, malformed("a row that is cut")
 	}
 	return row, nil
@@ -258,9 +258,9 @@
 
 // ParseColumnCount reads the number of columns that a result begins with.
 func ParseColumnCount(b []byte) (uint64, error) {
-	t := text{b: b}
-	n := t.int()
-	if t.bad || len(t.b) > 0 {
+	t := payloadReader{b: b}
+	n := t.lenencInt()
+	if t.malformed || len(t.b) > 0 {
 		return 0, malformed("a number of columns")
 	}
 	return n, nil
--- a/internal/stream/config.go
+++ b/internal/stream/config.go
@@ -61,7 +61,7 @@
 // Reason says why a stream has ended.
 type Reason int
 
-// The reasons. Those up to BothClosed are the peers' own; the others are this side's.
+// The reasonCount. Those up to BothClosed are the peers' own; the others are this side's.
 const (
 	BothClosed         Reason = iota // both sides have shut
 	Reset                            // a side was reset; the other has been too
@@ -70,7 +70,7 @@
 	MaxDurationReached               // it has lasted as long as it may
 	Drained                          // its server takes nothing new, and its time there is up
 	ShuttingDown                     // this process ends
-	reasons
+	reasonCount
 )
 
 // String names the reason.
@@ -84,31 +84,31 @@
 	return r == Idle || r == MaxDurationReached || r == Drained || r == ShuttingDown
 }
 
-// facts are what is known of a stream.
-type facts struct {
-	opened  time.Time
-	moved   time.Time // the latest byte, in either direction
-	waiting time.Time // since when some byte has waited for a peer to take it; zero: none does
-	half    time.Time // when the first side shut; zero: none has
-	drained time.Time // since when its server has taken nothing new; zero: it does
-	ending  time.Time // since when this process is to end; zero: it is not
+// streamState are what is known of a stream.
+type streamState struct {
+	opened        time.Time
+	lastActivity  time.Time // the latest byte, in either direction
+	writeBlocked  time.Time // since when some byte has waited for a peer to take it; zero: none does
+	halfClosed    time.Time // when the first side shut; zero: none has
+	drainingSince time.Time // since when its server has taken nothing new; zero: it does
+	shutdownSince time.Time // since when this process is to end; zero: it is not
 }
 
-// verdict decides whether a stream is to end now, and why. It is the whole of what ends a stream other than its peers.
-func (c *Config) verdict(now time.Time, f facts) (why Reason, end bool) {
+// endReason decides whether a stream is to end now, and why. It is the whole of what ends a stream other than its peers.
+func (c *Config) endReason(now time.Time, f streamState) (why Reason, end bool) {
 	past := func(since time.Time, most time.Duration) bool { return !since.IsZero() && now.Sub(since) >= most }
 	switch {
-	case past(f.ending, c.ShutdownTimeout):
+	case past(f.shutdownSince, c.ShutdownTimeout):
 		return ShuttingDown, true
-	case past(f.drained, c.DrainTimeout):
+	case past(f.drainingSince, c.DrainTimeout):
 		return Drained, true
 	case c.MaxDuration > 0 && past(f.opened, c.MaxDuration):
 		return MaxDurationReached, true
-	case past(f.waiting, c.StallTimeout):
+	case past(f.writeBlocked, c.StallTimeout):
 		return Stalled, true
-	case past(f.moved, c.IdleTimeout):
+	case past(f.lastActivity, c.IdleTimeout):
 		return Idle, true
-	case past(f.half, c.HalfClosedTimeout) && past(f.moved, c.HalfClosedTimeout):
+	case past(f.halfClosed, c.HalfClosedTimeout) && past(f.lastActivity, c.HalfClosedTimeout):
 		return Idle, true
 	}
 	return 0, false
--- a/internal/stream/copy.go
+++ b/internal/stream/copy.go
@@ -15,8 +15,8 @@
 const (
 	// bufferSize is what a direction holds while it passes bytes on; one that waits holds none.
 	bufferSize = 32 << 10
-	// bulk is how many reads in a row must fill a buffer before a direction is held for a large transfer.
-	bulk = 8
+	// bulkReads is how many reads in a row must fill a buffer before a direction is held for a large transfer.
+	bulkReads = 8
 	// bulkTime is how long they may take: a slow transfer gains nothing.
 	bulkTime = 100 * time.Millisecond
 	// spliceSize is how much is passed on at once within the kernel, and spliceTime how long it may wait for more. A peer that
@@ -27,8 +27,8 @@
 
 var buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
 
-// puller reads a connection into buffers that are taken only once there is something to read.
-type puller struct {
+// pooledReader reads a connection into buffers that are taken only once there is something to read.
+type pooledReader struct {
 	raw  syscall.RawConn
 	buf  *[bufferSize]byte
 	n    int
@@ -36,12 +36,12 @@
 	read func(fd uintptr) bool
 }
 
-func newPuller(c *net.TCPConn) (*puller, error) {
+func newPooledReader(c *net.TCPConn) (*pooledReader, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	p := &puller{raw: raw}
+	p := &pooledReader{raw: raw}
 	p.read = func(fd uintptr) bool {
 		p.buf = buffers.Get().(*[bufferSize]byte)
 		for {
@@ -51,7 +51,7 @@
 			}
 		}
 		if p.err == syscall.EAGAIN {
-			p.drop()
+			p.release()
 			return false
 		}
 		return true
@@ -60,39 +60,39 @@
 }
 
 // next returns what has come; it is the caller's until drop. The end is io.EOF.
-func (p *puller) next() ([]byte, error) {
+func (p *pooledReader) next() ([]byte, error) {
 	p.n, p.err = 0, nil
 	if err := p.raw.Read(p.read); err != nil {
-		p.drop()
+		p.release()
 		return nil, err
 	}
 	if p.err != nil {
-		p.drop()
+		p.release()
 		return nil, os.NewSyscallError("read", p.err)
 	}
 	if p.n == 0 {
-		p.drop()
+		p.release()
 		return nil, io.EOF
 	}
 	return p.buf[:p.n], nil
 }
 
-func (p *puller) drop() {
+func (p *pooledReader) release() {
 	if p.buf != nil {
 		buffers.Put(p.buf)
 		p.buf = nil
 	}
 }
 
-// errWrite marks an error of the side that is written to.
-type errWrite struct{ error }
+// writeError marks an error of the side that is written to.
+type writeError struct{ error }
 
-func (e errWrite) Unwrap() error { return e.error }
+func (e writeError) Unwrap() error { return e.error }
 
-// pass passes on all that comes from one side to the other until the first shuts, and tells on of each piece: before it is written,
+// copyUntilEOF passes on all that comes from one side to the other until the first shuts, and tells on of each piece: before it is written,
 // and once it is, with what broke it. With an error of the other side it is an errWrite.
-func pass(to, from *net.TCPConn, splice *sockets.Budget, on func(n int, done bool, err error)) error {
-	p, err := newPuller(from)
+func copyUntilEOF(to, from *net.TCPConn, splice *sockets.Budget, on func(n int, done bool, err error)) error {
+	p, err := newPooledReader(from)
 	if err != nil {
 		return err
 	}
@@ -108,18 +108,18 @@
 		on(len(b), false, nil)
 		n := len(b)
 		_, err = to.Write(b)
-		p.drop()
+		p.release()
 		on(n, true, err)
 		if err != nil {
-			return errWrite{err}
+			return writeError{err}
 		}
 		if full++; n < bufferSize || splice == nil {
 			full = 0
 		} else if full == 1 {
 			since = time.Now()
-		} else if full >= bulk {
+		} else if full >= bulkReads {
 			if full = 0; time.Since(since) < bulkTime {
-				if err := passInKernel(to, from, splice, on); err == io.EOF {
+				if err := spliceUntilPause(to, from, splice, on); err == io.EOF {
 					return nil
 				} else if err != nil {
 					return err
@@ -129,9 +129,9 @@
 	}
 }
 
-// passInKernel passes on a large transfer as long as it goes on, without bringing it into this process. It returns io.EOF once the
+// spliceUntilPause passes on a large transfer as long as it goes on, without bringing it into this process. It returns io.EOF once the
 // one side has shut. Any other error is either side's, and final: the kernel tells a reset once, and an end after that.
-func passInKernel(to, from *net.TCPConn, budget *sockets.Budget, on func(n int, done bool, err error)) error {
+func spliceUntilPause(to, from *net.TCPConn, budget *sockets.Budget, on func(n int, done bool, err error)) error {
 	for range 2 { // a pipe
 		release, ok := budget.TryAcquire()
 		if !ok {
--- a/internal/stream/frontend.go
+++ b/internal/stream/frontend.go
@@ -19,22 +19,22 @@
 )
 
 const (
-	// lookEvery is how often streams are looked at: their limits are as exact.
-	lookEvery = 100 * time.Millisecond
-	// lastTime is how long the peers may take to shut once they were told that a stream ends.
-	lastTime = time.Second
+	// checkInterval is how often streams are looked at: their limits are as exact.
+	checkInterval = 100 * time.Millisecond
+	// closeTimeout is how long the peers may take to shut once they were told that a stream ends.
+	closeTimeout = time.Second
 )
 
 // Frontend takes the connections of one service.
 type Frontend struct {
-	cfg    Config
-	engine *engine.Engine
-	budget *sockets.Budget
-	door   *acceptor.Acceptor
+	cfg      Config
+	engine   *engine.Engine
+	budget   *sockets.Budget
+	acceptor *acceptor.Acceptor
 
 	mu      sync.Mutex
 	streams map[*stream]struct{}
-	ended   [reasons]uint64
+	ended   [reasonCount]uint64
 	refused [engine.Dropped + 1]uint64
 	bytes   [2]uint64 // of streams that have ended: to servers, to clients
 }
@@ -42,67 +42,67 @@
 // stream is one connection of a client and the one to its server.
 type stream struct {
 	client *net.TCPConn
-	server *link
+	server *serverConn
 	opened time.Time
 
-	moved   atomic.Int64    // nanoseconds from opened
-	waiting [2]atomic.Int64 // since when a piece has waited to be written, by direction; 0: none does
-	failed  [2]atomic.Bool  // a write has; set before waiting says that it is over
-	half    atomic.Int64
-	bytes   [2]atomic.Uint64
-	drained time.Time // of the sweeper alone
+	lastActivity  atomic.Int64    // nanoseconds from opened
+	writeBlocked  [2]atomic.Int64 // since when a piece has waited to be written, by direction; 0: none does
+	writeFailed   [2]atomic.Bool  // a write has; set before waiting says that it is over
+	halfClosed    atomic.Int64
+	bytes         [2]atomic.Uint64
+	drainingSince time.Time // of the sweeper alone
 
-	once sync.Once
-	why  Reason
-	told atomic.Bool // both peers were told that it ends
-	when time.Time   // they were; set before told
+	once         sync.Once
+	reason       Reason
+	closing      atomic.Bool // both peers were told that it ends
+	closingSince time.Time   // they were; set before told
 }
 
 // New returns a front of e, which takes descriptors from b. c must have been checked.
 func New(c Config, e *engine.Engine, b *sockets.Budget, log *slog.Logger) *Frontend {
 	c = c.WithDefaults()
-	return &Frontend{cfg: c, engine: e, budget: b, door: acceptor.New(c.ConnLimits, log.With("stream", c.Name)), streams: map[*stream]struct{}{}}
+	return &Frontend{cfg: c, engine: e, budget: b, acceptor: acceptor.New(c.ConnLimits, log.With("stream", c.Name)), streams: map[*stream]struct{}{}}
 }
 
 // Serve takes connections from ln, which must be one of TCP, until Shutdown or Close. It closes ln.
 func (f *Frontend) Serve(ln net.Listener) error {
-	return f.door.Serve(ln, f.look, func(c net.Conn, _ connlimit.Reason) { refuse(c) }, func(c net.Conn, _ *connlimit.Slot) { f.take(c.(*net.TCPConn)) })
+	return f.acceptor.Serve(ln, f.monitor, func(c net.Conn, _ connlimit.Reason) { reject(c) }, func(c net.Conn, _ *connlimit.Slot) { f.handle(c.(*net.TCPConn)) })
 }
 
-// refuse turns a client away that has had no byte: a reset cannot be taken for an empty answer.
-func refuse(c net.Conn) {
+// reject turns a client away that has had no byte: a reset cannot be taken for an empty answer.
+func reject(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
 	c.Close()
 }
 
-// take has a stream opened and passes it on until it ends.
-func (f *Frontend) take(c *net.TCPConn) {
+// handle has a stream opened and passes it on until it ends.
+func (f *Frontend) handle(c *net.TCPConn) {
 	class, ok := f.engine.Class(f.cfg.Class)
 	if !ok {
-		refuse(c)
+		reject(c)
 		return
 	}
-	ctx, cancel := context.WithTimeout(f.door.Context(), class.Deadline)
+	ctx, cancel := context.WithTimeout(f.acceptor.Context(), class.Deadline)
 	defer cancel()
 	release, err := f.budget.AcquireClient(ctx)
 	if err != nil {
-		refuse(c)
+		reject(c)
 		return
 	}
 	defer release()
 	r := &engine.Request{Class: class.Name, Timeout: class.Deadline}
 	if err := f.engine.Submit(r, f.engine.Now()); err != nil {
-		refuse(c)
+		reject(c)
 		return
 	}
 	var result engine.Result
 	select {
 	case result = <-r.Result():
-	case <-f.door.Context().Done():
+	case <-f.acceptor.Context().Done():
 		if f.engine.Withdraw(r) {
-			refuse(c)
+			reject(c)
 			return
 		}
 		result = <-r.Result()
@@ -111,52 +111,52 @@
 		f.mu.Lock()
 		f.refused[result.Kind]++
 		f.mu.Unlock()
-		refuse(c)
+		reject(c)
 		return
 	}
-	l := result.Reply.(*link)
-	defer l.end()
+	l := result.Reply.(*serverConn)
+	defer l.finish()
 	s := &stream{client: c, server: l, opened: time.Now()}
 	f.mu.Lock()
 	f.streams[s] = struct{}{}
 	f.mu.Unlock()
-	f.run(s)
+	f.relay(s)
 	f.mu.Lock()
 	delete(f.streams, s)
-	f.ended[s.why]++
+	f.ended[s.reason]++
 	f.bytes[0] += s.bytes[0].Load()
 	f.bytes[1] += s.bytes[1].Load()
 	f.mu.Unlock()
 }
 
-// run passes bytes on in both directions until both sides have shut, one is reset, or the stream is told to end.
-func (f *Frontend) run(s *stream) {
+// relay passes bytes on in both directions until both sides have shut, one is reset, or the stream is told to end.
+func (f *Frontend) relay(s *stream) {
 	var splice *sockets.Budget
 	if f.cfg.Splice {
 		splice = f.budget
 	}
 	var other sync.WaitGroup
-	other.Go(func() { s.pass(1, s.client, s.server.TCPConn, splice) })
-	s.pass(0, s.server.TCPConn, s.client, splice)
+	other.Go(func() { s.copyDirection(1, s.client, s.server.TCPConn, splice) })
+	s.copyDirection(0, s.server.TCPConn, s.client, splice)
 	other.Wait()
-	s.once.Do(func() { s.why = BothClosed })
+	s.once.Do(func() { s.reason = BothClosed })
 	s.client.Close()
 	s.server.Close()
 }
 
-// pass passes one direction on: its end as an end, and a reset of either side as a reset of the other.
-func (s *stream) pass(direction int, to, from *net.TCPConn, splice *sockets.Budget) {
-	err := pass(to, from, splice, func(n int, done bool, err error) {
+// copyDirection passes one direction on: its end as an end, and a reset of either side as a reset of the other.
+func (s *stream) copyDirection(direction int, to, from *net.TCPConn, splice *sockets.Budget) {
+	err := copyUntilEOF(to, from, splice, func(n int, done bool, err error) {
 		now := int64(time.Since(s.opened)) | 1
-		s.moved.Store(now)
+		s.lastActivity.Store(now)
 		if done {
 			if err != nil {
-				s.failed[direction].Store(true)
+				s.writeFailed[direction].Store(true)
 			}
-			s.waiting[direction].Store(0)
+			s.writeBlocked[direction].Store(0)
 			s.bytes[direction].Add(uint64(n))
 		} else {
-			s.waiting[direction].Store(now)
+			s.writeBlocked[direction].Store(now)
 		}
 	})
 	switch {
@@ -164,8 +164,8 @@
 		s.abort(Reset)
 	case err == nil:
 		to.CloseWrite()
-		s.half.CompareAndSwap(0, int64(time.Since(s.opened))|1)
-	case s.told.Load(): // what is still coming is nobody's
+		s.halfClosed.CompareAndSwap(0, int64(time.Since(s.opened))|1)
+	case s.closing.Load(): // what is still coming is nobody's
 		io.Copy(io.Discard, from)
 	default:
 		s.abort(Reset)
@@ -180,47 +180,47 @@
 		return false
 	}
 	other := 1 - direction
-	for s.waiting[other].Load() != 0 && !s.told.Load() {
+	for s.writeBlocked[other].Load() != 0 && !s.closing.Load() {
 		time.Sleep(50 * time.Microsecond)
 	}
-	return s.failed[other].Load()
+	return s.writeFailed[other].Load()
 }
 
 // abort ends a stream at once: the peers see a reset.
 func (s *stream) abort(why Reason) {
-	s.once.Do(func() { s.why = why })
+	s.once.Do(func() { s.reason = why })
 	s.client.SetLinger(0)
 	s.server.SetLinger(0)
 	s.client.Close()
 	s.server.Close()
 }
 
-// end tells both peers that the stream ends, and gives them lastTime to shut as well.
-func (s *stream) end(why Reason) {
+// closeGracefully tells both peers that the stream ends, and gives them lastTime to shut as well.
+func (s *stream) closeGracefully(why Reason) {
 	if !why.Orderly() {
 		s.abort(why)
 		return
 	}
 	s.once.Do(func() {
-		s.why, s.when = why, time.Now()
-		s.told.Store(true)
+		s.reason, s.closingSince = why, time.Now()
+		s.closing.Store(true)
 		s.client.CloseWrite()
 		s.server.CloseWrite()
-		until := time.Now().Add(lastTime)
+		until := time.Now().Add(closeTimeout)
 		s.client.SetDeadline(until)
 		s.server.SetDeadline(until)
 	})
 }
 
-// facts returns what is known of s.
-func (s *stream) facts() facts {
-	f := facts{opened: s.opened, moved: s.at(s.moved.Load()), drained: s.drained}
-	if v := s.half.Load(); v != 0 {
-		f.half = s.at(v)
+// state returns what is known of s.
+func (s *stream) state() streamState {
+	f := streamState{opened: s.opened, lastActivity: s.at(s.lastActivity.Load()), drainingSince: s.drainingSince}
+	if v := s.halfClosed.Load(); v != 0 {
+		f.halfClosed = s.at(v)
 	}
-	for i := range s.waiting {
-		if v := s.waiting[i].Load(); v != 0 && (f.waiting.IsZero() || s.at(v).Before(f.waiting)) {
-			f.waiting = s.at(v)
+	for i := range s.writeBlocked {
+		if v := s.writeBlocked[i].Load(); v != 0 && (f.writeBlocked.IsZero() || s.at(v).Before(f.writeBlocked)) {
+			f.writeBlocked = s.at(v)
 		}
 	}
 	return f
@@ -228,18 +228,18 @@
 
 func (s *stream) at(ns int64) time.Time { return s.opened.Add(time.Duration(ns)) }
 
-// look ends streams as the rules say, until the front is closed.
-func (f *Frontend) look() {
-	tick := time.NewTicker(lookEvery)
+// monitor ends streams as the rules say, until the front is closed.
+func (f *Frontend) monitor() {
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-f.door.Context().Done():
+		case <-f.acceptor.Context().Done():
 			return
 		case <-tick.C:
 		}
 		now := time.Now()
-		ending := f.door.DrainingSince()
+		ending := f.acceptor.DrainingSince()
 		f.mu.Lock()
 		all := make([]*stream, 0, len(f.streams))
 		for s := range f.streams {
@@ -256,19 +256,19 @@
 			}
 			switch {
 			case ok:
-				s.drained = time.Time{}
-			case s.drained.IsZero():
-				s.drained = now
+				s.drainingSince = time.Time{}
+			case s.drainingSince.IsZero():
+				s.drainingSince = now
 			}
-			facts := s.facts()
-			facts.ending = ending
-			if s.told.Load() {
-				if now.Sub(s.when) > 2*lastTime { // a deadline was overwritten by a transfer that was under way
+			facts := s.state()
+			facts.shutdownSince = ending
+			if s.closing.Load() {
+				if now.Sub(s.closingSince) > 2*closeTimeout { // a deadline was overwritten by a transfer that was under way
 					s.client.Close()
 					s.server.Close()
 				}
-			} else if why, end := f.cfg.verdict(now, facts); end {
-				s.end(why)
+			} else if why, end := f.cfg.endReason(now, facts); end {
+				s.closeGracefully(why)
 			}
 		}
 	}
@@ -277,14 +277,14 @@
 // Shutdown takes nothing new, and waits until all streams have ended; those that go on beyond the patience are told to end. If ctx
 // ends before, they are cut off.
 func (f *Frontend) Shutdown(ctx context.Context) error {
-	err := f.door.Drain(ctx)
+	err := f.acceptor.Drain(ctx)
 	f.Close()
 	return err
 }
 
 // Close cuts all streams off, and returns once nothing of the front runs.
 func (f *Frontend) Close() {
-	f.door.Close(func() {
+	f.acceptor.Close(func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for s := range f.streams {
@@ -308,7 +308,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := Stats{
-		Connections: f.door.Stats(), Open: len(f.streams), Ended: map[string]uint64{}, Refused: f.refused[engine.Refused],
+		Connections: f.acceptor.Stats(), Open: len(f.streams), Ended: map[string]uint64{}, Refused: f.refused[engine.Refused],
 		Failed: f.refused[engine.Failed] + f.refused[engine.Dropped], Bytes: f.bytes,
 	}
 	for r, n := range f.ended {
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -147,24 +147,24 @@
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
 	for _, tt := range []struct {
 		name string
-		f    facts
+		f    streamState
 		why  Reason
 		end  bool
 	}{
-		{"at work", facts{opened: ago(time.Minute), moved: ago(0)}, 0, false},
-		{"nearly idle", facts{opened: ago(time.Minute), moved: ago(9 * time.Second)}, 0, false},
-		{"idle", facts{opened: ago(time.Minute), moved: ago(10 * time.Second)}, Idle, true},
-		{"one side shut, the other sends", facts{opened: ago(time.Minute), moved: ago(time.Second), half: ago(30 * time.Second)}, 0, false},
-		{"one side shut, the other silent", facts{opened: ago(time.Minute), moved: ago(6 * time.Second), half: ago(6 * time.Second)}, Idle, true},
-		{"just shut", facts{opened: ago(time.Minute), moved: ago(6 * time.Second), half: ago(time.Second)}, 0, false},
-		{"stalled, though the other direction moves", facts{opened: ago(time.Minute), moved: ago(0), waiting: ago(3 * time.Second)}, Stalled, true},
-		{"old", facts{opened: ago(time.Hour), moved: ago(0)}, MaxDurationReached, true},
-		{"its server drains", facts{opened: ago(time.Minute), moved: ago(0), drained: ago(59 * time.Second)}, 0, false},
-		{"its server drained", facts{opened: ago(time.Minute), moved: ago(0), drained: ago(time.Minute)}, Drained, true},
-		{"ending", facts{opened: ago(time.Minute), moved: ago(0), ending: ago(7 * time.Second)}, 0, false},
-		{"patience is over", facts{opened: ago(time.Minute), moved: ago(0), ending: ago(8 * time.Second)}, ShuttingDown, true},
+		{"at work", streamState{opened: ago(time.Minute), lastActivity: ago(0)}, 0, false},
+		{"nearly idle", streamState{opened: ago(time.Minute), lastActivity: ago(9 * time.Second)}, 0, false},
+		{"idle", streamState{opened: ago(time.Minute), lastActivity: ago(10 * time.Second)}, Idle, true},
+		{"one side shut, the other sends", streamState{opened: ago(time.Minute), lastActivity: ago(time.Second), halfClosed: ago(30 * time.Second)}, 0, false},
+		{"one side shut, the other silent", streamState{opened: ago(time.Minute), lastActivity: ago(6 * time.Second), halfClosed: ago(6 * time.Second)}, Idle, true},
+		{"just shut", streamState{opened: ago(time.Minute), lastActivity: ago(6 * time.Second), halfClosed: ago(time.Second)}, 0, false},
+		{"stalled, though the other direction moves", streamState{opened: ago(time.Minute), lastActivity: ago(0), writeBlocked: ago(3 * time.Second)}, Stalled, true},
+		{"old", streamState{opened: ago(time.Hour), lastActivity: ago(0)}, MaxDurationReached, true},
+		{"its server drains", streamState{opened: ago(time.Minute), lastActivity: ago(0), drainingSince: ago(59 * time.Second)}, 0, false},
+		{"its server drained", streamState{opened: ago(time.Minute), lastActivity: ago(0), drainingSince: ago(time.Minute)}, Drained, true},
+		{"ending", streamState{opened: ago(time.Minute), lastActivity: ago(0), shutdownSince: ago(7 * time.Second)}, 0, false},
+		{"patience is over", streamState{opened: ago(time.Minute), lastActivity: ago(0), shutdownSince: ago(8 * time.Second)}, ShuttingDown, true},
 	} {
-		if why, end := c.verdict(now, tt.f); end != tt.end || end && why != tt.why {
+		if why, end := c.endReason(now, tt.f); end != tt.end || end && why != tt.why {
 			t.Errorf("%s: %v, %v", tt.name, why, end)
 		}
 	}
--- a/internal/stream/transport.go
+++ b/internal/stream/transport.go
@@ -18,12 +18,12 @@
 // Transport implements engine.Transport for streams: an attempt is the opening of a connection, and lasts until the stream has
 // ended. What servers have open for this process is their load, unless they tell it elsewhere.
 type Transport struct {
-	dial   time.Duration
-	budget *sockets.Budget
-	load   func(engine.Endpoint) string // where a server tells its load; empty: nowhere
-	prober pool.Prober                  // nil: none does
-	log    *slog.Logger
-	open   pool.InFlight // streams
+	dial     time.Duration
+	budget   *sockets.Budget
+	load     func(engine.Endpoint) string // where a server tells its load; empty: nowhere
+	prober   pool.Prober                  // nil: none does
+	log      *slog.Logger
+	inFlight pool.InFlight // streams
 }
 
 // NewTransport returns a Transport that takes its descriptors from b. With a prober, load tells where it asks.
@@ -31,16 +31,16 @@
 	return &Transport{dial: dial, budget: b, load: load, prober: p, log: log}
 }
 
-// link is an open connection to a server, which whoever was given it ends once.
-type link struct {
+// serverConn is an open connection to a server, which whoever was given it ends once.
+type serverConn struct {
 	*net.TCPConn
 	server policy.ServerID
 	ended  chan struct{}
 	once   sync.Once
 }
 
-// end has the attempt that opened the link end.
-func (l *link) end() { l.once.Do(func() { close(l.ended) }) }
+// finish has the attempt that opened the link finish.
+func (l *serverConn) finish() { l.once.Do(func() { close(l.ended) }) }
 
 // Do is a method of engine.Transport.
 func (t *Transport) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
@@ -51,7 +51,7 @@
 	}
 	release, err := t.budget.Acquire(ctx)
 	if err != nil {
-		return engine.AttemptResult{Status: t.failed(a, policy.NotSent, err)}
+		return engine.AttemptResult{Status: t.failureStatus(a, policy.NotSent, err)}
 	}
 	defer release()
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", to.Addr)
@@ -60,21 +60,21 @@
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
 			status = policy.NotSent // it says nothing of the server
 		}
-		return engine.AttemptResult{Status: t.failed(a, status, err)}
+		return engine.AttemptResult{Status: t.failureStatus(a, status, err)}
 	}
-	l := &link{TCPConn: c.(*net.TCPConn), server: a.Server, ended: make(chan struct{})}
-	t.open.Add(a.Server, 1)
+	l := &serverConn{TCPConn: c.(*net.TCPConn), server: a.Server, ended: make(chan struct{})}
+	t.inFlight.Add(a.Server, 1)
 	if !a.BeginReply(l) {
 		l.Close()
-		t.open.Add(a.Server, -1)
+		t.inFlight.Add(a.Server, -1)
 		return engine.AttemptResult{Status: policy.Canceled}
 	}
 	<-l.ended
-	t.open.Add(a.Server, -1)
-	return engine.AttemptResult{Status: policy.OK, Load: t.own(a.Server)}
+	t.inFlight.Add(a.Server, -1)
+	return engine.AttemptResult{Status: policy.OK, Load: t.localLoad(a.Server)}
 }
 
-func (t *Transport) failed(a *engine.Attempt, status policy.Status, err error) policy.Status {
+func (t *Transport) failureStatus(a *engine.Attempt, status policy.Status, err error) policy.Status {
 	if a.Canceled() {
 		return policy.Canceled
 	}
@@ -82,18 +82,18 @@
 	return status
 }
 
-// own is the load of a server as this process makes it.
-func (t *Transport) own(id policy.ServerID) *policy.Load {
+// localLoad is the load of a server as this process makes it.
+func (t *Transport) localLoad(id policy.ServerID) *policy.Load {
 	if t.prober != nil {
 		return nil
 	}
-	return t.open.Load(id)
+	return t.inFlight.Load(id)
 }
 
 // Probe is a method of engine.Transport.
 func (t *Transport) Probe(ctx context.Context, to engine.Endpoint) (policy.Status, *policy.Load) {
 	if t.prober == nil {
-		return policy.OK, t.own(to.ID)
+		return policy.OK, t.localLoad(to.ID)
 	}
 	to.Addr = t.load(to)
 	return t.prober.Probe(ctx, to)
