--- a/internal/mysql/wire/auth.go
+++ b/internal/mysql/wire/auth.go
@@ -12,15 +12,17 @@
 	"fmt"
 )
 
-// What follows the byte AuthMoreData in the exchange of SHA2.
+// AuthMoreData is the first byte of an additional packet of the caching_sha2_password exchange; the
+// other values are the second byte or the client's reply.
 const (
 	AuthMoreData     = 0x01
-	FastAuthSuccess  = 0x03 // the proof was enough
-	PerformFullAuth  = 0x04 // the password itself is asked for, encrypted
-	RequestPublicKey = 0x02 // by the client: the server's public key
+	FastAuthSuccess  = 0x03 // the auth response was sufficient
+	PerformFullAuth  = 0x04 // the server asks for the password itself, over TLS or encrypted
+	RequestPublicKey = 0x02 // from the client: asks for the server's public key
 )
 
-// NewScramble returns random bytes to prove a password by. None is zero, which would end a text, nor '$'.
+// NewScramble returns the random challenge of an authentication exchange. No byte of it is zero,
+// which would terminate a string, or '$'.
 func NewScramble() []byte {
 	b := make([]byte, ScrambleSize)
 	rand.Read(b)
@@ -33,7 +35,8 @@
 	return b
 }
 
-// AuthResponse proves that a client knows a password, without telling it. With an empty one there is no proof.
+// AuthResponse computes the client's response to a scramble, which proves that it knows the password
+// without revealing it. The response for an empty password is empty.
 func AuthResponse(plugin, password string, scramble []byte) ([]byte, error) {
 	if password == "" {
 		return nil, nil
@@ -57,56 +60,56 @@
 	return nil, fmt.Errorf("the way %.40q to prove a password is not known", plugin)
 }
 
-// PasswordHashes is what has to be kept of a password to check proofs of it.
+// PasswordHashes holds the hashes of a password that verifying an auth response needs.
 type PasswordHashes struct {
 	Empty  bool
-	Native [sha1.Size]byte   // the hash of its hash
-	SHA2   [sha256.Size]byte // the same
+	Native [sha1.Size]byte   // SHA-1 of the SHA-1 of the password
+	SHA2   [sha256.Size]byte // SHA-256 of the SHA-256 of the password
 }
 
-// NewPasswordHashes returns what is kept of a password.
+// NewPasswordHashes returns the hashes of a password.
 func NewPasswordHashes(password string) PasswordHashes {
 	n, s := sha1.Sum([]byte(password)), sha256.Sum256([]byte(password))
 	return PasswordHashes{password == "", sha1.Sum(n[:]), sha256.Sum256(s[:])}
 }
 
-// VerifyResponse reports whether a proof is of the password.
-func (k *PasswordHashes) VerifyResponse(plugin string, proof, scramble []byte) bool {
-	if k.Empty || len(proof) == 0 {
-		return k.Empty && len(proof) == 0
+// VerifyResponse reports whether an auth response proves the password.
+func (k *PasswordHashes) VerifyResponse(plugin string, response, scramble []byte) bool {
+	if k.Empty || len(response) == 0 {
+		return k.Empty && len(response) == 0
 	}
 	switch plugin {
 	case Native:
-		if len(proof) != sha1.Size {
+		if len(response) != sha1.Size {
 			return false
 		}
 		h := sha1.New()
 		h.Write(scramble)
 		h.Write(k.Native[:])
-		once := xor(h.Sum(nil), proof)
+		once := xor(h.Sum(nil), response)
 		twice := sha1.Sum(once)
 		return subtle.ConstantTimeCompare(twice[:], k.Native[:]) == 1
 	case SHA2:
-		if len(proof) != sha256.Size {
+		if len(response) != sha256.Size {
 			return false
 		}
 		h := sha256.New()
 		h.Write(k.SHA2[:])
 		h.Write(scramble)
-		once := xor(h.Sum(nil), proof)
+		once := xor(h.Sum(nil), response)
 		twice := sha256.Sum256(once)
 		return subtle.ConstantTimeCompare(twice[:], k.SHA2[:]) == 1
 	}
 	return false
 }
 
-// Matches reports whether password is the one.
+// Matches reports whether the hashes are those of password.
 func (k *PasswordHashes) Matches(password string) bool {
 	o := NewPasswordHashes(password)
 	return o.Empty == k.Empty && subtle.ConstantTimeCompare(o.SHA2[:], k.SHA2[:]) == 1
 }
 
-// EncryptPassword encrypts a password for the server whose public key is given as PEM.
+// EncryptPassword encrypts a password with a server's public key in PEM format.
 func EncryptPassword(password string, scramble, key []byte) ([]byte, error) {
 	block, _ := pem.Decode(key)
 	if block == nil {
@@ -123,7 +126,7 @@
 	return rsa.EncryptOAEP(sha1.New(), rand.Reader, public, xor(append([]byte(password), 0), scramble), nil)
 }
 
-// DecryptPassword is the inverse of Encrypt.
+// DecryptPassword is the inverse of EncryptPassword.
 func DecryptPassword(b, scramble []byte, key *rsa.PrivateKey) (string, error) {
 	text, err := rsa.DecryptOAEP(sha1.New(), nil, key, b, nil)
 	if err != nil {
@@ -136,7 +139,7 @@
 	return string(text[:len(text)-1]), nil
 }
 
-// PublicKeyPEM returns a key as it is sent.
+// PublicKeyPEM returns the public key in PEM format, as a server sends it.
 func PublicKeyPEM(key *rsa.PrivateKey) ([]byte, error) {
 	b, err := x509.MarshalPKIXPublicKey(&key.PublicKey)
 	if err != nil {
@@ -145,7 +148,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Bytes: b}), nil
 }
 
-// xor returns a, with b over it again and again.
+// xor returns a XOR b, with b repeated to the length of a.
 func xor(a, b []byte) []byte {
 	r := make([]byte, len(a))
 	for i := range a {
--- a/internal/mysql/wire/handshake.go
+++ b/internal/mysql/wire/handshake.go
@@ -6,10 +6,10 @@
 	"net"
 )
 
-// Capability is what a side can do.
+// Capability is a set of capability flags.
 type Capability uint32
 
-// The capabilities that are looked at. Their names are the protocol's.
+// The capability flags that this package knows, named as in the protocol.
 const (
 	LongPassword     Capability = 1 << 0
 	FoundRows        Capability = 1 << 1
@@ -36,13 +36,13 @@
 	QueryAttributes  Capability = 1 << 27
 )
 
-// Has reports whether all of o is in c.
+// Has reports whether c contains all flags of o.
 func (c Capability) Has(o Capability) bool { return c&o == o }
 
-// Status is what a server tells of a session at the end of a reply.
+// Status holds the status flags of a session that a server sends at the end of a reply.
 type Status uint16
 
-// The statuses that are looked at.
+// The status flags that this package knows.
 const (
 	InTransaction Status = 1 << 0
 	Autocommit    Status = 1 << 1
@@ -52,7 +52,7 @@
 	StateChanged  Status = 1 << 14
 )
 
-// Command is the first byte of a client's message.
+// Command is the first byte of a client's command packet.
 type Command byte
 
 // The commands.
@@ -79,16 +79,16 @@
 	ResetConnection Command = 0x1f
 )
 
-// The names of the two common ways to prove a password.
+// The names of the supported authentication plugins.
 const (
 	Native = "mysql_native_password"
 	SHA2   = "caching_sha2_password"
 )
 
-// ScrambleSize is how many random bytes a server sends.
+// ScrambleSize is the length of a scramble in bytes.
 const ScrambleSize = 20
 
-// Greeting is a server's first message.
+// Greeting is a server's initial handshake packet.
 type Greeting struct {
 	Version      string
 	ThreadID     uint32
@@ -99,7 +99,8 @@
 	Plugin       string
 }
 
-// ParseGreeting reads a Greeting. A server that turns the client away at once gives its *Error.
+// ParseGreeting decodes a Greeting. If the server rejects the client at once, the error is its
+// *Error.
 func ParseGreeting(b []byte) (Greeting, error) {
 	var g Greeting
 	t := payloadReader{b: b}
@@ -138,7 +139,7 @@
 	return g, nil
 }
 
-// Append appends g as it is sent.
+// Append appends the encoding of g.
 func (g *Greeting) Append(b []byte) []byte {
 	b = append(append(append(b, 10), g.Version...), 0)
 	b = binary.LittleEndian.AppendUint32(b, g.ThreadID)
@@ -153,25 +154,26 @@
 	return append(append(b, g.Plugin...), 0)
 }
 
-// Login is a client's answer to a Greeting.
+// Login is a client's handshake response to a Greeting.
 type Login struct {
 	Capabilities Capability
 	MaxPacket    uint32
 	Charset      byte
 	User         string
-	AuthResponse []byte // of the password, by Plugin
+	AuthResponse []byte // to the scramble, by Plugin
 	Schema       string
 	Plugin       string
-	Attributes   []byte // as they stand, without their length
+	Attributes   []byte // connection attributes in encoded form, without their length
 }
 
-// IsSSLRequest reports whether b asks for TLS instead of being a Login.
+// IsSSLRequest reports whether b is a request for TLS rather than a Login.
 func IsSSLRequest(b []byte) bool {
 	return len(b) == 32 && Capability(binary.LittleEndian.Uint32(b)).Has(SSL|Protocol41)
 }
 
-// PrefixConn returns c, of which early has been read already: a client need not wait between its request for TLS and the begin of it.
-// What is early is TLS's, and never taken for a message.
+// PrefixConn returns a connection that reads early before the rest of c. A client need not wait
+// between its SSL request and the TLS handshake, so a buffered reader may hold bytes of the
+// handshake already. These bytes belong to TLS and are never taken for a message.
 func PrefixConn(early []byte, c net.Conn) net.Conn {
 	if len(early) == 0 {
 		return c
@@ -184,7 +186,7 @@
 	early []byte
 }
 
-// Read is the method of net.Conn.
+// Read implements net.Conn.
 func (b *prefixedConn) Read(p []byte) (int, error) {
 	if len(b.early) > 0 {
 		n := copy(p, b.early)
@@ -194,17 +196,17 @@
 	return b.Conn.Read(p)
 }
 
-// AppendSSLRequest returns the begin of l, which asks for TLS.
+// AppendSSLRequest appends the first part of l, which by itself is a request for TLS.
 func (l *Login) AppendSSLRequest(b []byte) []byte {
 	b = binary.LittleEndian.AppendUint32(b, uint32(l.Capabilities))
 	b = binary.LittleEndian.AppendUint32(b, l.MaxPacket)
 	return append(append(b, l.Charset), make([]byte, 23)...)
 }
 
-// ErrOldClient tells that a client speaks the protocol of before 4.1.
+// ErrOldClient is returned for a client that speaks a protocol older than 4.1.
 var ErrOldClient = errors.New("clients before 4.1 are not served")
 
-// ParseLogin reads a Login.
+// ParseLogin decodes a Login.
 func ParseLogin(b []byte) (Login, error) {
 	var l Login
 	t := payloadReader{b: b}
@@ -239,7 +241,7 @@
 	return l, nil
 }
 
-// Append appends l as it is sent.
+// Append appends the encoding of l.
 func (l *Login) Append(b []byte) []byte {
 	b = l.AppendSSLRequest(b)
 	b = append(append(b, l.User...), 0)
@@ -265,11 +267,11 @@
 	User         string
 	AuthResponse []byte
 	Schema       string
-	Charset      byte // 0: not told
+	Charset      byte // 0: not sent
 	Plugin       string
 }
 
-// ParseUserChange reads a UserChange, with the command's byte.
+// ParseUserChange decodes a UserChange that includes the command byte.
 func ParseUserChange(b []byte, c Capability) (UserChange, error) {
 	t := payloadReader{b: b}
 	t.byte()
@@ -289,13 +291,13 @@
 	return u, nil
 }
 
-// AppendAuthSwitch appends a server's request to prove the password in another way.
+// AppendAuthSwitch appends a server's request to authenticate with another plugin.
 func AppendAuthSwitch(b []byte, plugin string, scramble []byte) []byte {
 	b = append(append(append(b, 0xfe), plugin...), 0)
 	return append(append(b, scramble...), 0)
 }
 
-// ParseAuthSwitch reads such a request.
+// ParseAuthSwitch decodes an auth switch request.
 func ParseAuthSwitch(b []byte) (plugin string, scramble []byte, err error) {
 	t := payloadReader{b: b}
 	t.byte()
--- a/internal/mysql/wire/packet.go
+++ b/internal/mysql/wire/packet.go
@@ -1,5 +1,6 @@
-// Package wire reads and writes the MySQL client/server protocol, version 10, by its published description: packets, the handshake,
-// the two common ways to prove a password, and the few packets of replies that a proxy has to understand. It opens no sockets.
+// Package wire encodes and decodes the MySQL client/server protocol, version 10, by its published
+// description: packets, the handshake, the two common authentication plugins, and the reply packets
+// that a proxy has to understand. It opens no sockets.
 package wire
 
 import (
@@ -11,40 +12,40 @@
 )
 
 const (
-	// MaxPayload is the most that one packet carries; a longer message goes on in the next.
+	// MaxPayload is the largest payload of a packet; a longer message continues in the next packet.
 	MaxPayload = 1<<24 - 1
 	headerSize = 4
 )
 
-// ErrSequence tells that a packet came out of order.
+// ErrSequence is returned for a packet with an unexpected sequence number.
 var ErrSequence = errors.New("packets out of order")
 
-// ErrTooLarge tells that a message is longer than it may be.
+// ErrTooLarge is returned for a message that exceeds the size limit.
 var ErrTooLarge = errors.New("message too large")
 
-// ErrMalformed is what errors of messages that cannot be read wrap.
+// ErrMalformed is wrapped by the errors about messages that cannot be decoded.
 var ErrMalformed = errors.New("malformed packet")
 
 func malformed(what string) error { return fmt.Errorf("%w: %s", ErrMalformed, what) }
 
-// Conn reads and writes packets. It is for one goroutine at a time. Sequence numbers are counted over reads and writes alike, from
-// the last Reset on.
+// Conn reads and writes packets. It must not be used by several goroutines at once. Reads and writes
+// share the sequence number, which counts from the last Reset.
 type Conn struct {
 	R   *bufio.Reader
 	W   *bufio.Writer
 	seq byte
 }
 
-// Reset begins a new exchange: the next packet, of whichever side, is number 0.
+// Reset begins a new exchange: the next packet of either side has sequence number 0.
 func (c *Conn) Reset() { c.seq = 0 }
 
-// Sequence returns the number of the next packet.
+// Sequence returns the sequence number of the next packet.
 func (c *Conn) Sequence() byte { return c.seq }
 
-// SetSequence makes n the number of the next packet.
+// SetSequence sets the sequence number of the next packet.
 func (c *Conn) SetSequence(n byte) { c.seq = n }
 
-// readHeader reads the readHeader of the next packet.
+// readHeader reads the header of the next packet and returns the length of its payload.
 func (c *Conn) readHeader() (int, error) {
 	b, err := c.R.Peek(headerSize)
 	if err != nil {
@@ -62,8 +63,8 @@
 	return n, nil
 }
 
-// Read returns the next message whole, of at most most bytes. Where it is longer the error is ErrTooLarge, and what is left of it has
-// not been read.
+// Read returns the next message, of at most most bytes. For a longer one it returns ErrTooLarge and
+// leaves the rest of the message unread.
 func (c *Conn) Read(most int) ([]byte, error) {
 	var text []byte
 	for {
@@ -83,7 +84,8 @@
 	}
 }
 
-// readPayload reads n bytes more. It takes room for them as they come: a header alone, which anybody can write, takes none.
+// readPayload appends n more bytes to text. It allocates in steps as the bytes arrive, so that a
+// header alone, which anybody can send, reserves no memory for its claimed length.
 func (c *Conn) readPayload(text []byte, n int) ([]byte, error) {
 	const step = 64 << 10
 	if text == nil {
@@ -101,7 +103,7 @@
 	return text, nil
 }
 
-// unexpectedEOF makes an end in the middle of a message an error of its own.
+// unexpectedEOF turns io.EOF in the middle of a message into io.ErrUnexpectedEOF.
 func unexpectedEOF(err error, text []byte) error {
 	if err == io.EOF && text != nil {
 		return io.ErrUnexpectedEOF
@@ -109,7 +111,7 @@
 	return err
 }
 
-// Write writes a message, in as many packets as it takes. What it writes may stay in W.
+// Write writes a message in as many packets as it needs. It doesn't flush W.
 func (c *Conn) Write(text []byte) error {
 	for {
 		n := min(len(text), MaxPayload)
@@ -133,13 +135,13 @@
 	return err
 }
 
-// PacketPrefix is the begin of a packet that has not been taken yet.
+// PacketPrefix describes a packet that has not been read yet.
 type PacketPrefix struct {
-	Len   int  // of its payload
-	First byte // 0 if there is none
+	Len   int  // of the payload
+	First byte // first byte of the payload; 0 if it is empty
 }
 
-// Peek returns the next packet's length and first byte.
+// Peek returns the length and first byte of the next packet without reading it.
 func (c *Conn) Peek() (PacketPrefix, error) {
 	b, err := c.R.Peek(headerSize)
 	if err != nil {
@@ -164,8 +166,10 @@
 	return p, nil
 }
 
-// Forward passes the next packet on to another side as it is, under the number that is due there, and returns its length. With an error of
-// to it is an ErrTo. begun tells whether part of the packet may have been written; a packet that fits into R is never passed on in part.
+// Forward copies the next packet to another connection, under that connection's sequence number, and
+// returns the length of the payload. An error of the destination is a WriteError. begun reports
+// whether part of the packet may have been written; a packet that fits into R is never forwarded in
+// part.
 func (c *Conn) Forward(to *Conn) (n int, begun bool, err error) {
 	n, err = c.readHeader()
 	if err != nil {
@@ -193,16 +197,17 @@
 	return n, false, nil
 }
 
-// WriteError marks an error of the side that is written to.
+// WriteError marks an error of the destination of a copy.
 type WriteError struct{ error }
 
-// NewWriteError marks err.
+// NewWriteError wraps err in a WriteError.
 func NewWriteError(err error) WriteError { return WriteError{err} }
 
-// Unwrap returns the error itself.
+// Unwrap returns the underlying error.
 func (e WriteError) Unwrap() error { return e.error }
 
-// payloadReader reads the parts of a message.
+// payloadReader decodes the fields of a message. After a field that exceeds the payload, malformed
+// is set and the fields read as zero.
 type payloadReader struct {
 	b         []byte
 	malformed bool
@@ -239,7 +244,7 @@
 	return 0
 }
 
-// nulString reads a text that ends with a nulString.
+// nulString reads a null-terminated string.
 func (t *payloadReader) nulString() string {
 	for i, c := range t.b {
 		if c == 0 {
@@ -275,7 +280,7 @@
 	}
 }
 
-// lenencBytes reads a length-encoded text.
+// lenencBytes reads a length-encoded string.
 func (t *payloadReader) lenencBytes() []byte {
 	n := t.lenencInt()
 	if n > uint64(len(t.b)) {
@@ -298,7 +303,7 @@
 	return binary.LittleEndian.AppendUint64(append(b, 0xfe), v)
 }
 
-// AppendLenencString appends a length-encoded text.
+// AppendLenencString appends a length-encoded string.
 func AppendLenencString[T ~string | ~[]byte](b []byte, s T) []byte {
 	return append(AppendLenencInt(b, uint64(len(s))), s...)
 }
--- a/internal/mysql/wire/reply.go
+++ b/internal/mysql/wire/reply.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// OK is a server's message that all went well; with DeprecateEOF it also ends rows.
+// OK is a server's OK packet; with DeprecateEOF it also ends the rows of a result.
 type OK struct {
 	AffectedRows, LastInsertID uint64
 	Status                     Status
 	Warnings                   uint16
 	Info                       []byte
-	StateChanges               []byte // of the session, as they stand; nil: none told
+	StateChanges               []byte // session state changes in encoded form; nil: none were sent
 }
 
-// ParseOK reads an OK, or with end one that ends rows, as a client of c is sent it.
+// ParseOK decodes an OK, also one that ends rows, as sent to a client with capabilities c.
 func ParseOK(b []byte, c Capability) (OK, error) {
 	var o OK
 	t := payloadReader{b: b}
@@ -38,7 +38,8 @@
 	return o, nil
 }
 
-// Append appends o as a client of c is sent it. first is 0x00, or 0xfe where it ends rows.
+// Append appends the encoding of o for a client with capabilities c. first is 0x00, or 0xfe where o
+// ends rows.
 func (o *OK) Append(b []byte, first byte, c Capability) []byte {
 	b = AppendLenencInt(AppendLenencInt(append(b, first), o.AffectedRows), o.LastInsertID)
 	b = binary.LittleEndian.AppendUint16(b, uint16(o.Status))
@@ -55,13 +56,14 @@
 	return b
 }
 
-// EOF is a server's message that ends columns or rows, where DeprecateEOF was not agreed on.
+// EOF is a server's EOF packet. It ends column definitions or rows where DeprecateEOF was not
+// negotiated.
 type EOF struct {
 	Warnings uint16
 	Status   Status
 }
 
-// ParseEOF reads an EOF.
+// ParseEOF decodes an EOF.
 func ParseEOF(b []byte) (EOF, error) {
 	t := payloadReader{b: b}
 	t.byte()
@@ -72,23 +74,23 @@
 	return e, nil
 }
 
-// Append appends e as it is sent.
+// Append appends the encoding of e.
 func (e EOF) Append(b []byte) []byte {
 	b = binary.LittleEndian.AppendUint16(append(b, 0xfe), e.Warnings)
 	return binary.LittleEndian.AppendUint16(b, uint16(e.Status))
 }
 
-// Error is a server's message that something went wrong.
+// Error is a server's error packet.
 type Error struct {
 	Code    uint16
-	State   string // SQLSTATE, five letters
+	State   string // SQLSTATE, five characters
 	Message string
 }
 
-// Error is the method of error.
+// Error implements the error interface.
 func (e *Error) Error() string { return fmt.Sprintf("%d (%s): %s", e.Code, e.State, e.Message) }
 
-// ParseError reads an Error. c is 0 where it comes before capabilities were agreed on.
+// ParseError decodes an Error. c is 0 before capabilities were negotiated.
 func ParseError(b []byte, c Capability) *Error {
 	t := payloadReader{b: b}
 	t.byte()
@@ -104,14 +106,18 @@
 	return e
 }
 
-// Append appends e as it is sent.
+// Append appends the encoding of e.
 func (e *Error) Append(b []byte) []byte {
 	b = binary.LittleEndian.AppendUint16(append(b, 0xff), e.Code)
 	return append(append(append(b, '#'), e.State...), e.Message...)
 }
 
-// The codes and states of this side's own errors. Codes of MySQL stand where one says the same; the others lie beyond those that MySQL
-// gives out, with states of the classes that are left to implementations, or that the standard has for the case.
+// Refused is the error of a statement that was refused before it ran. A positive after tells the
+// client when to come back.
+//
+// The proxy's own errors use MySQL's codes where one has the same meaning. The other codes lie
+// beyond the range that MySQL assigns, and their SQLSTATEs are of the classes that are reserved for
+// implementations, or those that the standard defines for the case.
 func Refused(after time.Duration) *Error {
 	message := "refused, not run: a retry is harmless"
 	if after > 0 {
@@ -120,66 +126,68 @@
 	return &Error{9001, "QF001", message}
 }
 
-// OutcomeUnknown is the error of a statement that was sent and whose outcome nobody knows.
+// OutcomeUnknown is the error of a statement that was sent and whose outcome is unknown.
 func OutcomeUnknown(why string) *Error {
 	return &Error{9002, "08007", "outcome unknown, it may have run: " + why}
 }
 
-// RolledBack is the error of a statement whose transaction has gone with its server before it was to be committed.
+// RolledBack is the error of a statement whose transaction was lost with its server before the commit.
 func RolledBack(why string) *Error {
 	return &Error{9003, "40000", "transaction rolled back: " + why}
 }
 
-// TransactionAborted is the error of a statement in a transaction that has gone, until the client ends it.
+// TransactionAborted is the error of each statement after a transaction was lost, until the client ends
+// the transaction.
 func TransactionAborted() *Error {
 	return &Error{9004, "25000", "the transaction is gone, nothing runs until ROLLBACK"}
 }
 
-// Failed is the error of a statement without effects that no server has answered.
+// Failed is the error of a statement without effects that no server answered.
 func Failed(why string) *Error {
 	return &Error{9005, "QF005", "failed, no effect: " + why}
 }
 
-// ResultTruncated is the error of a result of which only the first part has come. It stands in the place of the next row.
+// ResultTruncated is the error of a result that ended early. It is sent in place of the next row.
 func ResultTruncated(why string) *Error {
 	return &Error{9006, "08006", "the result broke off: " + why}
 }
 
-// SessionLost is the error of a session whose state has gone with its server; the connection is closed after it.
+// SessionLost is the error of a session whose state was lost with its server. The connection is
+// closed after it.
 func SessionLost(why string) *Error {
 	return &Error{9007, "08006", "the session's state is gone, connect again: " + why}
 }
 
-// NotSupported is the error of what this side does not pass on.
+// NotSupported is the error of a request that the proxy does not support.
 func NotSupported(what string) *Error {
 	return &Error{1235, "42000", what + " is not carried"}
 }
 
-// AccessDenied is the error of a login that is not let in.
+// AccessDenied is the error of a rejected login.
 func AccessDenied(user string) *Error {
 	return &Error{1045, "28000", fmt.Sprintf("Access denied for user '%.80s'", user)}
 }
 
-// TooManyConnections is the error of one connection too many.
+// TooManyConnections is the error of a connection beyond a limit.
 func TooManyConnections(why string) *Error { return &Error{1040, "08004", why} }
 
-// StatementTooLarge is the error of a statement that is longer than it may be.
+// StatementTooLarge is the error of a statement that exceeds the size limit.
 func StatementTooLarge(most int) *Error {
 	return &Error{1153, "08S01", fmt.Sprintf("the statement is longer than %d bytes", most)}
 }
 
-// ProtocolError is the error of packets that cannot be read.
+// ProtocolError is the error of packets that are out of order or cannot be decoded.
 func ProtocolError(err error) *Error { return &Error{1156, "08S01", err.Error()} }
 
-// ConnectionClosing is what a client reads whose connection is closed for a reason of this side's.
+// ConnectionClosing is the error of a connection that the proxy closes.
 func ConnectionClosing(why string) *Error { return &Error{1053, "08S01", why} }
 
-// UnknownStatement is the error of a prepared statement that nobody has prepared.
+// UnknownStatement is the error of a statement ID that was not prepared.
 func UnknownStatement() *Error {
 	return &Error{1243, "HY000", "Unknown prepared statement handler"}
 }
 
-// Column is what a client is told of a column of a result.
+// Column is a column definition of a result.
 type Column struct {
 	Name    string
 	Type    byte
@@ -188,13 +196,13 @@
 	Flags   uint16
 }
 
-// The types of columns that this side makes itself.
+// The column types of results that are not forwarded from a server.
 const (
 	TypeLonglong  = 0x08
 	TypeVarString = 0xfd
 )
 
-// Append appends the definition of c.
+// Append appends the encoding of c.
 func (c Column) Append(b []byte) []byte {
 	for _, s := range []string{"def", "", "", "", c.Name, c.Name} {
 		b = AppendLenencString(b, s)
@@ -211,13 +219,13 @@
 	return append(b, 0, 0, 0)
 }
 
-// PrepareOK is the first message of the answer to COM_STMT_PREPARE.
+// PrepareOK is the first packet of a successful reply to COM_STMT_PREPARE.
 type PrepareOK struct {
 	ID                        uint32
 	Columns, Params, Warnings uint16
 }
 
-// ParsePrepareOK reads a Prepared.
+// ParsePrepareOK decodes a PrepareOK.
 func ParsePrepareOK(b []byte) (PrepareOK, error) {
 	t := payloadReader{b: b}
 	t.byte()
@@ -230,7 +238,7 @@
 	return p, nil
 }
 
-// Append appends p as it is sent.
+// Append appends the encoding of p.
 func (p PrepareOK) Append(b []byte) []byte {
 	b = binary.LittleEndian.AppendUint32(append(b, 0), p.ID)
 	b = binary.LittleEndian.AppendUint16(b, p.Columns)
@@ -238,7 +246,7 @@
 	return binary.LittleEndian.AppendUint16(append(b, 0), p.Warnings)
 }
 
-// ParseTextRow reads the values of a row of the text protocol; nil is NULL.
+// ParseTextRow decodes the values of a row of the text protocol; nil is NULL.
 func ParseTextRow(b []byte) ([][]byte, error) {
 	t := payloadReader{b: b}
 	var row [][]byte
@@ -256,7 +264,7 @@
 	return row, nil
 }
 
-// ParseColumnCount reads the number of columns that a result begins with.
+// ParseColumnCount decodes the column count that begins a result.
 func ParseColumnCount(b []byte) (uint64, error) {
 	t := payloadReader{b: b}
 	n := t.lenencInt()
--- a/internal/stream/config.go
+++ b/internal/stream/config.go
@@ -9,26 +9,26 @@
 	"quillfront/internal/connlimit"
 )
 
-// Config is a service whose connections are passed on as they are. Zero times take their defaults.
+// Config is the configuration of a raw TCP service. Zero durations take their defaults.
 type Config struct {
 	Name   string
 	Listen string // host:port
 	Pool   string
-	Class  string // of the pool's; opening a stream is a request of it
+	Class  string // a class of the pool; opening a stream is a request of it
 
-	IdleTimeout       time.Duration // no byte in either direction for so long ends a stream; 5 min
-	StallTimeout      time.Duration // a peer that takes none of what waits for it for so long ends it; 30 s
-	MaxDuration       time.Duration // no stream lasts longer; 0: no bound
-	DrainTimeout      time.Duration // how long a stream may stay at a server that takes nothing new; 1 min
-	HalfClosedTimeout time.Duration // how long a stream may go on without a byte once one side has shut; 1 min
-	// ShutdownTimeout is how long streams may go on once this process is to end.
+	IdleTimeout       time.Duration // ends a stream without a byte in either direction; 5 min
+	StallTimeout      time.Duration // ends a stream whose peer accepts no pending data; 30 s
+	MaxDuration       time.Duration // the longest lifetime of a stream; 0: unlimited
+	DrainTimeout      time.Duration // how long a stream may stay on a draining server; 1 min
+	HalfClosedTimeout time.Duration // the idle timeout once one side has closed; 1 min
+	// ShutdownTimeout is how long streams may continue once this process shuts down.
 	ShutdownTimeout time.Duration // 10 s
-	Splice          bool          // large transfers stay in the kernel; two more descriptors for each while it lasts
+	Splice          bool          // splice large transfers in the kernel, at two more descriptors each
 
 	ConnLimits connlimit.Limits
 }
 
-// WithDefaults returns c with its defaults.
+// WithDefaults returns c with the defaults filled in.
 func (c Config) WithDefaults() Config {
 	c.IdleTimeout, c.StallTimeout = cmp.Or(c.IdleTimeout, 5*time.Minute), cmp.Or(c.StallTimeout, 30*time.Second)
 	c.DrainTimeout, c.HalfClosedTimeout = cmp.Or(c.DrainTimeout, time.Minute), cmp.Or(c.HalfClosedTimeout, time.Minute)
@@ -36,7 +36,7 @@
 	return c
 }
 
-// Check tells the first key that cannot be used.
+// Check returns an error that names the first invalid key.
 func (c Config) Check() error {
 	if c.Name == "" {
 		return errors.New("name: not set")
@@ -58,43 +58,44 @@
 	return c.ConnLimits.Check()
 }
 
-// Reason says why a stream has ended.
+// Reason is why a stream has ended.
 type Reason int
 
-// The reasonCount. Those up to BothClosed are the peers' own; the others are this side's.
+// The reasons. BothClosed and Reset come from the peers, the others from this side.
 const (
-	BothClosed         Reason = iota // both sides have shut
-	Reset                            // a side was reset; the other has been too
-	Idle                             // nothing came for too long
-	Stalled                          // a peer takes nothing
-	MaxDurationReached               // it has lasted as long as it may
-	Drained                          // its server takes nothing new, and its time there is up
-	ShuttingDown                     // this process ends
+	BothClosed         Reason = iota // both sides have closed
+	Reset                            // one side was reset, and the other in turn
+	Idle                             // no byte within IdleTimeout or HalfClosedTimeout
+	Stalled                          // a peer accepts no data
+	MaxDurationReached               // MaxDuration is over
+	Drained                          // its server is draining, and DrainTimeout is over
+	ShuttingDown                     // this process shuts down
 	reasonCount
 )
 
-// String names the reason.
+// String returns the name of the reason in metrics.
 func (r Reason) String() string {
 	return [...]string{"shut", "reset", "idle", "stalled", "old", "drained", "ending"}[r]
 }
 
-// Orderly reports whether a stream that ends so ends as if both sides had shut: what was read is passed on, then comes the end.
-// A stalled peer would never see it.
+// Orderly reports whether a stream with this reason ends as if both sides had closed: data that was
+// read is delivered before EOF. A stalled peer would never read that far.
 func (r Reason) Orderly() bool {
 	return r == Idle || r == MaxDurationReached || r == Drained || r == ShuttingDown
 }
 
-// streamState are what is known of a stream.
+// streamState holds the times that endReason decides by.
 type streamState struct {
 	opened        time.Time
-	lastActivity  time.Time // the latest byte, in either direction
-	writeBlocked  time.Time // since when some byte has waited for a peer to take it; zero: none does
-	halfClosed    time.Time // when the first side shut; zero: none has
-	drainingSince time.Time // since when its server has taken nothing new; zero: it does
-	shutdownSince time.Time // since when this process is to end; zero: it is not
+	lastActivity  time.Time // of the latest byte in either direction
+	writeBlocked  time.Time // when the oldest pending write began; zero: none is pending
+	halfClosed    time.Time // when the first side closed; zero: none has
+	drainingSince time.Time // when its server began to drain; zero: it accepts streams
+	shutdownSince time.Time // when this process began to shut down; zero: it has not
 }
 
-// endReason decides whether a stream is to end now, and why. It is the whole of what ends a stream other than its peers.
+// endReason decides whether a stream ends now, and why. Apart from the peers, only this decision
+// ends a stream before Close.
 func (c *Config) endReason(now time.Time, f streamState) (why Reason, end bool) {
 	past := func(since time.Time, most time.Duration) bool { return !since.IsZero() && now.Sub(since) >= most }
 	switch {
--- a/internal/stream/copy.go
+++ b/internal/stream/copy.go
@@ -13,21 +13,25 @@
 )
 
 const (
-	// bufferSize is what a direction holds while it passes bytes on; one that waits holds none.
+	// bufferSize is the buffer of a direction while it copies; a direction that waits for data
+	// holds no buffer.
 	bufferSize = 32 << 10
-	// bulkReads is how many reads in a row must fill a buffer before a direction is held for a large transfer.
+	// bulkReads is how many reads in a row must fill the buffer before a direction counts as a
+	// large transfer.
 	bulkReads = 8
-	// bulkTime is how long they may take: a slow transfer gains nothing.
+	// bulkTime is how long these reads may take: a slow transfer gains nothing from splicing.
 	bulkTime = 100 * time.Millisecond
-	// spliceSize is how much is passed on at once within the kernel, and spliceTime how long it may wait for more. A peer that
-	// takes less than spliceSize within Config.Stall counts as stalled then.
+	// spliceSize is how much one splice call moves within the kernel, and spliceTime how long it
+	// may wait for more data. While splicing, a peer that accepts less than spliceSize within
+	// Config.StallTimeout counts as stalled.
 	spliceSize = 256 << 10
 	spliceTime = 50 * time.Millisecond
 )
 
 var buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
 
-// pooledReader reads a connection into buffers that are taken only once there is something to read.
+// pooledReader reads a connection into pooled buffers, which it takes only when the connection
+// is readable.
 type pooledReader struct {
 	raw  syscall.RawConn
 	buf  *[bufferSize]byte
@@ -59,8 +63,9 @@
 	return p, nil
 }
 
-// next returns what has come; it is the caller's until drop. The end is io.EOF.
-func (p *pooledReader) next() ([]byte, error) {
+// nextChunk returns the next bytes of the connection. They are valid until release. It returns
+// io.EOF at the end of the stream.
+func (p *pooledReader) nextChunk() ([]byte, error) {
 	p.n, p.err = 0, nil
 	if err := p.raw.Read(p.read); err != nil {
 		p.release()
@@ -77,6 +82,7 @@
 	return p.buf[:p.n], nil
 }
 
+// release returns the buffer to the pool.
 func (p *pooledReader) release() {
 	if p.buf != nil {
 		buffers.Put(p.buf)
@@ -84,32 +90,34 @@
 	}
 }
 
-// writeError marks an error of the side that is written to.
+// writeError marks an error of the destination.
 type writeError struct{ error }
 
+// Unwrap returns the underlying error.
 func (e writeError) Unwrap() error { return e.error }
 
-// copyUntilEOF passes on all that comes from one side to the other until the first shuts, and tells on of each piece: before it is written,
-// and once it is, with what broke it. With an error of the other side it is an errWrite.
-func copyUntilEOF(to, from *net.TCPConn, splice *sockets.Budget, on func(n int, done bool, err error)) error {
+// copyUntilEOF copies from one connection to the other until the source ends. It calls progress for
+// each chunk before the write and, with the error of the write, after it. An error of the
+// destination is returned as a writeError.
+func copyUntilEOF(to, from *net.TCPConn, splice *sockets.Budget, progress func(n int, done bool, err error)) error {
 	p, err := newPooledReader(from)
 	if err != nil {
 		return err
 	}
 	full, since := 0, time.Time{}
 	for {
-		b, err := p.next()
+		b, err := p.nextChunk()
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		on(len(b), false, nil)
+		progress(len(b), false, nil)
 		n := len(b)
 		_, err = to.Write(b)
 		p.release()
-		on(n, true, err)
+		progress(n, true, err)
 		if err != nil {
 			return writeError{err}
 		}
@@ -119,7 +127,7 @@
 			since = time.Now()
 		} else if full >= bulkReads {
 			if full = 0; time.Since(since) < bulkTime {
-				if err := spliceUntilPause(to, from, splice, on); err == io.EOF {
+				if err := spliceUntilPause(to, from, splice, progress); err == io.EOF {
 					return nil
 				} else if err != nil {
 					return err
@@ -129,10 +137,11 @@
 	}
 }
 
-// spliceUntilPause passes on a large transfer as long as it goes on, without bringing it into this process. It returns io.EOF once the
-// one side has shut. Any other error is either side's, and final: the kernel tells a reset once, and an end after that.
-func spliceUntilPause(to, from *net.TCPConn, budget *sockets.Budget, on func(n int, done bool, err error)) error {
-	for range 2 { // a pipe
+// spliceUntilPause moves a large transfer within the kernel until it pauses. It returns nil on a
+// pause and io.EOF at the end of the source. Any other error may be of either side and is final:
+// the kernel reports a reset once and EOF after that.
+func spliceUntilPause(to, from *net.TCPConn, budget *sockets.Budget, progress func(n int, done bool, err error)) error {
+	for range 2 { // the two ends of the pipe
 		release, ok := budget.TryAcquire()
 		if !ok {
 			return nil
@@ -142,16 +151,16 @@
 	defer from.SetReadDeadline(time.Time{})
 	for {
 		from.SetReadDeadline(time.Now().Add(spliceTime))
-		on(0, false, nil)
-		// A write has no deadline, so that nothing is left in the pipe where one passes.
+		progress(0, false, nil)
+		// Writes have no deadline, so that no data is left in the pipe when one expires.
 		n, err := io.CopyN(to, from, spliceSize)
 		if errors.Is(err, os.ErrDeadlineExceeded) || err == io.EOF {
-			on(int(n), true, nil)
+			progress(int(n), true, nil)
 		} else {
-			on(int(n), true, err)
+			progress(int(n), true, err)
 		}
 		switch {
-		case errors.Is(err, os.ErrDeadlineExceeded): // the transfer pauses, or the stream was told to end
+		case errors.Is(err, os.ErrDeadlineExceeded): // the transfer pauses, or the stream is being closed
 			return nil
 		case err != nil:
 			return err
--- a/internal/stream/frontend.go
+++ b/internal/stream/frontend.go
@@ -1,5 +1,6 @@
-// Package stream passes TCP connections on as they are: a front that listens for a service, and a transport that opens the
-// connection to the server that the decision module picks. Opening is the request; the bytes after it are nobody's but the peers'.
+// Package stream proxies raw TCP connections. A frontend accepts the connections of a service, and
+// a transport opens the connection to the server that the decision module picks. Opening the
+// connection is the request; the bytes that follow are not interpreted.
 package stream
 
 import (
@@ -19,13 +20,13 @@
 )
 
 const (
-	// checkInterval is how often streams are looked at: their limits are as exact.
+	// checkInterval is how often the limits of the streams are checked, and so their precision.
 	checkInterval = 100 * time.Millisecond
-	// closeTimeout is how long the peers may take to shut once they were told that a stream ends.
+	// closeTimeout is how long the peers may take to close after this side closed the stream.
 	closeTimeout = time.Second
 )
 
-// Frontend takes the connections of one service.
+// Frontend accepts the connections of one service.
 type Frontend struct {
 	cfg      Config
 	engine   *engine.Engine
@@ -36,40 +37,43 @@
 	streams map[*stream]struct{}
 	ended   [reasonCount]uint64
 	refused [engine.Dropped + 1]uint64
-	bytes   [2]uint64 // of streams that have ended: to servers, to clients
+	bytes   [2]uint64 // of ended streams: to servers, to clients
 }
 
-// stream is one connection of a client and the one to its server.
+// stream is a client's connection paired with its server connection.
 type stream struct {
 	client *net.TCPConn
 	server *serverConn
 	opened time.Time
 
-	lastActivity  atomic.Int64    // nanoseconds from opened
-	writeBlocked  [2]atomic.Int64 // since when a piece has waited to be written, by direction; 0: none does
-	writeFailed   [2]atomic.Bool  // a write has; set before waiting says that it is over
+	lastActivity  atomic.Int64    // nanoseconds since opened
+	writeBlocked  [2]atomic.Int64 // when the pending write of a direction began; 0: none is pending
+	writeFailed   [2]atomic.Bool  // a write failed; set before writeBlocked is cleared
 	halfClosed    atomic.Int64
 	bytes         [2]atomic.Uint64
-	drainingSince time.Time // of the sweeper alone
+	drainingSince time.Time // used by monitor only
 
 	once         sync.Once
 	reason       Reason
-	closing      atomic.Bool // both peers were told that it ends
-	closingSince time.Time   // they were; set before told
+	closing      atomic.Bool // an orderly close has begun in both directions
+	closingSince time.Time   // when it began; set before closing
 }
 
-// New returns a front of e, which takes descriptors from b. c must have been checked.
+// New returns a Frontend that opens streams through e and takes its descriptors from b. c must have
+// passed Check.
 func New(c Config, e *engine.Engine, b *sockets.Budget, log *slog.Logger) *Frontend {
 	c = c.WithDefaults()
 	return &Frontend{cfg: c, engine: e, budget: b, acceptor: acceptor.New(c.ConnLimits, log.With("stream", c.Name)), streams: map[*stream]struct{}{}}
 }
 
-// Serve takes connections from ln, which must be one of TCP, until Shutdown or Close. It closes ln.
+// Serve accepts connections from ln, which must be a TCP listener, until Shutdown or Close. It
+// closes ln.
 func (f *Frontend) Serve(ln net.Listener) error {
 	return f.acceptor.Serve(ln, f.monitor, func(c net.Conn, _ connlimit.Reason) { reject(c) }, func(c net.Conn, _ *connlimit.Slot) { f.handle(c.(*net.TCPConn)) })
 }
 
-// reject turns a client away that has had no byte: a reset cannot be taken for an empty answer.
+// reject resets the connection of a client that has received no byte. An orderly close could be
+// taken for an empty reply.
 func reject(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -77,7 +81,7 @@
 	c.Close()
 }
 
-// handle has a stream opened and passes it on until it ends.
+// handle opens a stream for a client's connection and relays it until it ends.
 func (f *Frontend) handle(c *net.TCPConn) {
 	class, ok := f.engine.Class(f.cfg.Class)
 	if !ok {
@@ -129,7 +133,8 @@
 	f.mu.Unlock()
 }
 
-// relay passes bytes on in both directions until both sides have shut, one is reset, or the stream is told to end.
+// relay copies in both directions until both sides have closed, one is reset, or this side closes
+// the stream.
 func (f *Frontend) relay(s *stream) {
 	var splice *sockets.Budget
 	if f.cfg.Splice {
@@ -144,7 +149,8 @@
 	s.server.Close()
 }
 
-// copyDirection passes one direction on: its end as an end, and a reset of either side as a reset of the other.
+// copyDirection copies one direction. It forwards EOF as a half-close, and a reset of either side as
+// a reset of the other.
 func (s *stream) copyDirection(direction int, to, from *net.TCPConn, splice *sockets.Budget) {
 	err := copyUntilEOF(to, from, splice, func(n int, done bool, err error) {
 		now := int64(time.Since(s.opened)) | 1
@@ -165,16 +171,17 @@
 	case err == nil:
 		to.CloseWrite()
 		s.halfClosed.CompareAndSwap(0, int64(time.Since(s.opened))|1)
-	case s.closing.Load(): // what is still coming is nobody's
+	case s.closing.Load(): // the stream is closing: drop what still arrives
 		io.Copy(io.Discard, from)
 	default:
 		s.abort(Reset)
 	}
 }
 
-// wasReset reports whether the end that was read of from was a reset: the kernel tells the error once, and a write of the other direction
-// may have had it, so that the read sees a mere end. Guards against a stream that broke off and ends as a whole one. On a connection that is gone
-// a write returns at once, so that this waits for no longer than one takes.
+// wasReset reports whether the EOF that was read of from was in fact a reset. The kernel reports the
+// error once, and a write in the other direction may have consumed it, so that the read sees EOF.
+// Without this check a truncated stream would end like a complete one. A write to a connection that
+// is gone returns at once, so the wait lasts no longer than a single write.
 func (s *stream) wasReset(direction int, from *net.TCPConn) bool {
 	if !sockets.IsClosed(from) {
 		return false
@@ -186,7 +193,7 @@
 	return s.writeFailed[other].Load()
 }
 
-// abort ends a stream at once: the peers see a reset.
+// abort resets both connections of a stream.
 func (s *stream) abort(why Reason) {
 	s.once.Do(func() { s.reason = why })
 	s.client.SetLinger(0)
@@ -195,7 +202,8 @@
 	s.server.Close()
 }
 
-// closeGracefully tells both peers that the stream ends, and gives them lastTime to shut as well.
+// closeGracefully closes the write side towards both peers and gives them closeTimeout to close as
+// well. For a reason that is not orderly it aborts the stream.
 func (s *stream) closeGracefully(why Reason) {
 	if !why.Orderly() {
 		s.abort(why)
@@ -212,7 +220,7 @@
 	})
 }
 
-// state returns what is known of s.
+// state returns a snapshot of the times that endReason decides by.
 func (s *stream) state() streamState {
 	f := streamState{opened: s.opened, lastActivity: s.at(s.lastActivity.Load()), drainingSince: s.drainingSince}
 	if v := s.halfClosed.Load(); v != 0 {
@@ -226,9 +234,10 @@
 	return f
 }
 
+// at converts nanoseconds since opened to a time.
 func (s *stream) at(ns int64) time.Time { return s.opened.Add(time.Duration(ns)) }
 
-// monitor ends streams as the rules say, until the front is closed.
+// monitor ends the streams that have reached a limit, until the frontend is closed.
 func (f *Frontend) monitor() {
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
@@ -263,7 +272,7 @@
 			facts := s.state()
 			facts.shutdownSince = ending
 			if s.closing.Load() {
-				if now.Sub(s.closingSince) > 2*closeTimeout { // a deadline was overwritten by a transfer that was under way
+				if now.Sub(s.closingSince) > 2*closeTimeout { // a running transfer overwrote the deadline
 					s.client.Close()
 					s.server.Close()
 				}
@@ -274,15 +283,15 @@
 	}
 }
 
-// Shutdown takes nothing new, and waits until all streams have ended; those that go on beyond the patience are told to end. If ctx
-// ends before, they are cut off.
+// Shutdown stops accepting connections and waits until all streams have ended. Streams that last
+// beyond the shutdown timeout are closed in order. If ctx ends earlier, they are reset.
 func (f *Frontend) Shutdown(ctx context.Context) error {
 	err := f.acceptor.Drain(ctx)
 	f.Close()
 	return err
 }
 
-// Close cuts all streams off, and returns once nothing of the front runs.
+// Close resets all streams and returns when all goroutines of the frontend have ended.
 func (f *Frontend) Close() {
 	f.acceptor.Close(func() {
 		f.mu.Lock()
@@ -293,17 +302,17 @@
 	})
 }
 
-// Stats counts a front's streams.
+// Stats counts the streams of a Frontend.
 type Stats struct {
 	Connections connlimit.Stats
 	Open        int
 	Ended       map[string]uint64 // by reason
-	Refused     uint64            // not opened: a server would have been too busy
+	Refused     uint64            // not opened: the servers were too busy
 	Failed      uint64            // not opened: no server could be reached in time
 	Bytes       [2]uint64         // to servers and to clients, of all streams
 }
 
-// Stats returns the present counts.
+// Stats returns the current counts.
 func (f *Frontend) Stats() Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/stream/transport.go
+++ b/internal/stream/transport.go
@@ -15,23 +15,25 @@
 	"quillfront/policy"
 )
 
-// Transport implements engine.Transport for streams: an attempt is the opening of a connection, and lasts until the stream has
-// ended. What servers have open for this process is their load, unless they tell it elsewhere.
+// Transport implements engine.Transport for streams. An attempt opens a connection and lasts until
+// the stream has ended. The load of a server is its number of streams of this process, unless the
+// server is probed for load reports.
 type Transport struct {
 	dial     time.Duration
 	budget   *sockets.Budget
-	load     func(engine.Endpoint) string // where a server tells its load; empty: nowhere
-	prober   pool.Prober                  // nil: none does
+	load     func(engine.Endpoint) string // the address of a server's load reports; empty: none
+	prober   pool.Prober                  // nil: servers are not probed
 	log      *slog.Logger
-	inFlight pool.InFlight // streams
+	inFlight pool.InFlight // open streams by server
 }
 
-// NewTransport returns a Transport that takes its descriptors from b. With a prober, load tells where it asks.
+// NewTransport returns a Transport that takes its descriptors from b. With a prober, load returns
+// the address to probe.
 func NewTransport(dial time.Duration, b *sockets.Budget, load func(engine.Endpoint) string, p pool.Prober, log *slog.Logger) *Transport {
 	return &Transport{dial: dial, budget: b, load: load, prober: p, log: log}
 }
 
-// serverConn is an open connection to a server, which whoever was given it ends once.
+// serverConn is an open connection to a server. The receiver must call finish.
 type serverConn struct {
 	*net.TCPConn
 	server policy.ServerID
@@ -39,10 +41,10 @@
 	once   sync.Once
 }
 
-// finish has the attempt that opened the link finish.
+// finish ends the attempt that opened the connection. Further calls do nothing.
 func (l *serverConn) finish() { l.once.Do(func() { close(l.ended) }) }
 
-// Do is a method of engine.Transport.
+// Do implements engine.Transport.
 func (t *Transport) Do(a *engine.Attempt, to engine.Endpoint) engine.AttemptResult {
 	ctx, cancel := context.WithDeadline(context.Background(), earlier(a.Deadline, time.Now().Add(t.dial)))
 	defer cancel()
@@ -58,7 +60,7 @@
 	if err != nil {
 		status := policy.ConnectFailed
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
-			status = policy.NotSent // it says nothing of the server
+			status = policy.NotSent // a local shortage, which says nothing about the server
 		}
 		return engine.AttemptResult{Status: t.failureStatus(a, status, err)}
 	}
@@ -74,6 +76,7 @@
 	return engine.AttemptResult{Status: policy.OK, Load: t.localLoad(a.Server)}
 }
 
+// failureStatus logs err and returns status, or Canceled for a canceled attempt.
 func (t *Transport) failureStatus(a *engine.Attempt, status policy.Status, err error) policy.Status {
 	if a.Canceled() {
 		return policy.Canceled
@@ -82,7 +85,7 @@
 	return status
 }
 
-// localLoad is the load of a server as this process makes it.
+// localLoad returns the load that this process puts on a server, or nil where the load is probed.
 func (t *Transport) localLoad(id policy.ServerID) *policy.Load {
 	if t.prober != nil {
 		return nil
@@ -90,7 +93,7 @@
 	return t.inFlight.Load(id)
 }
 
-// Probe is a method of engine.Transport.
+// Probe implements engine.Transport.
 func (t *Transport) Probe(ctx context.Context, to engine.Endpoint) (policy.Status, *policy.Load) {
 	if t.prober == nil {
 		return policy.OK, t.localLoad(to.ID)
@@ -99,7 +102,7 @@
 	return t.prober.Probe(ctx, to)
 }
 
-// CloseIdle is a method of engine.Transport. There are no idle connections.
+// CloseIdle implements engine.Transport. Streams leave no idle connections.
 func (t *Transport) CloseIdle(engine.Endpoint) {}
 
 func earlier(a, b time.Time) time.Time {
