--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -1,7 +1,8 @@
-// Package fleetsim plays a fleet in virtual time: many sidecars, each with a decision module as it runs in production, servers that
-// warm up, queue, err, fall over and go dark, a discovery of small capacity, and clients that ask again. Equal configurations
-// give equal accounts on every machine: one seed feeds all that is drawn, and events at one instant keep the order in which they
-// were made.
+// Package fleetsim simulates a fleet in virtual time: many sidecars, each with the balancer as it
+// runs in production; servers that warm up, queue, return errors, crash and stop responding; a
+// discovery service of small capacity; and clients that retry. Equal configurations give equal
+// statistics on every machine: one seed feeds all random draws, and events at the same instant run
+// in the order in which they were scheduled.
 package fleetsim
 
 import (
@@ -14,21 +15,21 @@
 	"quillfront/policy"
 )
 
-// Config is what a World is made of. The zero value of a field is the default that it names.
+// Config configures a Simulation. A zero value selects the default that the field's comment states.
 type Config struct {
-	Seed     uint64
-	Sidecars int           // 80
-	Servers  int           // 60, in two zones, three kinds of unequal capacity and cells of six
-	Rate     float64       // first tries a second over all sidecars; 1,500, about 0.65 of what the servers can do
-	Shares   []float64     // of the rate, by sidecar; nil: unequal by a Pareto law
-	Retries  int           // by clients, after the first try; 3
-	Backoff  time.Duration // before a client's retry; none
-	Lag      time.Duration // until discovery knows; 1.5 s
-	Lines    float64       // that discovery can send a second, of lists asked for; 400
-	CallTime time.Duration // a call that has waited for so long fails; 3 s
-	Reuse    bool          // a server that replaces another has its address, though not its id
+	Seed           uint64
+	Sidecars       int           // number of sidecars; 80
+	Servers        int           // number of servers; 60, in two zones, three capacity kinds and cells of six
+	Rate           float64       // first tries a second over all sidecars; 1,500, about 0.65 of capacity
+	Shares         []float64     // relative share of the rate by sidecar; nil: Pareto-distributed
+	Retries        int           // retries by a client after the first try; 3
+	Backoff        time.Duration // delay before a client's retry; none
+	DiscoveryLag   time.Duration // delay until discovery publishes a change; 1.5 s
+	ListRate       float64       // list entries that discovery can send a second; 400
+	CallTimeout    time.Duration // time after which a waiting call to discovery fails; 3 s
+	ReuseAddresses bool          // a replacement takes the address, but not the id, of the old server
 
-	// Policy changes what sidecars are told in their settings; nil leaves it.
+	// Policy adjusts the configuration of each sidecar's balancer; nil leaves it unchanged.
 	Policy func(*policy.Config)
 }
 
@@ -36,30 +37,30 @@
 	ms  = time.Millisecond
 	sec = time.Second
 
-	origin       = policy.Time(time.Hour) // far from zero, which the module takes for never
-	hop          = 300 * time.Microsecond // one way, within a zone
-	crossing     = 6 * ms                 // more, between zones
-	dialTime     = 250 * ms
-	handshake    = ms // work of a new connection, and its time
-	probeWork    = 100 * time.Microsecond
-	idleTime     = 3 * sec // a connection is kept so long
-	reportEvery  = 150 * ms
-	reportLag    = 60 * ms
-	queuePerCore = 300
-	thrashAt     = 6    // requests per core from which on a server slows down
-	thrash       = 0.08 // for each more
-	coldFrom     = 0.31
-	ramp         = 8600 * ms
-	warmRequests = 60 // or so many answers warm a server up, for each core
-	tipMultiple  = 2.5
-	drainGrace   = 2 * sec
-	askEvery     = 10 * sec
-	answerGrace  = 20 * ms
-	ruleSlack    = 50 * ms
-	tryShare     = 0.53 // of the deadline is a client's patience for a try
+	origin             = policy.Time(time.Hour) // far from zero, which the balancer treats as never
+	zoneLatency        = 300 * time.Microsecond // one way, within a zone
+	crossZoneLatency   = 6 * ms                 // added to zoneLatency between zones
+	dialTimeout        = 250 * ms
+	handshakeTime      = ms // server work of a new connection, and its duration
+	probeWork          = 100 * time.Microsecond
+	connIdleTimeout    = 3 * sec // idle connections are closed after this
+	reportInterval     = 150 * ms
+	reportLag          = 60 * ms
+	queuePerCore       = 300
+	slowdownThreshold  = 6    // requests per core above which a server slows down
+	slowdownPerRequest = 0.08 // slowdown for each request per core above the threshold
+	coldCapacity       = 0.31
+	ramp               = 8600 * ms
+	warmRequests       = 60 // completed requests per core that warm a server up before the ramp ends
+	coldOverloadFactor = 2.5
+	drainGrace         = 2 * sec
+	refreshInterval    = 10 * sec
+	answerGrace        = 20 * ms
+	ruleSlack          = 50 * ms
+	tryShare           = 0.53 // share of the deadline that a client waits for one try
 )
 
-// Classes returns the classes of the deployment, with times scaled as on its days at size.
+// Classes returns the request classes of the deployment, with times scaled to a full-size day.
 func Classes() []policy.Class {
 	return []policy.Class{
 		{Name: "allocation-check", Effect: policy.Safe, Aim: 390 * ms, Deadline: 1910 * ms, Worth: 2, LateShare: 0.2},
@@ -68,58 +69,58 @@
 	}
 }
 
-// The places of the classes.
+// Indexes into Classes and classMix.
 const (
-	check = iota
-	order
-	booking
+	classCheck = iota
+	classOrder
+	classBooking
 )
 
-// besideCheck is how close together a check and an order come to one sidecar for the same figures to hold for both: reports are
-// renewed so often.
-const besideCheck = reportEvery
+// checkWindow is the time within which a check and an order at one sidecar are decided on the same
+// load reports; it equals the interval at which reports are renewed.
+const checkWindow = reportInterval
 
-// mix is the share of each class and its mean work on a standard core.
-var mix = []struct {
+// classMix holds the share of each class in the requests and its mean work on a standard core.
+var classMix = []struct {
 	share float64
 	work  time.Duration
 }{{0.47, 80 * ms}, {0.34, 68 * ms}, {0.19, 125 * ms}}
 
-// World is a fleet at one instant of virtual time. It is for one goroutine.
-type World struct {
-	Account Account
+// Simulation is a simulated fleet. It is not safe for concurrent use.
+type Simulation struct {
+	Stats Stats
 
-	cfg      Config
-	now      policy.Time
-	events   events
-	made     int // events so far
-	rng      *rand.Rand
-	classes  []policy.Class
-	servers  []*Server // all that ever were
-	byID     map[policy.ServerID]*Server
-	sidecars []*Sidecar
-	disco    discovery
-	rate     float64
-	named    int // servers so far
+	cfg         Config
+	now         policy.Time
+	events      events
+	eventCount  int // events scheduled so far
+	rng         *rand.Rand
+	classes     []policy.Class
+	servers     []*Server // including removed ones
+	byID        map[policy.ServerID]*Server
+	sidecars    []*Sidecar
+	discovery   discovery
+	rate        float64
+	serverCount int // servers added so far
 }
 
-// New returns a fleet in which nothing has happened yet: all servers are warm, all sidecars know the list.
-func New(cfg Config) *World {
-	def(&cfg.Sidecars, 80)
-	def(&cfg.Servers, 60)
-	def(&cfg.Rate, 1500)
-	def(&cfg.Retries, 3)
-	def(&cfg.Lag, 1500*ms)
-	def(&cfg.Lines, 400)
-	def(&cfg.CallTime, 3*sec)
-	w := &World{
+// New returns a simulation at its start: all servers are warm and all sidecars know the list.
+func New(cfg Config) *Simulation {
+	setDefault(&cfg.Sidecars, 80)
+	setDefault(&cfg.Servers, 60)
+	setDefault(&cfg.Rate, 1500)
+	setDefault(&cfg.Retries, 3)
+	setDefault(&cfg.DiscoveryLag, 1500*ms)
+	setDefault(&cfg.ListRate, 400)
+	setDefault(&cfg.CallTimeout, 3*sec)
+	w := &Simulation{
 		cfg: cfg, now: origin, rng: rand.New(rand.NewPCG(cfg.Seed, 26)), classes: Classes(), byID: map[policy.ServerID]*Server{}, rate: cfg.Rate,
 	}
-	w.disco.world = w
+	w.discovery.world = w
 	for i := range cfg.Servers {
 		w.Add(i, 0)
 	}
-	w.disco.publish()
+	w.discovery.publish()
 	shares := cfg.Shares
 	sum := 0.0
 	for i := range cfg.Sidecars {
@@ -131,24 +132,24 @@
 	for i := range cfg.Sidecars {
 		s := &Sidecar{world: w, ordinal: i, share: shares[i] / sum}
 		w.sidecars = append(w.sidecars, s)
-		s.boot(w.disco.list)
-		s.next()
+		s.start(w.discovery.list)
+		s.scheduleArrival()
 	}
 	return w
 }
 
-func def[T comparable](v *T, d T) {
+func setDefault[T comparable](v *T, d T) {
 	var zero T
 	if *v == zero {
 		*v = d
 	}
 }
 
-// At has f be called at an instant, counted from the start.
-func (w *World) At(at time.Duration, f func()) { w.after(origin+at-w.now, f) }
+// At schedules f for a time counted from the start.
+func (w *Simulation) At(at time.Duration, f func()) { w.after(origin+at-w.now, f) }
 
-// Run lets time pass until an instant, counted from the start.
-func (w *World) Run(until time.Duration) {
+// Run processes events up to a time counted from the start.
+func (w *Simulation) Run(until time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= origin+until {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -157,32 +158,34 @@
 	w.now = origin + until
 }
 
-// Finish ends all arrivals and lets time pass until everything is answered.
-func (w *World) Finish() {
+// Finish stops new requests and runs 4 s more, in which open requests are answered.
+func (w *Simulation) Finish() {
 	w.rate = 0
 	w.Run(w.now - origin + 4*sec)
 }
 
-// SetRate changes how many first tries come a second, over all sidecars.
-func (w *World) SetRate(rate float64) { w.rate = rate }
+// SetRate sets the number of first tries a second over all sidecars.
+func (w *Simulation) SetRate(rate float64) { w.rate = rate }
 
 // Sidecar returns the i-th sidecar.
-func (w *World) Sidecar(i int) *Sidecar { return w.sidecars[i] }
+func (w *Simulation) Sidecar(i int) *Sidecar { return w.sidecars[i] }
 
-// Up returns the servers that run and are not drained, in the order in which they were added.
-func (w *World) Up() (up []*Server) {
+// Up returns the servers that are neither removed nor draining, in the order in which they were
+// added.
+func (w *Simulation) Up() (up []*Server) {
 	for _, v := range w.servers {
-		if !v.gone && !v.draining {
+		if !v.removed && !v.draining {
 			up = append(up, v)
 		}
 	}
 	return up
 }
 
-// Add adds a server at a place, which gives it its zone, cell and kind. Unless age is 0, for long ago, it started that long ago.
-func (w *World) Add(place int, age time.Duration) *Server {
-	w.named++
-	v := &Server{world: w, ID: policy.ServerID(fmt.Sprintf("s%03d", w.named)), place: place, Zone: string(rune('a' + place%2)), cell: place / 6}
+// Add adds a server in a slot, which determines its zone, cell and kind. It started age ago; 0
+// means long ago, so that it is warm.
+func (w *Simulation) Add(place int, age time.Duration) *Server {
+	w.serverCount++
+	v := &Server{world: w, ID: policy.ServerID(fmt.Sprintf("s%03d", w.serverCount)), slot: place, Zone: string(rune('a' + place%2)), cell: place / 6}
 	switch (place / 2) % 3 {
 	case 0:
 		v.cores, v.speed = 3, 2
@@ -200,51 +203,52 @@
 	return v
 }
 
-// Replace drains a server and starts another in its place, under a new id; the old one is gone 3 s later.
-func (w *World) Replace(v *Server) *Server {
+// Replace drains a server and starts another in its slot, under a new id. The old server is removed
+// 3 s later.
+func (w *Simulation) Replace(v *Server) *Server {
 	v.draining = true
-	n := w.Add(v.place, time.Nanosecond)
-	if w.cfg.Reuse {
-		v.heir = n
+	n := w.Add(v.slot, time.Nanosecond)
+	if w.cfg.ReuseAddresses {
+		v.successor = n
 	}
-	w.Changed()
+	w.ServersChanged()
 	w.after(3*sec, func() {
-		v.gone = true
+		v.removed = true
 		v.crash()
-		w.Changed()
+		w.ServersChanged()
 	})
 	return n
 }
 
-// Changed has discovery notice what servers there are, once its lag has passed.
-func (w *World) Changed() { w.after(w.cfg.Lag, w.disco.publish) }
+// ServersChanged schedules the publication of the current servers after the discovery lag.
+func (w *Simulation) ServersChanged() { w.after(w.cfg.DiscoveryLag, w.discovery.publish) }
 
-func (w *World) after(d time.Duration, f func()) {
-	w.made++
-	heap.Push(&w.events, event{w.now + max(d, 0), w.made, f})
+func (w *Simulation) after(d time.Duration, f func()) {
+	w.eventCount++
+	heap.Push(&w.events, event{w.now + max(d, 0), w.eventCount, f})
 }
 
-func (w *World) second() int { return int((w.now - origin) / sec) }
+func (w *Simulation) second() int { return int((w.now - origin) / sec) }
 
-// travel is the time from a sidecar to a server, one way.
-func (w *World) travel(s *Sidecar, v *Server) time.Duration {
+// travel returns the one-way latency between a sidecar and a server.
+func (w *Simulation) travel(s *Sidecar, v *Server) time.Duration {
 	if s.zone() != v.Zone {
-		return hop + crossing
+		return zoneLatency + crossZoneLatency
 	}
-	return hop
+	return zoneLatency
 }
 
 type event struct {
-	at   policy.Time
-	made int
-	f    func()
+	at  policy.Time
+	seq int
+	f   func()
 }
 
 type events []event
 
 func (h events) Len() int { return len(h) }
 func (h events) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].made < h[j].made
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
 func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *events) Push(x any)   { *h = append(*h, x.(event)) }
--- a/internal/fleetsim/stats.go
+++ b/internal/fleetsim/stats.go
@@ -5,48 +5,49 @@
 	"hash/fnv"
 )
 
-// Account is what a World has counted.
-type Account struct {
-	Seconds    [][]Tally // by second and class
-	Broken     []string  // rules, in the order in which they were broken; mostBroken of them
-	Breaches   int       // all of them
-	Probes     int
-	Handshakes int
-	Crossings  int     // attempts at servers of another zone
-	Calls      int     // for the list
-	Inverted   int     // orders turned away where the same sidecar had sent a check less than besideCheck before
-	Pressure   float64 // most work that came to a cold server in a second, in what it could do
+// Stats holds the counters and rule violations of a Simulation.
+type Stats struct {
+	Seconds          [][]Counts // by second and class
+	Violations       []string   // in order of occurrence; at most maxViolations
+	ViolationCount   int        // including those not kept in Violations
+	Probes           int
+	Handshakes       int
+	CrossZoneSends   int     // attempts sent to another zone
+	ListCalls        int     // calls to discovery for the server list
+	InvertedRefusals int     // orders refused within checkWindow after the same sidecar sent a check
+	MaxColdLoad      float64 // peak work sent to a cold server in one second, divided by its capacity
 }
 
-// Tally counts first tries by the second in which they came, and what is sent, refused and failed by the second in which it is.
-type Tally struct {
-	Asked, InTime, Late           int
+// Counts holds the counters of one class in one second. Requests, InTime, Late, Work and WorkInTime
+// belong to the second in which the first try arrived; the others to the second of the event.
+type Counts struct {
+	Requests, InTime, Late        int
 	Tries, Sends, Refused, Failed int
-	Work, Won                     float64 // seconds of work asked for, and answered in time
+	Work, WorkInTime              float64 // seconds of work requested, and answered in time
 }
 
-// mostBroken bounds what is kept of breaches.
-const mostBroken = 20
+// maxViolations bounds the violations that are kept with their text.
+const maxViolations = 20
 
-func (a *Account) at(second, class int) *Tally {
+func (a *Stats) at(second, class int) *Counts {
 	for len(a.Seconds) <= second {
-		a.Seconds = append(a.Seconds, make([]Tally, len(mix)))
+		a.Seconds = append(a.Seconds, make([]Counts, len(classMix)))
 	}
 	return &a.Seconds[second][class]
 }
 
-func (a *Account) broken(rule, what string) {
-	a.Breaches++
-	if len(a.Broken) < mostBroken {
-		a.Broken = append(a.Broken, rule+": "+what)
+func (a *Stats) violation(rule, what string) {
+	a.ViolationCount++
+	if len(a.Violations) < maxViolations {
+		a.Violations = append(a.Violations, rule+": "+what)
 	}
 }
 
-// Class sums up a class over the seconds from from up to to.
-func (a *Account) Class(class, from, to int) (sum Tally) {
+// ClassTotal sums the counters of a class over the seconds [from, to).
+func (a *Stats) ClassTotal(class, from, to int) (sum Counts) {
 	for i := from; i < to && i < len(a.Seconds); i++ {
 		t := a.Seconds[i][class]
-		sum.Asked += t.Asked
+		sum.Requests += t.Requests
 		sum.InTime += t.InTime
 		sum.Late += t.Late
 		sum.Tries += t.Tries
@@ -54,25 +55,25 @@
 		sum.Refused += t.Refused
 		sum.Failed += t.Failed
 		sum.Work += t.Work
-		sum.Won += t.Won
+		sum.WorkInTime += t.WorkInTime
 	}
 	return sum
 }
 
-// Served is the worth that was answered in time of that asked for, counted by work.
-func (a *Account) Served(from, to int) float64 {
+// ServedShare returns the share of the requested work that was answered in time, weighted by worth.
+func (a *Stats) ServedShare(from, to int) float64 {
 	won, work := 0.0, 0.0
 	for i, c := range Classes() {
-		t := a.Class(i, from, to)
-		won += c.Worth * t.Won
+		t := a.ClassTotal(i, from, to)
+		won += c.Worth * t.WorkInTime
 		work += c.Worth * t.Work
 	}
 	return won / max(work, 1e-9)
 }
 
-// Sum is a hash of all that was counted.
-func (a *Account) Sum() uint64 {
+// Hash returns a hash of the statistics, for comparing two runs.
+func (a *Stats) Hash() uint64 {
 	h := fnv.New64a()
-	fmt.Fprint(h, a.Seconds, a.Broken, a.Breaches, a.Probes, a.Handshakes, a.Crossings, a.Calls, a.Inverted)
+	fmt.Fprint(h, a.Seconds, a.Violations, a.ViolationCount, a.Probes, a.Handshakes, a.CrossZoneSends, a.ListCalls, a.InvertedRefusals)
 	return h.Sum64()
 }
