--- a/cmd/quillfront/load.go
+++ b/cmd/quillfront/load.go
@@ -45,8 +45,8 @@
 		Short: "Generate load from a plan or a trace, and report the results and whether they can be trusted",
 		Long: "load sends requests on an open-loop schedule, by --plan FILE (TOML) or as recorded in --trace FILE, to --target URL or to\n" +
 			"--standin N stand-in servers behind a sidecar. Latency counts from the scheduled send time. A request that is too long\n" +
-			"overdue is not sent, because late requests would form a burst that no client has made. If the generator itself was late, the report says so on\n" +
-			"its first line and the exit status is 3. --merge merges the --json reports of several workers.",
+			"overdue is not sent, because late requests would form a burst that no client has made. If the generator itself was late, the\n" +
+			"report says so on its first line and the exit status is 3. --merge merges the --json reports of several workers.",
 		Args: cobra.ArbitraryArgs,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if f.merge != "" {
--- a/cmd/quillfront/shutdown_test.go
+++ b/cmd/quillfront/shutdown_test.go
@@ -42,7 +42,7 @@
 	newDeadline time.Duration    // deadline after SIGHUP; zero for no reload
 	reloadAt    time.Duration    // when the reload happens, after SIGTERM
 	signals     []syscall.Signal // sent right after SIGTERM
-	pauseAt     time.Duration    // when each process is paused for pauseLength, after SIGTERM; negative for never
+	pauseAt     time.Duration    // when pauseLength begins, after SIGTERM; negative for no pause
 }
 
 // pauseLength is how long a process may be paused at any time.
--- a/cmd/quillfront/trial_test.go
+++ b/cmd/quillfront/trial_test.go
@@ -40,7 +40,8 @@
   {kind = "stop", who = [2], at = "14s", for = "7s"},
   {kind = "slow", who = [3], every = "500ms", at = "14s", for = "10s"},
 ]`, func(t *testing.T, r *trial.Report) {
-			if r.Verdicts < 4 || r.Verdicts > 5 || r.Events["returned"] != 1 { // the slow process may learn it from the others
+			// The slow process may learn its verdict from the others.
+			if r.Verdicts < 4 || r.Verdicts > 5 || r.Events["returned"] != 1 {
 				t.Errorf("%d verdicts, %v", r.Verdicts, r.Events)
 			}
 		}},
--- a/cmd/quillfront/upgrade_test.go
+++ b/cmd/quillfront/upgrade_test.go
@@ -82,7 +82,8 @@
 				return fmt.Errorf("answer %d, %w", resp.StatusCode, err)
 			}
 			served.Add(1)
-			c.SetDeadline(time.Now().Add(time.Millisecond)) // a pause in which the close of the connection becomes visible
+			// Pause, so that the close of the connection becomes visible.
+			c.SetDeadline(time.Now().Add(time.Millisecond))
 			if _, err := r.Peek(1); resp.Close || !errors.Is(err, os.ErrDeadlineExceeded) {
 				break
 			}
