--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -15,8 +15,9 @@
 	"time"
 )
 
-// BenchmarkAccuracy tells how far reported percentiles are from the injected ones, in 2 % or 1 ms, whichever is more (1 is the aim), and
-// the lag, at several rates, over 5 s each; and the processor time of a request, that of the server in this process included.
+// BenchmarkAccuracy measures the error of reported percentiles at several rates, over 5 s each, in
+// units of 2 % or 1 ms, whichever is more (the target is at most 1). It also measures the schedule
+// lag and the CPU time per request, including that of the server in this process.
 func BenchmarkAccuracy(b *testing.B) {
 	for _, rate := range []float64{300, 1300, 6500} {
 		for _, kind := range []string{"constant", "bimodal", "log-normal"} {
@@ -42,7 +43,7 @@
 					srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 						i, from := next.Add(1)-1, time.Now()
 						time.Sleep(delays[i])
-						delays[i] = time.Since(from) // a sleep is longer than it was to be
+						delays[i] = time.Since(from) // a sleep may overrun
 					}))
 					rep, used := sendEven(b, srv.URL, rate, last)
 					srv.Close()
@@ -66,7 +67,7 @@
 	}
 }
 
-// sendEven sends at a rate for that long, and returns the account of it with the processor time that this process has used.
+// sendEven sends at a constant rate and returns the report and the CPU time that this process used.
 func sendEven(b *testing.B, url string, rate float64, last time.Duration) (*Report, time.Duration) {
 	b.Helper()
 	p := &Plan{EvenlySpaced: true, Stages: constant(rate, last), Classes: []Class{{Name: "c", Share: 1}}}
@@ -87,9 +88,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkBeside sends as fast as a closed loop of net/http clients does, and at fixed rates by the generator, to a server that
-// answers at once in this process. A closed loop tells what the machine can do; it waits for each answer, so its percentiles hide
-// every standstill of the server's.
+// BenchmarkBeside compares a closed loop of net/http clients with the generator at fixed rates,
+// against a server in this process that responds immediately. The closed loop shows the capacity of
+// the machine; it waits for each response, so its percentiles hide every stall of the server.
 func BenchmarkBeside(b *testing.B) {
 	const last = 3 * time.Second
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
--- a/internal/load/file.go
+++ b/internal/load/file.go
@@ -10,16 +10,16 @@
 )
 
 type planFile struct {
-	Seed    uint64 `toml:"seed"`
-	Arrive  string `toml:"arrivals"`
-	Open    int    `toml:"most_open"`
-	Conns   int    `toml:"most_connections"`
-	Lag     string `toml:"trusted_lag"`
-	Late    string `toml:"most_late"`
-	Window  string `toml:"window"`
-	Pause   string `toml:"pause"`
-	Stages  []stageTable
-	Classes []classTable
+	Seed     uint64 `toml:"seed"`
+	Arrivals string `toml:"arrivals"`
+	Open     int    `toml:"most_open"`
+	Conns    int    `toml:"most_connections"`
+	Lag      string `toml:"trusted_lag"`
+	Late     string `toml:"most_late"`
+	Window   string `toml:"window"`
+	Pause    string `toml:"pause"`
+	Stages   []stageTable
+	Classes  []classTable
 }
 
 type stageTable struct {
@@ -52,7 +52,7 @@
 	Heed      bool              `toml:"heed_retry_after"`
 }
 
-// ReadPlan reads a plan from a TOML file, strictly: an error names the key.
+// ReadPlan reads a plan from a TOML file. Unknown keys are errors, and an error names the key.
 func ReadPlan(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -81,19 +81,19 @@
 		}
 		d, err := time.ParseDuration(text)
 		if err != nil && errs == nil {
-			errs = fmt.Errorf("%s: %q is no time such as \"10s\"", key, text)
+			errs = fmt.Errorf("%s: %q is not a duration such as \"10s\"", key, text)
 		}
 		return d
 	}
 	p := &Plan{Seed: f.Seed, Limits: Limits{
 		MaxOpen: f.Open, MaxConnections: f.Conns, TrustedLag: dur("trusted_lag", f.Lag), MaxLate: dur("most_late", f.Late), Window: dur("window", f.Window), MinPause: dur("pause", f.Pause),
 	}}
-	switch f.Arrive {
+	switch f.Arrivals {
 	case "", "random":
 	case "even":
 		p.EvenlySpaced = true
 	default:
-		return nil, fmt.Errorf("arrivals: %q is neither random nor even", f.Arrive)
+		return nil, fmt.Errorf("arrivals: %q is neither random nor even", f.Arrivals)
 	}
 	for i, s := range f.Stages {
 		key := func(k string) string { return fmt.Sprintf("stages: number %d: %s", i+1, k) }
--- a/internal/load/html.go
+++ b/internal/load/html.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// HTML writes a report as one file that needs nothing else: latency over time, the curve of percentiles, and outcomes.
+// HTML writes a report as one self-contained file with charts of latency over time, latency by
+// percentile, and outcomes.
 func (r *Report) HTML(w io.Writer, title string) error {
 	type row struct {
 		Class                    string
@@ -49,10 +50,10 @@
 <table><thead><tr><th>class</th><th>first tries</th><th>tries</th><th>answered</th><th>p50 ms</th><th>p90</th><th>p99</th><th>p99.9</th><th>max</th><th>tries ended</th></tr></thead>
 <tbody>{{range .Rows}}<tr><td>{{.Class}}</td><td>{{.First}}</td><td>{{.Tries}}</td><td>{{.Answered}}</td><td>{{.P50}}</td><td>{{.P90}}</td><td>{{.P99}}</td><td>{{.P999}}</td><td>{{.Max}}</td><td>{{.Outcomes}}</td></tr>
 {{end}}</tbody></table>
-<p>Times count from when a client's first try was to be sent. Not sent: {{.Report.Late}} too late, {{.Report.OverLimit}} with too many open. This process stood still {{.Report.Pauses}} times.</p>
-<figure>{{.Latency}}<figcaption>p50, p99 (from when it was to be sent) and p99 of the time on a connection, by window; grey windows are not to be trusted</figcaption></figure>
-<figure>{{.Percentiles}}<figcaption>time by percentile, from when it was to be sent (solid) and on a connection (dashed)</figcaption></figure>
-<figure>{{.Outcomes}}<figcaption>tries a window: served below, all others above</figcaption></figure>
+<p>Latencies are measured from the due time of the first try. Not sent: {{.Report.Late}} too late, {{.Report.OverLimit}} over the limit of open requests. The generator paused {{.Report.Pauses}} times.</p>
+<figure>{{.Latency}}<figcaption>p50 and p99 from the due time, and p99 of the time on a connection, by window; grey windows are untrusted</figcaption></figure>
+<figure>{{.Percentiles}}<figcaption>latency by percentile, from the due time (solid) and on a connection (dashed)</figcaption></figure>
+<figure>{{.Outcomes}}<figcaption>tries per window: served at the bottom, all others on top</figcaption></figure>
 </body></html>
 `))
 
@@ -61,44 +62,44 @@
 	chartLeft, chartBottom  = 60.0, 30.0
 )
 
-// chart draws lines of values over an axis; logarithmic where log is set.
+// chart draws an SVG chart, with a logarithmic y axis if log is set.
 type chart struct {
 	b      strings.Builder
-	most   float64
-	least  float64
+	yMax   float64
+	yMin   float64
 	log    bool
-	xs     float64 // values of x
+	xMax   float64 // upper end of the x axis
 	xLabel func(float64) string
 	yLabel func(float64) string
-	shade  [][2]float64
+	shaded [][2]float64
 }
 
 func (c *chart) x(v float64) float64 {
-	return chartLeft + v/math.Max(c.xs, 1e-9)*(chartWidth-chartLeft-10)
+	return chartLeft + v/math.Max(c.xMax, 1e-9)*(chartWidth-chartLeft-10)
 }
 
 func (c *chart) y(v float64) float64 {
 	h := chartHeight - chartBottom - 10
 	if !c.log {
-		return 10 + h*(1-v/math.Max(c.most, 1e-9))
+		return 10 + h*(1-v/math.Max(c.yMax, 1e-9))
 	}
-	v = math.Max(v, c.least)
-	return 10 + h*(1-math.Log(v/c.least)/math.Max(math.Log(c.most/c.least), 1e-9))
+	v = math.Max(v, c.yMin)
+	return 10 + h*(1-math.Log(v/c.yMin)/math.Max(math.Log(c.yMax/c.yMin), 1e-9))
 }
 
 func (c *chart) begin() {
 	fmt.Fprintf(&c.b, `<svg viewBox="0 0 %g %g" role="img">`, chartWidth, chartHeight)
-	for _, s := range c.shade {
+	for _, s := range c.shaded {
 		fmt.Fprintf(&c.b, `<rect x="%.1f" y="10" width="%.1f" height="%.1f" fill="#e3e6ea"/>`, c.x(s[0]), c.x(s[1])-c.x(s[0]), chartHeight-chartBottom-10)
 	}
 	for i := range 5 {
-		v := c.most * float64(i) / 4
+		v := c.yMax * float64(i) / 4
 		if c.log {
-			v = c.least * math.Pow(c.most/c.least, float64(i)/4)
+			v = c.yMin * math.Pow(c.yMax/c.yMin, float64(i)/4)
 		}
 		fmt.Fprintf(&c.b, `<line x1="%g" x2="%g" y1="%.1f" y2="%.1f" stroke="#e3e6ea"/><text x="%g" y="%.1f" text-anchor="end">%s</text>`,
 			chartLeft, chartWidth-10, c.y(v), c.y(v), chartLeft-6, c.y(v)+4, template.HTMLEscapeString(c.yLabel(v)))
-		x, anchor := c.xs*float64(i)/4, "middle"
+		x, anchor := c.xMax*float64(i)/4, "middle"
 		if i == 4 {
 			anchor = "end"
 		}
@@ -116,9 +117,9 @@
 
 func (c *chart) end() string { return c.b.String() + "</svg>" }
 
-// total sums the classes of a window.
+// total returns the statistics of a window summed over its classes.
 func (w *Window) total() *Stats {
-	sum := newTally()
+	sum := newStats()
 	for _, t := range w.Classes {
 		sum.merge(t)
 	}
@@ -136,14 +137,14 @@
 
 func (r *Report) latencyChart() string {
 	var xs, p50, p99, raw []float64
-	c := chart{log: true, least: 0.1, most: 1, xs: r.DurationS, xLabel: seconds, yLabel: millis}
+	c := chart{log: true, yMin: 0.1, yMax: 1, xMax: r.DurationS, xLabel: seconds, yLabel: millis}
 	for _, w := range r.Windows {
 		t := w.total()
 		xs = append(xs, w.StartS+r.WindowS/2)
 		p50, p99, raw = append(p50, ms(t.Corrected.Percentile(50))), append(p99, ms(t.Corrected.Percentile(99))), append(raw, ms(t.Raw.Percentile(99)))
-		c.most = max(c.most, ms(t.Corrected.Percentile(99)), ms(t.Raw.Percentile(99)))
+		c.yMax = max(c.yMax, ms(t.Corrected.Percentile(99)), ms(t.Raw.Percentile(99)))
 		if !w.Trusted {
-			c.shade = append(c.shade, [2]float64{w.StartS, w.StartS + r.WindowS})
+			c.shaded = append(c.shaded, [2]float64{w.StartS, w.StartS + r.WindowS})
 		}
 	}
 	c.begin()
@@ -154,11 +155,11 @@
 }
 
 func (r *Report) percentileChart() string {
-	all := newTally()
+	all := newStats()
 	for _, t := range r.Classes {
 		all.merge(t)
 	}
-	c := chart{log: true, least: 0.1, most: max(1, ms(all.Corrected.Percentile(100))), xs: 4, yLabel: millis, xLabel: func(v float64) string {
+	c := chart{log: true, yMin: 0.1, yMax: max(1, ms(all.Corrected.Percentile(100))), xMax: 4, yLabel: millis, xLabel: func(v float64) string {
 		return fmt.Sprintf("%.5g %%", 100*(1-math.Pow(10, -v)))
 	}}
 	c.begin()
@@ -173,7 +174,7 @@
 }
 
 func (r *Report) outcomeChart() string {
-	c := chart{most: 1, xs: r.DurationS, xLabel: seconds, yLabel: func(v float64) string { return fmt.Sprintf("%.0f", v) }}
+	c := chart{yMax: 1, xMax: r.DurationS, xLabel: seconds, yLabel: func(v float64) string { return fmt.Sprintf("%.0f", v) }}
 	type bar struct{ from, served, other float64 }
 	var bars []bar
 	for _, w := range r.Windows {
@@ -185,7 +186,7 @@
 			}
 		}
 		bars = append(bars, b)
-		c.most = max(c.most, b.served+b.other)
+		c.yMax = max(c.yMax, b.served+b.other)
 	}
 	c.begin()
 	width := max(0.5, c.x(r.WindowS)-c.x(0)-1)
@@ -196,7 +197,7 @@
 	return c.end()
 }
 
-// Line is progress as one line.
+// Line formats the progress as one line of text.
 func (p Progress) Line() string {
 	return fmt.Sprintf("%6.1fs  %7.0f/s  served %7.0f/s  open %5d  p50 %8s  p99 %8s  errors %5d  lag p99 %8s  unsent %d  untrusted %d",
 		p.At.Seconds(), p.Rate, p.ServedRate, p.Open, p.P50.Round(10*time.Microsecond), p.P99.Round(10*time.Microsecond), p.Errors, p.Lag.Round(time.Microsecond), p.Unsent, p.Untrusted)
--- a/internal/load/import_replay_test.go
+++ b/internal/load/import_replay_test.go
@@ -17,8 +17,9 @@
 	"quillfront/internal/trace"
 )
 
-// box is a server that writes an access log of its own format, by a clock of its own, and loses some lines.
-type box struct {
+// loggingServer is a server that writes an access log in its own format, with a skewed clock and
+// some lines lost.
+type loggingServer struct {
 	mu   sync.Mutex
 	log  bytes.Buffer
 	skew time.Duration
@@ -26,7 +27,7 @@
 	lose *rand.Rand
 }
 
-func (b *box) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (b *loggingServer) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	from := time.Now()
 	io.Copy(io.Discard, q.Body)
 	status := 200
@@ -42,10 +43,11 @@
 	}
 }
 
-// TestMorning: a morning that the generator has made, logged by three boxes in three formats with clocks that are wrong and lines that are lost,
-// is imported, replayed, and held beside the original: the mix, the times, and the retries with their links.
-func TestMorning(t *testing.T) {
-	boxes := []*box{
+// TestImportAndReplay imports and replays traffic of the generator that three servers logged in
+// three formats with skewed clocks and lost lines, and compares the class mix, the times and the
+// links of retries with the original.
+func TestImportAndReplay(t *testing.T) {
+	servers := []*loggingServer{
 		{line: func(end time.Time, took time.Duration, q *http.Request, status int) string {
 			return fmt.Sprintf("10.0.0.1 - - [%s] \"%s %s HTTP/1.1\" %d 5 \"-\" \"-\" %.6f %.6f %s %s\n", end.UTC().Format("02/Jan/2006:15:04:05 -0700"), q.Method, q.URL.Path, status,
 				took.Seconds(), float64(end.UnixMicro())/1e6, q.Header.Get("X-Request-ID"), dash(q.Header.Get("Idempotency-Key")))
@@ -59,7 +61,7 @@
 				q.Header.Get("Idempotency-Key"))
 		}},
 	}
-	for i, b := range boxes {
+	for i, b := range servers {
 		b.lose = rand.New(rand.NewPCG(uint64(i), 10))
 	}
 	var next int
@@ -67,16 +69,16 @@
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		mu.Lock()
 		next++
-		first, second := boxes[next%3], boxes[(next+1)%3]
+		first, second := servers[next%3], servers[(next+1)%3]
 		shared := next%10 == 0
 		mu.Unlock()
-		if shared { // sent to a second box first, which answers nothing that counts
+		if shared { // also sent to a second server, whose response is discarded
 			second.ServeHTTP(httptest.NewRecorder(), q)
 		}
 		first.ServeHTTP(w, q)
 	}))
 	defer srv.Close()
-	p := &Plan{Seed: 4, Stages: Chain{{Shape: "ramp", Duration: 3 * time.Second, From: 100, To: 300}}, Limits: loose, Classes: []Class{
+	p := &Plan{Seed: 4, Stages: Chain{{Shape: "ramp", Duration: 3 * time.Second, From: 100, To: 300}}, Limits: lenientLimits, Classes: []Class{
 		{Name: "check", Share: 2}, {Name: "order", Share: 1, Method: "POST", IdempotencyKey: true, BodySize: 20, Retry: Retry{Max: 1, Wait: 50 * time.Millisecond}},
 	}}
 	original := send(t, p, srv.URL)
@@ -90,8 +92,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		text := boxes[i].log.Bytes()
-		files = append(files, trace.File{Name: fmt.Sprint("box", i), Open: func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(text)), nil }, Parser: log})
+		text := servers[i].log.Bytes()
+		files = append(files, trace.File{Name: fmt.Sprint("server", i), Open: func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(text)), nil }, Parser: log})
 	}
 	rules, err := trace.LoadRules("")
 	if err != nil {
@@ -103,8 +105,8 @@
 		t.Fatalf("%+v, %v", rep, err)
 	}
 	for i, s := range rep.Skews {
-		if d := s.Offset - boxes[i].skew; d.Abs() > 30*time.Millisecond {
-			t.Errorf("%+v, want %v", s, boxes[i].skew)
+		if d := s.Offset - servers[i].skew; d.Abs() > 30*time.Millisecond {
+			t.Errorf("%+v, want %v", s, servers[i].skew)
 		}
 	}
 	tries, retries := 0, 0
@@ -112,7 +114,7 @@
 		tries += c.Tries
 		retries += c.Retries
 	}
-	// One line in a hundred is lost, and with it, of a retry whose first it was, the link.
+	// One line in a hundred is lost. If it was a first try, its retry loses the link.
 	if d := math.Abs(float64(rep.Entries)/float64(tries) - 0.99); d > 0.01 || retries < 10 || rep.Retries[trace.SameKey] < retries-4 || rep.Retries[trace.SameKey] > retries {
 		t.Errorf("%d arrivals and %d retries of %d and %d", rep.Entries, rep.Retries[trace.SameKey], tries, retries)
 	}
@@ -124,7 +126,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, err := New(Options{Target: srv.URL, Classes: classes, Limits: loose, IDPrefix: "again"})
+	g, err := New(Options{Target: srv.URL, Classes: classes, Limits: lenientLimits, IDPrefix: "again"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +151,8 @@
 	return s
 }
 
-// TestReplayHAR: a HAR capture is imported and replayed with its mix, times and retries.
+// TestReplayHAR checks that a HAR capture is imported and replayed with its class mix, times and
+// retries.
 func TestReplayHAR(t *testing.T) {
 	var b bytes.Buffer
 	b.WriteString(`{"log":{"entries":[`)
@@ -162,7 +165,7 @@
 		method, path, key, status := "GET", fmt.Sprint("/check/", i), "", 200
 		if i%4 == 1 {
 			method, path, key = "POST", fmt.Sprint("/order/", i), fmt.Sprint("k", i)
-			if i%12 == 5 { // the order before it, again
+			if i%12 == 5 { // a retry of the previous order
 				path, key = fmt.Sprint("/order/", i-4), fmt.Sprint("k", i-4)
 				retries++
 			}
@@ -190,7 +193,7 @@
 	}
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer srv.Close()
-	g, err := New(Options{Target: srv.URL, Classes: classes, Limits: loose, IDPrefix: "h"})
+	g, err := New(Options{Target: srv.URL, Classes: classes, Limits: lenientLimits, IDPrefix: "h"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -30,7 +30,8 @@
 	return Chain{{Shape: "constant", Duration: last, From: rate}}
 }
 
-// TestArrivals: in order, as many as the shape's integral, the same for a seed.
+// TestArrivals checks that arrivals are sorted, that their number matches the integral of the
+// shape, and that a seed reproduces them.
 func TestArrivals(t *testing.T) {
 	for name, tt := range map[string]struct {
 		c    Chain
@@ -59,19 +60,19 @@
 			t.Errorf("%s: %d random arrivals, want about %.1f", name, len(random), tt.want)
 		}
 		if !slices.IsSorted(random) || !slices.IsSorted(even) || random[len(random)-1] > tt.c.Length() {
-			t.Errorf("%s: they are out of order or too late", name)
+			t.Errorf("%s: arrivals are unsorted or after the end of the shape", name)
 		}
 		if !slices.Equal(random, draw(1)) || slices.Equal(random, draw(2)) {
-			t.Errorf("%s: a seed does not make them", name)
+			t.Errorf("%s: arrivals do not depend on the seed alone", name)
 		}
 	}
 	steep := Stage{Shape: "cutoff", Duration: time.Minute, From: 100, To: 1300}
 	if r := steep.Rate(30 * time.Second); r < 100 || r > 400 || steep.Rate(time.Minute) != 1300 {
-		t.Errorf("half way to the cut-off %v, at it %v", r, steep.Rate(time.Minute))
+		t.Errorf("rate %v halfway to the cut-off, %v at the cut-off", r, steep.Rate(time.Minute))
 	}
 }
 
-// TestMix: classes come by their shares, and keys by their law.
+// TestMix checks that classes follow their shares, and keys their distribution.
 func TestMix(t *testing.T) {
 	p := &Plan{Seed: 3, Stages: constant(10_000, time.Second), Classes: []Class{
 		{Name: "check", Share: 3, Keys: 100, Zipf: 1.5}, {Name: "order", Share: 1, Method: "POST", IdempotencyKey: true, Tenants: []string{"a", "b"}, BodySize: 10},
@@ -96,10 +97,10 @@
 	}
 	total := counts[0] + counts[1]
 	if part := float64(counts[0]) / float64(total); math.Abs(part-0.75) > 0.02 {
-		t.Errorf("%.3f of them are checks", part)
+		t.Errorf("the share of checks is %.3f", part)
 	}
 	if keys["/check/k0"] < 4*keys["/check/k3"] || len(keys) < 10 {
-		t.Errorf("keys %d times the first, %d the fourth, %d in all", keys["/check/k0"], keys["/check/k3"], len(keys))
+		t.Errorf("the first key %d times, the fourth %d times, %d distinct keys", keys["/check/k0"], keys["/check/k3"], len(keys))
 	}
 	if math.Abs(float64(tenants["a"]-tenants["b"])) > 300 {
 		t.Errorf("tenants %v", tenants)
@@ -124,8 +125,8 @@
 	}
 }
 
-// play sends a plan to a handler.
-func play(t *testing.T, p *Plan, h http.HandlerFunc) *Report {
+// runAgainst runs a plan against a handler.
+func runAgainst(t *testing.T, p *Plan, h http.HandlerFunc) *Report {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	defer srv.Close()
@@ -146,19 +147,20 @@
 	return g.Run(context.Background(), s)
 }
 
-// loose are limits under which a busy machine does not spoil what a test looks at.
-var loose = Limits{TrustedLag: time.Second, MaxLate: 10 * time.Second, MinPause: 10 * time.Second}
+// lenientLimits keep a busy machine from affecting what a test checks.
+var lenientLimits = Limits{TrustedLag: time.Second, MaxLate: 10 * time.Second, MinPause: 10 * time.Second}
 
-// TestStall: the server stands still for 1 s while one connection is all there is. Counted from when requests were to be sent, every one
-// that was due in that second waited, as computed; counted on the connection only one did.
+// TestStall guards against coordinated omission. The server stalls for 1 s with a single
+// connection: measured from the due time, every request due in that second waited; measured on the
+// connection, only one did.
 func TestStall(t *testing.T) {
 	const rate, stall = 100.0, time.Second
 	var began atomic.Pointer[time.Time]
 	var once sync.Once
-	limits := loose
+	limits := lenientLimits
 	limits.MaxConnections = 1
 	p := &Plan{Seed: 1, EvenlySpaced: true, Stages: constant(rate, 4*time.Second), Limits: limits, Classes: []Class{{Name: "c", Share: 1, Timeout: 10 * time.Second}}}
-	rep := play(t, p, func(w http.ResponseWriter, q *http.Request) {
+	rep := runAgainst(t, p, func(w http.ResponseWriter, q *http.Request) {
 		now := time.Now()
 		if began.CompareAndSwap(nil, &now); now.Sub(*began.Load()) > time.Second {
 			once.Do(func() { time.Sleep(stall) })
@@ -166,9 +168,10 @@
 	})
 	c := rep.Classes["c"]
 	if c.Answered != 400 {
-		t.Fatalf("%d answered: %v", c.Answered, c.Outcomes)
+		t.Fatalf("%d served: %v", c.Answered, c.Outcomes)
 	}
-	// Of 400, 100 were due while it stood still: their waits go down evenly from 1 s. The last 50 of them are p87.5 and so on.
+	// 100 of the 400 requests were due during the stall, and their waits decrease linearly from 1
+	// s. The 50 with the longest waits lie above p87.5, and so on.
 	for _, percent := range []float64{80, 90, 95, 99} {
 		want := stall.Seconds() * (percent - 75) / 25
 		if got := c.Corrected.Percentile(percent).Seconds(); math.Abs(got-want) > 0.08 {
@@ -183,22 +186,22 @@
 	}
 }
 
-// lazy is a Source that stands still once, as a blocked worker does.
-type lazy struct {
+// stallingSource is a Source that stalls once, as a blocked worker does.
+type stallingSource struct {
 	Source
 	after int
 	sleep func()
 }
 
-func (l *lazy) Next() (Request, bool) {
+func (l *stallingSource) Next() (Request, bool) {
 	if l.after--; l.after == 0 {
 		l.sleep()
 	}
 	return l.Source.Next()
 }
 
-// TestOwnStall: where the generator itself stands still, the report says so on its first line, sends no burst, and what the server did is
-// told apart.
+// TestOwnStall checks a stall of the generator itself: the verdict says so, no burst is sent
+// afterwards, and windows without the stall stay trusted.
 func TestOwnStall(t *testing.T) {
 	busy := func() {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
@@ -226,7 +229,7 @@
 			t.Fatal(err)
 		}
 		s, stop := p.NewSource()
-		rep := g.Run(context.Background(), &lazy{s, 300, stall})
+		rep := g.Run(context.Background(), &stallingSource{s, 300, stall})
 		stop()
 		srv.Close()
 		if rep.Trusted || !strings.HasPrefix(rep.Verdict, "UNTRUSTED") || strings.Contains(rep.Verdict, "\n") {
@@ -236,7 +239,7 @@
 			t.Errorf("%s: %d arrivals were too late, want about 60", name, rep.Late)
 		}
 		if n := rep.Classes["c"].Outcomes[Unsent]; n != rep.Late || int(came.Load())+n != 600 {
-			t.Errorf("%s: %d came, %d were not sent", name, came.Load(), n)
+			t.Errorf("%s: %d received, %d not sent", name, came.Load(), n)
 		}
 		bad := 0
 		for _, w := range rep.Windows {
@@ -245,15 +248,15 @@
 			}
 		}
 		if bad == 0 || bad == len(rep.Windows) {
-			t.Errorf("%s: %d of %d windows are not to be trusted", name, bad, len(rep.Windows))
+			t.Errorf("%s: %d of %d windows are untrusted", name, bad, len(rep.Windows))
 		}
 	}
 }
 
-// TestPauses: a standstill is noted in each window that it lay in.
+// TestPauses checks that a pause is recorded in each window that it overlaps.
 func TestPauses(t *testing.T) {
 	r := newRecorder(Limits{}.withDefaults())
-	r.paused(900*time.Millisecond, 2100*time.Millisecond)
+	r.recordPause(900*time.Millisecond, 2100*time.Millisecond)
 	rep := r.report(4 * time.Second)
 	for i, w := range rep.Windows {
 		if (w.Pauses == 1) != (i <= 2) || w.Trusted != (i > 2) {
@@ -262,11 +265,11 @@
 	}
 }
 
-// TestOutcomes: what goes wrong is told by its kind.
+// TestOutcomes checks that each kind of failure has its own outcome.
 func TestOutcomes(t *testing.T) {
 	one := func(h http.HandlerFunc) map[Outcome]int {
-		p := &Plan{EvenlySpaced: true, Stages: constant(20, 500*time.Millisecond), Limits: loose, Classes: []Class{{Name: "c", Share: 1, Timeout: 300 * time.Millisecond}}}
-		return play(t, p, h).Classes["c"].Outcomes
+		p := &Plan{EvenlySpaced: true, Stages: constant(20, 500*time.Millisecond), Limits: lenientLimits, Classes: []Class{{Name: "c", Share: 1, Timeout: 300 * time.Millisecond}}}
+		return runAgainst(t, p, h).Classes["c"].Outcomes
 	}
 	hijack := func(text string, reset bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, q *http.Request) {
@@ -286,7 +289,7 @@
 		Failed: func(w http.ResponseWriter, q *http.Request) { w.WriteHeader(500) }, Rejected: func(w http.ResponseWriter, q *http.Request) { w.WriteHeader(404) },
 		Redirected:  func(w http.ResponseWriter, q *http.Request) { http.Redirect(w, q, "/x", 302) },
 		Interrupted: hijack("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf", true),
-		TimedOut: func(w http.ResponseWriter, q *http.Request) { // a slow read: the answer never ends
+		TimedOut: func(w http.ResponseWriter, q *http.Request) { // the response never ends
 			w.Write([]byte("x"))
 			w.(http.Flusher).Flush()
 			<-q.Context().Done()
@@ -301,27 +304,28 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	p := &Plan{EvenlySpaced: true, Stages: constant(20, 500*time.Millisecond), Limits: loose, Classes: []Class{{Name: "c", Share: 1}}}
+	p := &Plan{EvenlySpaced: true, Stages: constant(20, 500*time.Millisecond), Limits: lenientLimits, Classes: []Class{{Name: "c", Share: 1}}}
 	if got := send(t, p, "http://"+ln.Addr().String()).Classes["c"].Outcomes; got[ConnectFailed] != 10 {
-		t.Errorf("nobody listens: %v", got)
+		t.Errorf("closed port: %v", got)
 	}
 }
 
-// TestRetries: clients ask again under the same key and a new id, say so, and come back when they were told if they heed that.
+// TestRetries checks that clients retry with the same key, a new id and a retry marker, and wait
+// for Retry-After if they honor it.
 func TestRetries(t *testing.T) {
-	type seen struct {
+	type attempt struct {
 		at          time.Time
 		id, retried string
 	}
 	for _, heed := range []bool{false, true} {
 		var mu sync.Mutex
-		keys := map[string][]seen{}
-		p := &Plan{EvenlySpaced: true, Stages: constant(20, 250*time.Millisecond), Limits: loose, Classes: []Class{{Name: "order", Share: 1, Method: "POST", IdempotencyKey: true, Retry: Retry{Max: 3, HonorRetryAfter: heed}}}}
-		rep := play(t, p, func(w http.ResponseWriter, q *http.Request) {
+		keys := map[string][]attempt{}
+		p := &Plan{EvenlySpaced: true, Stages: constant(20, 250*time.Millisecond), Limits: lenientLimits, Classes: []Class{{Name: "order", Share: 1, Method: "POST", IdempotencyKey: true, Retry: Retry{Max: 3, HonorRetryAfter: heed}}}}
+		rep := runAgainst(t, p, func(w http.ResponseWriter, q *http.Request) {
 			mu.Lock()
 			defer mu.Unlock()
 			k := q.Header.Get("Idempotency-Key")
-			keys[k] = append(keys[k], seen{time.Now(), q.Header.Get("X-Request-ID"), q.Header.Get("X-Retried")})
+			keys[k] = append(keys[k], attempt{time.Now(), q.Header.Get("X-Request-ID"), q.Header.Get("X-Retried")})
 			if len(keys[k]) < 3 {
 				w.Header().Set("Retry-After", "0.3")
 				w.WriteHeader(503)
@@ -335,22 +339,23 @@
 			if len(s) != 3 || s[0].retried != "" || s[1].retried != "1" || s[0].id == s[1].id {
 				t.Errorf("%s: %+v", k, s)
 			} else if wait := s[1].at.Sub(s[0].at); heed != (wait >= 290*time.Millisecond) {
-				t.Errorf("heed %v: it came back after %v", heed, wait)
+				t.Errorf("heed %v: retried after %v", heed, wait)
 			}
 		}
 		if heed && c.Corrected.Percentile(50) < 590*time.Millisecond {
-			t.Errorf("from the first try it took %v", c.Corrected.Percentile(50))
+			t.Errorf("the latency from the first try is %v", c.Corrected.Percentile(50))
 		}
 	}
 }
 
-// TestBounds: one request more than may be open is not sent, and counts; the rest goes on.
+// TestBounds checks that requests over the limit of open ones are not sent but counted, and that
+// the run goes on.
 func TestBounds(t *testing.T) {
-	limits := loose
+	limits := lenientLimits
 	limits.MaxOpen = 5
 	p := &Plan{EvenlySpaced: true, Stages: constant(100, time.Second), Limits: limits, Classes: []Class{{Name: "c", Share: 1}}}
 	var most, now atomic.Int64
-	rep := play(t, p, func(http.ResponseWriter, *http.Request) {
+	rep := runAgainst(t, p, func(http.ResponseWriter, *http.Request) {
 		if n := now.Add(1); n > most.Load() {
 			most.Store(n)
 		}
@@ -358,11 +363,11 @@
 		now.Add(-1)
 	})
 	if most.Load() > 5 || rep.OverLimit < 40 || rep.OverLimit+rep.Classes["c"].Tries != 100 || rep.Trusted {
-		t.Errorf("%d at once, %d not sent, %d sent, %s", most.Load(), rep.OverLimit, rep.Classes["c"].Tries, rep.Verdict)
+		t.Errorf("%d concurrent, %d not sent, %d sent, %s", most.Load(), rep.OverLimit, rep.Classes["c"].Tries, rep.Verdict)
 	}
 }
 
-// TestDistributions: what is injected is what is told.
+// TestDistributions checks that the reported percentiles match the injected delays.
 func TestDistributions(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 10))
 	const n = 900
@@ -383,13 +388,13 @@
 			delays[i] = draw()
 		}
 		var next atomic.Int64
-		p := &Plan{EvenlySpaced: true, Stages: constant(300, 3*time.Second), Limits: loose, Classes: []Class{{Name: "c", Share: 1}}}
-		rep := play(t, p, func(http.ResponseWriter, *http.Request) { time.Sleep(delays[next.Add(1)-1]) })
+		p := &Plan{EvenlySpaced: true, Stages: constant(300, 3*time.Second), Limits: lenientLimits, Classes: []Class{{Name: "c", Share: 1}}}
+		rep := runAgainst(t, p, func(http.ResponseWriter, *http.Request) { time.Sleep(delays[next.Add(1)-1]) })
 		slices.Sort(delays)
 		for _, percent := range []float64{50, 90, 99} {
 			want := delays[int(math.Ceil(percent/100*n))-1]
 			got := rep.Classes["c"].Raw.Percentile(percent)
-			// A machine that is shared wakes up late; BenchmarkAccuracy holds it to 2 % or 1 ms by itself.
+			// A shared machine wakes up late. BenchmarkAccuracy measures against 2 % or 1 ms.
 			if d := (got - want).Abs(); d > 30*time.Millisecond {
 				t.Errorf("%s: p%v is %v, injected %v", name, percent, got, want)
 			}
@@ -397,7 +402,8 @@
 	}
 }
 
-// TestMerge: reports of workers add up to what one recorder would have told, through JSON.
+// TestMerge checks that the reports of workers, read back from JSON, merge to the report of a
+// single recorder.
 func TestMerge(t *testing.T) {
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 26))
@@ -412,11 +418,11 @@
 			for _, r := range []*recorder{whole, to} {
 				switch took % 4 {
 				case 0:
-					r.lagged(at, took/1000)
+					r.recordLag(at, took/1000)
 				case 1:
-					r.unsent(at, class, true)
+					r.recordUnsent(at, class, true)
 				default:
-					r.try(at, class, false, Served, 200, took, took*2)
+					r.recordTry(at, class, false, Served, 200, took, took*2)
 				}
 			}
 		}
@@ -444,14 +450,14 @@
 	}
 }
 
-// TestHTML: one file that names nothing outside of it.
+// TestHTML checks that the HTML report has no external references and escapes class names.
 func TestHTML(t *testing.T) {
 	r := newRecorder(Limits{}.withDefaults())
 	for i := range 1000 {
-		r.due(time.Duration(i)*5*time.Millisecond, "<check>")
-		r.try(time.Duration(i)*5*time.Millisecond, "<check>", false, Served, 200, time.Duration(i)*time.Microsecond, time.Duration(i)*time.Microsecond)
+		r.recordDue(time.Duration(i)*5*time.Millisecond, "<check>")
+		r.recordTry(time.Duration(i)*5*time.Millisecond, "<check>", false, Served, 200, time.Duration(i)*time.Microsecond, time.Duration(i)*time.Microsecond)
 	}
-	r.unsent(3*time.Second, "<check>", true)
+	r.recordUnsent(3*time.Second, "<check>", true)
 	var b bytes.Buffer
 	if err := r.report(5*time.Second).HTML(&b, "a rehearsal"); err != nil {
 		t.Fatal(err)
@@ -459,17 +465,18 @@
 	text := b.String()
 	for _, part := range []string{"UNTRUSTED", "&lt;check&gt;", "<polyline", "<rect", "unsent 1"} {
 		if !strings.Contains(text, part) {
-			t.Errorf("%s is not in it", part)
+			t.Errorf("the report lacks %s", part)
 		}
 	}
 	for _, part := range []string{"http://", "https://", "src=", "<check>", "NaN", "Inf"} {
 		if strings.Contains(text, part) {
-			t.Errorf("%s is in it", part)
+			t.Errorf("the report contains %s", part)
 		}
 	}
 }
 
-// TestReplay: a trace is sent in its order, time and mix, retries as such under the key of their first, and the report says how near it came.
+// TestReplay checks that a trace is replayed with its order, timing and class mix, that retries
+// reuse the key of their first try, and that the comparison is correct.
 func TestReplay(t *testing.T) {
 	var b bytes.Buffer
 	w, err := trace.NewWriter(&b, trace.Header{Origin: time.Unix(1e9, 0)})
@@ -525,27 +532,27 @@
 		}
 	}))
 	defer srv.Close()
-	g, err := New(Options{Target: srv.URL, Classes: classes, Limits: loose, IDPrefix: "r"})
+	g, err := New(Options{Target: srv.URL, Classes: classes, Limits: lenientLimits, IDPrefix: "r"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
 	rep := g.Run(context.Background(), p)
 	if took := time.Since(began); took < last/2 || p.Err() != nil {
-		t.Errorf("it took %v of %v, %v", took, last/2, p.Err())
+		t.Errorf("the replay took %v, want at least %v, %v", took, last/2, p.Err())
 	}
 	c := p.Compare(rep)
 	if c.MaxDifference > 0.5 || c.Retries[0] != c.Retries[1] || c.Retries[0] != retried || retried < 40 || len(paths) != 600 {
-		t.Errorf("%+v, %d came, %d as retries", c, len(paths), retried)
+		t.Errorf("%+v, %d received, %d as retries", c, len(paths), retried)
 	}
 	if c.ArrivalError.Percentile(99) > 200*time.Millisecond {
-		t.Errorf("arrivals are late by %v", c.ArrivalError.Percentile(99))
+		t.Errorf("p99 of the arrival error is %v", c.ArrivalError.Percentile(99))
 	}
 	twice := 0
 	for _, n := range keys {
 		twice += n - 1
 	}
 	if twice != retried {
-		t.Errorf("%d come under the key of another, %d are retries", twice, retried)
+		t.Errorf("%d reuse a key, %d are retries", twice, retried)
 	}
 }
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -9,23 +9,24 @@
 	"time"
 )
 
-// Plan is what is sent, and when.
+// Plan describes the requests to send and when to send them.
 type Plan struct {
 	Seed         uint64
-	EvenlySpaced bool // arrivals at even distances, else random ones
+	EvenlySpaced bool // arrivals without randomness; else a Poisson process
 	Stages       Chain
 	Classes      []Class
 	Limits       Limits
 }
 
-// Limits bound a run, and what is held for right. Zero values take their defaults.
+// Limits bounds a run and the conditions under which its results are trusted. Zero values take the
+// defaults.
 type Limits struct {
-	MaxOpen        int           // requests at once; 10,000. One more is not sent, and counts as such
-	MaxConnections int           // to the target; 1,000
-	TrustedLag     time.Duration // p99 of a window from which on it is not to be trusted; 1 ms
-	MaxLate        time.Duration // an arrival that is later than that is not sent; 50 ms
-	Window         time.Duration // 1 s
-	MinPause       time.Duration // from when on a standstill of this process counts; 10 ms
+	MaxOpen        int           // open requests; more are counted as unsent; 10,000
+	MaxConnections int           // connections to the target; 1,000
+	TrustedLag     time.Duration // a window with a higher p99 lag is untrusted; 1 ms
+	MaxLate        time.Duration // an arrival that is later is not sent; 50 ms
+	Window         time.Duration // length of a window; 1 s
+	MinPause       time.Duration // a longer pause of this process is counted; 10 ms
 }
 
 func (l Limits) withDefaults() Limits {
@@ -47,44 +48,44 @@
 	return l
 }
 
-// Class is a kind of request.
+// Class describes one kind of request.
 type Class struct {
 	Name           string
-	Share          float64 // of all, beside those of other classes
-	Method         string  // GET
-	Path           string  // {class} and {key} stand for what they say; /{class}/{key}
+	Share          float64 // of the requests, relative to the shares of the other classes
+	Method         string  // default GET
+	Path           string  // {class} and {key} are replaced; default /{class}/{key}
 	Header         map[string]string
 	Body           string
-	BodySize       int // of a body of letters, in place of Body
+	BodySize       int // size of a filler body, in place of Body
 	Tenants        []string
-	Keys           int           // how many there are; 0: each request has a new one
-	Zipf           float64       // above 1: some are asked for more than others, by this power; 0: all alike
-	IdempotencyKey bool          // it brings an Idempotency-Key
-	Cost           time.Duration // told as X-Cost; 0: not
-	Timeout        time.Duration // of one try, told as X-Timeout-Ms; 2 s
+	Keys           int           // number of keys; 0: a new key per request
+	Zipf           float64       // exponent of a Zipf distribution of keys, above 1; 0: uniform
+	IdempotencyKey bool          // requests carry an Idempotency-Key
+	Cost           time.Duration // sent as X-Cost; 0: not sent
+	Timeout        time.Duration // of one try, sent as X-Timeout-Ms; 2 s
 	Retry          Retry
 }
 
-// Retry is what a client does that was not served.
+// Retry configures how clients retry requests that were not served.
 type Retry struct {
-	Max             int           // tries after the first; at most 3
-	Wait            time.Duration // before each
-	HonorRetryAfter bool          // it comes back no sooner than it was told
+	Max             int           // tries after the first, at most 3
+	Wait            time.Duration // before each retry
+	HonorRetryAfter bool          // wait at least for the time in Retry-After
 }
 
 const (
-	mostClasses = 100
-	mostRetries = 3
-	mostSize    = 32 << 20
+	maxClasses  = 100
+	maxRetries  = 3
+	maxBodySize = 32 << 20
 )
 
-// Check tells the first key that cannot be used.
+// Check returns an error that names the first invalid key.
 func (p *Plan) Check() error {
 	if len(p.Stages) == 0 {
-		return errors.New("stages: there are none")
+		return errors.New("stages: none is configured")
 	}
-	if p.Stages.Length() > mostFor {
-		return fmt.Errorf("stages: they last %v, over %v", p.Stages.Length(), mostFor)
+	if p.Stages.Length() > maxDuration {
+		return fmt.Errorf("stages: they last %v, over %v", p.Stages.Length(), maxDuration)
 	}
 	for i, s := range p.Stages {
 		if err := s.Check(); err != nil {
@@ -95,41 +96,41 @@
 }
 
 func (p *Plan) checkClasses() error {
-	if len(p.Classes) == 0 || len(p.Classes) > mostClasses {
-		return fmt.Errorf("classes: %d of them, want 1 to %d", len(p.Classes), mostClasses)
+	if len(p.Classes) == 0 || len(p.Classes) > maxClasses {
+		return fmt.Errorf("classes: %d of them, want 1 to %d", len(p.Classes), maxClasses)
 	}
 	sum := 0.0
 	seen := map[string]bool{}
 	for _, c := range p.Classes {
-		wrong := func(key, form string, args ...any) error {
+		invalid := func(key, form string, args ...any) error {
 			return fmt.Errorf("classes %q: %s: %s", c.Name, key, fmt.Sprintf(form, args...))
 		}
 		switch {
 		case c.Name == "" || strings.ContainsAny(c.Name, "/ \r\n"):
-			return wrong("name", "it is empty, or has a slash or a space")
+			return invalid("name", "it is empty, or contains a slash, a space or a line break")
 		case seen[c.Name]:
-			return wrong("name", "is there twice")
+			return invalid("name", "is there twice")
 		case !(c.Share >= 0):
-			return wrong("share", "%v is below 0", c.Share)
-		case c.BodySize < 0 || c.BodySize > mostSize:
-			return wrong("size", "%d is outside 0 to %d", c.BodySize, mostSize)
+			return invalid("share", "%v is below 0", c.Share)
+		case c.BodySize < 0 || c.BodySize > maxBodySize:
+			return invalid("size", "%d is outside 0 to %d", c.BodySize, maxBodySize)
 		case c.Body != "" && c.BodySize > 0:
-			return wrong("size", "body is set too")
+			return invalid("size", "body is also set")
 		case c.Keys < 0:
-			return wrong("keys", "%d is below 0", c.Keys)
+			return invalid("keys", "%d is below 0", c.Keys)
 		case c.Zipf != 0 && !(c.Zipf > 1 && c.Zipf < 20):
-			return wrong("zipf", "%v is outside 1 to 20", c.Zipf)
+			return invalid("zipf", "%v is outside 1 to 20", c.Zipf)
 		case c.Zipf != 0 && c.Keys == 0:
-			return wrong("zipf", "keys is not set")
+			return invalid("zipf", "keys is not set")
 		case c.Timeout < 0 || c.Timeout > time.Hour:
-			return wrong("timeout", "%v is outside 0 to an hour", c.Timeout)
-		case c.Retry.Max < 0 || c.Retry.Max > mostRetries:
-			return wrong("retries", "%d is outside 0 to %d", c.Retry.Max, mostRetries)
+			return invalid("timeout", "%v is outside 0 to an hour", c.Timeout)
+		case c.Retry.Max < 0 || c.Retry.Max > maxRetries:
+			return invalid("retries", "%d is outside 0 to %d", c.Retry.Max, maxRetries)
 		case c.Retry.Wait < 0:
-			return wrong("retry_wait", "%v is negative", c.Retry.Wait)
+			return invalid("retry_wait", "%v is negative", c.Retry.Wait)
 		}
 		if _, err := http.NewRequest(c.method(), "http://x"+c.path("k"), nil); err != nil {
-			return wrong("path", "%v", err)
+			return invalid("path", "%v", err)
 		}
 		seen[c.Name] = true
 		sum += c.Share
@@ -162,35 +163,35 @@
 	return c.Timeout
 }
 
-// Request is one first try that is to be sent.
+// Request is one scheduled request.
 type Request struct {
-	At      time.Duration // from the begin
-	Class   int           // its place among the plan's
-	Method  string        // empty: its class's
+	At      time.Duration // from the start of the run
+	Class   int           // index into the classes
+	Method  string        // empty: the method of its class
 	Path    string
-	Key     string // its Idempotency-Key; empty: none
+	Key     string // value of Idempotency-Key; empty: none
 	Tenant  string
 	Body    string
 	Cost    time.Duration
-	RetryOf int // in a replay: of which request before it this is a retry, -1 of one that is not in it; 0: of none
+	RetryOf int // replay: number of the entry it retries; -1: one outside the trace; 0: none
 }
 
-// Source tells what is sent, in order.
+// Source yields the requests to send in the order of their times.
 type Source interface {
-	// Next returns the next request, or false if there is none.
+	// Next returns the next request, or false at the end.
 	Next() (Request, bool)
-	// Length is how long it lasts.
+	// Length returns the total duration.
 	Length() time.Duration
 }
 
-// drawn is the Source of a plan.
-type drawn struct {
-	plan  *Plan
-	rng   *rand.Rand
-	zipf  []*rand.Zipf
-	next  func() (time.Duration, bool)
-	stop  func()
-	count int
-	sum   float64
-	fill  []string
+// planSource is the Source of a Plan.
+type planSource struct {
+	plan     *Plan
+	rng      *rand.Rand
+	zipf     []*rand.Zipf
+	next     func() (time.Duration, bool)
+	stop     func()
+	count    int
+	shareSum float64
+	padding  []string
 }
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -14,34 +14,35 @@
 // Outcome is how a try ended.
 type Outcome string
 
-// The outcomes.
+// The outcomes of a try.
 const (
 	Served        Outcome = "served"    // 2xx
 	Redirected    Outcome = "redirect"  // 3xx
 	Rejected      Outcome = "rejected"  // 4xx
 	Refused       Outcome = "refused"   // 503 or 429
 	Failed        Outcome = "failed"    // other 5xx
-	ConnectFailed Outcome = "unreached" // no connection
-	Interrupted   Outcome = "broken"    // the answer was cut off
+	ConnectFailed Outcome = "unreached" // no connection was established
+	Interrupted   Outcome = "broken"    // the response was cut off
 	TimedOut      Outcome = "timed out"
-	Unsent        Outcome = "unsent" // not sent: too late, or too many were open
+	Unsent        Outcome = "unsent" // not sent: too late, or too many requests were open
 )
 
 const (
-	leastUs = 1
-	mostUs  = int64(2 * time.Minute / time.Microsecond)
-	figures = 3
+	minUs             = 1
+	maxUs             = int64(2 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Histogram is a distribution of times. Its text in JSON holds all of it. One at rest may be packed, which takes a small part of the room.
+// Histogram is a distribution of durations. Its JSON form holds the complete distribution. A
+// histogram that is not in use may be held encoded, which takes far less memory.
 type Histogram struct {
 	h      *hdrhistogram.Histogram
-	packed []byte // in place of h
+	packed []byte // encoded form, in place of h
 }
 
 func newHistogram() *Histogram { return &Histogram{} }
 
-func (h *Histogram) open() *hdrhistogram.Histogram {
+func (h *Histogram) unpack() *hdrhistogram.Histogram {
 	if h.h != nil {
 		return h.h
 	}
@@ -51,11 +52,11 @@
 			return d
 		}
 	}
-	h.h = hdrhistogram.New(leastUs, mostUs, figures)
+	h.h = hdrhistogram.New(minUs, maxUs, significantDigits)
 	return h.h
 }
 
-// pack makes h small until it is used again.
+// pack replaces h with its encoded form until it is used again.
 func (h *Histogram) pack() {
 	if h.h == nil {
 		return
@@ -67,35 +68,35 @@
 	}
 }
 
-// Record adds a time; one beyond two minutes counts as that.
+// Record adds a duration. Durations over two minutes count as two minutes.
 func (h *Histogram) Record(d time.Duration) {
-	h.open().RecordValue(min(max(d.Microseconds(), leastUs), mostUs))
+	h.unpack().RecordValue(min(max(d.Microseconds(), minUs), maxUs))
 }
 
-// Count returns how many times there are.
+// Count returns the number of recorded durations.
 func (h *Histogram) Count() int64 {
 	if h == nil || h.h == nil && h.packed == nil {
 		return 0
 	}
-	return h.open().TotalCount()
+	return h.unpack().TotalCount()
 }
 
-// Percentile returns the time within which a percentage of them lies.
+// Percentile returns the duration at a percentile, 0 to 100.
 func (h *Histogram) Percentile(percent float64) time.Duration {
 	if h.Count() == 0 {
 		return 0
 	}
-	return time.Duration(h.open().ValueAtQuantile(percent)) * time.Microsecond
+	return time.Duration(h.unpack().ValueAtQuantile(percent)) * time.Microsecond
 }
 
-// Merge adds another distribution.
+// Merge adds the durations of another histogram.
 func (h *Histogram) Merge(o *Histogram) {
 	if o.Count() > 0 {
-		h.open().Merge(o.open())
+		h.unpack().Merge(o.unpack())
 	}
 }
 
-type histogramText struct {
+type histogramJSON struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
 	P90   float64 `json:"p90_ms"`
@@ -105,10 +106,10 @@
 	HDR   string  `json:"hdr"`
 }
 
-// MarshalJSON is the method of json.Marshaler.
+// MarshalJSON implements json.Marshaler.
 func (h *Histogram) MarshalJSON() ([]byte, error) {
-	t := histogramText{Count: h.Count(), P50: ms(h.Percentile(50)), P90: ms(h.Percentile(90)), P99: ms(h.Percentile(99)), P999: ms(h.Percentile(99.9)), Max: ms(h.Percentile(100))}
-	text, err := h.open().Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+	t := histogramJSON{Count: h.Count(), P50: ms(h.Percentile(50)), P90: ms(h.Percentile(90)), P99: ms(h.Percentile(99)), P999: ms(h.Percentile(99.9)), Max: ms(h.Percentile(100))}
+	text, err := h.unpack().Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	t.HDR = string(text)
 	h.pack()
 	if err != nil {
@@ -117,9 +118,9 @@
 	return json.Marshal(t)
 }
 
-// UnmarshalJSON is the method of json.Unmarshaler.
+// UnmarshalJSON implements json.Unmarshaler.
 func (h *Histogram) UnmarshalJSON(b []byte) error {
-	var t histogramText
+	var t histogramJSON
 	if err := json.Unmarshal(b, &t); err != nil {
 		return err
 	}
@@ -133,19 +134,19 @@
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// Stats is what became of some tries.
+// Stats summarizes the results of a set of tries.
 type Stats struct {
-	FirstTries int             `json:"first"`   // first tries that were due
-	Tries      int             `json:"tries"`   // that were sent
-	Retries    int             `json:"retries"` // of them, by the clients
+	FirstTries int             `json:"first"`   // scheduled first tries
+	Tries      int             `json:"tries"`   // sent tries
+	Retries    int             `json:"retries"` // sent tries that were retries
 	Outcomes   map[Outcome]int `json:"outcomes"`
 	Statuses   map[int]int     `json:"statuses,omitempty"`
-	Answered   int             `json:"answered"`  // clients that were served, by whichever try
-	Corrected  *Histogram      `json:"corrected"` // of those, from when the first try was to be sent
-	Raw        *Histogram      `json:"raw"`       // of tries that were served, from when each was sent
+	Answered   int             `json:"answered"`  // requests served by any try
+	Corrected  *Histogram      `json:"corrected"` // latency of those from the first try's due time
+	Raw        *Histogram      `json:"raw"`       // latency of served tries from their send time
 }
 
-func newTally() *Stats {
+func newStats() *Stats {
 	return &Stats{Outcomes: map[Outcome]int{}, Statuses: map[int]int{}, Corrected: newHistogram(), Raw: newHistogram()}
 }
 
@@ -164,16 +165,16 @@
 	t.Raw.Merge(o.Raw)
 }
 
-// Window is a part of a run, by when first tries were due.
+// Window is a time slice of a run. Tries belong to the window in which their first try was due.
 type Window struct {
 	StartS          float64           `json:"from_s"`
 	Trusted         bool              `json:"trusted"`
-	UntrustedReason string            `json:"why,omitempty"` // it is not
-	Lag             *Histogram        `json:"lag"`           // from when a first try was due to when it was sent
-	Late            int               `json:"late"`          // first tries that were not sent, as they were too late
-	OverLimit       int               `json:"full"`          // that were not sent, as too many were open
-	Pauses          int               `json:"pauses"`        // of this process
-	MaxPauseMs      float64           `json:"paused_ms"`     // the longest
+	UntrustedReason string            `json:"why,omitempty"` // empty if trusted
+	Lag             *Histogram        `json:"lag"`           // due time to send time
+	Late            int               `json:"late"`          // first tries too late to send
+	OverLimit       int               `json:"full"`          // first tries over MaxOpen, not sent
+	Pauses          int               `json:"pauses"`        // pauses of this process
+	MaxPauseMs      float64           `json:"paused_ms"`     // longest pause
 	Classes         map[string]*Stats `json:"classes"`
 }
 
@@ -184,14 +185,15 @@
 func (w *Window) class(name string) *Stats {
 	t := w.Classes[name]
 	if t == nil {
-		t = newTally()
+		t = newStats()
 		w.Classes[name] = t
 	}
 	return t
 }
 
-// liveWindows is how many windows are held unpacked; tries of older ones may still end.
-const liveWindows = 8
+// unpackedWindows is how many recent windows are held decoded. Tries of older windows may still
+// end.
+const unpackedWindows = 8
 
 func (w *Window) pack() {
 	w.Lag.pack()
@@ -201,8 +203,8 @@
 	}
 }
 
-// judge decides whether a window is to be trusted.
-func (w *Window) judge(l Limits) {
+// evaluate decides whether a window is trusted.
+func (w *Window) evaluate(l Limits) {
 	switch lag := w.Lag.Percentile(99); {
 	case w.Late > 0:
 		w.UntrustedReason = fmt.Sprintf("%d arrivals were too late to be sent", w.Late)
@@ -216,10 +218,10 @@
 	w.Trusted = w.UntrustedReason == ""
 }
 
-// Report is the account of a run.
+// Report is the result of a run.
 type Report struct {
-	Verdict        string            `json:"verdict"` // one line
-	Trusted        bool              `json:"trusted"` // all windows are
+	Verdict        string            `json:"verdict"` // one line of text
+	Trusted        bool              `json:"trusted"` // all windows are trusted
 	DurationS      float64           `json:"for_s"`
 	WindowS        float64           `json:"window_s"`
 	Lag            *Histogram        `json:"lag"`
@@ -227,25 +229,25 @@
 	OverLimit      int               `json:"full"`
 	Pauses         int               `json:"pauses"`
 	MaxPauseMs     float64           `json:"paused_ms"`
-	Classes        map[string]*Stats `json:"classes"`         // of all windows
-	TrustedClasses map[string]*Stats `json:"trusted_classes"` // of those that are trusted
+	Classes        map[string]*Stats `json:"classes"`         // over all windows
+	TrustedClasses map[string]*Stats `json:"trusted_classes"` // over the trusted windows
 	Windows        []*Window         `json:"windows"`
 }
 
-// summary fills in what follows from the windows.
-func (r *Report) summary(l Limits) {
+// summarize computes the totals and the verdict from the windows.
+func (r *Report) summarize(l Limits) {
 	r.Lag, r.Late, r.OverLimit, r.Pauses, r.MaxPauseMs = newHistogram(), 0, 0, 0, 0
 	r.Classes, r.TrustedClasses, r.Trusted = map[string]*Stats{}, map[string]*Stats{}, true
-	bad := 0
+	untrusted := 0
 	for _, w := range r.Windows {
-		w.judge(l)
+		w.evaluate(l)
 		r.Lag.Merge(w.Lag)
 		r.Late += w.Late
 		r.OverLimit += w.OverLimit
 		r.Pauses += w.Pauses
 		r.MaxPauseMs = max(r.MaxPauseMs, w.MaxPauseMs)
 		if !w.Trusted {
-			bad++
+			untrusted++
 		}
 		for name, t := range w.Classes {
 			for i, to := range []map[string]*Stats{r.Classes, r.TrustedClasses} {
@@ -253,22 +255,23 @@
 					continue
 				}
 				if to[name] == nil {
-					to[name] = newTally()
+					to[name] = newStats()
 				}
 				to[name].merge(t)
 			}
 		}
 	}
 	lag := fmt.Sprintf("schedule lag p50 %v, p99 %v, max %v", r.Lag.Percentile(50), r.Lag.Percentile(99), r.Lag.Percentile(100))
-	if r.Trusted = bad == 0; r.Trusted {
+	if r.Trusted = untrusted == 0; r.Trusted {
 		r.Verdict = "trusted: " + lag
 		return
 	}
 	first := slices.IndexFunc(r.Windows, func(w *Window) bool { return !w.Trusted })
-	r.Verdict = fmt.Sprintf("UNTRUSTED: %d of %d windows, the first at %gs, as %s; %s", bad, len(r.Windows), r.Windows[first].StartS, r.Windows[first].UntrustedReason, lag)
+	r.Verdict = fmt.Sprintf("UNTRUSTED: %d of %d windows, the first at %gs, as %s; %s", untrusted, len(r.Windows), r.Windows[first].StartS, r.Windows[first].UntrustedReason, lag)
 }
 
-// Merge adds the reports of workers that ran beside one another from the same moment on. Their windows must be of one length.
+// Merge merges the reports of workers that ran in parallel and started at the same time. Their
+// windows must have the same length.
 func Merge(l Limits, reports ...*Report) (*Report, error) {
 	l = l.withDefaults()
 	sum := &Report{}
@@ -292,46 +295,46 @@
 			}
 		}
 	}
-	sum.summary(l)
+	sum.summarize(l)
 	return sum, nil
 }
 
-// recorder collects what becomes of tries, by the window in which their first was due.
+// recorder collects the results of tries by the window in which their first try was due.
 type recorder struct {
 	limits Limits
 
 	mu      sync.Mutex
 	windows []*Window
-	now     *Histogram // corrected, since the last progress
+	latency *Histogram // from the first try's due time, since the last snapshot
 	raw     *Histogram
 	lag     *Histogram
 	counts  struct{ due, served, errors int }
 }
 
 func newRecorder(l Limits) *recorder {
-	return &recorder{limits: l, now: newHistogram(), raw: newHistogram(), lag: newHistogram()}
+	return &recorder{limits: l, latency: newHistogram(), raw: newHistogram(), lag: newHistogram()}
 }
 
-// window returns the window of a time from the begin. mu is held.
+// window returns the window of an offset from the start. r.mu must be held.
 func (r *recorder) window(at time.Duration) *Window {
 	i := int(max(at, 0) / r.limits.Window)
 	for len(r.windows) <= i {
 		r.windows = append(r.windows, newWindow(time.Duration(len(r.windows))*r.limits.Window))
-		if old := len(r.windows) - liveWindows; old >= 0 {
+		if old := len(r.windows) - unpackedWindows; old >= 0 {
 			r.windows[old].pack()
 		}
 	}
 	return r.windows[i]
 }
 
-func (r *recorder) due(at time.Duration, class string) {
+func (r *recorder) recordDue(at time.Duration, class string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.window(at).class(class).FirstTries++
 	r.counts.due++
 }
 
-func (r *recorder) unsent(at time.Duration, class string, late bool) {
+func (r *recorder) recordUnsent(at time.Duration, class string, late bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.window(at)
@@ -343,20 +346,21 @@
 	w.class(class).Outcomes[Unsent]++
 }
 
-func (r *recorder) lagged(at, lag time.Duration) {
+func (r *recorder) recordLag(at, lag time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.window(at).Lag.Record(lag)
 	r.lag.Record(lag)
 }
 
-// try notes the end of a try, sent took ago. first is when its client's first was due; since then it is corrected ago.
-func (r *recorder) try(first time.Duration, class string, again bool, o Outcome, status int, took, corrected time.Duration) {
+// recordTry records the end of a try that was sent took ago. first is the offset at which the first
+// try of the request was due, which is corrected ago.
+func (r *recorder) recordTry(first time.Duration, class string, isRetry bool, o Outcome, status int, took, corrected time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.window(first).class(class)
 	t.Tries++
-	if again {
+	if isRetry {
 		t.Retries++
 	}
 	t.Outcomes[o]++
@@ -367,7 +371,7 @@
 		t.Answered++
 		t.Raw.Record(took)
 		t.Corrected.Record(corrected)
-		r.now.Record(corrected)
+		r.latency.Record(corrected)
 		r.raw.Record(took)
 		r.counts.served++
 	} else {
@@ -375,10 +379,10 @@
 	}
 }
 
-func (r *recorder) paused(from, to time.Duration) {
+func (r *recorder) recordPause(from, to time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for at := max(from, 0); ; at += r.limits.Window { // a window in which it ended or went on
+	for at := max(from, 0); ; at += r.limits.Window { // each window that the pause overlaps
 		w := r.window(min(at, to))
 		w.Pauses++
 		w.MaxPauseMs = max(w.MaxPauseMs, ms(to-from))
@@ -392,6 +396,6 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rep := &Report{DurationS: lasted.Seconds(), WindowS: r.limits.Window.Seconds(), Windows: r.windows}
-	rep.summary(r.limits)
+	rep.summarize(r.limits)
 	return rep
 }
--- a/internal/load/replay.go
+++ b/internal/load/replay.go
@@ -12,7 +12,7 @@
 	"quillfront/internal/trace"
 )
 
-// Replay is the Source of a trace.
+// Replay is a Source that replays a trace.
 type Replay struct {
 	r       *trace.Reader
 	speed   float64
@@ -22,13 +22,15 @@
 	next    *Request
 	err     error
 
-	// ClassCounts is how many of each class were told so far, and Statuses the recorded answers by class and status.
+	// ClassCounts counts the requests returned so far by class, and Statuses the recorded responses
+	// by class and status.
 	ClassCounts map[string]int
 	Statuses    map[string]map[int]int
 	Retries     int
 }
 
-// NewReplay returns the Source of a trace whose entries are of some of classes, and so many times as fast. The trace is read as it is told.
+// NewReplay returns a Replay of the trace entries that belong to one of classes, at speed times the
+// recorded speed. The trace is read incrementally.
 func NewReplay(in io.Reader, classes []Class, speed float64) (*Replay, error) {
 	if !(speed > 0 && speed <= 1000) {
 		return nil, fmt.Errorf("speed: %v is outside 0 to 1000", speed)
@@ -45,7 +47,8 @@
 	return p, nil
 }
 
-// TraceClasses returns the classes that a trace has, with the method of the first entry of each, for a replay. It reads the trace to its end.
+// TraceClasses returns the classes of a trace for a replay, each with the method of its first
+// entry, and the time of the last entry. It reads the trace to its end.
 func TraceClasses(in io.Reader, timeout time.Duration) ([]Class, time.Duration, error) {
 	r, err := trace.NewReader(in)
 	if err != nil {
@@ -64,15 +67,15 @@
 		}
 		last = time.Duration(e.At) * time.Microsecond
 		if !slices.ContainsFunc(classes, func(c Class) bool { return c.Name == e.Class }) {
-			if len(classes) == mostClasses {
-				return nil, 0, fmt.Errorf("over %d classes", mostClasses)
+			if len(classes) == maxClasses {
+				return nil, 0, fmt.Errorf("over %d classes", maxClasses)
 			}
 			classes = append(classes, Class{Name: e.Class, Method: e.Method, Share: 1, Timeout: timeout})
 		}
 	}
 }
 
-// read reads the next request.
+// read reads the next request into p.next; nil at the end or on an error.
 func (p *Replay) read() {
 	p.next = nil
 	for {
@@ -92,14 +95,15 @@
 			At: time.Duration(float64(e.At)/p.speed) * time.Microsecond, Class: class, Method: e.Method, Path: e.Path, Key: e.Key, Tenant: e.Tenant, Body: string(e.Body),
 			Cost: time.Duration(e.Cost) * time.Microsecond, RetryOf: e.RetryOf,
 		}
-		if r.Key == "" && e.Method != http.MethodGet && e.Method != http.MethodHead { // none was logged: a retry has that of its first
+		// If no key was logged, a retry shares the generated key of its first try.
+		if r.Key == "" && e.Method != http.MethodGet && e.Method != http.MethodHead {
 			r.Key = fmt.Sprint("trace-", p.n)
 			if e.RetryOf > 0 {
 				r.Key = fmt.Sprint("trace-", e.RetryOf)
 			}
 		}
 		if r.Body == "" && e.Size > 0 {
-			r.Body = strings.Repeat("x", int(min(e.Size, mostSize)))
+			r.Body = strings.Repeat("x", int(min(e.Size, maxBodySize)))
 		}
 		p.ClassCounts[e.Class]++
 		if e.RetryOf != 0 {
@@ -118,7 +122,7 @@
 	}
 }
 
-// Next is a method of Source.
+// Next implements Source.
 func (p *Replay) Next() (Request, bool) {
 	if p.next == nil {
 		return Request{}, false
@@ -128,31 +132,32 @@
 	return r, true
 }
 
-// Length is a method of Source: until the latest request that was told.
+// Length implements Source. It is the time of the latest request that was returned.
 func (p *Replay) Length() time.Duration { return p.last }
 
-// Err returns what ended the trace before its end.
+// Err returns the error that ended the replay early, if any.
 func (p *Replay) Err() error { return p.err }
 
-// Comparison holds a replay beside its trace.
+// Comparison compares a replay with its trace.
 type Comparison struct {
-	MixDifference map[string]float64     `json:"class_mix_difference"` // of sent and recorded, in percentage points
+	// MixDifference is the sent minus the recorded share of each class, in percentage points.
+	MixDifference map[string]float64     `json:"class_mix_difference"`
 	MaxDifference float64                `json:"most_difference"`
 	Retries       [2]int                 `json:"retries"`                 // sent, recorded
 	Statuses      map[string]map[int]int `json:"recorded_statuses"`       // by class
-	ArrivalError  *Histogram             `json:"arrival_error,omitempty"` // of what was sent
+	ArrivalError  *Histogram             `json:"arrival_error,omitempty"` // schedule lag
 }
 
-// Compare holds a report beside what was told of its trace.
+// Compare compares a report with the trace entries that were replayed.
 func (p *Replay) Compare(rep *Report) Comparison {
 	c := Comparison{MixDifference: map[string]float64{}, Statuses: p.Statuses, ArrivalError: rep.Lag}
-	sent, told := 0, 0
+	sent, recorded := 0, 0
 	for _, t := range rep.Classes {
 		sent += t.Tries
 		c.Retries[0] += t.Retries
 	}
 	for _, n := range p.ClassCounts {
-		told += n
+		recorded += n
 	}
 	c.Retries[1] = p.Retries
 	for name, n := range p.ClassCounts {
@@ -160,7 +165,7 @@
 		if t := rep.Classes[name]; t != nil {
 			got = t.Tries
 		}
-		c.MixDifference[name] = 100 * (float64(got)/max(float64(sent), 1) - float64(n)/max(float64(told), 1))
+		c.MixDifference[name] = 100 * (float64(got)/max(float64(sent), 1) - float64(n)/max(float64(recorded), 1))
 		c.MaxDifference = max(c.MaxDifference, math.Abs(c.MixDifference[name]))
 	}
 	return c
--- a/internal/load/shape.go
+++ b/internal/load/shape.go
@@ -1,5 +1,7 @@
-// Package load makes load that can be trusted: arrivals on an absolute schedule, whatever the servers do, latencies counted from when a
-// request was to be sent, and an account of the generator's own lateness. It reads no flags and prints nothing.
+// Package load is an open-loop HTTP load generator. Arrivals follow an absolute schedule whatever
+// the servers do, latencies are measured from the scheduled send time (which avoids coordinated
+// omission), and the report states the generator's own schedule lag. The package reads no flags and
+// prints nothing.
 package load
 
 import (
@@ -10,40 +12,40 @@
 	"time"
 )
 
-// Shape is how many arrivals there are a second over a time.
+// Shape is an arrival rate as a function of time.
 type Shape interface {
-	// Rate is how many there are a second at a time from the shape's begin.
+	// Rate returns the arrivals per second at an offset from the start of the shape.
 	Rate(at time.Duration) float64
-	// Length is how long it lasts.
+	// Length returns the total duration.
 	Length() time.Duration
 }
 
-// Stage is a Shape by its name, as a plan has it.
+// Stage is a Shape selected by name, as a plan configures it.
 type Stage struct {
 	Shape     string        // constant, ramp, steps, spike, sine or cutoff
-	Duration  time.Duration // how long it lasts
-	From      float64       // arrivals a second at its begin, and all the time of a constant one
-	To        float64       // at its end; of a spike and a sine: at the top
-	Steps     int           // of steps: how many, the first at From, the last at To
-	At        time.Duration // of a spike: when its top is
-	Width     time.Duration // of a spike: from half the height to half the height; of a sine: a period
-	Doublings float64       // of a cutoff: how many times the rate doubles on its way from From to To; 5
+	Duration  time.Duration // total duration
+	From      float64       // arrivals per second at the start; of a constant stage, throughout
+	To        float64       // arrivals per second at the end; of a spike and a sine, at the peak
+	Steps     int           // steps: their number, the first at From, the last at To
+	At        time.Duration // spike: time of the peak
+	Width     time.Duration // spike: full width at half maximum; sine: period
+	Doublings float64       // cutoff: doublings of the rate between From and To; default 5
 }
 
 const (
-	mostRate = 1e6
-	mostFor  = 24 * time.Hour
+	maxRate     = 1e6
+	maxDuration = 24 * time.Hour
 )
 
-// Check tells the first key that cannot be used.
+// Check returns an error that names the first invalid key.
 func (s Stage) Check() error {
 	switch {
-	case s.Duration <= 0 || s.Duration > mostFor:
-		return fmt.Errorf("for: %v is outside 0 to %v", s.Duration, mostFor)
-	case !(s.From >= 0 && s.From <= mostRate):
-		return fmt.Errorf("from: %v is outside 0 to %v", s.From, mostRate)
-	case !(s.To >= 0 && s.To <= mostRate):
-		return fmt.Errorf("to: %v is outside 0 to %v", s.To, mostRate)
+	case s.Duration <= 0 || s.Duration > maxDuration:
+		return fmt.Errorf("for: %v is outside 0 to %v", s.Duration, maxDuration)
+	case !(s.From >= 0 && s.From <= maxRate):
+		return fmt.Errorf("from: %v is outside 0 to %v", s.From, maxRate)
+	case !(s.To >= 0 && s.To <= maxRate):
+		return fmt.Errorf("to: %v is outside 0 to %v", s.To, maxRate)
 	}
 	switch s.Shape {
 	case "constant", "ramp":
@@ -53,35 +55,35 @@
 		}
 	case "spike":
 		if s.Width <= 0 || s.At < 0 || s.At > s.Duration {
-			return fmt.Errorf("at, width: a spike of width %v at %v does not lie within %v", s.Width, s.At, s.Duration)
+			return fmt.Errorf("at, width: a spike of width %v at %v is outside the stage's %v", s.Width, s.At, s.Duration)
 		}
 	case "sine":
 		if s.Width <= 0 {
-			return fmt.Errorf("width: %v is no period", s.Width)
+			return fmt.Errorf("width: %v is not a positive period", s.Width)
 		}
 	case "cutoff":
 		if s.Doublings < 0 || s.Doublings > 30 {
 			return fmt.Errorf("sharp: %v is outside 0 to 30", s.Doublings)
 		}
 	default:
-		return fmt.Errorf("shape: %q is none of constant, ramp, steps, spike, sine and cutoff", s.Shape)
+		return fmt.Errorf("shape: %q is not one of constant, ramp, steps, spike, sine and cutoff", s.Shape)
 	}
 	return nil
 }
 
-// Length is a method of Shape.
+// Length implements Shape.
 func (s Stage) Length() time.Duration { return s.Duration }
 
-// Rate is a method of Shape.
+// Rate implements Shape.
 func (s Stage) Rate(at time.Duration) float64 {
-	part := min(max(float64(at)/float64(s.Duration), 0), 1)
+	fraction := min(max(float64(at)/float64(s.Duration), 0), 1)
 	switch s.Shape {
 	case "ramp":
-		return s.From + (s.To-s.From)*part
+		return s.From + (s.To-s.From)*fraction
 	case "steps":
-		return s.From + (s.To-s.From)*min(math.Floor(part*float64(s.Steps)), float64(s.Steps-1))/float64(s.Steps-1)
+		return s.From + (s.To-s.From)*min(math.Floor(fraction*float64(s.Steps)), float64(s.Steps-1))/float64(s.Steps-1)
 	case "spike":
-		const half = 2.772588722239781 // 4 ln 2: half the height at half the width
+		const half = 2.772588722239781 // 4 ln 2: half the height at Width/2
 		x := float64(at-s.At) / float64(s.Width)
 		return s.From + (s.To-s.From)*math.Exp(-half*x*x)
 	case "sine":
@@ -91,15 +93,15 @@
 		if sharp == 0 {
 			sharp = 5
 		}
-		return s.From + (s.To-s.From)*(math.Exp2(sharp*part)-1)/(math.Exp2(sharp)-1)
+		return s.From + (s.To-s.From)*(math.Exp2(sharp*fraction)-1)/(math.Exp2(sharp)-1)
 	}
 	return s.From
 }
 
-// Chain is one stage after the other.
+// Chain is a Shape that runs its stages one after the other.
 type Chain []Stage
 
-// Length is a method of Shape.
+// Length implements Shape.
 func (c Chain) Length() (sum time.Duration) {
 	for _, s := range c {
 		sum += s.Duration
@@ -107,7 +109,7 @@
 	return sum
 }
 
-// Rate is a method of Shape.
+// Rate implements Shape.
 func (c Chain) Rate(at time.Duration) float64 {
 	for i, s := range c {
 		if at < s.Duration || i == len(c)-1 {
@@ -118,11 +120,12 @@
 	return 0
 }
 
-// step is how finely a rate is followed.
-const step = time.Millisecond
+// rateStep is the interval over which the rate is integrated.
+const rateStep = time.Millisecond
 
-// Arrivals returns when arrivals are to be, in order, from the shape's begin. With rng their distances are random, as those of many
-// independent clients are (Poisson); without it each comes as soon as the shape has brought one more.
+// Arrivals returns the scheduled arrival times in order, as offsets from the start of the shape.
+// With rng the gaps are exponential, as those of many independent clients are (a Poisson process);
+// without it an arrival is due each time the integral of the rate grows by one.
 func Arrivals(s Shape, rng *rand.Rand) iter.Seq[time.Duration] {
 	return func(yield func(time.Duration) bool) {
 		next := func() float64 {
@@ -131,12 +134,12 @@
 			}
 			return rng.ExpFloat64()
 		}
-		due, sum := next(), 0.0 // arrivals so far, and at which the next one is due
+		due, sum := next(), 0.0 // integral of the rate at the next arrival, and so far
 		if rng == nil {
-			due = 0.5 // half a distance from the begin, so that a shape brings as many as its integral, rounded
+			due = 0.5 // half a gap from the start: the number of arrivals is the integral, rounded
 		}
-		for at := time.Duration(0); at < s.Length(); at += step {
-			last := min(step, s.Length()-at)
+		for at := time.Duration(0); at < s.Length(); at += rateStep {
+			last := min(rateStep, s.Length()-at)
 			more := s.Rate(at+last/2) * last.Seconds()
 			for more > 0 && due <= sum+more {
 				when := at + time.Duration(float64(last)*(due-sum)/more)
--- a/internal/load/source.go
+++ b/internal/load/source.go
@@ -8,36 +8,37 @@
 	"time"
 )
 
-// NewSource returns the Source of a plan, which has been checked. One seed gives the same requests at the same times. Stop ends it.
+// NewSource returns the Source of a plan that has passed Check. The same seed yields the same
+// requests at the same times. stop releases the source.
 func (p *Plan) NewSource() (s Source, stop func()) {
 	arrivals := rand.New(rand.NewPCG(p.Seed, 10))
 	if p.EvenlySpaced {
 		arrivals = nil
 	}
-	d := &drawn{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 11))}
+	d := &planSource{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 11))}
 	d.next, d.stop = iter.Pull(Arrivals(p.Stages, arrivals))
 	for _, c := range p.Classes {
-		d.sum += c.Share
+		d.shareSum += c.Share
 		var z *rand.Zipf
 		if c.Zipf > 1 {
 			z = rand.NewZipf(d.rng, c.Zipf, 1, uint64(c.Keys-1))
 		}
 		d.zipf = append(d.zipf, z)
-		d.fill = append(d.fill, strings.Repeat("x", c.BodySize))
+		d.padding = append(d.padding, strings.Repeat("x", c.BodySize))
 	}
 	return d, d.stop
 }
 
-// Length is a method of Source.
-func (d *drawn) Length() time.Duration { return d.plan.Stages.Length() }
+// Length implements Source.
+func (d *planSource) Length() time.Duration { return d.plan.Stages.Length() }
 
-// Next is a method of Source.
-func (d *drawn) Next() (Request, bool) {
+// Next implements Source.
+func (d *planSource) Next() (Request, bool) {
 	at, ok := d.next()
 	if !ok {
 		return Request{}, false
 	}
-	i, left := 0, d.rng.Float64()*d.sum
+	i, left := 0, d.rng.Float64()*d.shareSum
 	for ; i < len(d.plan.Classes)-1 && left >= d.plan.Classes[i].Share; i++ {
 		left -= d.plan.Classes[i].Share
 	}
@@ -52,7 +53,7 @@
 	default:
 		key = fmt.Sprintf("n%d-%d", d.plan.Seed, d.count)
 	}
-	r := Request{At: at, Class: i, Path: c.path(key), Body: c.Body + d.fill[i], Cost: c.Cost}
+	r := Request{At: at, Class: i, Path: c.path(key), Body: c.Body + d.padding[i], Cost: c.Cost}
 	if c.IdempotencyKey {
 		r.Key = fmt.Sprintf("q%d-%d", d.plan.Seed, d.count)
 	}
--- a/internal/trace/har.go
+++ b/internal/trace/har.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// harEntry is what is read of an entry of a HAR 1.2 file. Headers, cookies and contents of answers are passed over.
+// harEntry holds the fields that are read of an entry of a HAR 1.2 file. Headers, cookies and
+// contents of responses are skipped.
 type harEntry struct {
 	Started string  `json:"startedDateTime"`
 	Time    float64 `json:"time"`
@@ -38,16 +39,17 @@
 	} `json:"response"`
 }
 
-// HARNotes is what a HAR file held besides.
+// HARNotes counts what the HAR files of an import contained.
 type HARNotes struct {
 	Entries, Pages, Aborted, Redirects, Bodies, Truncated int
 }
 
-// mostEntries bounds the entries of a HAR file, which are put in order in memory; only what is kept of each is held.
-const mostEntries = 2_000_000
+// maxEntries is the maximum number of entries of a HAR file. They are sorted in memory, which holds
+// only the fields that are kept of each.
+const maxEntries = 2_000_000
 
-// readHAR reads a HAR file, and calls fault with what cannot be read of it. Records come in the order of their times. A file that is cut
-// gives what stood before the cut.
+// readHAR reads a HAR file, calls fault for each entry that cannot be read, and returns the records
+// sorted by time. A truncated file yields the records before the truncation.
 func readHAR(r io.Reader, client string, bodies bool, fault func(entry int, why error)) ([]record, HARNotes, error) {
 	var notes HARNotes
 	plain, err := inflate(r)
@@ -55,18 +57,18 @@
 		return nil, notes, err
 	}
 	b := bufio.NewReaderSize(plain, 64<<10)
-	if mark, _ := b.Peek(3); bytes.Equal(mark, []byte{0xef, 0xbb, 0xbf}) { // a byte order mark
+	if bom, _ := b.Peek(3); bytes.Equal(bom, []byte{0xef, 0xbb, 0xbf}) { // UTF-8 byte order mark
 		b.Discard(3)
 	}
 	d := json.NewDecoder(b)
-	if err := enter(d, "log"); err != nil {
-		return nil, notes, fmt.Errorf("no HAR: %w", err)
+	if err := enterObject(d, "log"); err != nil {
+		return nil, notes, fmt.Errorf("not a HAR file: %w", err)
 	}
 	var records []record
 	for d.More() {
 		key, err := d.Token()
 		if err != nil {
-			return nil, notes, fmt.Errorf("no HAR: %w", err)
+			return nil, notes, fmt.Errorf("not a HAR file: %w", err)
 		}
 		switch key {
 		case "pages":
@@ -77,7 +79,7 @@
 			notes.Pages = len(pages)
 		case "entries":
 			if t, err := d.Token(); err != nil || t != json.Delim('[') {
-				return nil, notes, errors.New("no HAR: its entries are no list")
+				return nil, notes, errors.New("not a HAR file: its entries are not an array")
 			}
 			for n := 1; d.More(); n++ {
 				var e harEntry
@@ -87,11 +89,12 @@
 						fault(n, err)
 						continue
 					}
-					fault(n, fmt.Errorf("the file is cut or broken here: %w", err)) // nothing behind it can be found
-					return ordered(records), notes, nil
+					// Later entries cannot be located.
+					fault(n, fmt.Errorf("the file is truncated or malformed here: %w", err))
+					return sortByTime(records), notes, nil
 				}
-				if len(records) >= mostEntries {
-					return nil, notes, fmt.Errorf("over %d entries", mostEntries)
+				if len(records) >= maxEntries {
+					return nil, notes, fmt.Errorf("over %d entries", maxEntries)
 				}
 				rec, err := e.record(client, bodies, &notes)
 				if err != nil {
@@ -101,27 +104,27 @@
 				records = append(records, rec)
 			}
 			if _, err := d.Token(); err != nil {
-				return ordered(records), notes, nil
+				return sortByTime(records), notes, nil
 			}
 		default:
 			var skip json.RawMessage
 			if err := d.Decode(&skip); err != nil {
-				return nil, notes, fmt.Errorf("no HAR: %w", err)
+				return nil, notes, fmt.Errorf("not a HAR file: %w", err)
 			}
 		}
 	}
-	return ordered(records), notes, nil
+	return sortByTime(records), notes, nil
 }
 
-func ordered(r []record) []record {
-	sort.SliceStable(r, func(i, j int) bool { return r[i].end.Before(r[j].end) })
+func sortByTime(r []record) []record {
+	sort.SliceStable(r, func(i, j int) bool { return r[i].at.Before(r[j].at) })
 	return r
 }
 
-// enter goes into an object, to the value of a key that is an object.
-func enter(d *json.Decoder, key string) error {
+// enterObject positions d inside the object that is the value of key in the next object.
+func enterObject(d *json.Decoder, key string) error {
 	if t, err := d.Token(); err != nil || t != json.Delim('{') {
-		return errors.New("it is no object")
+		return errors.New("it is not an object")
 	}
 	for d.More() {
 		t, err := d.Token()
@@ -142,16 +145,16 @@
 	return fmt.Errorf("it has no %s", key)
 }
 
-// record returns what is kept of an entry.
+// record returns the record of an entry.
 func (e *harEntry) record(client string, bodies bool, notes *HARNotes) (record, error) {
-	r := record{began: true, took: -1, size: -1, method: e.Request.Method, status: e.Response.Status, client: client}
+	r := record{atStart: true, took: -1, size: -1, method: e.Request.Method, status: e.Response.Status, client: client}
 	var err error
-	if r.end, err = time.Parse(time.RFC3339Nano, e.Started); err != nil {
+	if r.at, err = time.Parse(time.RFC3339Nano, e.Started); err != nil {
 		return r, fmt.Errorf("startedDateTime is %.40q", e.Started)
 	}
 	u, err := url.Parse(e.Request.URL)
 	if err != nil || u.Host == "" || r.method == "" {
-		return r, errors.New("its request cannot be read")
+		return r, errors.New("its request is invalid")
 	}
 	r.host, r.target = u.Host, u.RequestURI()
 	notes.Entries++
@@ -173,7 +176,7 @@
 		text := []byte(p.Text)
 		if p.Encoding == "base64" {
 			if text, err = base64.StdEncoding.DecodeString(p.Text); err != nil {
-				return r, errors.New("its body is no base64")
+				return r, errors.New("its body is not valid base64")
 			}
 		}
 		notes.Bodies++
@@ -181,7 +184,7 @@
 			r.size = int64(len(text))
 		}
 		switch {
-		case int64(len(text)) < r.size: // the browser has kept a part only
+		case int64(len(text)) < r.size: // the browser recorded only a part
 			notes.Truncated++
 		case bodies:
 			r.body = text
--- a/internal/trace/import.go
+++ b/internal/trace/import.go
@@ -16,73 +16,74 @@
 	"time"
 )
 
-// File is one recorded file.
+// File is one input file of an import.
 type File struct {
 	Name   string
-	Open   func() (io.ReadCloser, error) // it is opened twice
+	Open   func() (io.ReadCloser, error) // called up to twice
 	HAR    bool
-	Parser LineParser // of a log
+	Parser LineParser // of a log; unused for HAR
 }
 
-// RecordError is a record that cannot be used.
+// RecordError describes a record that cannot be used.
 type RecordError struct {
 	File   string
 	Line   int
 	Reason string
 }
 
-// Skew is by how much a file's clock is held to be ahead of the first file's, and by what.
+// Skew is the estimated offset of a file's clock from the clock of the first file, and its basis.
 type Skew struct {
 	File      string
 	Offset    time.Duration
-	Shared    int           // requests that both have logged
-	Spread    time.Duration // within which half of them lie
-	Reference string        // the file that it was compared with; empty: none, it is taken as it is
+	Shared    int           // requests logged in both files
+	Spread    time.Duration // interquartile range of the differences
+	Reference string        // file it was compared with; empty: none, not corrected
 }
 
-// Report is what an import has found.
+// Report is the result of an import.
 type Report struct {
-	Records, Entries, Duplicates int // read; kept; the same request in several files
-	Unreadable                   int // that could not be read
-	Unclassified                 int // that no rule gives a class
+	Records, Entries, Duplicates int // read; written; seen again in the logs
+	Unreadable                   int // records that could not be read
+	Unclassified                 int // records that no class rule matches
 	Errors                       []RecordError
 	Skews                        []Skew
 	Retries                      map[string]int // by rule
-	BackwardJumps                int            // times that went back by more than lines are out of order
-	WholeSeconds                 int            // records whose times are whole seconds, which were spread over them
+	BackwardJumps                int            // times that went back by more than reorderWindow
+	WholeSeconds                 int            // records in whole seconds, spread over them
 	HAR                          HARNotes
 	From, To                     time.Time
 }
 
 const (
-	// mostFaults bounds those that are told one by one.
-	mostFaults = 20
-	// mostLogLine bounds a line of a log.
-	mostLogLine = 1 << 20
-	// outOfOrder is how much later than it came a request may be logged: servers log at its end.
-	outOfOrder = 2 * time.Minute
-	// mostHeld bounds the records that are held to be put in order, of one file.
-	mostHeld = 1 << 20
-	// mostIDs bounds the ids by which clocks are compared, of one file.
-	mostIDs = 1 << 16
-	// leastShared is how many requests two files must share for their clocks to be compared.
-	leastShared = 5
+	// maxErrors is the maximum number of errors that are reported individually.
+	maxErrors = 20
+	// maxLogLine is the maximum length of a line of a log, in bytes.
+	maxLogLine = 1 << 20
+	// reorderWindow is how long after its arrival a request may be logged: servers log at its end.
+	reorderWindow = 2 * time.Minute
+	// maxHeld is the maximum number of records of one file that are buffered for sorting.
+	maxHeld = 1 << 20
+	// maxIDs is the maximum number of request ids of one file that are used to compare clocks.
+	maxIDs = 1 << 16
+	// minShared is the minimum number of shared requests for comparing the clocks of two files.
+	minShared = 5
 )
 
-// Import makes a trace of files, in the order of arrivals. An error ends it; what single records lack does not.
+// Import converts files to a trace in order of arrival. Records that cannot be used are counted in
+// the report and do not end the import.
 func Import(files []File, rules Rules, out io.Writer) (*Report, error) {
 	rep := &Report{Retries: map[string]int{}}
 	if len(files) == 0 {
-		return nil, errors.New("no files")
+		return nil, errors.New("no input files")
 	}
-	skews, err := skewsOf(files, rules)
+	skews, err := estimateSkews(files, rules)
 	if err != nil {
 		return nil, err
 	}
 	rep.Skews = skews
-	var sources merge
+	var sources readerHeap
 	for i, f := range files {
-		s := &source{file: f, rules: &rules, rep: rep, ahead: skews[i].Offset}
+		s := &fileReader{file: f, rules: &rules, rep: rep, offset: skews[i].Offset}
 		if err := s.open(); err != nil {
 			return nil, fmt.Errorf("%s: %w", f.Name, err)
 		}
@@ -93,8 +94,8 @@
 	}
 	heap.Init(&sources)
 	var w *Writer
-	marks := newMarker(rules)
-	seen := newRecent(outOfOrder)
+	marker := newRetryMarker(rules)
+	seen := newRecentNames(reorderWindow)
 	for len(sources) > 0 {
 		s := sources[0]
 		r, at := s.now, s.at
@@ -103,7 +104,8 @@
 		} else {
 			heap.Pop(&sources)
 		}
-		if r.id != "" && !seen.add("id "+r.id, at) { // boxes log each attempt; clients sent one
+		// Servers log each attempt of a request that the client sent once.
+		if r.id != "" && !seen.add("id "+r.id, at) {
 			rep.Duplicates++
 			continue
 		}
@@ -123,13 +125,13 @@
 			rep.From = at
 		}
 		e := Entry{
-			At: max(at.Sub(rep.From).Microseconds(), w.at), Class: class, Method: r.method, Path: path, Key: orKey(r.key, key), Tenant: r.tenant, Cost: max(r.cost, 0),
-			Size: max(r.size, 0), Body: r.body, Client: nameOf(r.client), Status: r.status,
+			At: max(at.Sub(rep.From).Microseconds(), w.at), Class: class, Method: r.method, Path: path, Key: keyOr(r.key, key), Tenant: r.tenant, Cost: max(r.cost, 0),
+			Size: max(r.size, 0), Body: r.body, Client: pseudonym(r.client), Status: r.status,
 		}
-		if r.key == "" { // what a path tells tells what is asked for, not a try apart from another
+		if r.key == "" { // a key from the path identifies the resource, not the request
 			e.Key = ""
 		}
-		marks.mark(&e, w.n+1, at)
+		marker.mark(&e, w.n+1, at)
 		if e.RetryOf != 0 {
 			rep.Retries[e.Rule]++
 		}
@@ -140,12 +142,12 @@
 		rep.To = at
 	}
 	if w == nil {
-		return rep, errors.New("no record could be used")
+		return rep, errors.New("no usable record")
 	}
 	return rep, w.Close()
 }
 
-func orKey(logged, fromPath string) string {
+func keyOr(logged, fromPath string) string {
 	if logged != "" {
 		return logged
 	}
@@ -161,8 +163,8 @@
 	return all
 }
 
-// nameOf returns a name for a client that does not tell its address.
-func nameOf(client string) string {
+// pseudonym returns a name for a client that does not reveal its address.
+func pseudonym(client string) string {
 	if client == "" {
 		return ""
 	}
@@ -172,40 +174,40 @@
 
 func (r *Report) fault(f RecordError) {
 	r.Unreadable++
-	if len(r.Errors) < mostFaults {
+	if len(r.Errors) < maxErrors {
 		r.Errors = append(r.Errors, f)
 	}
 }
 
-// logged is a record with where it stood.
-type logged struct {
+// numberedRecord is a record with its line in the file.
+type numberedRecord struct {
 	record
 	line int
 }
 
-// source gives the records of one file in the order of their arrivals.
-type source struct {
-	file  File
-	rules *Rules
-	rep   *Report // nil: nothing is told
-	ahead time.Duration
-
-	closer io.Closer
-	lines  *bufio.Reader
-	har    []record // of a HAR
-	line   int
-	held   arrivals
-	latest time.Time // arrival that was read
-	passed time.Time // that was given out
-	local  time.Time // of times without a zone
-	run    []logged  // of one second, whose times are whole seconds
-	ended  bool
-
-	now logged
+// fileReader yields the records of one file in order of arrival.
+type fileReader struct {
+	file   File
+	rules  *Rules
+	rep    *Report // nil: nothing is reported
+	offset time.Duration
+
+	closer       io.Closer
+	lines        *bufio.Reader
+	har          []record // records of a HAR file
+	line         int
+	held         arrivalHeap
+	latest       time.Time        // latest arrival read
+	lastReturned time.Time        // latest arrival returned
+	latestLocal  time.Time        // latest time without a zone
+	sameSecond   []numberedRecord // records logged in the same whole second
+	ended        bool
+
+	now numberedRecord
 	at  time.Time
 }
 
-func (s *source) open() error {
+func (s *fileReader) open() error {
 	f, err := s.file.Open()
 	if err != nil {
 		return err
@@ -233,36 +235,36 @@
 	return nil
 }
 
-func (s *source) close() { s.closer.Close() }
+func (s *fileReader) close() { s.closer.Close() }
 
-func (s *source) fault(line int, why error) {
+func (s *fileReader) fault(line int, why error) {
 	if s.rep != nil {
 		s.rep.fault(RecordError{s.file.Name, line, why.Error()})
 	}
 }
 
-// read returns the next record as it stands in the file.
-func (s *source) read() (logged, bool) {
+// read returns the next record in file order.
+func (s *fileReader) read() (numberedRecord, bool) {
 	for {
 		s.line++
 		if s.file.HAR {
 			if s.line > len(s.har) {
-				return logged{}, false
+				return numberedRecord{}, false
 			}
-			return logged{s.har[s.line-1], s.line}, true
+			return numberedRecord{s.har[s.line-1], s.line}, true
 		}
 		line, err := s.readLine()
 		if err != nil && len(line) == 0 {
 			if err != io.EOF {
 				s.fault(s.line, err)
 			}
-			return logged{}, false
+			return numberedRecord{}, false
 		}
 		text := strings.TrimRight(string(line), "\r\n")
 		if strings.TrimSpace(text) == "" {
 			continue
 		}
-		if err == errLong {
+		if err == errLineTooLong {
 			s.fault(s.line, err)
 			continue
 		}
@@ -271,37 +273,37 @@
 			s.fault(s.line, perr)
 			continue
 		}
-		if r.lacksEnd {
+		if r.lacksZone {
 			s.localTime(&r)
 		}
-		return logged{r, s.line}, true
+		return numberedRecord{r, s.line}, true
 	}
 }
 
-// localTime reads a time without a zone in the hour that the clock shows twice when summer time ends: it is the first one that does not
-// go back by more than lines are out of order.
-func (s *source) localTime(r *record) {
+// localTime resolves a time without a zone in the hour that repeats when daylight saving time ends:
+// it takes the first candidate that does not go back by more than reorderWindow.
+func (s *fileReader) localTime(r *record) {
 	const clock = "2006-01-02 15:04:05"
 	for _, d := range []time.Duration{-time.Hour, 0, time.Hour} {
-		if t := r.end.Add(d); t.Format(clock) == r.end.Format(clock) && !t.Before(s.local.Add(-outOfOrder)) {
-			r.end = t
+		if t := r.at.Add(d); t.Format(clock) == r.at.Format(clock) && !t.Before(s.latestLocal.Add(-reorderWindow)) {
+			r.at = t
 			break
 		}
 	}
-	if r.end.After(s.local) {
-		s.local = r.end
+	if r.at.After(s.latestLocal) {
+		s.latestLocal = r.at
 	}
 }
 
-var errLong = fmt.Errorf("it is longer than %d bytes", mostLogLine)
+var errLineTooLong = fmt.Errorf("it is longer than %d bytes", maxLogLine)
 
-// readLine returns the next line, and errLong with the begin of one that is too long.
-func (s *source) readLine() ([]byte, error) {
+// readLine returns the next line, or the start of a line that is too long with errLineTooLong.
+func (s *fileReader) readLine() ([]byte, error) {
 	var line []byte
 	long := false
 	for {
 		part, err := s.lines.ReadSlice('\n')
-		if len(line)+len(part) <= mostLogLine {
+		if len(line)+len(part) <= maxLogLine {
 			line = append(line, part...)
 		} else {
 			long = true
@@ -310,7 +312,7 @@
 			continue
 		}
 		if long {
-			return append(line, '!'), errLong
+			return append(line, '!'), errLineTooLong
 		}
 		if err == io.EOF && len(line) > 0 {
 			return line, nil
@@ -319,9 +321,9 @@
 	}
 }
 
-// next makes the next arrival s.now, and reports whether there is one.
-func (s *source) next() bool {
-	for !s.ended && (len(s.held) == 0 || s.latest.Sub(s.held[0].at) < outOfOrder && len(s.held) < mostHeld) {
+// next advances s.now and s.at to the next arrival and reports whether there is one.
+func (s *fileReader) next() bool {
+	for !s.ended && (len(s.held) == 0 || s.latest.Sub(s.held[0].at) < reorderWindow && len(s.held) < maxHeld) {
 		r, ok := s.read()
 		if !ok {
 			s.ended = true
@@ -331,11 +333,11 @@
 		if s.rep != nil {
 			s.rep.Records++
 		}
-		if r.took < 0 && r.end.Nanosecond() == 0 && !s.file.HAR {
-			if len(s.run) > 0 && !s.run[0].end.Equal(r.end) || len(s.run) >= mostHeld {
+		if r.took < 0 && r.at.Nanosecond() == 0 && !s.file.HAR {
+			if len(s.sameSecond) > 0 && !s.sameSecond[0].at.Equal(r.at) || len(s.sameSecond) >= maxHeld {
 				s.flush()
 			}
-			s.run = append(s.run, r)
+			s.sameSecond = append(s.sameSecond, r)
 			continue
 		}
 		s.hold(r, r.arrival())
@@ -344,33 +346,34 @@
 		return false
 	}
 	a := heap.Pop(&s.held).(arrival)
-	s.now = a.logged
-	if s.at = a.at; s.at.Before(s.passed) { // a leap back: what comes is not moved before what has been given out
+	s.now = a.numberedRecord
+	// If the clock went back, arrivals are not moved before those already returned.
+	if s.at = a.at; s.at.Before(s.lastReturned) {
 		if s.rep != nil {
 			s.rep.BackwardJumps++
 		}
-		s.at = s.passed
+		s.at = s.lastReturned
 	}
-	s.passed = s.at
+	s.lastReturned = s.at
 	return true
 }
 
-// flush spreads the records of a second, whose log tells no more, over it.
-func (s *source) flush() {
-	for i, r := range s.run {
-		at := r.end.Add(time.Second * time.Duration(2*i+1) / time.Duration(2*len(s.run)))
-		if len(s.run) == 1 {
-			at = r.end
+// flush spreads records logged with a resolution of a second evenly over their second.
+func (s *fileReader) flush() {
+	for i, r := range s.sameSecond {
+		at := r.at.Add(time.Second * time.Duration(2*i+1) / time.Duration(2*len(s.sameSecond)))
+		if len(s.sameSecond) == 1 {
+			at = r.at
 		} else if s.rep != nil {
 			s.rep.WholeSeconds++
 		}
 		s.hold(r, at)
 	}
-	s.run = s.run[:0]
+	s.sameSecond = s.sameSecond[:0]
 }
 
-func (s *source) hold(r logged, at time.Time) {
-	at = at.Add(-s.ahead)
+func (s *fileReader) hold(r numberedRecord, at time.Time) {
+	at = at.Add(-s.offset)
 	heap.Push(&s.held, arrival{r, at})
 	if at.After(s.latest) {
 		s.latest = at
@@ -378,19 +381,19 @@
 }
 
 type arrival struct {
-	logged
+	numberedRecord
 	at time.Time
 }
 
-type arrivals []arrival
+type arrivalHeap []arrival
 
-func (h arrivals) Len() int { return len(h) }
-func (h arrivals) Less(i, j int) bool {
+func (h arrivalHeap) Len() int { return len(h) }
+func (h arrivalHeap) Less(i, j int) bool {
 	return h[i].at.Before(h[j].at) || h[i].at.Equal(h[j].at) && h[i].line < h[j].line
 }
-func (h arrivals) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *arrivals) Push(x any)   { *h = append(*h, x.(arrival)) }
-func (h *arrivals) Pop() any {
+func (h arrivalHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *arrivalHeap) Push(x any)   { *h = append(*h, x.(arrival)) }
+func (h *arrivalHeap) Pop() any {
 	old := *h
 	a := old[len(old)-1]
 	old[len(old)-1] = arrival{}
@@ -398,25 +401,25 @@
 	return a
 }
 
-// merge is sources by their next arrivals.
-type merge []*source
+// readerHeap is a heap of readers ordered by their next arrivals.
+type readerHeap []*fileReader
 
-func (h merge) Len() int { return len(h) }
-func (h merge) Less(i, j int) bool {
+func (h readerHeap) Len() int { return len(h) }
+func (h readerHeap) Less(i, j int) bool {
 	return h[i].at.Before(h[j].at) || h[i].at.Equal(h[j].at) && h[i].file.Name < h[j].file.Name
 }
-func (h merge) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *merge) Push(x any)   { *h = append(*h, x.(*source)) }
-func (h *merge) Pop() any {
+func (h readerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *readerHeap) Push(x any)   { *h = append(*h, x.(*fileReader)) }
+func (h *readerHeap) Pop() any {
 	old := *h
 	s := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return s
 }
 
-// skewsOf compares the clocks of files by the requests that they share: the median of the differences of their arrivals. A file that
-// shares too few with any is taken as it is.
-func skewsOf(files []File, rules Rules) ([]Skew, error) {
+// estimateSkews estimates clock skews from requests that files share, as the median difference of
+// their arrivals. A file that shares too few requests with every other file is not corrected.
+func estimateSkews(files []File, rules Rules) ([]Skew, error) {
 	skews := make([]Skew, len(files))
 	ids := make([]map[uint64]time.Time, len(files))
 	for i, f := range files {
@@ -424,7 +427,7 @@
 		if len(files) == 1 || f.HAR {
 			continue
 		}
-		m, err := idsOf(f, rules)
+		m, err := sampleIDs(f, rules)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", f.Name, err)
 		}
@@ -433,7 +436,7 @@
 	known := make([]bool, len(files))
 	known[0] = true
 	for range files {
-		best, by, least := -1, -1, leastShared-1
+		best, by, least := -1, -1, minShared-1
 		var diffs []time.Duration
 		for i := range files {
 			for j := range files {
@@ -469,9 +472,10 @@
 	return d
 }
 
-// idsOf returns when the requests of a file came, of as many ids as may be held: the same ones of each file.
-func idsOf(f File, rules Rules) (map[uint64]time.Time, error) {
-	s := &source{file: f, rules: &rules}
+// sampleIDs returns the arrivals of a file's requests by the hash of their ids. Sampling by hash
+// bounds their number and selects the same ids in each file.
+func sampleIDs(f File, rules Rules) (map[uint64]time.Time, error) {
+	s := &fileReader{file: f, rules: &rules}
 	if err := s.open(); err != nil {
 		return nil, err
 	}
@@ -491,10 +495,10 @@
 		if (id>>32)%every != 0 {
 			continue
 		}
-		if _, there := ids[id]; !there {
+		if _, exists := ids[id]; !exists {
 			ids[id] = r.arrival()
 		}
-		if len(ids) > mostIDs {
+		if len(ids) > maxIDs {
 			every *= 2
 			for id := range ids {
 				if (id>>32)%every != 0 {
@@ -505,54 +509,58 @@
 	}
 }
 
-// recent remembers names for a time.
-type recent struct {
+// recentNames remembers names for a limited time.
+type recentNames struct {
 	keep  time.Duration
-	at    map[string]int // how often a name stands in order
-	order []named
+	at    map[string]int // number of times a name occurs in order
+	order []timedName
 }
 
-type named struct {
+type timedName struct {
 	name string
 	at   time.Time
 }
 
-func newRecent(keep time.Duration) *recent { return &recent{keep: keep, at: map[string]int{}} }
+func newRecentNames(keep time.Duration) *recentNames {
+	return &recentNames{keep: keep, at: map[string]int{}}
+}
 
-// add reports whether a name is new, and remembers it.
-func (r *recent) add(name string, at time.Time) bool {
+// add remembers a name and reports whether it is new.
+func (r *recentNames) add(name string, at time.Time) bool {
 	n := 0
 	for n < len(r.order) && at.Sub(r.order[n].at) > r.keep {
 		delete(r.at, r.order[n].name)
 		n++
 	}
 	if n > 0 {
-		r.order = r.order[n:] // what is appended leaves the rest behind
+		r.order = r.order[n:] // a later append reallocates and frees the dropped prefix
 	}
 	if r.at[name] > 0 {
 		return false
 	}
 	r.at[name] = 1
-	r.order = append(r.order, named{name, at})
+	r.order = append(r.order, timedName{name, at})
 	return true
 }
 
-// marker finds retries.
-type marker struct {
+// retryMarker detects retries.
+type retryMarker struct {
 	rules Rules
-	first map[string]seen
-	order []named
+	first map[string]firstTry
+	order []timedName
 }
 
-type seen struct {
+type firstTry struct {
 	number int
 	at     time.Time
-	failed bool // its answer was not one of success
+	failed bool // the response was missing or an error
 }
 
-func newMarker(r Rules) *marker { return &marker{rules: r, first: map[string]seen{}} }
+func newRetryMarker(r Rules) *retryMarker {
+	return &retryMarker{rules: r, first: map[string]firstTry{}}
+}
 
-// The rules by which an entry is held for a retry.
+// The rules that classify an entry as a retry.
 const (
 	SameKey                 = "same key"
 	SameRequestAfterFailure = "same client, path and size, the first had failed"
@@ -560,9 +568,10 @@
 	Orphan                  = "its first is not in this part"
 )
 
-// mark decides whether an entry is a retry of one before it: by its key, for sure; by its client, path and size where no key is logged,
-// less so, and the less if the first one was answered.
-func (m *marker) mark(e *Entry, number int, at time.Time) {
+// mark detects whether an entry is a retry of an earlier one. A shared key is certain. Without a
+// key it compares client, path and size, with less confidence, and least if the earlier one
+// succeeded.
+func (m *retryMarker) mark(e *Entry, number int, at time.Time) {
 	n := 0
 	for n < len(m.order) && at.Sub(m.order[n].at) > m.rules.RetryWindow {
 		delete(m.first, m.order[n].name)
@@ -595,11 +604,11 @@
 		m.first[name] = first
 		return
 	}
-	m.first[name] = seen{number, at, failed}
-	m.order = append(m.order, named{name, at})
+	m.first[name] = firstTry{number, at, failed}
+	m.order = append(m.order, timedName{name, at})
 }
 
-// Sparkline returns counts as a line of blocks, the tallest of which is the most.
+// Sparkline renders counts as a line of block characters, scaled to the largest count.
 func Sparkline(counts []int) string {
 	most := slices.Max(append([]int{1}, counts...))
 	var b bytes.Buffer
--- a/internal/trace/logformat.go
+++ b/internal/trace/logformat.go
@@ -11,50 +11,50 @@
 	"time"
 )
 
-// record is one request as a log has it.
+// record is one logged request.
 type record struct {
-	end      time.Time // when it was logged, or began, as began says
-	began    bool
-	took     time.Duration // -1: not logged
-	method   string
-	target   string
-	host     string
-	status   int
-	id       string // its X-Request-ID
-	key      string // its Idempotency-Key
-	tenant   string
-	client   string
-	cost     int64
-	size     int64 // of its body; -1: not logged
-	body     []byte
-	lacksEnd bool // its time has no zone of its own
+	at        time.Time // time of its end, or of its start if atStart is set
+	atStart   bool
+	took      time.Duration // -1: not logged
+	method    string
+	target    string
+	host      string
+	status    int
+	id        string // value of X-Request-ID
+	key       string // value of Idempotency-Key
+	tenant    string
+	client    string
+	cost      int64
+	size      int64 // size of the body; -1: not logged
+	body      []byte
+	lacksZone bool // its time was logged without a zone
 }
 
-// arrival is when the request came, as far as the log tells.
+// arrival returns when the request arrived, or its logged time if no duration was logged.
 func (r *record) arrival() time.Time {
-	if r.began || r.took < 0 {
-		return r.end
+	if r.atStart || r.took < 0 {
+		return r.at
 	}
-	return r.end.Add(-r.took)
+	return r.at.Add(-r.took)
 }
 
-// LineParser reads the lines of a log. It is made by Parser.
+// LineParser parses the lines of a log. NewParser returns one.
 type LineParser interface {
 	parse(line string) (record, error)
 }
 
-// field says what a part of a line is.
+// field identifies the meaning of a part of a line.
 type field int
 
 const (
 	skipped field = iota
 	addr
-	timeLocal  // 10/Oct/2000:13:55:36 -0700
-	timeISO    // 2000-10-10T13:55:36-07:00
-	timeSec    // seconds since 1970, with a fraction
-	timeMilli  // milliseconds since 1970
-	timeMicro  // microseconds since 1970
-	requestTop // GET /path HTTP/1.1
+	timeLocal   // 10/Oct/2000:13:55:36 -0700
+	timeISO     // 2000-10-10T13:55:36-07:00
+	timeSec     // seconds since 1970, with a fraction
+	timeMilli   // milliseconds since 1970
+	timeMicro   // microseconds since 1970
+	requestLine // GET /path HTTP/1.1
 	method
 	target
 	host
@@ -63,44 +63,44 @@
 	tookMilli
 	tookMicro
 	requestID
-	orderKey
+	idempotencyKey
 	tenant
-	workCost
+	requestCost
 	bodySize
 )
 
-// piece is a part of a line: what stands there, and the text behind it.
-type piece struct {
-	field  field
-	behind string // empty: it goes on to the end
+// lineField is a field of a line and the text that follows it.
+type lineField struct {
+	field     field
+	delimiter string // empty: the field extends to the end of the line
 }
 
-// lineFormat parses lines by their pieces.
+// lineFormat parses lines of delimited fields.
 type lineFormat struct {
-	before string
-	pieces []piece
-	zone   *time.Location
-	began  bool // times are those of the begin
+	prefix     string
+	fields     []lineField
+	zone       *time.Location
+	startTimes bool // times are start times
 }
 
-// The usual formats, as Apache writes them.
+// Common access log formats in the notation of Apache.
 const (
 	CommonLog   = `%h %l %u %t "%r" %>s %b`
 	CombinedLog = CommonLog + ` "%{Referer}i" "%{User-Agent}i"`
 )
 
 var nginxFields = map[string]field{
-	"remote_addr": addr, "time_local": timeLocal, "time_iso8601": timeISO, "msec": timeSec, "request": requestTop, "request_method": method,
+	"remote_addr": addr, "time_local": timeLocal, "time_iso8601": timeISO, "msec": timeSec, "request": requestLine, "request_method": method,
 	"request_uri": target, "uri": target, "host": host, "http_host": host, "status": status, "request_time": tookSec, "request_id": requestID,
-	"http_x_request_id": requestID, "http_idempotency_key": orderKey, "http_x_tenant_id": tenant, "http_x_cost": workCost, "content_length": bodySize,
+	"http_x_request_id": requestID, "http_idempotency_key": idempotencyKey, "http_x_tenant_id": tenant, "http_x_cost": requestCost, "content_length": bodySize,
 	"http_content_length": bodySize,
 }
 
 var headerFields = map[string]field{
-	"x-request-id": requestID, "idempotency-key": orderKey, "x-tenant-id": tenant, "x-cost": workCost, "content-length": bodySize, "host": host,
+	"x-request-id": requestID, "idempotency-key": idempotencyKey, "x-tenant-id": tenant, "x-cost": requestCost, "content-length": bodySize, "host": host,
 }
 
-// ParseNginx reads a log_format string.
+// ParseNginx returns a parser for an nginx log_format string.
 func ParseNginx(format string, zone *time.Location) (LineParser, error) {
 	f := &lineFormat{zone: zone}
 	rest := format
@@ -108,7 +108,7 @@
 	if i < 0 {
 		return nil, errors.New("log_format: it names no variable")
 	}
-	f.before, rest = rest[:i], rest[i:]
+	f.prefix, rest = rest[:i], rest[i:]
 	for rest != "" {
 		rest = rest[1:]
 		braces := strings.HasPrefix(rest, "{")
@@ -122,19 +122,19 @@
 			rest = strings.TrimPrefix(rest, "}")
 		}
 		if name == "" {
-			return nil, fmt.Errorf("log_format: no name behind a $ before %.20q", rest)
+			return nil, fmt.Errorf("log_format: no variable name after a $ before %.20q", rest)
 		}
 		next := strings.IndexByte(rest, '$')
 		if next < 0 {
 			next = len(rest)
 		}
-		f.pieces = append(f.pieces, piece{nginxFields[name], rest[:next]})
+		f.fields = append(f.fields, lineField{nginxFields[name], rest[:next]})
 		rest = rest[next:]
 	}
 	return f, f.check("log_format")
 }
 
-// ParseApache reads a LogFormat string.
+// ParseApache returns a parser for an Apache LogFormat string.
 func ParseApache(format string, zone *time.Location) (LineParser, error) {
 	f := &lineFormat{zone: zone}
 	format = strings.ReplaceAll(format, `\"`, `"`)
@@ -142,7 +142,7 @@
 	if i < 0 {
 		return nil, errors.New("LogFormat: it has no directive")
 	}
-	f.before = format[:i]
+	f.prefix = format[:i]
 	for rest := format[i:]; rest != ""; {
 		rest = strings.TrimLeft(rest[1:], "<>!,0123456789")
 		arg := ""
@@ -154,51 +154,52 @@
 			arg, rest = rest[1:end], rest[end+1:]
 		}
 		if rest == "" {
-			return nil, errors.New("LogFormat: a % at its end")
+			return nil, errors.New("LogFormat: a % without a directive at the end")
 		}
 		directive := rest[0]
 		rest = rest[1:]
-		k, began, err := apacheField(directive, arg)
+		k, startTime, err := apacheField(directive, arg)
 		if err != nil {
 			return nil, err
 		}
-		f.began = f.began || began
+		f.startTimes = f.startTimes || startTime
 		next := strings.IndexByte(rest, '%')
 		if next < 0 {
 			next = len(rest)
 		}
-		f.pieces = append(f.pieces, piece{k, rest[:next]})
+		f.fields = append(f.fields, lineField{k, rest[:next]})
 		rest = rest[next:]
 	}
 	return f, f.check("LogFormat")
 }
 
-// apacheField returns what a directive stands for. Apache's time is that of the begin, unless it says otherwise.
-func apacheField(directive byte, arg string) (k field, began bool, err error) {
+// apacheField returns the field of a directive. Apache logs the start time of a request unless the
+// argument has the prefix "end:".
+func apacheField(directive byte, arg string) (k field, startTime bool, err error) {
 	switch directive {
 	case 'h', 'a':
 		return addr, false, nil
 	case 't':
-		began = true
+		startTime = true
 		if rest, ok := strings.CutPrefix(arg, "end:"); ok {
-			arg, began = rest, false
+			arg, startTime = rest, false
 		}
 		arg = strings.TrimPrefix(arg, "begin:")
 		switch arg {
 		case "":
-			return timeLocal, began, nil
+			return timeLocal, startTime, nil
 		case "sec":
-			return timeSec, began, nil
+			return timeSec, startTime, nil
 		case "msec":
-			return timeMilli, began, nil
+			return timeMilli, startTime, nil
 		case "usec":
-			return timeMicro, began, nil
+			return timeMicro, startTime, nil
 		case "%Y-%m-%dT%H:%M:%S%z":
-			return timeISO, began, nil
+			return timeISO, startTime, nil
 		}
-		return 0, false, fmt.Errorf("LogFormat: times as %%{%s}t are not read", arg)
+		return 0, false, fmt.Errorf("LogFormat: the time format %%{%s}t is not supported", arg)
 	case 'r':
-		return requestTop, false, nil
+		return requestLine, false, nil
 	case 'm':
 		return method, false, nil
 	case 'U':
@@ -225,48 +226,49 @@
 	return skipped, false, nil
 }
 
-// check tells what a format lacks.
+// check returns an error if a format has no time or request, or cannot be split into fields.
 func (f *lineFormat) check(name string) error {
 	has := map[field]bool{}
-	for i, p := range f.pieces {
+	for i, p := range f.fields {
 		has[p.field] = true
-		if p.behind == "" && i < len(f.pieces)-1 {
-			return fmt.Errorf("%s: two fields with nothing between cannot be told apart", name)
+		if p.delimiter == "" && i < len(f.fields)-1 {
+			return fmt.Errorf("%s: two fields with nothing between them cannot be separated", name)
 		}
 	}
 	switch {
 	case !has[timeLocal] && !has[timeISO] && !has[timeSec] && !has[timeMilli] && !has[timeMicro]:
-		return fmt.Errorf("%s: no time stands in it", name)
-	case !has[requestTop] && !(has[method] && has[target]):
-		return fmt.Errorf("%s: no request stands in it", name)
+		return fmt.Errorf("%s: no time field", name)
+	case !has[requestLine] && !(has[method] && has[target]):
+		return fmt.Errorf("%s: no request field", name)
 	}
 	return nil
 }
 
-// parse is the method of parser.
+// parse implements LineParser.
 func (f *lineFormat) parse(line string) (record, error) {
-	r := record{took: -1, size: -1, began: f.began}
-	rest, ok := strings.CutPrefix(line, f.before)
+	r := record{took: -1, size: -1, atStart: f.startTimes}
+	rest, ok := strings.CutPrefix(line, f.prefix)
 	if !ok {
-		return r, errors.New("it does not begin as its format says")
+		return r, errors.New("it does not start with the text that its format requires")
 	}
-	for i, p := range f.pieces {
+	for i, p := range f.fields {
 		value := rest
-		if p.behind != "" {
+		if p.delimiter != "" {
 			var at int
-			if p.field == timeLocal && strings.HasPrefix(rest, "[") { // Apache's stands in brackets
+			// Apache writes the time in brackets.
+			if p.field == timeLocal && strings.HasPrefix(rest, "[") {
 				end := strings.IndexByte(rest, ']')
 				if end < 0 {
-					return r, errors.New("its time does not end")
+					return r, errors.New("its time has no closing bracket")
 				}
 				at = end + 1
-				if !strings.HasPrefix(rest[at:], p.behind) {
-					return r, fmt.Errorf("no %q behind its time", p.behind)
+				if !strings.HasPrefix(rest[at:], p.delimiter) {
+					return r, fmt.Errorf("no %q after its time", p.delimiter)
 				}
-			} else if at = behindOf(rest, p.behind); at < 0 {
+			} else if at = indexUnescaped(rest, p.delimiter); at < 0 {
 				return r, fmt.Errorf("field %d does not end", i+1)
 			}
-			value, rest = rest[:at], rest[at+len(p.behind):]
+			value, rest = rest[:at], rest[at+len(p.delimiter):]
 		} else {
 			rest = ""
 		}
@@ -277,8 +279,9 @@
 	return r, nil
 }
 
-// behindOf finds the text behind a field. A quote in what a client has sent is written with a backslash.
-func behindOf(s, behind string) int {
+// indexUnescaped returns the index of the text that ends a field. Servers escape a quote within a
+// client's text by a backslash.
+func indexUnescaped(s, behind string) int {
 	for from := 0; ; {
 		i := strings.Index(s[from:], behind)
 		if i < 0 {
@@ -296,9 +299,9 @@
 	}
 }
 
-// set takes a value of a line.
+// set sets a field of the record from its text.
 func (r *record) set(k field, v string, zone *time.Location) (err error) {
-	none := v == "" || v == "-"
+	missing := v == "" || v == "-"
 	number := func(unit float64) (float64, error) {
 		n, err := strconv.ParseFloat(v, 64)
 		if err != nil || math.IsNaN(n) || math.Abs(n*unit) > 4e18 {
@@ -313,17 +316,17 @@
 			r.client = a.Unmap().String()
 		}
 	case timeLocal:
-		r.end, err = time.Parse("02/Jan/2006:15:04:05 -0700", strings.Trim(v, "[]"))
+		r.at, err = time.Parse("02/Jan/2006:15:04:05 -0700", strings.Trim(v, "[]"))
 	case timeISO:
-		if r.end, err = time.Parse(time.RFC3339Nano, v); err == nil {
+		if r.at, err = time.Parse(time.RFC3339Nano, v); err == nil {
 			break
 		}
-		if r.end, err = time.Parse("2006-01-02T15:04:05-0700", v); err == nil {
+		if r.at, err = time.Parse("2006-01-02T15:04:05-0700", v); err == nil {
 			break
 		}
 		for _, layout := range []string{"2006-01-02T15:04:05.999999999", "2006-01-02 15:04:05.999999999"} {
-			if r.end, err = time.ParseInLocation(layout, strings.Replace(v, ",", ".", 1), zone); err == nil {
-				r.lacksEnd = true
+			if r.at, err = time.ParseInLocation(layout, strings.Replace(v, ",", ".", 1), zone); err == nil {
+				r.lacksZone = true
 				break
 			}
 		}
@@ -331,12 +334,12 @@
 		var n float64
 		unit := map[field]float64{timeSec: 1e6, timeMilli: 1e3, timeMicro: 1}[k]
 		if n, err = number(unit); err == nil {
-			r.end = time.UnixMicro(int64(math.Round(n)))
+			r.at = time.UnixMicro(int64(math.Round(n)))
 		}
-	case requestTop:
+	case requestLine:
 		parts := strings.Fields(v)
 		if len(parts) < 2 {
-			return fmt.Errorf("%.40q is no request", v)
+			return fmt.Errorf("%.40q is not a request line", v)
 		}
 		r.method, r.target = parts[0], parts[1]
 	case method:
@@ -344,16 +347,16 @@
 	case target:
 		r.target = v
 	case host:
-		if !none {
+		if !missing {
 			r.host = v
 		}
 	case status:
-		if r.status, err = strconv.Atoi(v); err != nil && !none {
-			return fmt.Errorf("%.40q is no status", v)
+		if r.status, err = strconv.Atoi(v); err != nil && !missing {
+			return fmt.Errorf("%.40q is not a status", v)
 		}
 		err = nil
 	case tookSec, tookMilli, tookMicro:
-		if none {
+		if missing {
 			return nil
 		}
 		var n float64
@@ -362,19 +365,19 @@
 			r.took = time.Duration(n)
 		}
 	case requestID:
-		if !none {
+		if !missing {
 			r.id = v
 		}
-	case orderKey:
-		if !none {
+	case idempotencyKey:
+		if !missing {
 			r.key = v
 		}
 	case tenant:
-		if !none {
+		if !missing {
 			r.tenant = v
 		}
-	case workCost:
-		if !none {
+	case requestCost:
+		if !missing {
 			r.cost, _ = strconv.ParseInt(v, 10, 64)
 		}
 	case bodySize:
@@ -389,21 +392,22 @@
 }
 
 var jsonFields = map[string]field{
-	"addr": addr, "time": timeISO, "time_s": timeSec, "time_ms": timeMilli, "time_us": timeMicro, "request": requestTop, "method": method,
+	"addr": addr, "time": timeISO, "time_s": timeSec, "time_ms": timeMilli, "time_us": timeMicro, "request": requestLine, "method": method,
 	"target": target, "host": host, "status": status, "took_s": tookSec, "took_ms": tookMilli, "took_us": tookMicro, "request_id": requestID,
-	"key": orderKey, "tenant": tenant, "cost_us": workCost, "size": bodySize,
+	"key": idempotencyKey, "tenant": tenant, "cost_us": requestCost, "size": bodySize,
 }
 
-// jsonLog parses lines of JSON.
+// jsonLog parses lines that are JSON objects.
 type jsonLog struct {
-	names map[string]field // by the names in the log; a dot goes into an object
-	zone  *time.Location
-	began bool
+	names      map[string]field // by name in the log; a dot separates nested names
+	zone       *time.Location
+	startTimes bool
 }
 
-// ParseJSON reads a field map such as "time=ts,method=req.method": what stands where. began tells that times are those of the begin.
-func ParseJSON(fields string, began bool, zone *time.Location) (LineParser, error) {
-	p := &jsonLog{names: map[string]field{}, zone: zone, began: began}
+// ParseJSON returns a parser for JSON lines from a field map such as "time=ts,method=req.method".
+// startTimes means that times are start times, not end times.
+func ParseJSON(fields string, startTimes bool, zone *time.Location) (LineParser, error) {
+	p := &jsonLog{names: map[string]field{}, zone: zone, startTimes: startTimes}
 	has := map[field]bool{}
 	for _, part := range strings.Split(fields, ",") {
 		name, from, ok := strings.Cut(strings.TrimSpace(part), "=")
@@ -414,23 +418,23 @@
 		p.names[from] = k
 		has[k] = true
 	}
-	if !has[timeISO] && !has[timeSec] && !has[timeMilli] && !has[timeMicro] || !has[requestTop] && !(has[method] && has[target]) {
-		return nil, errors.New("fields: no time, or no request, stands in them")
+	if !has[timeISO] && !has[timeSec] && !has[timeMilli] && !has[timeMicro] || !has[requestLine] && !(has[method] && has[target]) {
+		return nil, errors.New("fields: they lack a time or a request")
 	}
 	return p, nil
 }
 
-// parse is the method of parser.
+// parse implements LineParser.
 func (p *jsonLog) parse(line string) (record, error) {
-	r := record{took: -1, size: -1, began: p.began}
+	r := record{took: -1, size: -1, atStart: p.startTimes}
 	d := json.NewDecoder(strings.NewReader(line))
 	d.UseNumber()
 	var m map[string]any
 	if err := d.Decode(&m); err != nil {
-		return r, fmt.Errorf("no JSON: %w", err)
+		return r, fmt.Errorf("invalid JSON: %w", err)
 	}
 	for name, k := range p.names {
-		v, ok := lookUp(m, name)
+		v, ok := lookup(m, name)
 		if !ok {
 			continue
 		}
@@ -438,16 +442,16 @@
 			return r, err
 		}
 	}
-	if r.end.IsZero() || r.target == "" || r.method == "" {
-		return r, errors.New("it lacks its time or request")
+	if r.at.IsZero() || r.target == "" || r.method == "" {
+		return r, errors.New("it has no time or no request")
 	}
 	return r, nil
 }
 
-// lookUp finds a value by a name with dots.
-func lookUp(m map[string]any, name string) (string, bool) {
+// lookup returns the value of a dotted name.
+func lookup(m map[string]any, name string) (string, bool) {
 	if v, ok := m[name]; ok {
-		return text(v)
+		return scalarText(v)
 	}
 	first, rest, ok := strings.Cut(name, ".")
 	if !ok {
@@ -457,10 +461,10 @@
 	if !ok {
 		return "", false
 	}
-	return lookUp(inner, rest)
+	return lookup(inner, rest)
 }
 
-func text(v any) (string, bool) {
+func scalarText(v any) (string, bool) {
 	switch v := v.(type) {
 	case string:
 		return v, true
@@ -472,15 +476,15 @@
 	return "", false
 }
 
-// Format says how the lines of a log are to be read.
+// Format selects how the lines of a log are parsed.
 type Format struct {
 	Name          string // common, combined or json
 	Nginx, Apache string // in place of Name
 	Fields        string // of json
-	StartTimes    bool   // of json: times are those of the begin
+	StartTimes    bool   // of json: times are start times
 }
 
-// NewParser returns what reads the lines of a log. Times without a zone are in zone.
+// NewParser returns a parser for the lines of a log. Times without a zone are interpreted in zone.
 func NewParser(f Format, zone *time.Location) (LineParser, error) {
 	switch {
 	case f.Nginx != "" && f.Apache != "":
@@ -496,5 +500,5 @@
 	case f.Name == "json":
 		return ParseJSON(f.Fields, f.StartTimes, zone)
 	}
-	return nil, fmt.Errorf("format: %q is none of common, combined and json", f.Name)
+	return nil, fmt.Errorf("format: %q is not one of common, combined and json", f.Name)
 }
--- a/internal/trace/rules.go
+++ b/internal/trace/rules.go
@@ -13,28 +13,29 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Rules say what is made of records.
+// Rules configures how records become entries.
 type Rules struct {
 	Classes      []ClassRule
-	KeepQuery    []string      // parameters that are kept; nil: none
-	KeepBodies   bool          // of requests are kept, where there are any
-	RetryWindow  time.Duration // how long after its first a retry may come; 30 s
-	InferRetries []string      // classes whose retries are looked for by client, path and size where no key is logged
+	KeepQuery    []string      // query parameters to keep; nil: none
+	KeepBodies   bool          // keep request bodies that were recorded
+	RetryWindow  time.Duration // maximum time from a first try to its retry; 30 s
+	InferRetries []string      // classes matched by client, path and size if no key is logged
 	Zone         *time.Location
-	MaxSkew      time.Duration // most that a clock is held to be wrong; 10 min
+	MaxSkew      time.Duration // maximum clock skew that is corrected; 10 min
 }
 
-// ClassRule gives a class to what it matches. Empty fields match all; the first rule holds.
+// ClassRule assigns a class to the requests that it matches. Empty fields match everything; the
+// first matching rule applies.
 type ClassRule struct {
 	Class  string
 	Method string
 	Host   string
-	Path   *regexp.Regexp // of the whole path; a group named key is the request's key
+	Path   *regexp.Regexp // matches the whole path; its group "key" captures a key
 }
 
 const (
-	usualRetry = 30 * time.Second
-	usualSkew  = 10 * time.Minute
+	defaultRetryWindow = 30 * time.Second
+	defaultMaxSkew     = 10 * time.Minute
 )
 
 type rulesFile struct {
@@ -52,9 +53,10 @@
 	Skew   string   `toml:"most_skew"`
 }
 
-// LoadRules reads a file of rules, strictly. With an empty path the first part of a path is its class.
+// LoadRules reads a TOML file of rules. Unknown keys are errors. With an empty path it returns the
+// defaults, by which the first segment of a request's path is its class.
 func LoadRules(path string) (Rules, error) {
-	r := Rules{RetryWindow: usualRetry, MaxSkew: usualSkew, Zone: time.UTC}
+	r := Rules{RetryWindow: defaultRetryWindow, MaxSkew: defaultMaxSkew, Zone: time.UTC}
 	if path == "" {
 		return r, nil
 	}
@@ -78,7 +80,7 @@
 			continue
 		}
 		if *d.to, err = time.ParseDuration(d.text); err != nil || *d.to < 0 {
-			return r, fmt.Errorf("%s: %s: %q is no time such as \"30s\"", path, d.key, d.text)
+			return r, fmt.Errorf("%s: %s: %q is not a duration such as \"30s\"", path, d.key, d.text)
 		}
 	}
 	if f.Zone != "" {
@@ -102,21 +104,22 @@
 	return r, nil
 }
 
-// errNoClass tells that no rule matches.
-var errNoClass = errors.New("no rule gives it a class")
+// errNoClass means that no rule matches a request.
+var errNoClass = errors.New("no rule matches it")
 
-// classify returns a request's class, its path with the parameters that are kept, and the key that its path tells.
+// classify returns the class of a request, its path with the query parameters to keep, and the key
+// captured from its path.
 func (r *Rules) classify(method, host, target string) (class, path, key string, err error) {
 	u, err := url.ParseRequestURI(strings.ToValidUTF8(target, "\uFFFD"))
 	if err != nil {
-		return "", "", "", errors.New("its target cannot be read")
+		return "", "", "", errors.New("its request target is invalid")
 	}
 	if u.Host != "" {
 		host = u.Host
 	}
 	path = u.EscapedPath()
 	if path == "" || path[0] != '/' {
-		return "", "", "", errors.New("its target has no path")
+		return "", "", "", errors.New("its request target has no path")
 	}
 	if len(r.Classes) == 0 {
 		class, _, _ = strings.Cut(path[1:], "/")
--- a/internal/trace/tools.go
+++ b/internal/trace/tools.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// Cut copies what came from from up to to, counted from the trace's origin. A retry whose first was cut away stays a retry.
+// Cut copies the entries at offsets from from up to, but not including, to. A retry whose first try
+// is outside the range stays marked as a retry.
 func Cut(in io.Reader, out io.Writer, from, to time.Duration) (int, error) {
 	if to <= from || from < 0 {
-		return 0, fmt.Errorf("from %v up to %v is nothing", from, to)
+		return 0, fmt.Errorf("from %v to %v is not a valid time range", from, to)
 	}
 	r, err := NewReader(in)
 	if err != nil {
@@ -54,14 +55,16 @@
 	}
 }
 
-// spread is over how long the copies of a client are spread: less than anybody's pace, more than a burst.
-const spread = 200 * time.Millisecond
+// copySpread is the time over which the copies of a request are spread: shorter than the pace of
+// any client, longer than a burst.
+const copySpread = 200 * time.Millisecond
 
-// Scale copies a trace at a multiple of its rate. Each client is left out, or is there once or several times, as whole: its order, its pace and
-// its retries stay. Copies have names and keys of their own.
+// Scale copies a trace at a multiple of its rate. Each client is dropped, kept or duplicated as a
+// whole, so its order, pace and retries are preserved. Copies get client names and keys of their
+// own.
 func Scale(in io.Reader, out io.Writer, factor float64) (int, error) {
 	if !(factor > 0 && factor <= 1000) {
-		return 0, fmt.Errorf("a factor of %v is outside 0 to 1000", factor)
+		return 0, fmt.Errorf("the factor %v is outside 0 to 1000", factor)
 	}
 	r, err := NewReader(in)
 	if err != nil {
@@ -73,14 +76,14 @@
 	if err != nil {
 		return 0, err
 	}
-	s := &scaler{factor: factor, groups: map[int]string{}, numbers: map[copyOf]int{}}
+	s := &scaler{factor: factor, groups: map[int]string{}, numbers: map[copyID]int{}}
 	for n := 1; ; n++ {
 		e, err := r.Next()
 		if err != nil && err != io.EOF {
 			return w.n, err
 		}
 		end := err == io.EOF
-		for len(s.held) > 0 && (end || s.held[0].At+spread.Microseconds() < e.At) {
+		for len(s.held) > 0 && (end || s.held[0].At+copySpread.Microseconds() < e.At) {
 			if err := s.write(w); err != nil {
 				return w.n, err
 			}
@@ -92,18 +95,18 @@
 	}
 }
 
-type copyOf struct{ number, copy int }
+type copyID struct{ number, copy int }
 
-// scaler makes copies of entries, by their clients.
+// scaler duplicates entries per client.
 type scaler struct {
-	factor  float64
-	groups  map[int]string // of entries without a client that others are retries of
-	numbers map[copyOf]int // of firsts in what is written
-	held    copies
-	made    int
+	factor   float64
+	groups   map[int]string // group of each entry without a client, by number
+	numbers  map[copyID]int // output numbers of first tries
+	held     entryHeap
+	sequence int
 }
 
-// hash is a number from 0 to 1 that follows from a name.
+// hash maps a name to a number from 0 to 1.
 func hash(name string) float64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
@@ -129,7 +132,7 @@
 	for i := range count {
 		c := e
 		if i > 0 {
-			c.At += int64(hash(fmt.Sprint(group, i)) * float64(spread.Microseconds()))
+			c.At += int64(hash(fmt.Sprint(group, i)) * float64(copySpread.Microseconds()))
 			if c.Key != "" {
 				c.Key += fmt.Sprintf("+%d", i)
 			}
@@ -137,15 +140,15 @@
 				c.Client += fmt.Sprintf("+%d", i)
 			}
 		}
-		s.made++
-		heap.Push(&s.held, held{c, copyOf{n, i}, s.made})
+		s.sequence++
+		heap.Push(&s.held, heldEntry{c, copyID{n, i}, s.sequence})
 	}
 }
 
 func (s *scaler) write(w *Writer) error {
-	h := heap.Pop(&s.held).(held)
+	h := heap.Pop(&s.held).(heldEntry)
 	if h.RetryOf > 0 {
-		if h.RetryOf = s.numbers[copyOf{h.RetryOf, h.of.copy}]; h.RetryOf == 0 {
+		if h.RetryOf = s.numbers[copyID{h.RetryOf, h.of.copy}]; h.RetryOf == 0 {
 			h.RetryOf, h.Rule = -1, Orphan
 		}
 	}
@@ -156,50 +159,50 @@
 	return err
 }
 
-type held struct {
+type heldEntry struct {
 	Entry
-	of   copyOf
-	made int
+	of       copyID
+	sequence int
 }
 
-type copies []held
+type entryHeap []heldEntry
 
-func (h copies) Len() int { return len(h) }
-func (h copies) Less(i, j int) bool {
-	return h[i].At < h[j].At || h[i].At == h[j].At && h[i].made < h[j].made
+func (h entryHeap) Len() int { return len(h) }
+func (h entryHeap) Less(i, j int) bool {
+	return h[i].At < h[j].At || h[i].At == h[j].At && h[i].sequence < h[j].sequence
 }
-func (h copies) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *copies) Push(x any)   { *h = append(*h, x.(held)) }
-func (h *copies) Pop() any {
+func (h entryHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *entryHeap) Push(x any)   { *h = append(*h, x.(heldEntry)) }
+func (h *entryHeap) Pop() any {
 	old := *h
 	v := old[len(old)-1]
-	old[len(old)-1] = held{}
+	old[len(old)-1] = heldEntry{}
 	*h = old[:len(old)-1]
 	return v
 }
 
-// Summary is what a trace holds.
+// Summary describes the content of a trace.
 type Summary struct {
 	Header    Header
 	Entries   int
 	Duration  time.Duration
 	Classes   map[string]int
 	Retries   map[string]int // by rule
-	Clients   int            // as many as are counted, at most mostClients
-	Gaps      []Gap          // the longest, in the order of their times
-	PerSecond []int          // entries a second
+	Clients   int            // distinct clients, counted up to maxClients
+	Gaps      []Gap          // the longest gaps, in order of time
+	PerSecond []int          // entries in each second
 }
 
-// Gap is a time without any arrival.
+// Gap is an interval without arrivals.
 type Gap struct{ From, Duration time.Duration }
 
 const (
-	mostClients = 1 << 20
-	mostGaps    = 5
-	mostSeconds = 7 * 86400
+	maxClients = 1 << 20
+	maxGaps    = 5
+	maxSeconds = 7 * 86400
 )
 
-// Summarize reads a trace to its end.
+// Summarize reads a trace to its end and returns its summary.
 func Summarize(in io.Reader) (*Summary, error) {
 	r, err := NewReader(in)
 	if err != nil {
@@ -217,15 +220,15 @@
 			return s, err
 		}
 		at := time.Duration(e.At) * time.Microsecond
-		if at >= mostSeconds*time.Second {
-			return s, errors.New("it lasts more than a week")
+		if at >= maxSeconds*time.Second {
+			return s, errors.New("it is longer than a week")
 		}
 		s.Entries++
 		s.Classes[e.Class]++
 		if e.RetryOf != 0 {
 			s.Retries[e.Rule]++
 		}
-		if e.Client != "" && len(clients) < mostClients {
+		if e.Client != "" && len(clients) < maxClients {
 			clients[e.Client] = true
 		}
 		for len(s.PerSecond) <= int(at/time.Second) {
@@ -239,12 +242,12 @@
 	return s, nil
 }
 
-// gap notes a time without arrivals if it is among the longest.
+// gap adds a gap if it is among the longest.
 func (s *Summary) gap(g Gap) {
 	if g.Duration <= 0 {
 		return
 	}
-	if len(s.Gaps) < mostGaps {
+	if len(s.Gaps) < maxGaps {
 		s.Gaps = append(s.Gaps, g)
 		return
 	}
@@ -259,7 +262,7 @@
 	}
 }
 
-// Downsample sums counts a second up to at most n counts.
+// Downsample sums counts per second into at most n counts.
 func Downsample(seconds []int, n int) []int {
 	if len(seconds) <= n {
 		return seconds
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -29,7 +29,7 @@
 
 const nginx = `$remote_addr - $remote_user [$time_local] "$request" $status $body_bytes_sent "$http_referer" "$http_user_agent" $request_time $msec $http_x_request_id`
 
-// TestFormats: a line of each format gives its request.
+// TestFormats checks that a line of each format yields its request.
 func TestFormats(t *testing.T) {
 	at := time.Date(2026, 3, 14, 5, 6, 7, 0, time.UTC)
 	for name, tt := range map[string]struct {
@@ -38,19 +38,19 @@
 		want record
 	}{
 		"common": {Format{Name: "common"}, `10.1.2.3 - - [14/Mar/2026:15:06:07 +1000] "GET /check/7?a=1 HTTP/1.1" 200 512`,
-			record{end: at, began: true, took: -1, size: -1, method: "GET", target: "/check/7?a=1", status: 200, client: "10.1.2.3"}},
+			record{at: at, atStart: true, took: -1, size: -1, method: "GET", target: "/check/7?a=1", status: 200, client: "10.1.2.3"}},
 		"combined, a quote in what the client sent": {Format{Name: "combined"}, `::1 - - [14/Mar/2026:05:06:07 +0000] "POST /order/1 HTTP/1.1" 503 - "-" "a \"b\" c"`,
-			record{end: at, began: true, took: -1, size: -1, method: "POST", target: "/order/1", status: 503, client: "::1"}},
+			record{at: at, atStart: true, took: -1, size: -1, method: "POST", target: "/order/1", status: 503, client: "::1"}},
 		"nginx": {Format{Nginx: nginx}, `2001:db8::7 - bob [14/Mar/2026:05:06:09 +0000] "GET /check/8 HTTP/1.1" 200 77 "-" "-" 0.250 1773464767.500 abc-1`,
-			record{end: at.Add(500 * time.Millisecond), took: 250 * time.Millisecond, size: -1, method: "GET", target: "/check/8", status: 200, client: "2001:db8::7", id: "abc-1"}},
+			record{at: at.Add(500 * time.Millisecond), took: 250 * time.Millisecond, size: -1, method: "GET", target: "/check/8", status: 200, client: "2001:db8::7", id: "abc-1"}},
 		"Apache's own": {Format{Apache: `%a %{usec}t %m %U %>s %D %{Idempotency-Key}i %{Content-Length}i`}, `10.0.0.1 1773464767000000 POST /order/9 200 1500 k-1 44`,
-			record{end: at, began: true, took: 1500 * time.Microsecond, size: 44, method: "POST", target: "/order/9", status: 200, client: "10.0.0.1", key: "k-1"}},
+			record{at: at, atStart: true, took: 1500 * time.Microsecond, size: 44, method: "POST", target: "/order/9", status: 200, client: "10.0.0.1", key: "k-1"}},
 		"JSON": {Format{Name: "json", Fields: "time=ts,method=req.method,target=req.uri,status=code,took_ms=ms,request_id=id,size=req.len"},
 			`{"ts":"2026-03-14T05:06:08Z","code":201,"ms":1000,"id":"x","req":{"method":"PUT","uri":"/a/b","len":5},"other":[1,{"a":2}]}`,
-			record{end: at.Add(time.Second), took: time.Second, size: 5, method: "PUT", target: "/a/b", status: 201, id: "x"}},
+			record{at: at.Add(time.Second), took: time.Second, size: 5, method: "PUT", target: "/a/b", status: 201, id: "x"}},
 	} {
 		got, err := parserOf(t, tt.f).parse(tt.line)
-		got.end = got.end.UTC()
+		got.at = got.at.UTC()
 		if err != nil || !reflect.DeepEqual(got, tt.want) {
 			t.Errorf("%s:\n got %+v, %v\nwant %+v", name, got, err, tt.want)
 		}
@@ -62,20 +62,20 @@
 	}
 	for _, format := range []string{"%h", "%t %", "%{x", "%{%d}t %r"} {
 		if _, err := ParseApache(format, time.UTC); err == nil {
-			t.Errorf("%q is taken", format)
+			t.Errorf("%q is accepted", format)
 		}
 	}
 	if _, err := ParseJSON("time=a,what=b", false, time.UTC); err == nil {
-		t.Error("an unknown name is taken")
+		t.Error("an unknown name is accepted")
 	}
 }
 
-// memory is a file.
-func memory(name string, b []byte, log LineParser) File {
+// memoryFile returns a File with the given content.
+func memoryFile(name string, b []byte, log LineParser) File {
 	return File{Name: name, Open: func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(b)), nil }, HAR: strings.HasSuffix(name, ".har"), Parser: log}
 }
 
-func load(t testing.TB, rules Rules, files ...File) ([]Entry, *Report) {
+func importFiles(t testing.TB, rules Rules, files ...File) ([]Entry, *Report) {
 	t.Helper()
 	var b bytes.Buffer
 	rep, err := Import(files, rules, &b)
@@ -103,7 +103,7 @@
 	}
 }
 
-func usual() Rules {
+func defaultRules() Rules {
 	r, _ := LoadRules("")
 	r.InferRetries = []string{"order"}
 	return r
@@ -117,15 +117,16 @@
 	return z.Bytes()
 }
 
-// line is a line of the JSON format of these tests.
+// line returns a line in the JSON format of these tests.
 func line(at time.Time, took time.Duration, method, target string, status int, more string) string {
 	return fmt.Sprintf(`{"t":%d,"took":%d,"m":%q,"u":%q,"s":%d%s}`+"\n", at.UnixMicro(), took.Microseconds(), method, target, status, more)
 }
 
 var jsonFormat = Format{Name: "json", Fields: "time_us=t,took_us=took,method=m,target=u,status=s,request_id=id,key=key,addr=addr,size=size"}
 
-// TestMerge: several files, lines out of order as servers log at a request's end, clocks that are wrong, requests that two boxes logged: one
-// arrival each, in order, near the times that they had.
+// TestMerge checks that several files yield one arrival per request, sorted and near the true time,
+// although lines are out of order (servers log at the end of a request), clocks are skewed and some
+// requests are logged by two servers.
 func TestMerge(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 10))
 	begin := time.Date(2026, 3, 14, 5, 0, 0, 0, time.UTC)
@@ -140,11 +141,11 @@
 	for i := range 3000 {
 		at += time.Duration(rng.ExpFloat64() * float64(20*time.Millisecond))
 		want = append(want, at)
-		boxes := []int{rng.IntN(3)}
-		if i%4 == 0 { // sent to a second box as well
-			boxes = append(boxes, (boxes[0]+1+rng.IntN(2))%3)
+		servers := []int{rng.IntN(3)}
+		if i%4 == 0 { // also sent to a second server
+			servers = append(servers, (servers[0]+1+rng.IntN(2))%3)
 		}
-		for n, b := range boxes {
+		for n, b := range servers {
 			took := time.Duration(rng.ExpFloat64() * float64(300*time.Millisecond))
 			end := begin.Add(at + took + time.Duration(n)*2*time.Millisecond)
 			logs[b] = append(logs[b], event{end, line(end.Add(skew[b]), took, "GET", fmt.Sprint("/check/", i), 200, fmt.Sprintf(`,"id":"r%d"`, i))})
@@ -153,7 +154,7 @@
 	var files []File
 	for b, l := range logs {
 		var text bytes.Buffer
-		for len(l) > 0 { // by their ends
+		for len(l) > 0 { // in the order of their ends
 			first := 0
 			for i := range min(len(l), 400) {
 				if l[i].end.Before(l[first].end) {
@@ -167,20 +168,20 @@
 		if b == 1 {
 			content = zipped(content)
 		}
-		files = append(files, memory(fmt.Sprint("box", b), content, parserOf(t, jsonFormat)))
+		files = append(files, memoryFile(fmt.Sprint("server", b), content, parserOf(t, jsonFormat)))
 	}
-	got, rep := load(t, usual(), files...)
+	got, rep := importFiles(t, defaultRules(), files...)
 	if len(got) != len(want) || rep.Duplicates != 750 || rep.Unreadable > 0 {
 		t.Fatalf("%d arrivals of %d, %+v", len(got), len(want), rep)
 	}
-	far := 0
+	inaccurate := 0
 	for i, e := range got {
 		if d := time.Duration(e.At)*time.Microsecond - (want[i] - want[0]); d.Abs() > 5*time.Millisecond {
-			far++
+			inaccurate++
 		}
 	}
-	if far > len(got)/100 {
-		t.Errorf("%d of %d arrivals are more than 5 ms off", far, len(got))
+	if inaccurate > len(got)/100 {
+		t.Errorf("%d of %d arrivals are more than 5 ms off", inaccurate, len(got))
 	}
 	for i, s := range rep.Skews[1:] {
 		if (s.Offset-skew[i+1]).Abs() > 5*time.Millisecond || s.Shared < 100 || s.Reference == "" {
@@ -189,8 +190,9 @@
 	}
 }
 
-// TestClocks: whole seconds are spread over, a leap back moves nothing before what has come, and the hour that the clock shows twice is read
-// in its order.
+// TestClocks checks that records of whole seconds are spread, that a clock that goes back moves no
+// arrival before an earlier one, and that the repeated hour at the end of daylight saving time is
+// read in order.
 func TestClocks(t *testing.T) {
 	common := parserOf(t, Format{Name: "common"})
 	var b strings.Builder
@@ -199,7 +201,7 @@
 			fmt.Fprintf(&b, "a - - [14/Mar/2026:05:00:%02d +0000] \"GET /check/%d HTTP/1.1\" 200 5\n", s, i)
 		}
 	}
-	got, rep := load(t, usual(), memory("log", []byte(b.String()), common))
+	got, rep := importFiles(t, defaultRules(), memoryFile("log", []byte(b.String()), common))
 	var at []int64
 	for _, e := range got {
 		at = append(at, e.At/1000)
@@ -216,46 +218,49 @@
 		t.Fatal(err)
 	}
 	b.Reset()
-	for _, s := range []string{"01:30:00.5", "02:15:00.5", "02:45:00.5", "02:15:00.5", "02:45:00.5", "03:15:00.5"} { // summer time ends at 3:00
+	// Daylight saving time ends at 3:00.
+	for _, s := range []string{"01:30:00.5", "02:15:00.5", "02:45:00.5", "02:15:00.5", "02:45:00.5", "03:15:00.5"} {
 		fmt.Fprintf(&b, `{"t":"2026-04-05 %s","m":"GET","u":"/check/1"}`+"\n", s)
 	}
-	got, rep = load(t, usual(), memory("log", []byte(b.String()), p))
+	got, rep = importFiles(t, defaultRules(), memoryFile("log", []byte(b.String()), p))
 	at = nil
 	for _, e := range got {
 		at = append(at, e.At/1e6/60)
 	}
 	if fmt.Sprint(at) != "[0 45 75 105 135 165]" || rep.BackwardJumps > 0 {
-		t.Errorf("arrivals at %v min, %d leaps", at, rep.BackwardJumps)
+		t.Errorf("arrivals at %v min, %d backward jumps", at, rep.BackwardJumps)
 	}
 	b.Reset()
 	begin := time.Date(2026, 3, 14, 5, 0, 0, 0, time.UTC)
 	for i, s := range []int{0, 200, 400, 30, 401} {
 		b.WriteString(line(begin.Add(time.Duration(s)*time.Second), time.Millisecond, "GET", fmt.Sprint("/check/", i), 200, ""))
 	}
-	if got, rep = load(t, usual(), memory("log", []byte(b.String()), parserOf(t, jsonFormat))); len(got) != 5 || rep.BackwardJumps != 1 {
-		t.Errorf("%d arrivals, %d leaps", len(got), rep.BackwardJumps)
+	if got, rep = importFiles(t, defaultRules(), memoryFile("log", []byte(b.String()), parserOf(t, jsonFormat))); len(got) != 5 || rep.BackwardJumps != 1 {
+		t.Errorf("%d arrivals, %d backward jumps", len(got), rep.BackwardJumps)
 	}
 }
 
-// TestBadLines: what cannot be read is counted with its place and reason, and the rest is read.
+// TestBadLines checks that unreadable lines are counted with line number and reason, and the rest
+// is read.
 func TestBadLines(t *testing.T) {
 	at := time.Date(2026, 3, 14, 5, 0, 0, 0, time.UTC)
 	good := line(at, time.Millisecond, "GET", "/check/1", 200, "")
-	text := "\x1d}\n" + good + `{"t":1,"m":"GE` + "\n\n" + strings.Repeat("x", mostLogLine+5) + "\n" + strings.Replace(line(at, 0, "GET", "/check/here", 200, ""), "here", "\xff\xfe", 1) +
+	text := "\x1d}\n" + good + `{"t":1,"m":"GE` + "\n\n" + strings.Repeat("x", maxLogLine+5) + "\n" + strings.Replace(line(at, 0, "GET", "/check/here", 200, ""), "here", "\xff\xfe", 1) +
 		`{"t":"x","m":"GET","u":"/a","s":200}` + "\n" + `{"m":"GET","u":"/a"}` + "\n" + line(at, 0, "GET", "nothing", 200, "") + strings.TrimSuffix(good, "}\n")
-	got, rep := load(t, usual(), memory("log", []byte(text), parserOf(t, jsonFormat)))
+	got, rep := importFiles(t, defaultRules(), memoryFile("log", []byte(text), parserOf(t, jsonFormat)))
 	if len(got) != 2 || rep.Unreadable != 7 || len(rep.Errors) != 7 {
-		t.Errorf("%d arrivals, %d faults: %+v", len(got), rep.Unreadable, rep.Errors)
+		t.Errorf("%d arrivals, %d unreadable: %+v", len(got), rep.Unreadable, rep.Errors)
 	}
 	if f := rep.Errors[2]; f.Line != 5 || !strings.Contains(f.Reason, "longer") {
 		t.Errorf("%+v", f)
 	}
-	if _, err := Import([]File{memory("log", []byte("x\n"), parserOf(t, jsonFormat))}, usual(), io.Discard); err == nil {
-		t.Error("a log without any record is a trace")
+	if _, err := Import([]File{memoryFile("log", []byte("x\n"), parserOf(t, jsonFormat))}, defaultRules(), io.Discard); err == nil {
+		t.Error("a log without usable records is accepted")
 	}
 }
 
-// TestRetryMarks: by key for sure, by client, path and size less so, over files, and not beyond the time that is told.
+// TestRetryMarks checks that retries are detected across files with certainty by key, and with less
+// confidence by client, path and size, and not after the retry window.
 func TestRetryMarks(t *testing.T) {
 	at := time.Date(2026, 3, 14, 5, 0, 0, 0, time.UTC)
 	l := func(s int, target string, status int, more string) string {
@@ -264,7 +269,7 @@
 	first := l(0, "/order/1", 503, `,"key":"k1","addr":"a"`) + l(2, "/order/2", 500, `,"addr":"b","size":9`) + l(4, "/order/3", 200, `,"addr":"b","size":9`) + l(5, "/check/1", 500, `,"addr":"b"`)
 	second := l(1, "/order/1", 200, `,"key":"k1","addr":"z"`) + l(3, "/order/2", 200, `,"addr":"b","size":9`) + l(6, "/order/3", 200, `,"addr":"b","size":9`) +
 		l(7, "/check/1", 200, `,"addr":"b"`) + l(8, "/order/2", 200, `,"addr":"c","size":9`) + l(60, "/order/2", 200, `,"addr":"b","size":9`) + l(61, "/order/1", 200, `,"key":"k1"`)
-	got, rep := load(t, usual(), memory("one", []byte(first), parserOf(t, jsonFormat)), memory("two", []byte(second), parserOf(t, jsonFormat)))
+	got, rep := importFiles(t, defaultRules(), memoryFile("one", []byte(first), parserOf(t, jsonFormat)), memoryFile("two", []byte(second), parserOf(t, jsonFormat)))
 	type mark struct {
 		of   int
 		sure float64
@@ -273,7 +278,7 @@
 	for _, e := range got {
 		marks = append(marks, mark{e.RetryOf, e.Confidence})
 		if strings.Contains(fmt.Sprint(e), "addr") || e.Client == "a" || e.Client == "b" {
-			t.Errorf("%+v tells its client's address", e)
+			t.Errorf("%+v reveals the address of its client", e)
 		}
 	}
 	want := []mark{{0, 0}, {1, 1}, {0, 0}, {3, 0.9}, {0, 0}, {0, 0}, {5, 0.5}, {0, 0}, {0, 0}, {0, 0}, {0, 0}}
@@ -293,7 +298,8 @@
 {"startedDateTime":"2026-03-14T05:00:03Z","request":{"method":7},"response":{"status":200}},
 {"startedDateTime":"2026-03-14T05:00:04Z","request":{"method":"GET","url":"https://app.example/logo.png"},"response":{"status":200,"content":{"text":"xxxx"}}}]}}`
 
-// TestHAR: entries by their times, with redirects, aborted ones, bodies that are in base64 or truncated; no secrets.
+// TestHAR checks that HAR entries are sorted by time, that redirects, aborted requests, base64
+// bodies and truncated bodies are handled, and that secrets are dropped.
 func TestHAR(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "rules.toml")
 	if err := os.WriteFile(path, []byte("keep_query = [\"day\"]\nkeep_bodies = true\n[[classes]]\nclass = \"order\"\nmethod = \"post\"\npath = \"/order/.*\"\n[[classes]]\nclass = \"check\"\nhost = \"app.example\"\npath = \"/check/(?P<key>.*)\"\n"), 0o600); err != nil {
@@ -303,7 +309,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, rep := load(t, rules, memory("a.har", []byte(har), nil))
+	got, rep := importFiles(t, rules, memoryFile("a.har", []byte(har), nil))
 	if len(got) != 3 || rep.Unclassified != 1 || rep.Unreadable != 2 || rep.HAR != (HARNotes{Entries: 4, Pages: 2, Aborted: 1, Redirects: 1, Bodies: 2, Truncated: 1}) {
 		t.Fatalf("%d arrivals, %+v", len(got), rep)
 	}
@@ -319,20 +325,20 @@
 	text, _ := json.Marshal(got)
 	for _, secret := range []string{"secret", "Bearer", "sid"} {
 		if bytes.Contains(text, []byte(secret)) {
-			t.Errorf("%s is kept", secret)
+			t.Errorf("the trace contains %s", secret)
 		}
 	}
-	if got, rep := load(t, rules, memory("cut.har", []byte(har[:len(har)-300]), nil)); len(got) != 3 || rep.Unreadable != 1 {
-		t.Errorf("cut: %d arrivals, %+v", len(got), rep.Errors)
+	if got, rep := importFiles(t, rules, memoryFile("cut.har", []byte(har[:len(har)-300]), nil)); len(got) != 3 || rep.Unreadable != 1 {
+		t.Errorf("truncated: %d arrivals, %+v", len(got), rep.Errors)
 	}
 	for _, bad := range []string{"", "[]", "{}", `{"log":[]}`, `{"log":{"entries":{}}}`} {
-		if _, err := Import([]File{memory("b.har", []byte(bad), nil)}, rules, io.Discard); err == nil {
-			t.Errorf("%q is a HAR", bad)
+		if _, err := Import([]File{memoryFile("b.har", []byte(bad), nil)}, rules, io.Discard); err == nil {
+			t.Errorf("%q is accepted as a HAR file", bad)
 		}
 	}
 }
 
-// TestLargeHAR: a capture of 200 MB is read in little memory.
+// TestLargeHAR reads a capture of 200 MB, whose response contents must not be held in memory.
 func TestLargeHAR(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it takes some seconds")
@@ -351,13 +357,14 @@
 		io.WriteString(w, `]}}`)
 		w.Close()
 	}()
-	records, notes, err := readHAR(r, "c", false, func(int, error) { t.Error("a fault") })
+	records, notes, err := readHAR(r, "c", false, func(int, error) { t.Error("an entry is reported as unreadable") })
 	if err != nil || len(records) != n || notes.Entries != n {
 		t.Fatalf("%d entries, %v", len(records), err)
 	}
 }
 
-// TestRoundTrip: what is written is read; what is cut, of another kind, or out of order is an error that says where.
+// TestRoundTrip checks that written entries are read back, and that truncated, foreign or unsorted
+// input is an error.
 func TestRoundTrip(t *testing.T) {
 	var b bytes.Buffer
 	w, err := NewWriter(&b, Header{Origin: time.Unix(1e9, 0).UTC(), Notes: []string{"a note"}})
@@ -371,7 +378,7 @@
 		}
 	}
 	if _, err := w.Write(Entry{At: 4, Class: "a", Path: "/"}); err == nil {
-		t.Error("an entry before the last is taken")
+		t.Error("an entry before the previous one is accepted")
 	}
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
@@ -399,13 +406,13 @@
 			_, err = r.Next()
 		}
 		if err == io.EOF {
-			t.Error("a trace that is cut is whole")
+			t.Error("a truncated trace is read without an error")
 		}
 	}
 }
 
-// written makes a trace of random entries.
-func written(t *rapid.T, n int) []byte {
+// randomTrace returns a trace of random entries.
+func randomTrace(t *rapid.T, n int) []byte {
 	var b bytes.Buffer
 	w, _ := NewWriter(&b, Header{})
 	at := int64(0)
@@ -426,10 +433,11 @@
 	return b.Bytes()
 }
 
-// TestCutAndScale: cutting keeps what lies within, scaling keeps each client's order and retries, and no retry becomes a fresh order.
+// TestCutAndScale checks that Cut keeps the entries of its range, that Scale keeps the order and
+// retries of each client, and that no retry becomes a first try.
 func TestCutAndScale(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := written(t, rapid.IntRange(1, 40).Draw(t, "n"))
+		all := randomTrace(t, rapid.IntRange(1, 40).Draw(t, "n"))
 		in := entries(t, all)
 		from := time.Duration(rapid.IntRange(0, 4000).Draw(t, "from")) * time.Millisecond
 		to := from + time.Duration(rapid.IntRange(1, 6000).Draw(t, "for"))*time.Millisecond
@@ -453,7 +461,7 @@
 			i++
 		}
 		if i != len(cut) {
-			t.Fatalf("%d of %d", len(cut), i)
+			t.Fatalf("Cut kept %d entries, want %d", len(cut), i)
 		}
 		factor := rapid.Float64Range(0.2, 4).Draw(t, "factor")
 		b.Reset()
@@ -496,7 +504,7 @@
 	})
 }
 
-// TestScaleRate: by 2.5 there are two and a half times as many, over the same time.
+// TestScaleRate checks that scaling by 2.5 yields 2.5 times the entries over the same time.
 func TestScaleRate(t *testing.T) {
 	var b, out bytes.Buffer
 	w, _ := NewWriter(&b, Header{})
@@ -506,7 +514,7 @@
 	w.Close()
 	n, err := Scale(&b, &out, 2.5)
 	if err != nil || n < 9500 || n > 10_500 {
-		t.Errorf("%d, %v", n, err)
+		t.Errorf("scaled to %d entries, %v", n, err)
 	}
 	s, err := Summarize(&out)
 	if err != nil || s.Entries != n || s.Duration > 4300*time.Millisecond || s.Clients < 1200 {
@@ -519,7 +527,7 @@
 	f.Add(`{"t":1,"m":"GET","u":"/x"}`, 1)
 	f.Add(`::1 - bob [14/Mar/2026:05:06:09 +0000] "GET /check/8 HTTP/1.1" 200 77 "-" "-" 0.250 1773464767.500 abc-1`, 2)
 	parsers := []LineParser{parserOf(f, Format{Name: "combined"}), parserOf(f, jsonFormat), parserOf(f, Format{Nginx: nginx})}
-	rules := usual()
+	rules := defaultRules()
 	f.Fuzz(func(t *testing.T, line string, kind int) {
 		r, err := parsers[uint(kind)%3].parse(line)
 		if err != nil {
@@ -537,7 +545,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		records, _, _ := readHAR(bytes.NewReader(b), "c", true, func(int, error) {})
 		for _, r := range records {
-			if r.end.IsZero() && r.method == "" {
+			if r.at.IsZero() && r.method == "" {
 				t.Errorf("%+v", r)
 			}
 		}
@@ -564,7 +572,7 @@
 	})
 }
 
-// BenchmarkImport tells how fast a log is read.
+// BenchmarkImport measures the throughput of importing a log.
 func BenchmarkImport(b *testing.B) {
 	var text bytes.Buffer
 	at := time.Date(2026, 3, 14, 5, 0, 0, 0, time.UTC)
@@ -578,7 +586,7 @@
 	}
 	b.SetBytes(int64(text.Len()))
 	for range b.N {
-		if _, err := Import([]File{memory("log", text.Bytes(), log)}, usual(), io.Discard); err != nil {
+		if _, err := Import([]File{memoryFile("log", text.Bytes(), log)}, defaultRules(), io.Discard); err != nil {
 			b.Fatal(err)
 		}
 	}
