--- a/internal/trace/har.go
+++ b/internal/trace/har.go
@@ -117,7 +117,7 @@
 }
 
 func sortByTime(r []record) []record {
-	sort.SliceStable(r, func(i, j int) bool { return r[i].at.Before(r[j].at) })
+	sort.SliceStable(r, func(i, j int) bool { return r[i].timestamp.Before(r[j].timestamp) })
 	return r
 }
 
@@ -149,7 +149,7 @@
 func (e *harEntry) record(client string, bodies bool, notes *HARNotes) (record, error) {
 	r := record{atStart: true, took: -1, size: -1, method: e.Request.Method, status: e.Response.Status, client: client}
 	var err error
-	if r.at, err = time.Parse(time.RFC3339Nano, e.Started); err != nil {
+	if r.timestamp, err = time.Parse(time.RFC3339Nano, e.Started); err != nil {
 		return r, fmt.Errorf("startedDateTime is %.40q", e.Started)
 	}
 	u, err := url.Parse(e.Request.URL)
--- a/internal/trace/import.go
+++ b/internal/trace/import.go
@@ -61,8 +61,8 @@
 	maxLogLine = 1 << 20
 	// reorderWindow is how long after its arrival a request may be logged: servers log at its end.
 	reorderWindow = 2 * time.Minute
-	// maxHeld is the maximum number of records of one file that are buffered for sorting.
-	maxHeld = 1 << 20
+	// maxPending is the maximum number of records of one file that are buffered for sorting.
+	maxPending = 1 << 20
 	// maxIDs is the maximum number of request ids of one file that are used to compare clocks.
 	maxIDs = 1 << 16
 	// minShared is the minimum number of shared requests for comparing the clocks of two files.
@@ -196,7 +196,7 @@
 	lines        *bufio.Reader
 	har          []record // records of a HAR file
 	line         int
-	held         arrivalHeap
+	pending      arrivalHeap
 	latest       time.Time        // latest arrival read
 	lastReturned time.Time        // latest arrival returned
 	latestLocal  time.Time        // latest time without a zone
@@ -285,13 +285,13 @@
 func (s *fileReader) localTime(r *record) {
 	const clock = "2006-01-02 15:04:05"
 	for _, d := range []time.Duration{-time.Hour, 0, time.Hour} {
-		if t := r.at.Add(d); t.Format(clock) == r.at.Format(clock) && !t.Before(s.latestLocal.Add(-reorderWindow)) {
-			r.at = t
+		if t := r.timestamp.Add(d); t.Format(clock) == r.timestamp.Format(clock) && !t.Before(s.latestLocal.Add(-reorderWindow)) {
+			r.timestamp = t
 			break
 		}
 	}
-	if r.at.After(s.latestLocal) {
-		s.latestLocal = r.at
+	if r.timestamp.After(s.latestLocal) {
+		s.latestLocal = r.timestamp
 	}
 }
 
@@ -323,7 +323,7 @@
 
 // next advances s.now and s.at to the next arrival and reports whether there is one.
 func (s *fileReader) next() bool {
-	for !s.ended && (len(s.held) == 0 || s.latest.Sub(s.held[0].at) < reorderWindow && len(s.held) < maxHeld) {
+	for !s.ended && (len(s.pending) == 0 || s.latest.Sub(s.pending[0].at) < reorderWindow && len(s.pending) < maxPending) {
 		r, ok := s.read()
 		if !ok {
 			s.ended = true
@@ -333,8 +333,8 @@
 		if s.rep != nil {
 			s.rep.Records++
 		}
-		if r.took < 0 && r.at.Nanosecond() == 0 && !s.file.HAR {
-			if len(s.sameSecond) > 0 && !s.sameSecond[0].at.Equal(r.at) || len(s.sameSecond) >= maxHeld {
+		if r.took < 0 && r.timestamp.Nanosecond() == 0 && !s.file.HAR {
+			if len(s.sameSecond) > 0 && !s.sameSecond[0].timestamp.Equal(r.timestamp) || len(s.sameSecond) >= maxPending {
 				s.flush()
 			}
 			s.sameSecond = append(s.sameSecond, r)
@@ -342,10 +342,10 @@
 		}
 		s.hold(r, r.arrival())
 	}
-	if len(s.held) == 0 {
+	if len(s.pending) == 0 {
 		return false
 	}
-	a := heap.Pop(&s.held).(arrival)
+	a := heap.Pop(&s.pending).(arrival)
 	s.now = a.numberedRecord
 	// If the clock went back, arrivals are not moved before those already returned.
 	if s.at = a.at; s.at.Before(s.lastReturned) {
@@ -361,9 +361,9 @@
 // flush spreads records logged with a resolution of a second evenly over their second.
 func (s *fileReader) flush() {
 	for i, r := range s.sameSecond {
-		at := r.at.Add(time.Second * time.Duration(2*i+1) / time.Duration(2*len(s.sameSecond)))
+		at := r.timestamp.Add(time.Second * time.Duration(2*i+1) / time.Duration(2*len(s.sameSecond)))
 		if len(s.sameSecond) == 1 {
-			at = r.at
+			at = r.timestamp
 		} else if s.rep != nil {
 			s.rep.WholeSeconds++
 		}
@@ -374,7 +374,7 @@
 
 func (s *fileReader) hold(r numberedRecord, at time.Time) {
 	at = at.Add(-s.offset)
-	heap.Push(&s.held, arrival{r, at})
+	heap.Push(&s.pending, arrival{r, at})
 	if at.After(s.latest) {
 		s.latest = at
 	}
--- a/internal/trace/logformat.go
+++ b/internal/trace/logformat.go
@@ -13,7 +13,7 @@
 
 // record is one logged request.
 type record struct {
-	at        time.Time // time of its end, or of its start if atStart is set
+	timestamp time.Time // time of its end, or of its start if atStart is set
 	atStart   bool
 	took      time.Duration // -1: not logged
 	method    string
@@ -33,9 +33,9 @@
 // arrival returns when the request arrived, or its logged time if no duration was logged.
 func (r *record) arrival() time.Time {
 	if r.atStart || r.took < 0 {
-		return r.at
+		return r.timestamp
 	}
-	return r.at.Add(-r.took)
+	return r.timestamp.Add(-r.took)
 }
 
 // LineParser parses the lines of a log. NewParser returns one.
@@ -281,15 +281,15 @@
 
 // indexUnescaped returns the index of the text that ends a field. Servers escape a quote within a
 // client's text by a backslash.
-func indexUnescaped(s, behind string) int {
+func indexUnescaped(s, delimiter string) int {
 	for from := 0; ; {
-		i := strings.Index(s[from:], behind)
+		i := strings.Index(s[from:], delimiter)
 		if i < 0 {
 			return -1
 		}
 		at := from + i
 		escapes := 0
-		for behind[0] == '"' && at-1-escapes >= 0 && s[at-1-escapes] == '\\' {
+		for delimiter[0] == '"' && at-1-escapes >= 0 && s[at-1-escapes] == '\\' {
 			escapes++
 		}
 		if escapes%2 == 0 {
@@ -316,16 +316,16 @@
 			r.client = a.Unmap().String()
 		}
 	case timeLocal:
-		r.at, err = time.Parse("02/Jan/2006:15:04:05 -0700", strings.Trim(v, "[]"))
+		r.timestamp, err = time.Parse("02/Jan/2006:15:04:05 -0700", strings.Trim(v, "[]"))
 	case timeISO:
-		if r.at, err = time.Parse(time.RFC3339Nano, v); err == nil {
+		if r.timestamp, err = time.Parse(time.RFC3339Nano, v); err == nil {
 			break
 		}
-		if r.at, err = time.Parse("2006-01-02T15:04:05-0700", v); err == nil {
+		if r.timestamp, err = time.Parse("2006-01-02T15:04:05-0700", v); err == nil {
 			break
 		}
 		for _, layout := range []string{"2006-01-02T15:04:05.999999999", "2006-01-02 15:04:05.999999999"} {
-			if r.at, err = time.ParseInLocation(layout, strings.Replace(v, ",", ".", 1), zone); err == nil {
+			if r.timestamp, err = time.ParseInLocation(layout, strings.Replace(v, ",", ".", 1), zone); err == nil {
 				r.lacksZone = true
 				break
 			}
@@ -334,7 +334,7 @@
 		var n float64
 		unit := map[field]float64{timeSec: 1e6, timeMilli: 1e3, timeMicro: 1}[k]
 		if n, err = number(unit); err == nil {
-			r.at = time.UnixMicro(int64(math.Round(n)))
+			r.timestamp = time.UnixMicro(int64(math.Round(n)))
 		}
 	case requestLine:
 		parts := strings.Fields(v)
@@ -442,7 +442,7 @@
 			return r, err
 		}
 	}
-	if r.at.IsZero() || r.target == "" || r.method == "" {
+	if r.timestamp.IsZero() || r.target == "" || r.method == "" {
 		return r, errors.New("it has no time or no request")
 	}
 	return r, nil
--- a/internal/trace/tools.go
+++ b/internal/trace/tools.go
@@ -83,7 +83,7 @@
 			return w.n, err
 		}
 		end := err == io.EOF
-		for len(s.held) > 0 && (end || s.held[0].At+copySpread.Microseconds() < e.At) {
+		for len(s.pending) > 0 && (end || s.pending[0].At+copySpread.Microseconds() < e.At) {
 			if err := s.write(w); err != nil {
 				return w.n, err
 			}
@@ -102,7 +102,7 @@
 	factor   float64
 	groups   map[int]string // group of each entry without a client, by number
 	numbers  map[copyID]int // output numbers of first tries
-	held     entryHeap
+	pending  entryHeap
 	sequence int
 }
 
@@ -141,12 +141,12 @@
 			}
 		}
 		s.sequence++
-		heap.Push(&s.held, heldEntry{c, copyID{n, i}, s.sequence})
+		heap.Push(&s.pending, pendingEntry{c, copyID{n, i}, s.sequence})
 	}
 }
 
 func (s *scaler) write(w *Writer) error {
-	h := heap.Pop(&s.held).(heldEntry)
+	h := heap.Pop(&s.pending).(pendingEntry)
 	if h.RetryOf > 0 {
 		if h.RetryOf = s.numbers[copyID{h.RetryOf, h.of.copy}]; h.RetryOf == 0 {
 			h.RetryOf, h.Rule = -1, Orphan
@@ -159,24 +159,24 @@
 	return err
 }
 
-type heldEntry struct {
+type pendingEntry struct {
 	Entry
 	of       copyID
 	sequence int
 }
 
-type entryHeap []heldEntry
+type entryHeap []pendingEntry
 
 func (h entryHeap) Len() int { return len(h) }
 func (h entryHeap) Less(i, j int) bool {
 	return h[i].At < h[j].At || h[i].At == h[j].At && h[i].sequence < h[j].sequence
 }
 func (h entryHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *entryHeap) Push(x any)   { *h = append(*h, x.(heldEntry)) }
+func (h *entryHeap) Push(x any)   { *h = append(*h, x.(pendingEntry)) }
 func (h *entryHeap) Pop() any {
 	old := *h
 	v := old[len(old)-1]
-	old[len(old)-1] = heldEntry{}
+	old[len(old)-1] = pendingEntry{}
 	*h = old[:len(old)-1]
 	return v
 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -38,19 +38,19 @@
 		want record
 	}{
 		"common": {Format{Name: "common"}, `10.1.2.3 - - [14/Mar/2026:15:06:07 +1000] "GET /check/7?a=1 HTTP/1.1" 200 512`,
-			record{at: at, atStart: true, took: -1, size: -1, method: "GET", target: "/check/7?a=1", status: 200, client: "10.1.2.3"}},
+			record{timestamp: at, atStart: true, took: -1, size: -1, method: "GET", target: "/check/7?a=1", status: 200, client: "10.1.2.3"}},
 		"combined, a quote in what the client sent": {Format{Name: "combined"}, `::1 - - [14/Mar/2026:05:06:07 +0000] "POST /order/1 HTTP/1.1" 503 - "-" "a \"b\" c"`,
-			record{at: at, atStart: true, took: -1, size: -1, method: "POST", target: "/order/1", status: 503, client: "::1"}},
+			record{timestamp: at, atStart: true, took: -1, size: -1, method: "POST", target: "/order/1", status: 503, client: "::1"}},
 		"nginx": {Format{Nginx: nginx}, `2001:db8::7 - bob [14/Mar/2026:05:06:09 +0000] "GET /check/8 HTTP/1.1" 200 77 "-" "-" 0.250 1773464767.500 abc-1`,
-			record{at: at.Add(500 * time.Millisecond), took: 250 * time.Millisecond, size: -1, method: "GET", target: "/check/8", status: 200, client: "2001:db8::7", id: "abc-1"}},
+			record{timestamp: at.Add(500 * time.Millisecond), took: 250 * time.Millisecond, size: -1, method: "GET", target: "/check/8", status: 200, client: "2001:db8::7", id: "abc-1"}},
 		"Apache's own": {Format{Apache: `%a %{usec}t %m %U %>s %D %{Idempotency-Key}i %{Content-Length}i`}, `10.0.0.1 1773464767000000 POST /order/9 200 1500 k-1 44`,
-			record{at: at, atStart: true, took: 1500 * time.Microsecond, size: 44, method: "POST", target: "/order/9", status: 200, client: "10.0.0.1", key: "k-1"}},
+			record{timestamp: at, atStart: true, took: 1500 * time.Microsecond, size: 44, method: "POST", target: "/order/9", status: 200, client: "10.0.0.1", key: "k-1"}},
 		"JSON": {Format{Name: "json", Fields: "time=ts,method=req.method,target=req.uri,status=code,took_ms=ms,request_id=id,size=req.len"},
 			`{"ts":"2026-03-14T05:06:08Z","code":201,"ms":1000,"id":"x","req":{"method":"PUT","uri":"/a/b","len":5},"other":[1,{"a":2}]}`,
-			record{at: at.Add(time.Second), took: time.Second, size: 5, method: "PUT", target: "/a/b", status: 201, id: "x"}},
+			record{timestamp: at.Add(time.Second), took: time.Second, size: 5, method: "PUT", target: "/a/b", status: 201, id: "x"}},
 	} {
 		got, err := parserOf(t, tt.f).parse(tt.line)
-		got.at = got.at.UTC()
+		got.timestamp = got.timestamp.UTC()
 		if err != nil || !reflect.DeepEqual(got, tt.want) {
 			t.Errorf("%s:\n got %+v, %v\nwant %+v", name, got, err, tt.want)
 		}
@@ -545,7 +545,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		records, _, _ := readHAR(bytes.NewReader(b), "c", true, func(int, error) {})
 		for _, r := range records {
-			if r.at.IsZero() && r.method == "" {
+			if r.timestamp.IsZero() && r.method == "" {
 				t.Errorf("%+v", r)
 			}
 		}
