--- a/internal/mysql/proxy/basic_test.go
+++ b/internal/mysql/proxy/basic_test.go
@@ -158,7 +158,8 @@
 	if a+b > 10 {
 		t.Errorf("%d connections for 100 sessions that run statements one after the other", a+b)
 	}
-	eventually(t, "all statements are counted", func() bool { return w.Stats().Statements["served"] == 100 }) // counted after the last answer is sent
+	// A statement is counted after its answer has been sent.
+	eventually(t, "all statements are counted", func() bool { return w.Stats().Statements["served"] == 100 })
 	if s := w.Stats(); s.Sessions != 100 || s.ServerConns.Reuses < 90 {
 		t.Errorf("%+v", s)
 	}
--- a/internal/mysql/proxy/bench_test.go
+++ b/internal/mysql/proxy/bench_test.go
@@ -81,7 +81,8 @@
 			b.ReportMetric(float64(d.Microseconds()), "direct-us")
 			b.ReportMetric(float64(p.Microseconds()), "front-us")
 			b.ReportMetric(float64(h.Microseconds()), "bare-us")
-			b.ReportMetric(float64(p)/(1.15*float64(d)+float64(h-d)), "of-aim") // the target is 1.15 times the direct time plus a loopback hop
+			// The target is 1.15 times the direct time plus a loopback hop.
+			b.ReportMetric(float64(p)/(1.15*float64(d)+float64(h-d)), "of-aim")
 		})
 	}
 }
--- a/internal/mysql/proxy/client.go
+++ b/internal/mysql/proxy/client.go
@@ -50,7 +50,7 @@
 	// mu is held while a command is processed: the session is idle for whoever else acquires it.
 	mu              sync.Mutex
 	state           *session.State // nil: not logged in
-	exchange        *exchange      // the server connection that the session holds; nil: none
+	current         *exchange      // the server connection that the session holds; nil: none
 	statements      map[uint32]*preparedStatement
 	lastStatementID uint32    // ID of the last prepared statement
 	idleSince       time.Time // end of the last command
@@ -58,9 +58,9 @@
 
 	userName   atomic.Pointer[string] // for readers that do not hold mu
 	bound      atomic.Bool
-	closeError atomic.Pointer[wire.Error] // error with which the session was closed while idle; nil: open
+	closeError atomic.Pointer[wire.Error] // set when the session is closed while idle
 	runningOn  atomic.Pointer[serverConn] // connection on which its statement runs; nil: none
-	dedicated  bool                       // exchange is kept for the whole session (AuthPassThrough)
+	dedicated  bool                       // current is kept for the whole session (AuthPassThrough)
 }
 
 func newClientSession(f *Frontend, id uint32, c net.Conn, g *connlimit.Slot) *clientSession {
@@ -141,7 +141,7 @@
 func (s *clientSession) cleanup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.exchange == nil {
+	if s.current == nil {
 		return
 	}
 	if s.dedicated || s.state.Bound() {
@@ -153,8 +153,8 @@
 
 // releaseConn returns the server connection to the pool. The session must not be bound to it.
 func (s *clientSession) releaseConn() {
-	x := s.exchange
-	s.exchange, s.drainingSince = nil, time.Time{}
+	x := s.current
+	s.current, s.drainingSince = nil, time.Time{}
 	s.state.ConnectionReleased()
 	s.frontend.transport.putIdle(x.serverConn)
 	x.finish(policy.OK)
@@ -162,8 +162,8 @@
 
 // closeConn closes the server connection.
 func (s *clientSession) closeConn(status policy.Status) {
-	x := s.exchange
-	s.exchange, s.drainingSince = nil, time.Time{}
+	x := s.current
+	s.current, s.drainingSince = nil, time.Time{}
 	x.Close()
 	x.finish(status)
 }
@@ -180,7 +180,7 @@
 		return
 	}
 	f := s.frontend
-	if x := s.exchange; x != nil {
+	if x := s.current; x != nil {
 		usable := f.pool.ServerUsable(x.serverID)
 		switch {
 		case usable:
@@ -207,7 +207,7 @@
 			}
 		}
 	}
-	s.bound.Store(s.exchange != nil && (s.dedicated || s.state.Bound()))
+	s.bound.Store(s.current != nil && (s.dedicated || s.state.Bound()))
 	switch {
 	case !f.acceptor.DrainingSince().IsZero() && (!s.bound.Load() || f.shutdownSchedule().MustAnswer(now)):
 		s.closeIdle(wire.ConnectionClosing("the proxy is ending"))
@@ -219,7 +219,7 @@
 // closeIdle closes an idle session. The client reads the error as the answer to its next command.
 func (s *clientSession) closeIdle(e *wire.Error) {
 	s.closeError.Store(e)
-	if s.state != nil && s.exchange != nil && (s.dedicated || s.state.Bound()) {
+	if s.state != nil && s.current != nil && (s.dedicated || s.state.Bound()) {
 		s.closeConn(policy.OK)
 	}
 	b := e.Append([]byte{0, 0, 0, 0})
@@ -310,15 +310,15 @@
 	return s.send((&wire.OK{Status: status}).Append(nil, 0, s.caps))
 }
 
-// dispatch answers one dispatch. An error ends the session.
+// dispatch answers one command. An error ends the session.
 func (s *clientSession) dispatch(c wire.Command, b []byte) error {
 	switch c {
 	case wire.Quit:
 		return errSessionEnded
 	case wire.Ping:
-		// An unbound session is answered here, so that a connection that it holds keeps the state of
-		// the last statement.
-		if s.exchange == nil || !s.dedicated && !s.state.Bound() {
+		// An unbound session is answered here, so that a connection that it holds keeps the state
+		// of the last statement.
+		if s.current == nil || !s.dedicated && !s.state.Bound() {
 			return s.sendOK()
 		}
 		return s.runOnCurrent(c, b, &session.Statement{Verb: "ping", ReadOnly: true}, 0)
@@ -392,7 +392,7 @@
 	if st.Hint.Invalid != "" {
 		return s.sendError(&wire.Error{Code: 1064, State: "42000", Message: "hint: " + st.Hint.Invalid})
 	}
-	plan := s.state.Plan(&st, s.exchange != nil)
+	plan := s.state.Plan(&st, s.current != nil)
 	switch plan.Placement {
 	case session.LocalReply:
 		if plan.Error != nil {
@@ -406,7 +406,7 @@
 		}
 		return s.executeOnCurrent(&st, p, e)
 	}
-	if s.exchange != nil {
+	if s.current != nil {
 		if s.dedicated {
 			if p != nil {
 				return s.executeOnCurrent(&st, p, e)
@@ -458,7 +458,7 @@
 		return errSessionEnded
 	}
 	if result.Kind == engine.Served {
-		s.exchange = result.Reply.(*exchange)
+		s.current = result.Reply.(*exchange)
 		return s.relayReply(st, p)
 	}
 	return s.reportUnserved(st, result)
@@ -564,21 +564,21 @@
 // runOnCurrent runs a command on the connection that the session holds.
 func (s *clientSession) runOnCurrent(c wire.Command, b []byte, st *session.Statement, timeout time.Duration) error {
 	return s.runDeferred(st, timeout, func() error {
-		return s.exchange.sendCommand(&job{command: c, message: b})
+		return s.current.sendCommand(&job{command: c, message: b})
 	}, c, nil)
 }
 
 // executeOnCurrent executes a prepared statement on the connection that the session holds.
 func (s *clientSession) executeOnCurrent(st *session.Statement, p *preparedStatement, e *session.Execution) error {
 	return s.runDeferred(st, st.Hint.Timeout, func() error {
-		return s.exchange.sendCommand(&job{command: wire.StmtExecute, stmt: p, execution: e, longData: p.longData})
+		return s.current.sendCommand(&job{command: wire.StmtExecute, stmt: p, execution: e, longData: p.longData})
 	}, wire.StmtExecute, p)
 }
 
 // runDeferred calls write to send a command on the session's connection and relays the reply. The
 // engine does not choose a server for it, but still counts it as a request with exactly one result.
 func (s *clientSession) runDeferred(st *session.Statement, timeout time.Duration, write func() error, c wire.Command, p *preparedStatement) error {
-	f, x := s.frontend, s.exchange
+	f, x := s.frontend, s.current
 	name, wait := s.classify(st, timeout)
 	r := &engine.Request{Class: name, Timeout: wait}
 	if err := f.pool.SubmitDeferred(r); err != nil {
@@ -660,10 +660,10 @@
 }
 
 // relayReply relays a reply whose first packets have been read, updates the session state, and
-// releases the connection if the session is not bound to it. p is the statement that was prepared or
-// executed.
+// releases the connection if the session is not bound to it. p is the statement that was prepared
+// or executed.
 func (s *clientSession) relayReply(st *session.Statement, p *preparedStatement) error {
-	f, x := s.frontend, s.exchange
+	f, x := s.frontend, s.current
 	s.runningOn.Store(x.serverConn)
 	defer s.runningOn.Store(nil)
 	x.deadline = time.Time{} // the rest of the reply has no deadline, only the stall timeout
@@ -795,13 +795,13 @@
 // prepareOnServer prepares a statement on a server and replaces the server's statement ID in the
 // reply by the session's own.
 func (s *clientSession) prepareOnServer(b []byte, st *session.Statement, p *preparedStatement) error {
-	plan := s.state.Plan(st, s.exchange != nil)
+	plan := s.state.Plan(st, s.current != nil)
 	if plan.Placement == session.LocalReply {
 		s.frontend.outcomes[lost].Add(1)
 		return s.sendError(plan.Error)
 	}
-	useCurrent := s.exchange != nil && (s.state.Bound() || s.dedicated)
-	if s.exchange != nil && !useCurrent {
+	useCurrent := s.current != nil && (s.state.Bound() || s.dedicated)
+	if s.current != nil && !useCurrent {
 		s.releaseConn()
 	}
 	f := s.frontend
@@ -811,7 +811,7 @@
 		if err := f.pool.SubmitDeferred(r); err != nil {
 			return s.sendError(wire.Refused(0))
 		}
-		x := s.exchange
+		x := s.current
 		x.deadline = time.Now().Add(wait)
 		err := x.sendCommand(&job{command: wire.StmtPrepare, message: b})
 		if err == nil {
@@ -842,9 +842,9 @@
 		if result.Kind != engine.Served {
 			return s.reportUnserved(st, result)
 		}
-		s.exchange = result.Reply.(*exchange)
+		s.current = result.Reply.(*exchange)
 	}
-	x := s.exchange
+	x := s.current
 	if x.reply.Error == nil {
 		p.params = int(x.reply.Prepared.Params)
 		s.preparedBytes += len(p.sql)
@@ -899,7 +899,7 @@
 func (s *clientSession) resetConnection(b []byte) error {
 	if s.dedicated {
 		err := s.runOnCurrent(wire.ResetConnection, b, &session.Statement{Verb: "reset"}, 0)
-		if err == nil && s.exchange != nil {
+		if err == nil && s.current != nil {
 			s.state.Reset(s.state.DefaultSchema())
 			s.statements, s.preparedBytes = map[uint32]*preparedStatement{}, 0
 		}
@@ -911,7 +911,7 @@
 
 // resetSession resets the session to its initial state with the given schema.
 func (s *clientSession) resetSession(schema string) {
-	if s.exchange != nil {
+	if s.current != nil {
 		if s.state.Bound() { // the server rolls back
 			s.closeConn(policy.OK)
 		} else {
--- a/internal/mysql/proxy/client_login.go
+++ b/internal/mysql/proxy/client_login.go
@@ -197,7 +197,7 @@
 		x.finish(policy.OK)
 		return errSessionEnded
 	}
-	s.exchange, s.dedicated = x, true
+	s.current, s.dedicated = x, true
 	s.bound.Store(true)
 	return nil
 }
@@ -309,7 +309,7 @@
 		s.sendError(&wire.Error{Code: 1203, State: "42000", Message: why.String()})
 		return errSessionEnded
 	}
-	x := s.exchange
+	x := s.current
 	x.wire.Reset()
 	if err := x.send(b); err != nil {
 		return err
--- a/internal/mysql/proxy/frontend.go
+++ b/internal/mysql/proxy/frontend.go
@@ -157,8 +157,8 @@
 
 // Shutdown stops accepting clients and closes each session as soon as it is idle outside of a
 // transaction. Sessions that remain at the end of Config.ShutdownTimeout are closed; a statement
-// without an answer by then is reported as one that may have run. If ctx ends earlier, the remaining
-// sessions are disconnected.
+// without an answer by then is reported as one that may have run. If ctx ends earlier, the
+// remaining sessions are disconnected.
 func (f *Frontend) Shutdown(ctx context.Context) error {
 	schedule := shutdown.WithinContext(ctx, f.cfg.ShutdownTimeout)
 	f.schedule.Store(&schedule)
--- a/internal/mysql/proxy/mysql2_test.go
+++ b/internal/mysql/proxy/mysql2_test.go
@@ -22,7 +22,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	script := filepath.Join(dir, "quillfront-session.mjs") // node resolves modules relative to the script
+	// Node resolves modules relative to the script.
+	script := filepath.Join(dir, "quillfront-session.mjs")
 	if err := os.WriteFile(script, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/mysql/proxy/orders_test.go
+++ b/internal/mysql/proxy/orders_test.go
@@ -24,10 +24,10 @@
 	acknowledged, refused, unknown, rolledBack, duplicated, missing, ranUnreported, other int
 }
 
-// TestOrders runs thousands of orders as single, transactional and prepared statements while servers
-// fail before, during and after statements, drain and respond slowly. No order may be executed
-// twice, be acknowledged but missing, or have run although it was reported as not run, and each
-// statement gets exactly one answer.
+// TestOrders runs thousands of orders as single, transactional and prepared statements while
+// servers fail before, during and after statements, drain and respond slowly. No order may be
+// executed twice, be acknowledged but missing, or have run although it was reported as not run, and
+// each statement gets exactly one answer.
 func TestOrders(t *testing.T) {
 	n := 4000
 	got := runOrders(t, n, nil)
@@ -53,7 +53,8 @@
 // runOrders places n orders and counts their outcomes.
 func runOrders(t *testing.T, n int, class func(*pool.Class)) (got orderCounts) {
 	w := newTestEnv(t, options{servers: 4, deadline: 4 * time.Second, class: class, proxy: Config{DrainTimeout: 300 * time.Millisecond}})
-	w.setFault(func(server, sql string) standin.Fault { // by the number of the statement and the seed alone, to be reproducible
+	// The fault depends on the number of the statement and the seed alone, to be reproducible.
+	w.setFault(func(server, sql string) standin.Fault {
 		if !strings.Contains(sql, "INSERT") && sql != "COMMIT" && sql != "BEGIN" && !strings.HasPrefix(sql, "UPDATE") {
 			return standin.Fault{}
 		}
--- a/internal/mysql/proxy/session_test.go
+++ b/internal/mysql/proxy/session_test.go
@@ -107,19 +107,19 @@
 	}
 }
 
-// TestServerDies lets the server fail at each point of a statement. A write must take effect at most
-// once and get one correct answer, and a read must be answered by another server.
+// TestServerDies lets the server fail at each point of a statement. A write must take effect at
+// most once and get one correct answer, and a read must be answered by another server.
 func TestServerDies(t *testing.T) {
 	w := newTestEnv(t, options{servers: 3})
 	kinds := map[string]standin.Fault{"before": {CloseBefore: true}, "during": {CloseDuring: true}, "after": {CloseAfter: true}}
 	for n := 1; n <= 12; n++ { // the reply to an INSERT has about 11 bytes
 		kinds[fmt.Sprint("cut ", n)] = standin.Fault{CutAfterBytes: n}
 	}
-	for name, trouble := range kinds {
+	for name, fault := range kinds {
 		var once atomic.Bool
 		w.setFault(func(_, sql string) standin.Fault {
 			if strings.Contains(sql, name) && once.CompareAndSwap(false, true) {
-				return trouble
+				return fault
 			}
 			return standin.Fault{}
 		})
@@ -151,21 +151,21 @@
 func TestCommitDies(t *testing.T) {
 	w := newTestEnv(t, options{})
 	for _, tt := range []struct {
-		trouble standin.Fault
-		verb    string
-		code    uint16
-		ran     int
+		fault standin.Fault
+		verb  string
+		code  uint16
+		ran   int
 	}{
 		{standin.Fault{CloseBefore: true}, "COMMIT", 9002, 0}, {standin.Fault{CloseDuring: true}, "COMMIT", 9002, 0}, {standin.Fault{CloseAfter: true}, "COMMIT", 9002, 1},
 		{standin.Fault{CloseAfter: true}, "UPDATE", 9003, 0}, {standin.Fault{CloseAfter: true}, "ROLLBACK", 0, 0}, {standin.Fault{CloseAfter: true}, "CREATE TABLE", 9002, 1},
 	} {
-		name := fmt.Sprintf("%s %+v", tt.verb, tt.trouble.CloseAfter)
-		if tt.trouble.CloseDuring {
+		name := fmt.Sprintf("%s %+v", tt.verb, tt.fault.CloseAfter)
+		if tt.fault.CloseDuring {
 			name = "during"
 		}
 		w.setFault(func(_, sql string) standin.Fault {
 			if strings.HasPrefix(sql, tt.verb) {
-				return tt.trouble
+				return tt.fault
 			}
 			return standin.Fault{}
 		})
@@ -230,14 +230,14 @@
 	if _, err := w.newClient("").ExecContext(ctx, "SELECT SLEEP(15)"); err == nil {
 		t.Error("it was answered")
 	}
-	eventually(t, "its server is told", func() bool { return w.servers[0].QueriesKilled.Load()+w.servers[1].QueriesKilled.Load() == 1 })
+	eventually(t, "the statement is killed", func() bool { return w.servers[0].QueriesKilled.Load()+w.servers[1].QueriesKilled.Load() == 1 })
 	tx := beginTx(t, w.newClient(""))
 	ctx, cancel = context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	if _, err := tx.ExecContext(ctx, "SELECT SLEEP(15)"); err == nil {
 		t.Error("it was answered")
 	}
-	eventually(t, "its server is told", func() bool { return w.servers[0].QueriesKilled.Load()+w.servers[1].QueriesKilled.Load() == 2 })
+	eventually(t, "the statement is killed", func() bool { return w.servers[0].QueriesKilled.Load()+w.servers[1].QueriesKilled.Load() == 2 })
 	raw := dialRaw(t, w, "app", "secret")
 	raw.sendCommand(wire.Query, "SELECT ROW FROM rows_1000000")
 	raw.Read(make([]byte, 1000))
@@ -248,8 +248,8 @@
 	})
 }
 
-// TestPreparedOutlivesItsServer checks that a prepared statement runs on another server when the one
-// that prepared it has failed or drains.
+// TestPreparedOutlivesItsServer checks that a prepared statement runs on another server when the
+// one that prepared it has failed or drains.
 func TestPreparedOutlivesItsServer(t *testing.T) {
 	w := newTestEnv(t, options{})
 	c := w.newSession("")
@@ -399,7 +399,8 @@
 	if _, err := queryValue(t, c, "/* timeout=150ms */ SELECT SLEEP(15)"); errorCode(err) != 9005 && errorCode(err) != 9001 {
 		t.Errorf("outside of a transaction: %v", err)
 	}
-	eventually(t, "the session continues", func() bool { // the server has just failed and may be avoided for a while
+	// The server has just failed and may be avoided for a while.
+	eventually(t, "the session continues", func() bool {
 		err := exec(t, c, "DO SLEEP(15)")
 		if errorCode(err) != 1064 && errorCode(err) != 9001 {
 			t.Fatal(err)
@@ -512,8 +513,8 @@
 	}
 }
 
-// TestSlowClient checks that a client that does not read its result is disconnected, which frees its
-// server connection.
+// TestSlowClient checks that a client that does not read its result is disconnected, which frees
+// its server connection.
 func TestSlowClient(t *testing.T) {
 	w := newTestEnv(t, options{servers: 1, proxy: Config{StallTimeout: 400 * time.Millisecond}})
 	raw := dialRaw(t, w, "app", "secret")
@@ -578,8 +579,8 @@
 	}
 }
 
-// TestSilentClients checks that clients that do not log in are disconnected in time and do not block
-// others.
+// TestSilentClients checks that clients that do not log in are disconnected in time and do not
+// block others.
 func TestSilentClients(t *testing.T) {
 	w := newTestEnv(t, options{descriptors: sockets.Reserved + 600, proxy: Config{LoginTimeout: 500 * time.Millisecond}})
 	for range 300 {
@@ -593,8 +594,8 @@
 	eventually(t, "the silent clients are disconnected", func() bool { return w.Stats().Connections.Current <= 3 })
 }
 
-// TestBadClients checks that a client that sends malformed data gets an error or is disconnected, and
-// that others are served.
+// TestBadClients checks that a client that sends malformed data gets an error or is disconnected,
+// and that others are served.
 func TestBadClients(t *testing.T) {
 	w := newTestEnv(t, options{servers: 1, proxy: Config{StallTimeout: 300 * time.Millisecond, LoginTimeout: 300 * time.Millisecond, MaxStatementSize: 1 << 20}})
 	for name, b := range map[string][]byte{
@@ -643,7 +644,7 @@
 // write gets a wrong one, and other sessions are not affected.
 func TestBadServers(t *testing.T) {
 	w := newTestEnv(t, options{servers: 2, deadline: 2 * time.Second, proxy: Config{StallTimeout: 500 * time.Millisecond}})
-	for name, trouble := range map[string]standin.Fault{
+	for name, fault := range map[string]standin.Fault{
 		"noise": {RawReply: []byte("HTTP/1.1 200 OK\r\n\r\n")}, "out of order": {RawReply: []byte{7, 0, 0, 9, 0, 0, 0, 2, 0, 0, 0}},
 		"an empty packet": {RawReply: []byte{0, 0, 0, 1}}, "an endless packet": {RawReply: append([]byte{0xff, 0xff, 0xff, 1, 0}, make([]byte, 2<<20)...)},
 		"a file of the client": {RawReply: []byte{2, 0, 0, 1, 0xfb, 'x'}}, "columns without end": {RawReply: []byte{5, 0, 0, 1, 0xfd, 0xff, 0xff, 0xff, 0}},
@@ -652,7 +653,7 @@
 	} {
 		w.setFault(func(server, sql string) standin.Fault {
 			if server == "box0" && strings.Contains(sql, "trouble") {
-				return trouble
+				return fault
 			}
 			return standin.Fault{}
 		})
@@ -704,8 +705,9 @@
 	}
 }
 
-// TestShutdown checks that a transaction may end within the shutdown timeout, that idle sessions get
-// an error and are closed, and that a transaction that does not end in time is not acknowledged.
+// TestShutdown checks that a transaction may end within the shutdown timeout, that idle sessions
+// get an error and are closed, and that a transaction that does not end in time is not
+// acknowledged.
 func TestShutdown(t *testing.T) {
 	w := newTestEnv(t, options{proxy: Config{ShutdownTimeout: 800 * time.Millisecond}})
 	tx, late, rest := beginTx(t, w.newClient("")), beginTx(t, w.newClient("")), w.newSession("")
@@ -734,12 +736,12 @@
 }
 
 // TestShutdownWhileStatementsHang checks that statements on a server that does not respond are
-// answered correctly before the shutdown timeout ends, however long their deadline is: the statement
-// of an unbound session may have run, and the transaction of a bound one is rolled back. A statement
-// that arrives after the last time for forwarding is not sent.
+// answered correctly before the shutdown timeout ends, however long their deadline is: the
+// statement of an unbound session may have run, and the transaction of a bound one is rolled back.
+// A statement that arrives after the last time for forwarding is not sent.
 func TestShutdownWhileStatementsHang(t *testing.T) {
-	const patience = 800 * time.Millisecond
-	w := newTestEnv(t, options{deadline: time.Minute, proxy: Config{ShutdownTimeout: patience}})
+	const shutdownTimeout = 800 * time.Millisecond
+	w := newTestEnv(t, options{deadline: time.Minute, proxy: Config{ShutdownTimeout: shutdownTimeout}})
 	var hung atomic.Int32
 	w.setFault(func(_, sql string) standin.Fault {
 		if !strings.HasPrefix(sql, "INSERT") {
@@ -768,16 +770,16 @@
 			t.Errorf("%v: error %v, want %v", a[0], a[1], want)
 		}
 	}
-	if took := time.Since(began); took > patience+2*time.Second {
-		t.Errorf("the answers took %v with a shutdown timeout of %v", took, patience)
+	if took := time.Since(began); took > shutdownTimeout+2*time.Second {
+		t.Errorf("the answers took %v with a shutdown timeout of %v", took, shutdownTimeout)
 	}
 	exec(t, late, "INSERT INTO orders (id, item, qty) VALUES ('A3', 'x', 1)")
 	if hung.Load() > 2 {
 		t.Error("a statement was sent after the last answers")
 	}
 	<-ended
-	if took := time.Since(began); took > patience+2*time.Second {
-		t.Errorf("the shutdown took %v with a timeout of %v", took, patience)
+	if took := time.Since(began); took > shutdownTimeout+2*time.Second {
+		t.Errorf("the shutdown took %v with a timeout of %v", took, shutdownTimeout)
 	}
 }
 
--- a/internal/mysql/proxy/testdata/session.mjs
+++ b/internal/mysql/proxy/testdata/session.mjs
@@ -1,5 +1,5 @@
-// The session of an application, by the client mysql2. Each line that it prints is what one step saw, so that two servers, or a server and
-// the front before it, can be held beside one another.
+// A typical application session with the mysql2 client. Each line of output is what one step saw, so
+// that the output of a server can be compared with that of a proxy in front of it.
 import { createConnection } from "mysql2/promise";
 
 const c = await createConnection({ host: "127.0.0.1", port: Number(process.env.PORT), user: "app", password: "secret", multipleStatements: process.env.MANY === "1" });
--- a/internal/mysql/proxy/transport.go
+++ b/internal/mysql/proxy/transport.go
@@ -64,7 +64,8 @@
 	parsed       session.Statement
 }
 
-// exchange is a command on a server connection whose reply has begun. Its receiver must call finish.
+// exchange is a command on a server connection whose reply has begun. Its receiver must call
+// finish.
 type exchange struct {
 	*serverConn
 	reply       *session.ReplyTracker
@@ -235,7 +236,7 @@
 	}
 }
 
-// reuse returns an idle connection for a job: one that was told the same settings if there is one.
+// reuse returns an idle connection for a job, or nil. It prefers one with the same session state.
 func (t *Transport) reuse(to engine.Endpoint, j *job) *serverConn {
 	want := sessionState{schema: j.schema, settings: settingsKey(j.settings)}
 	for {
@@ -472,8 +473,8 @@
 }
 
 // maxHeldReply is how much of a reply is held back before it is relayed. Malformed replies mostly
-// show at their start, and another attempt is possible until then. Clients accept an error packet in
-// place of a row, but not in place of a column definition.
+// show at their start, and another attempt is possible until then. Clients accept an error packet
+// in place of a row, but not in place of a column definition.
 const maxHeldReply = 16 << 10
 
 // readReplyStart reads the first packets of a reply. It reads a short reply completely.
@@ -606,7 +607,7 @@
 	if answer != nil || errors.Is(err, wire.ErrMalformed) || errors.Is(err, session.ErrUnexpectedData) || errors.Is(err, wire.ErrSequence) {
 		t.warnLimit.Do(func() { t.log.Warn("a server's answer cannot be used", "server", string(a.Server), "err", err) })
 	}
-	t.log.Debug("attempt failed", "server", string(a.Server), "status", status, "err", err)
+	t.log.Debug("attempt", "server", string(a.Server), "status", status, "err", err)
 	return engine.AttemptResult{Status: status}
 }
 
--- a/internal/mysql/proxy/unknown_outcome_test.go
+++ b/internal/mysql/proxy/unknown_outcome_test.go
@@ -9,8 +9,9 @@
 	"quillfront/internal/mysql/standin"
 )
 
-// TestStillOut checks that a write is not reported as refused if its first attempt could not connect
-// but its second has run and is not answered in time. A client would run a refused write again.
+// TestStillOut checks that a write is not reported as refused if its first attempt could not
+// connect but its second has run and is not answered in time. A client would run a refused write
+// again.
 func TestStillOut(t *testing.T) {
 	w := newTestEnv(t, options{deadline: 400 * time.Millisecond})
 	w.setFault(func(_, sql string) standin.Fault {
--- a/internal/mysql/proxy/users.go
+++ b/internal/mysql/proxy/users.go
@@ -60,7 +60,7 @@
 	mu             sync.Mutex
 	users          map[string]User
 	hasSaltedUsers bool                           // at least one user has a salted hash
-	verified       map[string]wire.PasswordHashes // of users with a salted hash, hence at most one per user
+	verified       map[string]wire.PasswordHashes // users with a salted hash; at most one per user
 }
 
 func newUserDirectory(users []User) *userDirectory {
@@ -81,8 +81,8 @@
 }
 
 // find returns a user and the hashes of its password. fast reports whether the hashes are known, so
-// that a challenge response can be checked, and ok whether the user exists. For an unknown user, fast
-// is chosen so that the login looks like that of an existing one.
+// that a challenge response can be checked, and ok whether the user exists. For an unknown user,
+// fast is chosen so that the login looks like that of an existing one.
 func (d *userDirectory) find(name string) (u User, k wire.PasswordHashes, fast, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
