--- a/internal/mysql/proxy/config.go
+++ b/internal/mysql/proxy/config.go
@@ -46,16 +46,18 @@
 	DefaultClass string // class of statements that no rule matches
 	Hints        bool   // whether a comment in a statement may set its class, key and timeout
 
-	MaxStatementSize  int           // bytes per statement; 16 MiB
-	StatementMemory   int64         // total bytes of running statements over 64 KiB; 64 MiB
-	StallTimeout      time.Duration // limit for a peer that reads nothing or pauses in a message; 30 s
-	IdleTimeout       time.Duration // longest time between commands of a client; 8 h
-	LoginTimeout      time.Duration // time limit for the login of a client; 10 s
-	HoldTimeout       time.Duration // how long a session may hold a connection for its state; 1 s
-	DrainTimeout      time.Duration // how long a transaction may stay on a draining server; 10 s
-	ShutdownTimeout   time.Duration // how long sessions may continue after shutdown begins; 10 s
-	MaxIdlePerServer  int           // idle connections per server; 32
-	MaxConnsPerServer int           // in use; beyond it another server is tried, or the statement refused; 0: none
+	MaxStatementSize int           // bytes per statement; 16 MiB
+	StatementMemory  int64         // total bytes of running statements over 64 KiB; 64 MiB
+	StallTimeout     time.Duration // limit for a peer that reads nothing or pauses in a message; 30 s
+	IdleTimeout      time.Duration // longest time between commands of a client; 8 h
+	LoginTimeout     time.Duration // time limit for the login of a client; 10 s
+	HoldTimeout      time.Duration // how long a session may hold a connection for its state; 1 s
+	DrainTimeout     time.Duration // how long a transaction may stay on a draining server; 10 s
+	ShutdownTimeout  time.Duration // how long sessions may continue after shutdown begins; 10 s
+	MaxIdlePerServer int           // idle connections per server; 32
+	// MaxConnsPerServer limits the connections in use per server. Beyond it, a statement is tried on
+	// another server or refused. 0 means no limit.
+	MaxConnsPerServer int
 
 	// LoadQuery is a query for the load of a server: the last value of its first row is the queue
 	// length. If it is empty, the number of this process's own statements on the server is used.
