--- a/internal/mysql/session/execute.go
+++ b/internal/mysql/session/execute.go
@@ -7,18 +7,20 @@
 	"quillfront/internal/mysql/wire"
 )
 
-// Execution is a client's COM_STMT_EXECUTE as it can be sent to any server that has prepared the statement.
+// Execution is a client's COM_STMT_EXECUTE in a form that can be sent to any server that has prepared
+// the statement.
 type Execution struct {
-	Types        []byte // of the parameters, as the client last told them; nil: there are none
+	Types        []byte // of the parameters, as last sent by the client; nil: no parameters
 	message      []byte
-	paramsOffset int // where the parameters begin; 0: there are none
+	paramsOffset int // of the new-params-bound flag; 0: no parameters
 	hasTypes     bool
 }
 
-// ErrCursor tells that a client asks for a cursor.
+// ErrCursor is returned for an execution that asks for a cursor.
 var ErrCursor = wire.NotSupported("a cursor on the server")
 
-// ParseExecution reads a COM_STMT_EXECUTE of a statement with params parameters, whose types were told as types the last time.
+// ParseExecution decodes a COM_STMT_EXECUTE of a statement with params parameters. types are the
+// parameter types that the client sent last; an execution without types uses them.
 func ParseExecution(b []byte, params int, types []byte) (*Execution, error) {
 	const fixed = 10
 	if len(b) < fixed {
@@ -47,8 +49,8 @@
 	return e, nil
 }
 
-// Message returns the command for a server that has the statement under id. told reports whether that server was told these types
-// before.
+// Message returns the command for a server that has prepared the statement as id. told reports
+// whether that server has already received these types.
 func (e *Execution) Message(id uint32, told bool) []byte {
 	b := e.message
 	if e.paramsOffset > 0 && !e.hasTypes && !told {
--- a/internal/mysql/session/lex.go
+++ b/internal/mysql/session/lex.go
@@ -2,36 +2,37 @@
 
 import "strings"
 
-// tokenKind is what a token is.
+// tokenKind is the kind of a token.
 type tokenKind byte
 
 const (
 	tokenEnd        tokenKind = iota
-	tokenWord                 // a keyword or name without quotes, in lower case
-	tokenQuotedName           // a quoted name
-	tokenString               // a quoted text
-	tokenNumber               // it begins with a digit
-	tokenUserVar              // @x, a variable of the session's own
-	tokenSystemVar            // @@x
-	tokenPunct                // one byte of anything else; := is one
+	tokenWord                 // a keyword or an unquoted name, in lower case
+	tokenQuotedName           // a name in backquotes
+	tokenString               // a string literal
+	tokenNumber               // begins with a digit, or a dot and a digit
+	tokenUserVar              // @x, a user variable
+	tokenSystemVar            // @@x, a system variable
+	tokenPunct                // any other byte, or :=
 )
 
-// token is a piece of a statement.
+// token is a lexical token of a statement.
 type token struct {
 	kind  tokenKind
-	text  string // of a word, a variable without its @, or a mark
-	start int    // where it begins
-	end   int    // and ends
+	text  string // of a word, a variable without its @, or punctuation
+	start int    // offset of its first byte
+	end   int    // offset behind its last byte
 }
 
-// lexer cuts a statement into tokens. It is right for the modes that it is told; where it cannot be sure it says so by opaque.
+// lexer splits a statement into tokens, for the given SQL mode. Where the server may read the text
+// differently, it sets ambiguous.
 type lexer struct {
 	input            string
 	pos              int
-	noBackslash      bool     // a backslash escapes nothing
-	ambiguous        bool     // what was read may mean something else to the server
-	comments         []string // plain ones, the first few
-	inVersionComment bool     // within a comment whose text is code
+	noBackslash      bool     // SQL mode NO_BACKSLASH_ESCAPES
+	ambiguous        bool     // the server may read the text differently
+	comments         []string // the first maxComments plain comments
+	inVersionComment bool     // within a /*! comment, whose text is code
 }
 
 const maxComments = 4
@@ -79,6 +80,7 @@
 	return token{tokenPunct, string(c), from, l.pos}
 }
 
+// variable returns the variable that begins at start.
 func (l *lexer) variable(from int) token {
 	l.pos++
 	k := tokenUserVar
@@ -97,6 +99,7 @@
 	return token{k, strings.ToLower(l.input[begin:l.pos]), from, l.pos}
 }
 
+// peek returns the byte n positions ahead, or 0 beyond the end.
 func (l *lexer) peek(n int) byte {
 	if l.pos+n < len(l.input) {
 		return l.input[l.pos+n]
@@ -104,12 +107,12 @@
 	return 0
 }
 
-// skipQuoted passes over what is skipQuoted by q.
+// skipQuoted skips text that is quoted by q.
 func (l *lexer) skipQuoted(q byte) {
 	for l.pos++; l.pos < len(l.input); l.pos++ {
 		switch c := l.input[l.pos]; {
 		case c == '\\' && q != '`':
-			if q == '"' { // a text or, by the server's mode, a name, in which it means nothing
+			if q == '"' { // under ANSI_QUOTES a name, without escapes
 				l.ambiguous = true
 			}
 			if !l.noBackslash {
@@ -122,11 +125,12 @@
 			}
 		}
 	}
-	l.ambiguous = true // it does not end
+	l.ambiguous = true // unterminated
 	l.pos = len(l.input)
 }
 
-// skipSpace passes over spaces and comments. The text of a comment that begins with an exclamation mark is code.
+// skipSpace skips white space and comments. The text of a comment that begins with an exclamation
+// mark is code.
 func (l *lexer) skipSpace() {
 	for l.pos < len(l.input) {
 		switch c := l.input[l.pos]; {
@@ -138,7 +142,7 @@
 			}
 		case c == '/' && l.peek(1) == '*':
 			if l.peek(2) == '!' || l.peek(2) == 'M' && l.peek(3) == '!' {
-				// Whether it is run hangs on the server's version.
+				// The server's version decides whether the text is executed.
 				l.ambiguous, l.inVersionComment = true, true
 				l.pos += 3
 				for l.peek(0) == '!' || l.peek(0) >= '0' && l.peek(0) <= '9' {
--- a/internal/mysql/session/reply.go
+++ b/internal/mysql/session/reply.go
@@ -8,44 +8,46 @@
 )
 
 const (
-	// MaxControlPacket bounds a message of a reply that is read whole: all but definitions and rows.
+	// MaxControlPacket is the largest reply packet that is read whole, which all packets are except
+	// definitions and rows.
 	MaxControlPacket = 1 << 20
-	// maxColumns bounds the columns of a result; MySQL has 4,096 at most.
+	// maxColumns limits the columns of a result; MySQL allows 4,096.
 	maxColumns = 1 << 16
 )
 
-// ErrUnexpectedData tells that a server has sent what nobody asked for.
+// ErrUnexpectedData is returned for data that a server sent without a request.
 var ErrUnexpectedData = errors.New("the server sends what was not asked for")
 
-// phase is what comes next in a reply.
+// phase is the kind of packet that comes next in a reply.
 type phase int
 
 const (
-	phaseFirst     phase = iota // of a result
-	phaseParams                 // definitions of parameters
-	phaseParamsEOF              // the EOF behind them
-	phaseColumns                // definitions of columns
+	phaseFirst     phase = iota // the first packet of a result
+	phaseParams                 // parameter definitions
+	phaseParamsEOF              // the EOF after them
+	phaseColumns                // column definitions
 	phaseColumnsEOF
 	phaseRows
 	phaseDone
 )
 
-// ReplyTracker follows the packets of a server's reply to one command, so that whoever passes them on knows where it ends and what it says.
+// ReplyTracker follows the packets of a server's reply to one command. It tells a caller that
+// forwards them where the reply ends and what its outcome is.
 type ReplyTracker struct {
 	ReplySummary
-	Results  int // that have begun
-	Rows     int // packets of rows so far
+	Results  int // result sets that have begun
+	Rows     int // row packets so far
 	Prepared wire.PrepareOK
 
 	caps         wire.Capability
 	command      wire.Command
 	phase        phase
-	remaining    int // definitions to come
-	columnsAfter int // columns behind parameters
+	remaining    int // definitions that are still to come
+	columnsAfter int // column definitions that follow those of the parameters
 	rowContinues bool
 }
 
-// NewReplyTracker returns a Reply to a command, as those of caps are sent it.
+// NewReplyTracker returns a tracker for the reply to command, on a connection with capabilities caps.
 func NewReplyTracker(command wire.Command, caps wire.Capability) *ReplyTracker {
 	return &ReplyTracker{command: command, caps: caps}
 }
@@ -56,9 +58,10 @@
 // InRows reports whether rows come next.
 func (r *ReplyTracker) InRows() bool { return r.phase == phaseRows }
 
-// MustReadWhole decides whether the next packet is to be read whole and given to Take, or is passed on unread and told by Passed.
+// MustReadWhole reports whether the next packet must be read whole and given to Consume. Otherwise
+// it can be forwarded unread and reported to Forwarded.
 func (r *ReplyTracker) MustReadWhole(p wire.PacketPrefix) (bool, error) {
-	if r.rowContinues { // it goes on with a row
+	if r.rowContinues { // the packet continues a row
 		return false, nil
 	}
 	switch r.phase {
@@ -83,7 +86,7 @@
 	return true, nil
 }
 
-// Forwarded notes a packet that was passed on unread.
+// Forwarded records that a packet of n bytes was forwarded unread.
 func (r *ReplyTracker) Forwarded(n int) {
 	switch r.phase {
 	case phaseRows:
@@ -94,18 +97,19 @@
 	}
 }
 
+// definitionSeen counts a definition and advances the phase after the last one.
 func (r *ReplyTracker) definitionSeen() {
 	if r.remaining--; r.remaining > 0 {
 		return
 	}
 	if !r.caps.Has(wire.DeprecateEOF) {
-		r.phase++ // to the EOF
+		r.phase++ // the EOF comes next
 		return
 	}
 	r.definitionsDone()
 }
 
-// definitionsDone goes on definitionsDone definitions.
+// definitionsDone advances the phase after a block of definitions.
 func (r *ReplyTracker) definitionsDone() {
 	switch {
 	case r.phase <= phaseParamsEOF && r.columnsAfter > 0:
@@ -117,7 +121,7 @@
 	}
 }
 
-// Consume notes a packet that was read whole.
+// Consume records a packet that was read whole.
 func (r *ReplyTracker) Consume(b []byte) error {
 	if len(b) == 0 {
 		return fmt.Errorf("%w: an empty packet in a reply", wire.ErrMalformed)
@@ -150,7 +154,7 @@
 	return fmt.Errorf("%w: a definition of a column of %d bytes", wire.ErrMalformed, len(b))
 }
 
-// beginResult notes the first packet of a result.
+// beginResult records the first packet of a result.
 func (r *ReplyTracker) beginResult(b []byte) error {
 	switch {
 	case r.command == wire.StmtPrepare:
@@ -186,6 +190,7 @@
 	return nil
 }
 
+// finishResult ends a result with the OK in b.
 func (r *ReplyTracker) finishResult(b []byte) error {
 	o, err := wire.ParseOK(b, r.caps)
 	if err != nil {
@@ -195,7 +200,7 @@
 	return nil
 }
 
-// recordEnd notes the recordEnd of a result.
+// recordEnd records the OK at the end of a result.
 func (r *ReplyTracker) recordEnd(o wire.OK) {
 	if o.LastInsertID == 0 {
 		o.LastInsertID = r.OK.LastInsertID
--- a/internal/mysql/session/scan.go
+++ b/internal/mysql/session/scan.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Pin is what a statement leaves in a session that another server does not have. Bits are joined.
+// Pin is a set of session state that a statement leaves on its server and other servers don't have.
 type Pin uint16
 
 // The pins.
@@ -16,71 +16,74 @@
 	TemporaryTables
 	TableLocks // until UNLOCK TABLES
 	NamedLocks
-	PreparedInSQL // PREPARE, as a statement
+	PreparedInSQL // by a PREPARE statement
 	OpenHandlers
-	OtherState // of which it is not known how to make it anew
+	OtherState // state that cannot be recreated elsewhere
 )
 
-// ResultInfo is what a statement asks for of those before it, which only their connection knows. Bits are joined.
+// ResultInfo is a set of information about earlier statements that only their connection holds.
 type ResultInfo uint8
 
-// The asks.
+// The kinds of result information.
 const (
 	InsertIDInfo ResultInfo = 1 << iota // LAST_INSERT_ID()
 	RowCountInfo                        // FOUND_ROWS(), ROW_COUNT()
 	WarningInfo                         // SHOW WARNINGS
 )
 
-// Setting is a SET of a literal, which can be said again to another server.
+// Setting is a SET of a literal, which can be repeated on another server.
 type Setting struct {
 	Name string // in lower case; "names" for SET NAMES
 	SQL  string
 }
 
-// Hint is what a comment says of a statement, such as /* class=delivery-order key=A7 timeout=300ms */.
+// Hint holds the request attributes from a comment of a statement, such as
+// /* class=delivery-order key=A7 timeout=300ms */.
 type Hint struct {
 	Class   string
 	Key     string
 	Timeout time.Duration // 0: none
-	Invalid string        // what cannot be read of it; empty: nothing
+	Invalid string        // the part that is invalid; empty: none
 }
 
-// Kill is a statement that is to end another session or its statement.
+// Kill is a KILL statement, which ends another session or its current statement.
 type Kill struct {
-	QueryOnly bool // its statement only
+	QueryOnly bool // only the current statement
 	ID        uint32
 }
 
-// Statement is what a statement means for a session, as far as its text tells.
+// Statement describes the effects of a statement on its session, as far as the text shows them.
 type Statement struct {
-	Verb  string // its first word, in lower case; of several statements that of the first
-	Multi bool   // there are several
-	// ReadOnly tells that it changes nothing, on any server, whatever functions it calls, so that it may be run again.
+	Verb  string // the first word of the first statement, in lower case
+	Multi bool   // the text has several statements
+	// ReadOnly tells that the statement, with all functions that it calls, changes nothing on any
+	// server, so that it may be run again.
 	ReadOnly      bool
-	Begin         bool // it is BEGIN or START TRANSACTION alone
-	Commit        bool // it is COMMIT alone
-	Rollback      bool // it is ROLLBACK alone, of all
-	MayCommit     bool // it may commit what was done before it in the transaction
+	Begin         bool // a single BEGIN or START TRANSACTION
+	Commit        bool // a single COMMIT
+	Rollback      bool // a single ROLLBACK of the whole transaction
+	MayCommit     bool // may commit the earlier statements of the transaction
 	UnlockTables  bool // UNLOCK TABLES
 	Pins          Pin
-	Needs         ResultInfo // for what statements before it have left
-	CalcFoundRows bool       // SQL_CALC_FOUND_ROWS: the next one may ask
+	Needs         ResultInfo // information about earlier statements that it reads
+	CalcFoundRows bool       // SQL_CALC_FOUND_ROWS: the next statement may read the count
 	Settings      []Setting
 	Schema        string // USE
 	Kill          *Kill
 	LocalInfile   bool // LOAD DATA LOCAL
-	Ambiguous     bool // its text may mean something else to the server: it is held for the worst
+	Ambiguous     bool // the server may read the text differently: the worst is assumed
 	Hint          Hint
 }
 
 const (
-	// maxHintLength bounds a comment that is read as a hint.
+	// maxHintLength is the longest comment that is read as a hint.
 	maxHintLength = 512
-	// MaxSettingLength bounds a SET that is remembered.
+	// MaxSettingLength is the longest SET that is remembered.
 	MaxSettingLength = 1024
 )
 
-// Scan reads a statement, or several with semicolons between. noBackslash is the server's mode of that name.
+// Scan analyzes a statement, or several that are separated by semicolons. noBackslash tells whether
+// the session has the SQL mode NO_BACKSLASH_ESCAPES.
 func Scan(sql string, noBackslash bool) Statement {
 	l := &lexer{input: sql, noBackslash: noBackslash}
 	var all []Statement
@@ -114,7 +117,7 @@
 	return s
 }
 
-// combine is what several statements mean that are sent as one.
+// combine returns the joint effects of statements that are sent together.
 func combine(all []Statement) Statement {
 	switch len(all) {
 	case 0:
@@ -138,7 +141,7 @@
 	return s
 }
 
-// implicitCommits are the statements that end a transaction on their own account.
+// implicitCommits lists the statements that commit a transaction implicitly.
 var implicitCommits = map[string]bool{
 	"alter": true, "create": true, "drop": true, "rename": true, "truncate": true, "analyze": true, "cache": true, "check": true,
 	"flush": true, "load": true, "optimize": true, "repair": true, "reset": true, "grant": true, "revoke": true, "install": true,
@@ -146,7 +149,7 @@
 	"clone": true, "restart": true, "shutdown": true, "do": false, "purge": true,
 }
 
-// scanOne reads scanOne statement.
+// scanOne analyzes a single statement.
 func scanOne(sql string, t []token) Statement {
 	s := Statement{}
 	if t[0].kind != tokenWord {
@@ -175,7 +178,7 @@
 		if s.Verb == "show" && (at(1) == "warnings" || at(1) == "errors" || at(1) == "count") {
 			s.Needs |= WarningInfo
 		}
-		if at(1) == "analyze" { // it runs what it explains
+		if at(1) == "analyze" { // EXPLAIN ANALYZE executes the statement
 			s.scanQuery(t[2:])
 		}
 	case "begin":
@@ -208,7 +211,7 @@
 		}
 	case "prepare", "execute", "deallocate":
 		s.Pins |= PreparedInSQL
-		s.MayCommit = true // who knows what it runs
+		s.MayCommit = true // the prepared text is unknown
 	case "handler":
 		s.Pins |= OpenHandlers
 	case "flush":
@@ -230,12 +233,13 @@
 	return s
 }
 
-// containsWord reports whether a word stands somewhere in t.
+// containsWord reports whether t contains the word w.
 func containsWord(t []token, w string) bool {
 	return slices.ContainsFunc(t, func(t token) bool { return t.kind == tokenWord && t.text == w })
 }
 
-// scanCompletion notes an end of a transaction that begins the next, or ends the session.
+// scanCompletion analyzes COMMIT and ROLLBACK: with CHAIN they begin the next transaction, and with
+// RELEASE they end the session.
 func (s *Statement) scanCompletion(t []token) {
 	for i := range t {
 		if t[i].kind == tokenWord && (t[i].text == "chain" || t[i].text == "release") && (i == 0 || t[i-1].text != "no") && !containsWord(t, "to") {
@@ -247,8 +251,8 @@
 	}
 }
 
-// pureWords are the functions that change nothing, and the words that may stand before a parenthesis. A function that is not among them
-// may be one that somebody has stored, and may do anything.
+// pureWords holds the built-in functions without side effects and the keywords that may precede a
+// parenthesis. Any other function may be a stored function, which may do anything.
 var pureWords = func() map[string]bool {
 	m := map[string]bool{}
 	for _, w := range strings.Fields(`
@@ -277,17 +281,20 @@
 	return m
 }()
 
-// infoFunctions are the functions and variables that tell of the statement before.
+// infoFunctions are the functions that return information about earlier statements.
 var infoFunctions = map[string]ResultInfo{"last_insert_id": InsertIDInfo, "found_rows": RowCountInfo, "row_count": RowCountInfo}
 
+// infoVariables are the system variables that return information about earlier statements.
 var infoVariables = map[string]ResultInfo{
 	"last_insert_id": InsertIDInfo, "identity": InsertIDInfo, "insert_id": InsertIDInfo, "warning_count": WarningInfo, "error_count": WarningInfo,
 }
 
-// lockFunctions are the functions of named lockFunctions, which are the session's.
+// lockFunctions are the functions of named locks, which belong to the session. False marks those
+// that change no lock.
 var lockFunctions = map[string]bool{"get_lock": true, "release_lock": true, "release_all_locks": true, "is_free_lock": false, "is_used_lock": false}
 
-// scanReferences notes what scanReferences and variables in a statement leave in the session, or ask of it.
+// scanReferences records the session state that the functions and variables in a statement leave or
+// read.
 func (s *Statement) scanReferences(t []token) {
 	for i, k := range t {
 		variable := k.text
@@ -299,7 +306,7 @@
 		case k.kind == tokenWord && called && infoFunctions[k.text] != 0:
 			s.Needs |= infoFunctions[k.text]
 			if k.text == "last_insert_id" && i+2 < len(t) && !(t[i+2].kind == tokenPunct && t[i+2].text == ")") {
-				s.Pins |= OtherState // it sets it
+				s.Pins |= OtherState // with an argument it sets the value
 			}
 		case k.kind == tokenWord && called && lockFunctions[k.text]:
 			s.Pins |= NamedLocks
@@ -315,7 +322,7 @@
 	}
 }
 
-// callsUnknownFunction reports whether a statement callsUnknownFunction a function that may do anything.
+// callsUnknownFunction reports whether a statement calls a function that may have side effects.
 func (s *Statement) callsUnknownFunction(t []token) bool {
 	for i, k := range t {
 		if i+1 >= len(t) || t[i+1].kind != tokenPunct || t[i+1].text != "(" {
@@ -328,7 +335,7 @@
 	return false
 }
 
-// scanQuery judges a query.
+// scanQuery analyzes a query.
 func (s *Statement) scanQuery(t []token) {
 	s.scanReferences(t)
 	s.ReadOnly = !s.callsUnknownFunction(t) && s.Pins == 0
@@ -338,18 +345,19 @@
 		}
 		switch k.text {
 		case "into", "update", "delete", "insert", "replace":
-			// A function's name is not what changes something; "for update" and a WITH before UPDATE are.
+			// A function of this name, such as REPLACE(), changes nothing; FOR UPDATE and a WITH
+			// before an UPDATE do.
 			if k.text != "into" && i+1 < len(t) && t[i+1].kind == tokenPunct && t[i+1].text == "(" {
 				continue
 			}
 			s.ReadOnly = false
 		case "share":
-			s.ReadOnly = false // it locks
+			s.ReadOnly = false // it locks the rows
 		}
 	}
 }
 
-// scanKill reads KILL [CONNECTION | QUERY] id.
+// scanKill parses KILL [CONNECTION | QUERY] id.
 func (s *Statement) scanKill(sql string, t []token) {
 	k := &Kill{}
 	i := 1
@@ -367,7 +375,7 @@
 	s.Pins |= OtherState
 }
 
-// scanSet reads a SET. Only literals can be said again elsewhere.
+// scanSet parses a SET. Only assignments of literals can be repeated on another server.
 func (s *Statement) scanSet(sql string, t []token) {
 	if len(t) < 2 || t[len(t)-1].end-t[0].start > MaxSettingLength {
 		s.Pins |= OtherState
@@ -390,13 +398,13 @@
 		s.Pins |= OtherState
 		return
 	case "password", "default", "global", "persist", "persist_only":
-		return // it changes the server
+		return // it changes the server, not the session
 	}
 	if (first == "session" || first == "local") && len(t) > 2 && t[2].kind == tokenWord && t[2].text == "transaction" {
 		s.addSetting("transaction", whole)
 		return
 	}
-	// name = literal, and so on
+	// A list of assignments: name = literal, ...
 	rest := t[1:]
 	for len(rest) > 0 {
 		n := slices.IndexFunc(rest, func(k token) bool { return k.kind == tokenPunct && k.text == "," })
@@ -416,12 +424,14 @@
 	s.ReadOnly = s.Pins == 0 && !s.MayCommit
 }
 
+// addSetting records a setting that can be repeated as sql.
 func (s *Statement) addSetting(name, sql string) {
 	s.Settings = append(s.Settings, Setting{name, sql})
 	s.ReadOnly = true
 }
 
-// scanAssignment reads a part of a SET, and reports whether it can be said again.
+// scanAssignment parses one assignment of a SET and reports whether the session state that it leaves
+// is known: a setting that can be repeated on another server, or a user variable.
 func (s *Statement) scanAssignment(sql string, t []token) bool {
 	scope := "session "
 	if len(t) > 0 && t[0].kind == tokenWord && (t[0].text == "session" || t[0].text == "local") {
@@ -465,7 +475,7 @@
 	return true
 }
 
-// parseHint reads a comment as a Hint, and reports whether it is one.
+// parseHint parses a comment as a Hint and reports whether it is one.
 func parseHint(comment string) (Hint, bool) {
 	var h Hint
 	if len(comment) > maxHintLength {
--- a/internal/mysql/session/state.go
+++ b/internal/mysql/session/state.go
@@ -1,6 +1,7 @@
-// Package session decides what a MySQL session is at: in a transaction, bound to its server by what it has left there, or free to run
-// its next statement anywhere; what may be run again, and what its client is told when a server goes. It does no I/O and reads no
-// clock.
+// Package session tracks the state of a proxied MySQL session. It decides whether the session is in a
+// transaction, bound to its server by state that it has left there, or free to run its next
+// statement on any server. It also decides which statements may be retried and which error a client
+// gets when its server is lost. The package does no I/O and reads no clock.
 package session
 
 import (
@@ -9,36 +10,37 @@
 	"quillfront/internal/mysql/wire"
 )
 
-// noBackslash is the status that says so.
+// noBackslash is the status flag of the SQL mode NO_BACKSLASH_ESCAPES.
 const noBackslash wire.Status = 1 << 9
 
-// maxSettings bounds the settings that are remembered; one more binds the session to its server.
+// maxSettings limits the settings that are remembered; one more binds the session to its server.
 const maxSettings = 32
 
-// State is where a session stands. The zero value is not usable; see New.
+// State is the state of a session. The zero value is not usable; see New.
 type State struct {
 	status           wire.Status
 	pins             Pin
 	settings         []Setting
 	schema           string
-	held             bool       // its connection is kept for what the latest statement has left there
-	available        ResultInfo // what can be asked of that connection
-	lost             ResultInfo // what could be asked of one that was given back, or of a server that has gone
-	aborted          bool       // its transaction has gone with a server
-	backslashCharset bool       // its charset has backslashes within letters
+	held             bool       // the connection is kept for information about the latest statement
+	available        ResultInfo // information that the connection holds
+	lost             ResultInfo // information that went with a released or lost connection
+	aborted          bool       // its transaction was lost with a server
+	backslashCharset bool       // multibyte characters of its charset may contain a backslash byte
 }
 
-// New returns a session that has just begun.
+// New returns the state of a new session.
 func New(schema string, charset byte) *State {
 	return &State{status: wire.Autocommit, schema: schema, backslashCharset: slices.Contains(backslashCharsetIDs, charset)}
 }
 
-// backslashCharsetIDs are those of big5, sjis, gbk, cp932 and gb18030, by their numbers.
+// backslashCharsetIDs are the collation IDs of big5, sjis, gbk, cp932 and gb18030, in whose
+// multibyte characters a backslash byte can occur.
 var backslashCharsetIDs = []byte{1, 84, 13, 88, 28, 87, 95, 96, 248, 249, 250}
 
 var backslashCharsetNames = []string{"big5", "sjis", "gbk", "cp932", "gb18030"}
 
-// Scan reads a statement by the session's modes.
+// Scan analyzes a statement by the session's SQL mode and charset.
 func (s *State) Scan(sql string) Statement {
 	st := Scan(sql, s.status&noBackslash != 0)
 	if s.backslashCharset && !st.Ambiguous && !ascii(sql) {
@@ -61,38 +63,39 @@
 // DefaultSchema returns the default schema.
 func (s *State) DefaultSchema() string { return s.schema }
 
-// Settings returns what has to be said to another server, in its order. It must not be changed.
+// Settings returns the settings to repeat on another server, in order. The caller must not change
+// the slice.
 func (s *State) Settings() []Setting { return s.settings }
 
-// Autocommit reports whether statements outside a transaction are committed by themselves.
+// Autocommit reports whether statements outside a transaction are committed automatically.
 func (s *State) Autocommit() bool { return s.status&wire.Autocommit != 0 }
 
 // InTransaction reports whether a transaction is open.
 func (s *State) InTransaction() bool { return s.status&wire.InTransaction != 0 }
 
-// Pins returns what binds the session to its server.
+// Pins returns the state that binds the session to its server.
 func (s *State) Pins() Pin { return s.pins }
 
-// Bound reports whether the session must stay at its server, if it has one.
+// Bound reports whether the session must stay on its server, if it has one.
 func (s *State) Bound() bool { return s.InTransaction() || s.pins != 0 }
 
-// Placement says where a statement is run.
+// Placement is where a statement runs.
 type Placement int
 
-// The places.
+// The placements.
 const (
-	AnyServer         Placement = iota // at the server that is picked for it
-	CurrentConnection                  // on the connection that the session has
-	LocalReply                         // it is answered at once
+	AnyServer         Placement = iota // on any server that is picked for it
+	CurrentConnection                  // on the session's current connection
+	LocalReply                         // on none: the proxy replies itself
 )
 
-// Plan says what is done with a statement.
+// Plan is the decision on a statement.
 type Plan struct {
 	Placement Placement
-	Error     *wire.Error // with LocalReply: the answer; nil: an OK
+	Error     *wire.Error // the reply, with LocalReply; nil: an OK
 }
 
-// Plan decides where a statement is run. has tells whether the session has a connection to a server.
+// Plan decides where a statement runs. has tells whether the session has a connection to a server.
 func (s *State) Plan(st *Statement, has bool) Plan {
 	switch {
 	case st.LocalInfile:
@@ -111,22 +114,22 @@
 		return Plan{Placement: CurrentConnection}
 	case !has && st.Needs&s.lost != 0:
 		return Plan{LocalReply, wire.SessionLost("what the last statement had left was given up")}
-	case !has && s.Bound(): // it cannot be: whoever loses the connection says so by Lost
+	case !has && s.Bound(): // unreachable: ConnectionLost is called for each lost connection
 		return Plan{LocalReply, wire.SessionLost("no connection")}
 	}
 	return Plan{Placement: AnyServer}
 }
 
-// ReplySummary is what a server has told at the end of a reply.
+// ReplySummary is the outcome at the end of a server's reply.
 type ReplySummary struct {
-	OK       wire.OK     // the last one
-	Error    *wire.Error // in place of it
+	OK       wire.OK     // of the last result
+	Error    *wire.Error // instead of the OK
 	Warnings bool
-	NoStatus bool // the reply tells no status, as that to PREPARE does not
+	NoStatus bool // the reply carries no status, like that to PREPARE
 }
 
-// StatementEnded notes the end of a statement, and decides whether the session keeps its connection: bound to it, or held until its next
-// statement.
+// StatementEnded records the end of a statement. It decides whether the session keeps its
+// connection, either bound to it or until the next statement.
 func (s *State) StatementEnded(st *Statement, r ReplySummary) (keep bool) {
 	s.pins |= st.Pins
 	if r.Error == nil {
@@ -152,7 +155,8 @@
 	return s.Bound() || s.held
 }
 
-// recordInfo notes what st has left on its connection. What changes nothing and has no warnings has left nothing that an answer has not told.
+// recordInfo records the information that st has left on its connection. A read without warnings
+// leaves nothing that its reply didn't contain.
 func (s *State) recordInfo(st *Statement, r ReplySummary) {
 	s.available &^= RowCountInfo | WarningInfo
 	s.lost &^= RowCountInfo | WarningInfo
@@ -169,6 +173,7 @@
 	s.held = s.available&(RowCountInfo|WarningInfo) != 0
 }
 
+// rememberSetting records a setting in place of an earlier one of the same name.
 func (s *State) rememberSetting(set Setting) {
 	s.settings = slices.DeleteFunc(s.settings, func(o Setting) bool { return o.Name == set.Name })
 	s.settings = append(s.settings, set)
@@ -193,23 +198,24 @@
 	return false
 }
 
-// ConnectionReleased notes that the connection has been given back.
+// ConnectionReleased records that the session has released its connection.
 func (s *State) ConnectionReleased() {
 	s.lost |= s.available | RowCountInfo
 	s.available, s.held = 0, false
 }
 
-// Loss is what becomes of a session whose server has gone.
+// Loss is the consequence of a lost server for a session.
 type Loss struct {
-	Error *wire.Error // what the client is told; nil: an OK
-	Close bool        // its connection is closed after that
+	Error *wire.Error // sent to the client; nil: an OK
+	Close bool        // the client's connection is closed after it
 }
 
-// ConnectionLost decides what becomes of the session when the connection on which st ran has gone; sent tells whether any of it may have come to
-// the server. st is nil where the session was at rest.
+// ConnectionLost decides how the session continues when the connection on which st ran is lost. sent
+// tells whether any part of st may have reached the server. st is nil for an idle session.
 //
-// A server whose connection breaks rolls back what was not committed. So the outcome is unknown only of what may have committed: a
-// COMMIT, a statement that commits on its own account, and, outside of a transaction, each that changes anything.
+// A server rolls back uncommitted changes when a connection breaks. The outcome is therefore unknown
+// only for statements that may have committed: COMMIT, statements that commit implicitly and,
+// outside a transaction, every statement that changes anything.
 func (s *State) ConnectionLost(st *Statement, sent bool, why string) Loss {
 	inTx, pinned := s.InTransaction(), s.pins != 0
 	if st != nil {
@@ -224,7 +230,7 @@
 		if s.aborted = inTx && !pinned; pinned {
 			l.Error = wire.SessionLost(why)
 		}
-	case inTx && st.Rollback: // which is what has happened
+	case inTx && st.Rollback: // the lost connection has rolled it back
 		if pinned {
 			l.Error = wire.SessionLost(why)
 		}
@@ -251,10 +257,11 @@
 	return l
 }
 
-// Reset begins the session anew, as COM_RESET_CONNECTION does, and as COM_CHANGE_USER does with another schema.
+// Reset resets the session, as COM_RESET_CONNECTION does, and as COM_CHANGE_USER does with another
+// schema.
 func (s *State) Reset(schema string) {
 	*s = State{status: wire.Autocommit, schema: schema, backslashCharset: s.backslashCharset}
 }
 
-// MayMove reports whether the session can go on at another server right now.
+// MayMove reports whether the session can continue on another server now.
 func (s *State) MayMove() bool { return !s.Bound() && !s.held }
