--- a/internal/mysql/session/execute.go
+++ b/internal/mysql/session/execute.go
@@ -7,8 +7,8 @@
 	"quillfront/internal/mysql/wire"
 )
 
-// Execution is a client's COM_STMT_EXECUTE in a form that can be sent to any server that has prepared
-// the statement.
+// Execution is a client's COM_STMT_EXECUTE in a form that can be sent to any server that has
+// prepared the statement.
 type Execution struct {
 	Types        []byte // of the parameters, as last sent by the client; nil: no parameters
 	message      []byte
--- a/internal/mysql/session/reply.go
+++ b/internal/mysql/session/reply.go
@@ -47,7 +47,8 @@
 	rowContinues bool
 }
 
-// NewReplyTracker returns a tracker for the reply to command, on a connection with capabilities caps.
+// NewReplyTracker returns a tracker for the reply to command on a connection with the capabilities
+// caps.
 func NewReplyTracker(command wire.Command, caps wire.Capability) *ReplyTracker {
 	return &ReplyTracker{command: command, caps: caps}
 }
--- a/internal/mysql/session/scan.go
+++ b/internal/mysql/session/scan.go
@@ -430,8 +430,8 @@
 	s.ReadOnly = true
 }
 
-// scanAssignment parses one assignment of a SET and reports whether the session state that it leaves
-// is known: a setting that can be repeated on another server, or a user variable.
+// scanAssignment parses one assignment of a SET and reports whether the session state that it
+// leaves is known: a setting that can be repeated on another server, or a user variable.
 func (s *Statement) scanAssignment(sql string, t []token) bool {
 	scope := "session "
 	if len(t) > 0 && t[0].kind == tokenWord && (t[0].text == "session" || t[0].text == "local") {
--- a/internal/mysql/session/state.go
+++ b/internal/mysql/session/state.go
@@ -1,5 +1,5 @@
-// Package session tracks the state of a proxied MySQL session. It decides whether the session is in a
-// transaction, bound to its server by state that it has left there, or free to run its next
+// Package session tracks the state of a proxied MySQL session. It decides whether the session is in
+// a transaction, bound to its server by state that it has left there, or free to run its next
 // statement on any server. It also decides which statements may be retried and which error a client
 // gets when its server is lost. The package does no I/O and reads no clock.
 package session
@@ -210,12 +210,12 @@
 	Close bool        // the client's connection is closed after it
 }
 
-// ConnectionLost decides how the session continues when the connection on which st ran is lost. sent
-// tells whether any part of st may have reached the server. st is nil for an idle session.
+// ConnectionLost decides how the session continues when the connection on which st ran is lost.
+// sent tells whether any part of st may have reached the server. st is nil for an idle session.
 //
-// A server rolls back uncommitted changes when a connection breaks. The outcome is therefore unknown
-// only for statements that may have committed: COMMIT, statements that commit implicitly and,
-// outside a transaction, every statement that changes anything.
+// A server rolls back uncommitted changes when a connection breaks. The outcome is therefore
+// unknown only for statements that may have committed: COMMIT, statements that commit implicitly
+// and, outside a transaction, every statement that changes anything.
 func (s *State) ConnectionLost(st *Statement, sent bool, why string) Loss {
 	inTx, pinned := s.InTransaction(), s.pins != 0
 	if st != nil {
--- a/internal/mysql/standin/database.go
+++ b/internal/mysql/standin/database.go
@@ -1,6 +1,6 @@
-// Package standin stands in for MySQL servers: it speaks the protocol, keeps a small table of orders that several servers share, with
-// transactions, and counts how often each order was executed. Troubles come as a test asks for them. It listens on loopback addresses
-// only.
+// Package standin provides stand-in MySQL servers for tests. They speak the protocol, share a small
+// table of orders with transactions, and count how often each order was executed. A test can inject
+// faults into statements. The servers listen on loopback addresses only.
 package standin
 
 import (
@@ -14,26 +14,27 @@
 	Qty      int64
 }
 
-// Database is what servers share. The table has no unique key, so that an order that is executed twice shows.
+// Database is the data that several servers share. The table has no unique key, so that an order that
+// was executed twice is visible.
 type Database struct {
 	mu       sync.Mutex
 	orders   []Order
-	executed map[string]int // by order: INSERTs that were committed
-	last     uint64
+	executed map[string]int // committed INSERTs by order ID
+	lastID   uint64
 }
 
-// NewDatabase returns a Database without orders.
+// NewDatabase returns an empty Database.
 func NewDatabase() *Database { return &Database{executed: map[string]int{}} }
 
-// change is one that a transaction makes when it is committed.
+// change is a pending change of a transaction.
 type change struct {
 	insert *Order
-	id     string // else: of the orders to change
-	add    int64
-	drop   bool
+	id     string // of the orders to update or remove, if insert is nil
+	addQty int64
+	remove bool
 }
 
-// commit makes changes at once.
+// commit applies changes atomically.
 func (d *Database) commit(changes []change) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -46,8 +47,8 @@
 		kept := d.orders[:0]
 		for _, o := range d.orders {
 			if o.ID == c.id {
-				o.Qty += c.add
-				if c.drop {
+				o.Qty += c.addQty
+				if c.remove {
 					continue
 				}
 			}
@@ -57,7 +58,8 @@
 	}
 }
 
-// read returns the orders of an id, or all of them, with changes that are not committed yet.
+// read returns the orders with an ID, or all of them, with the uncommitted changes applied except
+// removals.
 func (d *Database) read(id string, all bool, changes []change) []Order {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,7 +76,7 @@
 		case c.insert == nil:
 			for i := range got {
 				if got[i].ID == c.id {
-					got[i].Qty += c.add
+					got[i].Qty += c.addQty
 				}
 			}
 		}
@@ -83,14 +85,15 @@
 	return got
 }
 
+// nextID returns the next insert ID.
 func (d *Database) nextID() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.last++
-	return d.last
+	d.lastID++
+	return d.lastID
 }
 
-// Executed returns how often each order was inserted and committed.
+// Executed returns the number of committed INSERTs by order ID.
 func (d *Database) Executed() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,10 +104,10 @@
 	return m
 }
 
-// Reset forgets all orders.
+// Reset deletes all orders and counts.
 func (d *Database) Reset() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.orders, d.last = nil, 0
+	d.orders, d.lastID = nil, 0
 	clear(d.executed)
 }
--- a/internal/mysql/standin/run.go
+++ b/internal/mysql/standin/run.go
@@ -14,22 +14,22 @@
 
 // prepared is a prepared statement.
 type prepared struct {
-	sql    string
-	params int
-	types  []byte
-	long   map[int][]byte
+	sql      string
+	params   int
+	types    []byte
+	longData map[int][]byte
 }
 
-// result is what a statement gives.
+// result is the result of a statement.
 type result struct {
-	err      *wire.Error
-	columns  []string
-	rows     [][]any // string, int64 or nil
-	affected uint64
-	big      int // rows that are made up as they are sent
+	err           *wire.Error
+	columns       []string
+	rows          [][]any // string, int64 or nil
+	affected      uint64
+	generatedRows int // number of rows that are generated while they are sent
 }
 
-// serve answers commands until the client leaves.
+// serve executes commands until the client disconnects.
 func (n *session) serve() {
 	for {
 		n.w.Reset()
@@ -43,7 +43,7 @@
 	}
 }
 
-// command answers one, and reports whether the session goes on.
+// command executes a command and reports whether the session continues.
 func (n *session) command(c wire.Command, b []byte) bool {
 	switch c {
 	case wire.Quit:
@@ -72,7 +72,7 @@
 			return false
 		}
 		proof, err := n.w.Read(1 << 16)
-		return err == nil && n.prove(u.User, n.server.cfg.Plugin, proof, scramble) == nil
+		return err == nil && n.authenticate(u.User, n.server.cfg.Plugin, proof, scramble) == nil
 	case wire.Query:
 		return n.statement(string(b[1:]), nil, false)
 	case wire.StmtPrepare:
@@ -84,12 +84,12 @@
 	case wire.StmtLongData:
 		if p := n.statements[binary.LittleEndian.Uint32(b[1:])]; p != nil {
 			i := int(binary.LittleEndian.Uint16(b[5:]))
-			p.long[i] = append(p.long[i], b[7:]...)
+			p.longData[i] = append(p.longData[i], b[7:]...)
 		}
 		return true
 	case wire.StmtReset:
 		if p := n.statements[binary.LittleEndian.Uint32(b[1:])]; p != nil {
-			p.long = map[int][]byte{}
+			p.longData = map[int][]byte{}
 			return n.ok(0) == nil
 		}
 	case wire.StmtExecute:
@@ -98,7 +98,7 @@
 			return n.send(wire.UnknownStatement().Append(nil)) == nil
 		}
 		args, err := p.arguments(b)
-		p.long = map[int][]byte{}
+		p.longData = map[int][]byte{}
 		if err != nil {
 			return n.send(wire.ProtocolError(err).Append(nil)) == nil
 		}
@@ -112,7 +112,7 @@
 		return n.send((&wire.Error{Code: 1064, State: "42000", Message: "no"}).Append(nil)) == nil
 	}
 	n.next++
-	p := &prepared{sql: sql, params: strings.Count(sql, "?"), long: map[int][]byte{}}
+	p := &prepared{sql: sql, params: strings.Count(sql, "?"), longData: map[int][]byte{}}
 	n.statements[n.next] = p
 	head := wire.PrepareOK{ID: n.next, Params: uint16(p.params)}
 	if err := n.w.Write(head.Append(nil)); err != nil {
@@ -127,7 +127,7 @@
 	return n.w.W.Flush() == nil
 }
 
-// arguments reads the values of an EXECUTE as they would stand in a statement.
+// arguments decodes the values of an EXECUTE into SQL literals.
 func (p *prepared) arguments(b []byte) ([]string, error) {
 	if p.params == 0 {
 		return nil, nil
@@ -145,7 +145,7 @@
 	}
 	var args []string
 	for i := range p.params {
-		if long, ok := p.long[i]; ok {
+		if long, ok := p.longData[i]; ok {
 			args = append(args, "'"+string(long)+"'")
 			continue
 		}
@@ -177,16 +177,17 @@
 	return args, nil
 }
 
-// longText is from when on a statement is not looked at by patterns, which would take long.
-const longText = 1 << 16
+// maxPatternText is the length from which a statement is not matched against patterns, which would be
+// slow.
+const maxPatternText = 1 << 16
 
 var comment = regexp.MustCompile(`/\*[^!].*?\*/`)
 
-// statement runs a statement, with the troubles that it is to have, and reports whether the session goes on.
+// statement runs a statement with its injected fault and reports whether the session continues.
 func (n *session) statement(sql string, args []string, binary bool) bool {
 	s := n.server
 	s.Statements.Add(1)
-	if len(sql) < longText {
+	if len(sql) < maxPatternText {
 		sql = strings.TrimSpace(comment.ReplaceAllString(sql, ""))
 	}
 	for _, a := range args {
@@ -207,14 +208,14 @@
 		return false
 	}
 	all := []string{sql}
-	if n.caps.Has(wire.MultiStatements) && !binary && len(sql) < longText {
+	if n.caps.Has(wire.MultiStatements) && !binary && len(sql) < maxPatternText {
 		all = strings.Split(strings.TrimSuffix(sql, ";"), ";")
 	}
 	if t.CutAfterBytes > 0 {
-		n.room.left = t.CutAfterBytes
+		n.limited.left = t.CutAfterBytes
 	}
 	for i, one := range all {
-		r := n.run(strings.TrimSpace(one))
+		r := n.execute(strings.TrimSpace(one))
 		if t.CloseAfter {
 			return false
 		}
@@ -227,7 +228,7 @@
 			n.w.R.ReadByte()
 			return false
 		}
-		if err := n.answer(r, binary, i < len(all)-1 && r.err == nil); err != nil {
+		if err := n.sendResult(r, binary, i < len(all)-1 && r.err == nil); err != nil {
 			return false
 		}
 		if r.err != nil {
@@ -240,7 +241,7 @@
 	return true
 }
 
-// sleep waits, and reports whether it was not killed meanwhile.
+// sleep waits and returns false if the statement was killed meanwhile.
 func (n *session) sleep(d time.Duration) bool {
 	select {
 	case <-n.killed:
@@ -255,8 +256,8 @@
 	}
 }
 
-// answer sends a result.
-func (n *session) answer(r result, binary, more bool) error {
+// sendResult sends a result to the client; more announces another one.
+func (n *session) sendResult(r result, binary, more bool) error {
 	if r.err != nil {
 		return n.send(r.err.Append(nil))
 	}
@@ -299,7 +300,7 @@
 			return err
 		}
 	}
-	for i := range r.big {
+	for i := range r.generatedRows {
 		if err := n.w.Write(rowOf([]any{"row " + strconv.Itoa(i)}, binary)); err != nil {
 			return err
 		}
@@ -311,7 +312,7 @@
 	return n.send(wire.EOF{Status: status, Warnings: uint16(n.warnings)}.Append(nil))
 }
 
-// rowOf is a row by either protocol.
+// rowOf encodes a row in the text or the binary protocol.
 func rowOf(row []any, bin bool) []byte {
 	var b []byte
 	if bin {
@@ -343,7 +344,7 @@
 	return b
 }
 
-func fail(code uint16, state, message string) result {
+func errorResult(code uint16, state, message string) result {
 	return result{err: &wire.Error{Code: code, State: state, Message: message}}
 }
 
@@ -377,8 +378,9 @@
 	return int64(f)
 }
 
-// touch begins a transaction where autocommit is off, and reports whether changes wait for a COMMIT.
-func (n *session) touch() bool {
+// beginImplicitly begins a transaction if autocommit is off, and reports whether changes wait for a
+// COMMIT.
+func (n *session) beginImplicitly() bool {
 	f := n.flags()
 	if f&wire.Autocommit == 0 {
 		n.status.Store(uint32(f | wire.InTransaction))
@@ -393,18 +395,18 @@
 	n.status.Store(uint32(n.flags() &^ wire.InTransaction))
 }
 
-// change makes a change now, or once it is committed.
+// change applies a change now or, in a transaction, at the commit.
 func (n *session) change(c change) {
 	n.changes = append(n.changes, c)
-	if !n.touch() {
+	if !n.beginImplicitly() {
 		n.commit()
 	}
 }
 
-// run runs one statement.
-func (n *session) run(sql string) result {
+// execute runs one statement.
+func (n *session) execute(sql string) result {
 	d := n.server.cfg.Database
-	if text, ok := strings.CutPrefix(sql, "SELECT '"); ok && len(sql) >= longText {
+	if text, ok := strings.CutPrefix(sql, "SELECT '"); ok && len(sql) >= maxPatternText {
 		return result{columns: []string{"value"}, rows: [][]any{{strings.TrimSuffix(text, "'")}}}
 	}
 	lower := strings.ToLower(sql)
@@ -416,7 +418,7 @@
 	one := func(name string, v any) result { return result{columns: []string{name}, rows: [][]any{{v}}} }
 	switch lower {
 	case "":
-		return fail(1065, "42000", "Query was empty")
+		return errorResult(1065, "42000", "Query was empty")
 	case "begin", "start transaction", "start transaction read only":
 		n.commit()
 		n.server.TransactionsBegun.Add(1)
@@ -475,16 +477,16 @@
 	}
 	if m := updateRE.FindStringSubmatch(sql); m != nil {
 		found := len(d.read(unquote(m[2]), false, n.changes))
-		n.change(change{id: unquote(m[2]), add: number(m[1])})
+		n.change(change{id: unquote(m[2]), addQty: number(m[1])})
 		return result{affected: uint64(found)}
 	}
 	if m := deleteRE.FindStringSubmatch(sql); m != nil {
 		found := len(d.read(unquote(m[1]), false, n.changes))
-		n.change(change{id: unquote(m[1]), drop: true})
+		n.change(change{id: unquote(m[1]), remove: true})
 		return result{affected: uint64(found)}
 	}
 	if m := readRE.FindStringSubmatch(sql); m != nil {
-		n.touch()
+		n.beginImplicitly()
 		r := result{columns: []string{"id", "item", "qty"}}
 		for _, o := range d.read(unquote(m[1]), m[1] == "", n.changes) {
 			r.rows = append(r.rows, []any{o.ID, o.Item, o.Qty})
@@ -494,20 +496,20 @@
 	if m := countRE.FindStringSubmatch(sql); m != nil {
 		switch {
 		case m[1] == "orders":
-			n.touch()
+			n.beginImplicitly()
 			return one("count(*)", int64(len(d.read("", true, n.changes))))
 		case n.temporary[m[1]]:
 			return one("count(*)", int64(0))
 		}
-		return fail(1146, "42S02", "Table '"+m[1]+"' doesn't exist")
+		return errorResult(1146, "42S02", "Table '"+m[1]+"' doesn't exist")
 	}
 	if m := rowsRE.FindStringSubmatch(sql); m != nil {
-		return result{columns: []string{"row"}, big: int(number(m[1]))}
+		return result{columns: []string{"row"}, generatedRows: int(number(m[1]))}
 	}
 	if m := sleepRE.FindStringSubmatch(sql); m != nil {
 		f, _ := strconv.ParseFloat(unquote(m[1]), 64)
 		if !n.sleep(time.Duration(f * float64(time.Second))) {
-			return fail(1317, "70100", "Query execution was interrupted")
+			return errorResult(1317, "70100", "Query execution was interrupted")
 		}
 		return one("sleep", int64(0))
 	}
@@ -554,20 +556,20 @@
 		n.variables[name] = unquote(m[2])
 		return result{}
 	}
-	return fail(1064, "42000", "You have an error in your SQL syntax near '"+sql+"'")
+	return errorResult(1064, "42000", "You have an error in your SQL syntax near '"+sql+"'")
 }
 
-// kill ends another session or its statement.
+// kill ends another session or its current statement.
 func (n *session) kill(id uint32, query bool) result {
 	s := n.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o := s.sessions[id]
 	if o == nil {
-		return fail(1094, "HY000", "Unknown thread id")
+		return errorResult(1094, "HY000", "Unknown thread id")
 	}
 	if !query {
-		o.hangUp()
+		o.resetConn()
 		return result{}
 	}
 	select {
--- a/internal/mysql/standin/server.go
+++ b/internal/mysql/standin/server.go
@@ -15,34 +15,34 @@
 	"quillfront/internal/mysql/wire"
 )
 
-// Fault is what goes wrong with one statement.
+// Fault describes what goes wrong with a statement.
 type Fault struct {
-	CloseBefore   bool          // the server breaks off before it runs
-	CloseDuring   bool          // in the middle: nothing that is not committed yet stays
-	CloseAfter    bool          // once it has run, without a reply
-	CutAfterBytes int           // once it has run, behind so many bytes of the reply; 0: not
-	Delay         time.Duration // before it runs
-	NoReply       bool          // it runs, and nothing is ever said
-	RawReply      []byte        // what is sent in place of the reply, raw
-	TrailingBytes []byte        // what is sent behind the reply, raw
+	CloseBefore   bool          // the connection is closed before the statement runs
+	CloseDuring   bool          // it is closed in the middle: uncommitted changes are dropped
+	CloseAfter    bool          // it is closed after the statement, without a reply
+	CutAfterBytes int           // it is closed after so many bytes of the reply; 0: not
+	Delay         time.Duration // before the statement runs
+	NoReply       bool          // the statement runs, and no reply is ever sent
+	RawReply      []byte        // raw bytes that are sent instead of the reply
+	TrailingBytes []byte        // raw bytes that are sent after the reply
 }
 
-// Config is what one server is like.
+// Config is the configuration of a server.
 type Config struct {
 	Name                 string
 	Database             *Database
 	Users                map[string]string // passwords by user
-	Plugin               string            // by which proofs are asked for at first; wire.SHA2
-	AlwaysFullAuth       bool              // it asks for the whole password each time, as a server that remembers none does
-	TLS                  *tls.Config       // nil: none is offered
-	DisabledCapabilities wire.Capability   // that it does not have
-	// Fault says what goes wrong with a statement; nil: nothing does.
+	Plugin               string            // the authentication plugin; empty: wire.SHA2
+	AlwaysFullAuth       bool              // full authentication every time, as with an empty password cache
+	TLS                  *tls.Config       // nil: TLS is not offered
+	DisabledCapabilities wire.Capability   // removed from the server's capabilities
+	// Fault returns the fault of a statement; nil: no faults.
 	Fault func(sql string) Fault
-	// RawGreeting, if set, is what a client is sent in place of a greeting, raw; the server then says nothing more.
+	// RawGreeting, if set, is sent instead of a greeting; the server then sends nothing more.
 	RawGreeting []byte
 }
 
-// Server is one server.
+// Server is a running stand-in server.
 type Server struct {
 	cfg  Config
 	ln   net.Listener
@@ -55,15 +55,15 @@
 	closed   bool
 	last     uint32
 
-	Conns             atomic.Int64 // that have come
-	Statements        atomic.Int64 // that have come
-	TransactionsBegun atomic.Int64 // transactions
-	QueriesKilled     atomic.Int64 // statements by KILL QUERY
+	Conns             atomic.Int64 // accepted
+	Statements        atomic.Int64 // received
+	TransactionsBegun atomic.Int64 // explicitly
+	QueriesKilled     atomic.Int64 // by KILL QUERY
 	Resets            atomic.Int64 // COM_RESET_CONNECTION
 	Prepares          atomic.Int64
 }
 
-var theKey = sync.OnceValue(func() *rsa.PrivateKey {
+var rsaKey = sync.OnceValue(func() *rsa.PrivateKey {
 	key, err := rsa.GenerateKey(rand.Reader, 2048)
 	if err != nil {
 		panic(err)
@@ -71,7 +71,7 @@
 	return key
 })
 
-// Start starts a server.
+// Start starts a server on a loopback address.
 func Start(cfg Config) (*Server, error) {
 	if cfg.Plugin == "" {
 		cfg.Plugin = wire.SHA2
@@ -83,27 +83,27 @@
 	if err != nil {
 		return nil, fmt.Errorf("standin: %w", err)
 	}
-	s := &Server{cfg: cfg, ln: ln, key: theKey(), sessions: map[uint32]*session{}, cached: map[string]bool{}}
+	s := &Server{cfg: cfg, ln: ln, key: rsaKey(), sessions: map[uint32]*session{}, cached: map[string]bool{}}
 	s.work.Go(s.accept)
 	return s, nil
 }
 
-// Addr returns where it listens.
+// Addr returns the address of the listener.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Close ends the server at once, and with it all connections.
+// Close stops the server and resets all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
 	s.ln.Close()
 	for _, c := range s.sessions {
-		c.hangUp()
+		c.resetConn()
 	}
 	s.mu.Unlock()
 	s.work.Wait()
 }
 
-// Sessions returns how many connections are open, and in how many of them a transaction is.
+// Sessions returns the number of open connections, and of those in a transaction.
 func (s *Server) Sessions() (open, inTx int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,12 +115,12 @@
 	return len(s.sessions), inTx
 }
 
-// ResetConnections resets all connections; the server goes on.
+// ResetConnections resets all connections; the server keeps running.
 func (s *Server) ResetConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.sessions {
-		c.hangUp()
+		c.resetConn()
 	}
 }
 
@@ -147,9 +147,9 @@
 				s.mu.Lock()
 				delete(s.sessions, n.id)
 				s.mu.Unlock()
-				n.hangUp()
+				n.resetConn()
 			}()
-			n.wire(n.c)
+			n.setConn(n.c)
 			if n.login() == nil {
 				n.serve()
 			}
@@ -157,8 +157,8 @@
 	}
 }
 
-// has is what the server can do.
-func (s *Server) has() wire.Capability {
+// capabilities returns the capabilities that the server offers.
+func (s *Server) capabilities() wire.Capability {
 	c := wire.LongPassword | wire.FoundRows | wire.LongFlag | wire.ConnectWithDB | wire.LocalFiles | wire.Protocol41 | wire.Transactions |
 		wire.SecureConnection | wire.MultiStatements | wire.MultiResults | wire.PSMultiResults | wire.PluginAuth | wire.ConnectAttrs |
 		wire.PluginAuthLenenc | wire.SessionTrack | wire.DeprecateEOF
@@ -168,16 +168,16 @@
 	return c &^ s.cfg.DisabledCapabilities
 }
 
-// session is one connection.
+// session is a client's connection and its state.
 type session struct {
 	server *Server
 	id     uint32
 	c      net.Conn
-	raw    net.Conn // under TLS; nil without
+	raw    net.Conn // the connection below TLS; nil without TLS
 	w      wire.Conn
 	caps   wire.Capability
 	user   string
-	killed chan struct{} // its statement is to end
+	killed chan struct{} // receives when KILL QUERY names the session
 	status atomic.Uint32
 
 	schema     string
@@ -188,11 +188,11 @@
 	warnings   int
 	statements map[uint32]*prepared
 	next       uint32
-	room       *cutter
+	limited    *limitedConn
 }
 
-// hangUp resets the connection.
-func (n *session) hangUp() {
+// resetConn resets the connection.
+func (n *session) resetConn() {
 	c := n.c
 	if n.raw != nil {
 		c = n.raw
@@ -203,15 +203,15 @@
 	c.Close()
 }
 
-// cutter breaks a connection off behind some bytes.
-type cutter struct {
+// limitedConn fails writes to a connection after a number of bytes.
+type limitedConn struct {
 	net.Conn
-	left int // -1: it does not
+	left int // -1: unlimited
 }
 
 var errCut = errors.New("cut")
 
-func (c *cutter) Write(b []byte) (int, error) {
+func (c *limitedConn) Write(b []byte) (int, error) {
 	if c.left >= 0 && len(b) >= c.left {
 		c.Conn.Write(b[:c.left])
 		return c.left, errCut
@@ -222,9 +222,10 @@
 	return c.Conn.Write(b)
 }
 
-func (n *session) wire(c net.Conn) {
-	n.room = &cutter{c, -1}
-	n.w.R, n.w.W = bufio.NewReader(c), bufio.NewWriter(n.room)
+// setConn wraps c for reading and writing packets.
+func (n *session) setConn(c net.Conn) {
+	n.limited = &limitedConn{c, -1}
+	n.w.R, n.w.W = bufio.NewReader(c), bufio.NewWriter(n.limited)
 }
 
 func (n *session) reset() {
@@ -241,7 +242,7 @@
 	return n.w.W.Flush()
 }
 
-// login lets a client in.
+// login runs the handshake with a client.
 func (n *session) login() error {
 	s := n.server
 	if s.cfg.RawGreeting != nil {
@@ -251,7 +252,7 @@
 	}
 	scramble := wire.NewScramble()
 	g := wire.Greeting{
-		Version: "8.4.0-" + s.cfg.Name, ThreadID: n.id, Scramble: scramble, Capabilities: s.has(), Charset: 45, Status: wire.Autocommit,
+		Version: "8.4.0-" + s.cfg.Name, ThreadID: n.id, Scramble: scramble, Capabilities: s.capabilities(), Charset: 45, Status: wire.Autocommit,
 		Plugin: s.cfg.Plugin,
 	}
 	if err := n.send(g.Append(nil)); err != nil {
@@ -262,11 +263,11 @@
 		return err
 	}
 	if wire.IsSSLRequest(b) && s.cfg.TLS != nil {
-		early, _ := n.w.R.Peek(n.w.R.Buffered()) // of TLS: a client need not wait
+		early, _ := n.w.R.Peek(n.w.R.Buffered()) // the begin of the TLS handshake: a client need not wait
 		c := tls.Server(wire.PrefixConn(early, n.c), s.cfg.TLS)
 		n.raw, n.c = n.c, c
 		seq := n.w.Sequence()
-		n.wire(c)
+		n.setConn(c)
 		n.w.SetSequence(seq)
 		if b, err = n.w.Read(1 << 16); err != nil {
 			return err
@@ -277,13 +278,14 @@
 		n.send(wire.ProtocolError(err).Append(nil))
 		return err
 	}
-	n.caps = l.Capabilities & s.has()
+	n.caps = l.Capabilities & s.capabilities()
 	n.schema = l.Schema
-	return n.prove(l.User, l.Plugin, l.AuthResponse, scramble)
+	return n.authenticate(l.User, l.Plugin, l.AuthResponse, scramble)
 }
 
-// prove asks for the proof of a password until there is one.
-func (n *session) prove(user, plugin string, proof, scramble []byte) error {
+// authenticate verifies a client's auth response. Where needed, it switches the plugin or asks for
+// full authentication.
+func (n *session) authenticate(user, plugin string, proof, scramble []byte) error {
 	s := n.server
 	password, known := s.cfg.Users[user]
 	k := wire.NewPasswordHashes(password)
--- a/internal/mysql/wire/auth.go
+++ b/internal/mysql/wire/auth.go
@@ -35,8 +35,8 @@
 	return b
 }
 
-// AuthResponse computes the client's response to a scramble, which proves that it knows the password
-// without revealing it. The response for an empty password is empty.
+// AuthResponse computes the client's response to a scramble, which proves that it knows the
+// password without revealing it. The response for an empty password is empty.
 func AuthResponse(plugin, password string, scramble []byte) ([]byte, error) {
 	if password == "" {
 		return nil, nil
--- a/internal/mysql/wire/packet.go
+++ b/internal/mysql/wire/packet.go
@@ -28,8 +28,8 @@
 
 func malformed(what string) error { return fmt.Errorf("%w: %s", ErrMalformed, what) }
 
-// Conn reads and writes packets. It must not be used by several goroutines at once. Reads and writes
-// share the sequence number, which counts from the last Reset.
+// Conn reads and writes packets. It must not be used by several goroutines at once. Reads and
+// writes share the sequence number, which counts from the last Reset.
 type Conn struct {
 	R   *bufio.Reader
 	W   *bufio.Writer
@@ -166,8 +166,8 @@
 	return p, nil
 }
 
-// Forward copies the next packet to another connection, under that connection's sequence number, and
-// returns the length of the payload. An error of the destination is a WriteError. begun reports
+// Forward copies the next packet to another connection, under that connection's sequence number,
+// and returns the length of the payload. An error of the destination is a WriteError. begun reports
 // whether part of the packet may have been written; a packet that fits into R is never forwarded in
 // part.
 func (c *Conn) Forward(to *Conn) (n int, begun bool, err error) {
--- a/internal/mysql/wire/reply.go
+++ b/internal/mysql/wire/reply.go
@@ -131,13 +131,14 @@
 	return &Error{9002, "08007", "outcome unknown, it may have run: " + why}
 }
 
-// RolledBack is the error of a statement whose transaction was lost with its server before the commit.
+// RolledBack is the error of a statement whose transaction was lost with its server before the
+// commit.
 func RolledBack(why string) *Error {
 	return &Error{9003, "40000", "transaction rolled back: " + why}
 }
 
-// TransactionAborted is the error of each statement after a transaction was lost, until the client ends
-// the transaction.
+// TransactionAborted is the error of each statement after a transaction was lost, until the client
+// ends the transaction.
 func TransactionAborted() *Error {
 	return &Error{9004, "25000", "the transaction is gone, nothing runs until ROLLBACK"}
 }
--- a/internal/stream/frontend.go
+++ b/internal/stream/frontend.go
@@ -149,8 +149,8 @@
 	s.server.Close()
 }
 
-// copyDirection copies one direction. It forwards EOF as a half-close, and a reset of either side as
-// a reset of the other.
+// copyDirection copies one direction. It forwards EOF as a half-close, and a reset of either side
+// as a reset of the other.
 func (s *stream) copyDirection(direction int, to, from *net.TCPConn, splice *sockets.Budget) {
 	err := copyUntilEOF(to, from, splice, func(n int, done bool, err error) {
 		now := int64(time.Since(s.opened)) | 1
@@ -178,10 +178,10 @@
 	}
 }
 
-// wasReset reports whether the EOF that was read of from was in fact a reset. The kernel reports the
-// error once, and a write in the other direction may have consumed it, so that the read sees EOF.
-// Without this check a truncated stream would end like a complete one. A write to a connection that
-// is gone returns at once, so the wait lasts no longer than a single write.
+// wasReset reports whether the EOF that was read of from was in fact a reset. The kernel reports
+// the error once, and a write in the other direction may have consumed it, so that the read sees
+// EOF. Without this check a truncated stream would end like a complete one. A write to a connection
+// that is gone returns at once, so the wait lasts no longer than a single write.
 func (s *stream) wasReset(direction int, from *net.TCPConn) bool {
 	if !sockets.IsClosed(from) {
 		return false
