--- a/internal/mysql/session/session_test.go
+++ b/internal/mysql/session/session_test.go
@@ -88,7 +88,8 @@
 			t.Errorf("%s\n got %+v\nwant %+v", tt.sql, got, tt.want)
 		}
 	}
-	// The same text by the server's other mode: the backslash ends nothing, and what follows is a statement of its own.
+	// Under NO_BACKSLASH_ESCAPES the same text ends the literal at the backslash, and what follows is
+	// a second statement.
 	const sql = `select 'a\'; delete from t; -- '`
 	if s := Scan(sql, false); !s.ReadOnly || s.Multi {
 		t.Errorf("with backslashes: %+v", s)
@@ -107,16 +108,16 @@
 	return s
 }
 
-// reported is the end of a reply.
-func reported(status wire.Status) ReplySummary { return ReplySummary{OK: wire.OK{Status: status}} }
+// summaryOf returns the summary of a reply that ended with status.
+func summaryOf(status wire.Status) ReplySummary { return ReplySummary{OK: wire.OK{Status: status}} }
 
 const (
 	auto = wire.Autocommit
 	inTx = wire.Autocommit | wire.InTransaction
 )
 
-// TestPlaces: where statements run, one after the other, in a session.
-func TestPlaces(t *testing.T) {
+// TestPlan checks where the successive statements of a session run.
+func TestPlan(t *testing.T) {
 	type step struct {
 		sql   string
 		place Placement
@@ -126,29 +127,29 @@
 	}
 	insert := ReplySummary{OK: wire.OK{Status: auto, LastInsertID: 7, AffectedRows: 1}}
 	for name, steps := range map[string][]step{
-		"reads are free": {{"select 1", AnyServer, 0, reported(auto), false}, {"select 2", AnyServer, 0, reported(auto), false}},
-		"a transaction stays": {{"begin", AnyServer, 0, reported(inTx), true}, {"select 1", CurrentConnection, 0, reported(inTx), true},
-			{"commit", CurrentConnection, 0, reported(auto), true}, {"select 1", AnyServer, 0, reported(auto), false}},
-		"an implicit commit ends it": {{"begin", AnyServer, 0, reported(inTx), true}, {"create table x (a int)", CurrentConnection, 0, reported(auto), true},
-			{"select 1", AnyServer, 0, reported(auto), false}},
-		"without autocommit it begins by itself": {{"set autocommit=0", AnyServer, 0, reported(0), true},
-			{"insert into t values (1)", AnyServer, 0, reported(wire.InTransaction), true}, {"select 1", CurrentConnection, 0, reported(wire.InTransaction), true},
-			{"commit", CurrentConnection, 0, reported(0), true}, {"select 1", AnyServer, 0, reported(wire.InTransaction), true}},
+		"reads are free": {{"select 1", AnyServer, 0, summaryOf(auto), false}, {"select 2", AnyServer, 0, summaryOf(auto), false}},
+		"a transaction stays": {{"begin", AnyServer, 0, summaryOf(inTx), true}, {"select 1", CurrentConnection, 0, summaryOf(inTx), true},
+			{"commit", CurrentConnection, 0, summaryOf(auto), true}, {"select 1", AnyServer, 0, summaryOf(auto), false}},
+		"an implicit commit ends it": {{"begin", AnyServer, 0, summaryOf(inTx), true}, {"create table x (a int)", CurrentConnection, 0, summaryOf(auto), true},
+			{"select 1", AnyServer, 0, summaryOf(auto), false}},
+		"without autocommit it begins by itself": {{"set autocommit=0", AnyServer, 0, summaryOf(0), true},
+			{"insert into t values (1)", AnyServer, 0, summaryOf(wire.InTransaction), true}, {"select 1", CurrentConnection, 0, summaryOf(wire.InTransaction), true},
+			{"commit", CurrentConnection, 0, summaryOf(0), true}, {"select 1", AnyServer, 0, summaryOf(wire.InTransaction), true}},
 		"an id is asked of where it was made": {{"insert into t values (1)", AnyServer, 0, insert, true},
-			{"select last_insert_id()", CurrentConnection, 0, reported(auto), true}, {"select last_insert_id()", CurrentConnection, 0, reported(auto), true}},
-		"it is not made up": {{"insert into t values (1)", AnyServer, 0, insert, true}, {"select 1", AnyServer, 0, reported(auto), false},
+			{"select last_insert_id()", CurrentConnection, 0, summaryOf(auto), true}, {"select last_insert_id()", CurrentConnection, 0, summaryOf(auto), true}},
+		"it is not made up": {{"insert into t values (1)", AnyServer, 0, insert, true}, {"select 1", AnyServer, 0, summaryOf(auto), false},
 			{"select last_insert_id()", LocalReply, 9007, ReplySummary{}, false}},
-		"one that has none asks anywhere": {{"select 1", AnyServer, 0, reported(auto), false}, {"select last_insert_id()", AnyServer, 0, reported(auto), false}},
+		"one that has none asks anywhere": {{"select 1", AnyServer, 0, summaryOf(auto), false}, {"select last_insert_id()", AnyServer, 0, summaryOf(auto), false}},
 		"warnings are asked of where they were": {{"select 1/0", AnyServer, 0, ReplySummary{OK: wire.OK{Status: auto}, Warnings: true}, true},
-			{"show warnings", CurrentConnection, 0, reported(auto), true}},
-		"a variable binds for good": {{"set @a = 1", AnyServer, 0, reported(auto), true}, {"select 1", CurrentConnection, 0, reported(auto), true}},
-		"locks until they are let go": {{"lock tables t write", AnyServer, 0, reported(auto), true}, {"select 1", CurrentConnection, 0, reported(auto), true},
-			{"unlock tables", CurrentConnection, 0, reported(auto), true}, {"select 1", AnyServer, 0, reported(auto), false}},
-		"PREPARE tells no status": {{"begin", AnyServer, 0, reported(inTx), true}, {"select ?", CurrentConnection, 0, ReplySummary{NoStatus: true}, true}, {"commit", CurrentConnection, 0, reported(auto), true},
-			{"select ?", AnyServer, 0, ReplySummary{NoStatus: true}, false}, {"insert into t values (1)", AnyServer, 0, reported(auto), true}},
-		"settings go along":       {{"set time_zone = '+10:00'", AnyServer, 0, reported(auto), false}, {"select now()", AnyServer, 0, reported(auto), false}},
+			{"show warnings", CurrentConnection, 0, summaryOf(auto), true}},
+		"a variable binds for good": {{"set @a = 1", AnyServer, 0, summaryOf(auto), true}, {"select 1", CurrentConnection, 0, summaryOf(auto), true}},
+		"locks until they are let go": {{"lock tables t write", AnyServer, 0, summaryOf(auto), true}, {"select 1", CurrentConnection, 0, summaryOf(auto), true},
+			{"unlock tables", CurrentConnection, 0, summaryOf(auto), true}, {"select 1", AnyServer, 0, summaryOf(auto), false}},
+		"PREPARE tells no status": {{"begin", AnyServer, 0, summaryOf(inTx), true}, {"select ?", CurrentConnection, 0, ReplySummary{NoStatus: true}, true}, {"commit", CurrentConnection, 0, summaryOf(auto), true},
+			{"select ?", AnyServer, 0, ReplySummary{NoStatus: true}, false}, {"insert into t values (1)", AnyServer, 0, summaryOf(auto), true}},
+		"settings go along":       {{"set time_zone = '+10:00'", AnyServer, 0, summaryOf(auto), false}, {"select now()", AnyServer, 0, summaryOf(auto), false}},
 		"no file of the client":   {{"load data local infile 'x' into table t", LocalReply, 1235, ReplySummary{}, false}},
-		"what nobody understands": {{"select 'x", AnyServer, 0, reported(auto), true}, {"select 1", CurrentConnection, 0, reported(auto), true}},
+		"what nobody understands": {{"select 'x", AnyServer, 0, summaryOf(auto), true}, {"select 1", CurrentConnection, 0, summaryOf(auto), true}},
 	} {
 		s, has := New("", 45), false
 		for i, step := range steps {
@@ -173,17 +174,18 @@
 	}
 }
 
-// TestLost: what a client is told when the server goes, by what was under way, and what it may do then.
-func TestLost(t *testing.T) {
+// TestConnectionLost checks which error a client gets when its server is lost, by the statement that
+// was running, and how the session continues.
+func TestConnectionLost(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
-		before []string // each ends with the status behind it
+		before []string // earlier statements, each of which ends with its status
 		status []wire.Status
-		sql    string // "": at rest
+		sql    string // "": the session is idle
 		sent   bool
 		code   uint16 // 0: an OK
 		close  bool
-		then   uint16 // what a SELECT is told next; 0: it runs
+		then   uint16 // the error of a SELECT that follows; 0: it runs
 	}{
 		{"a read", nil, nil, "select 1", true, 9005, false, 0},
 		{"a write", nil, nil, "insert into t values (1)", true, 9002, false, 0},
@@ -208,7 +210,7 @@
 		s := New("", 45)
 		for i, sql := range tt.before {
 			st := s.Scan(sql)
-			s.StatementEnded(&st, reported(tt.status[i]))
+			s.StatementEnded(&st, summaryOf(tt.status[i]))
 		}
 		var st *Statement
 		if tt.sql != "" {
@@ -238,15 +240,16 @@
 	return e.Code
 }
 
-// TestNothingRunsTwice: over whatever sessions, nothing that may have changed something is held for harmless to repeat, and a session
-// whose transaction or state has gone never runs on as if it had not.
+// TestNothingRunsTwice checks random sessions: a statement that may have changed something never
+// counts as safe to repeat, and a session whose transaction or state was lost never continues as if
+// it were intact.
 func TestNothingRunsTwice(t *testing.T) {
 	statements := []string{"select 1", "insert into t values (1)", "begin", "commit", "rollback", "set autocommit=0", "set autocommit=1", "set @a=1",
 		"create table x (a int)", "create temporary table x (a int)", "call p()", "select f()", "select last_insert_id()", "set names utf8", "lock tables t write",
 		"unlock tables", "insert into t values (2); commit", "delete from t where a = 'x", "set transaction read only"}
 	rapid.Check(t, func(t *rapid.T) {
 		s, has := New("", 45), false
-		tx, lost, bound := false, false, false // as the client must see it
+		tx, lost, bound := false, false, false // the client's expected view
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			sql := rapid.SampledFrom(statements).Draw(t, "sql")
 			st := s.Scan(sql)
@@ -299,7 +302,7 @@
 				has = s.StatementEnded(&st, ReplySummary{OK: wire.OK{Status: status}})
 				tx = status&wire.InTransaction != 0
 				bound = bound && !st.UnlockTables || st.Pins != 0
-				if bound != (s.Pins() != 0) { // UNLOCK lets go of locks only
+				if bound != (s.Pins() != 0) { // UNLOCK TABLES releases only locks
 					bound = s.Pins() != 0
 				}
 				if (tx || bound) && !has {
@@ -313,8 +316,9 @@
 	})
 }
 
-// reply feeds packets to a Reply and returns how they were dealt with: W for whole, P for passed on.
-func reply(r *ReplyTracker, packets ...[]byte) (string, error) {
+// feed feeds packets to r and returns how each was handled: W for read whole, P for forwarded
+// unread, and a final dot if the reply has ended.
+func feed(r *ReplyTracker, packets ...[]byte) (string, error) {
 	var how strings.Builder
 	for _, p := range packets {
 		piece := wire.PacketPrefix{Len: len(p)}
@@ -379,7 +383,7 @@
 		{"no columns", wire.Query, 0, [][]byte{{0xfc, 0, 0}}, "W", wire.ErrMalformed},
 		{"an OK that is cut", wire.Query, 0, [][]byte{{0, 1}}, "W", wire.ErrMalformed},
 	} {
-		got, err := reply(NewReplyTracker(tt.command, tt.caps), tt.packets...)
+		got, err := feed(NewReplyTracker(tt.command, tt.caps), tt.packets...)
 		if got != tt.want || !errors.Is(err, tt.err) {
 			t.Errorf("%s: %s and %v, want %s and %v", tt.name, got, err, tt.want, tt.err)
 		}
@@ -423,7 +427,8 @@
 	}
 }
 
-// FuzzScan: whatever is scanned ends, names no setting that is not part of it, and the same text twice means what it means once, twice.
+// FuzzScan checks that any text can be scanned, that settings stay bounded, and that an ambiguous
+// text never counts as read-only or hides a statement that follows it.
 func FuzzScan(f *testing.F) {
 	for _, s := range []string{"select 1", "set a='x\\'', b=2", "/*!1 x */ y", "select \"\\\" ; @`a` := 0x1 -- x", "/* class=a timeout=1s */ begin", "'", "@@", "/*", "kill query 1"} {
 		f.Add(s, true)
@@ -444,7 +449,8 @@
 	})
 }
 
-// FuzzReply: whatever a server sends, the reply ends, or fails, and never counts more results than packets.
+// FuzzReply checks that a reply of any packets ends or fails, and never counts more results or rows
+// than packets.
 func FuzzReply(f *testing.F) {
 	f.Add([]byte{1, 1, 3, 'd', 'e', 'f', 1, 0xfe, 5, 0, 0, 2, 0, 0}, true)
 	f.Fuzz(func(t *testing.T, b []byte, deprecated bool) {
@@ -456,7 +462,7 @@
 		packets := 0
 		for len(b) > 0 && !r.Done() {
 			n := min(int(b[0])%32, len(b)-1)
-			if _, err := reply(r, b[1:1+n]); err != nil {
+			if _, err := feed(r, b[1:1+n]); err != nil {
 				return
 			}
 			b = b[1+n:]
--- a/internal/mysql/standin/database.go
+++ b/internal/mysql/standin/database.go
@@ -14,8 +14,8 @@
 	Qty      int64
 }
 
-// Database is the data that several servers share. The table has no unique key, so that an order that
-// was executed twice is visible.
+// Database is the data that several servers share. The table has no unique key, so that an order
+// that was executed twice is visible.
 type Database struct {
 	mu       sync.Mutex
 	orders   []Order
--- a/internal/mysql/standin/run.go
+++ b/internal/mysql/standin/run.go
@@ -177,8 +177,8 @@
 	return args, nil
 }
 
-// maxPatternText is the length from which a statement is not matched against patterns, which would be
-// slow.
+// maxPatternText is the length from which a statement is not matched against patterns, which would
+// be slow.
 const maxPatternText = 1 << 16
 
 var comment = regexp.MustCompile(`/\*[^!].*?\*/`)
--- a/internal/mysql/wire/wire_test.go
+++ b/internal/mysql/wire/wire_test.go
@@ -20,7 +20,8 @@
 	return &Conn{W: bufio.NewWriter(&b)}, &Conn{R: bufio.NewReaderSize(&b, 64)}, &b
 }
 
-// TestPackets: messages of all lengths about the bounds arrive as they were, in as many packets as it takes.
+// TestPackets checks that messages of lengths around the limits are split into the right number of
+// packets and read back unchanged.
 func TestPackets(t *testing.T) {
 	for _, n := range []int{0, 1, 63, 64, 65, 1 << 16, MaxPayload - 1, MaxPayload, MaxPayload + 1, 2 * MaxPayload} {
 		w, r, b := pair()
@@ -43,7 +44,8 @@
 	}
 }
 
-// TestBadPackets: each has an error of its kind, and a header alone takes no room.
+// TestBadPackets checks the error of each kind of invalid packet, and that a header alone doesn't
+// make the reader allocate the claimed length.
 func TestBadPackets(t *testing.T) {
 	for name, tt := range map[string]struct {
 		b    []byte
@@ -51,7 +53,7 @@
 	}{
 		"nothing": {nil, io.EOF}, "half a header": {[]byte{1, 0}, io.ErrUnexpectedEOF}, "no payload": {[]byte{5, 0, 0, 0}, io.ErrUnexpectedEOF},
 		"half a payload": {[]byte{5, 0, 0, 0, 1, 2}, io.ErrUnexpectedEOF}, "out of order": {[]byte{1, 0, 0, 1, 0}, ErrSequence},
-		"a claim": {[]byte{0xff, 0xff, 0xff, 0, 1}, io.ErrUnexpectedEOF},
+		"only the claimed length": {[]byte{0xff, 0xff, 0xff, 0, 1}, io.ErrUnexpectedEOF},
 	} {
 		c := &Conn{R: bufio.NewReader(bytes.NewReader(tt.b))}
 		if _, err := c.Read(1 << 30); !errors.Is(err, tt.want) {
@@ -63,12 +65,12 @@
 		c.Read(1 << 30)
 	})
 	if n > 20 {
-		t.Errorf("a claim takes %v allocations", n)
+		t.Errorf("a claimed length takes %v allocations", n)
 	}
 }
 
-// TestPass: a packet that fits into the buffer is passed on whole or not at all.
-func TestPass(t *testing.T) {
+// TestForward checks that a packet that fits into the buffer is forwarded whole or not at all.
+func TestForward(t *testing.T) {
 	for _, tt := range []struct {
 		claimed, sent int
 		begun         bool
@@ -89,8 +91,8 @@
 	}
 }
 
-// TestProofs: a password proves itself, by its scramble only, and no other does.
-func TestProofs(t *testing.T) {
+// TestAuthResponses checks that an auth response verifies only with its own password and scramble.
+func TestAuthResponses(t *testing.T) {
 	scramble, _ := hex.DecodeString("4a1c6f0b2d3e5f60718293a4b5c6d7e8f9010203")
 	for _, plugin := range []string{Native, SHA2} {
 		rapid.Check(t, func(t *rapid.T) {
@@ -137,7 +139,8 @@
 	}
 }
 
-// TestMessages: each is read as it was written; cut anywhere, it is an error or less, and never more.
+// TestMessages checks that each message is decoded as it was encoded, and that a truncated one gives
+// an error or fewer fields, never other data.
 func TestMessages(t *testing.T) {
 	scramble := NewScramble()
 	g := Greeting{Version: "8.4.0", ThreadID: 7, Scramble: scramble, Capabilities: Protocol41 | SecureConnection | PluginAuth | SSL, Charset: 45, Status: Autocommit, Plugin: SHA2}
@@ -187,7 +190,8 @@
 	}
 }
 
-// FuzzRead: whatever comes, it is read or an error, and no more room is taken than came.
+// FuzzRead checks that any input is a message or an error, and that a message is no longer than the
+// input or the limit.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte{1, 0, 0, 0, 14}, 100)
 	f.Add([]byte{0xff, 0xff, 0xff, 0, 1}, 1<<24)
@@ -205,7 +209,7 @@
 	})
 }
 
-// FuzzMessages: no message of a peer is more than an error.
+// FuzzMessages checks that no input makes a decoder panic or return invalid data.
 func FuzzMessages(f *testing.F) {
 	g := Greeting{Version: "8", Scramble: NewScramble(), Capabilities: Protocol41 | SecureConnection | PluginAuth, Plugin: SHA2}
 	f.Add(g.Append(nil), uint32(SessionTrack))
--- a/internal/stream/bench_test.go
+++ b/internal/stream/bench_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// BenchmarkBytes tells how fast a long stream goes through the front, beside a bare proxy of io.Copy, in turns within one run.
+// BenchmarkBytes compares the throughput of a long stream through the frontend with that of a plain
+// io.Copy proxy, in turns within one run.
 func BenchmarkBytes(b *testing.B) {
 	const size = 256 << 20
 	sink := func(c *net.TCPConn) {
@@ -16,7 +17,7 @@
 	}
 	for _, splice := range []bool{false, true} {
 		b.Run(map[bool]string{true: "splice", false: "buffers"}[splice], func(b *testing.B) {
-			box := newBox(b, sink)
+			box := newBackend(b, sink)
 			w := open(b, Config{Splice: splice}, 0, box)
 			bare, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -73,9 +74,10 @@
 	}
 }
 
-// BenchmarkOpen tells what it costs to open a stream and pass one message there and back, beside the server itself.
+// BenchmarkOpen compares the time to open a stream and exchange one message with that of a direct
+// connection to the server.
 func BenchmarkOpen(b *testing.B) {
-	box := newBox(b, echo)
+	box := newBackend(b, echo)
 	w := open(b, Config{}, 0, box)
 	one := func(addr string) time.Duration {
 		from := time.Now()
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -27,33 +27,33 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// box is a server of streams: each connection is the test's.
-type box struct {
-	ln    *net.TCPListener
-	took  atomic.Int64
-	serve func(c *net.TCPConn)
-	done  sync.WaitGroup
+// backend is a test server that runs serve for each connection.
+type backend struct {
+	ln       *net.TCPListener
+	accepted atomic.Int64
+	serve    func(c *net.TCPConn)
+	done     sync.WaitGroup
 }
 
-func newBox(t testing.TB, serve func(c *net.TCPConn)) *box {
+func newBackend(t testing.TB, serve func(c *net.TCPConn)) *backend {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &box{ln: ln.(*net.TCPListener), serve: serve}
+	b := &backend{ln: ln.(*net.TCPListener), serve: serve}
 	b.done.Go(func() {
 		for {
 			c, err := b.ln.AcceptTCP()
 			if err != nil {
 				return
 			}
-			b.took.Add(1)
+			b.accepted.Add(1)
 			b.done.Go(func() {
 				defer c.Close()
-				c.SetDeadline(time.Now().Add(patience))
+				c.SetDeadline(time.Now().Add(testTimeout))
 				b.serve(c)
 			})
 		}
@@ -62,10 +62,10 @@
 	return b
 }
 
-func (b *box) addr() string { return b.ln.Addr().String() }
+func (b *backend) addr() string { return b.ln.Addr().String() }
 
-// world is a front with its pool.
-type world struct {
+// fixture is a Frontend with its pool.
+type fixture struct {
 	*Frontend
 	t    testing.TB
 	pool *pool.Pool
@@ -73,9 +73,9 @@
 	addr string
 }
 
-func open(t testing.TB, c Config, descriptors int, boxes ...*box) *world {
+func open(t testing.TB, c Config, descriptors int, boxes ...*backend) *fixture {
 	t.Helper()
-	w := &world{t: t, cfg: pool.Config{Name: "meters", Classes: []pool.Class{{Name: "meter", Safe: true, Aim: time.Second, Deadline: 5 * time.Second}}}}
+	w := &fixture{t: t, cfg: pool.Config{Name: "meters", Classes: []pool.Class{{Name: "meter", Safe: true, Aim: time.Second, Deadline: 5 * time.Second}}}}
 	for i, b := range boxes {
 		w.cfg.Servers = append(w.cfg.Servers, pool.Server{ID: fmt.Sprint("box", i), Addr: b.addr()})
 	}
@@ -110,25 +110,25 @@
 	return w
 }
 
-// dial connects, and returns nil where it is turned away at once.
-func (w *world) dial() *net.TCPConn {
+// dial connects. It returns nil if the connection is reset at once.
+func (w *fixture) dial() *net.TCPConn {
 	w.t.Helper()
 	c, err := net.Dial("tcp", w.addr)
-	if errors.Is(err, syscall.ECONNRESET) { // it was turned away before this side knew that it was in
+	if errors.Is(err, syscall.ECONNRESET) { // rejected before connect returned
 		return nil
 	}
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	w.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c.(*net.TCPConn)
 }
 
-// until waits for something to be so.
-func until(t testing.TB, what string, is func() bool) {
+// waitFor waits until a condition holds.
+func waitFor(t testing.TB, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !is(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
@@ -141,7 +141,7 @@
 	io.Copy(io.Discard, c)
 }
 
-func TestVerdict(t *testing.T) {
+func TestEndReason(t *testing.T) {
 	c := Config{IdleTimeout: 10 * time.Second, StallTimeout: 3 * time.Second, MaxDuration: time.Hour, DrainTimeout: time.Minute, HalfClosedTimeout: 5 * time.Second, ShutdownTimeout: 8 * time.Second}
 	now := time.Unix(1e9, 0)
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
@@ -170,12 +170,14 @@
 	}
 }
 
-// TestEveryByte: thousands of streams of odd lengths, with both sides shutting in either order, arrive whole in both directions, while some
-// servers refuse connections and some break off: then the client sees a reset, never a shorter stream that ends as a whole one.
-func TestEveryByte(t *testing.T) {
+// TestDataIntegrity guards against lost bytes and against truncated streams that look complete.
+// Thousands of streams of various lengths close in either order, while one server refuses
+// connections and others reset them. Each stream arrives whole, or its client sees a reset.
+func TestDataIntegrity(t *testing.T) {
 	const streams, workers = 3000, 24
-	// A client sends a head of 24 bytes: how much it sends after it, how much it wants, and a seed; the server answers with what is wanted
-	// and the hash of what came. An odd seed has the server answer before it has read all; a seed of 13 mod 50 has it break off.
+	// A client sends a header of 24 bytes: how much it sends after it, how much it wants, and a seed.
+	// The server replies with that many bytes and the hash of what it received. With an odd seed it
+	// replies before it has read everything; with a seed of 13 mod 50 it resets halfway.
 	serve := func(c *net.TCPConn) {
 		head := make([]byte, 24)
 		if _, err := io.ReadFull(c, head); err != nil {
@@ -201,8 +203,8 @@
 		}
 		c.CloseWrite()
 	}
-	boxes := []*box{newBox(t, serve), newBox(t, serve), newBox(t, serve), newBox(t, serve)}
-	boxes[3].ln.Close() // nobody listens there any more
+	boxes := []*backend{newBackend(t, serve), newBackend(t, serve), newBackend(t, serve), newBackend(t, serve)}
+	boxes[3].ln.Close() // refuses connections
 	w := open(t, Config{Splice: true}, 0, boxes...)
 	rng := rand.New(rand.NewPCG(7, 12))
 	jobs := make(chan [3]uint64, streams)
@@ -238,13 +240,13 @@
 	if whole.Load() != streams-streams/50 || broken.Load() != streams/50 {
 		t.Errorf("%d whole, %d broken off", whole.Load(), broken.Load())
 	}
-	until(t, "all have ended", func() bool { return w.Stats().Open == 0 })
+	waitFor(t, "all have ended", func() bool { return w.Stats().Open == 0 })
 	s := w.Stats()
 	if s.Ended["shut"]+s.Ended["reset"] != streams || s.Ended["reset"] < streams/50 {
 		t.Errorf("ended %v", s.Ended)
 	}
-	if boxes[3].took.Load() > 0 || boxes[0].took.Load() < streams/6 {
-		t.Errorf("%d at the first, %d at the one that is dead", boxes[0].took.Load(), boxes[3].took.Load())
+	if boxes[3].accepted.Load() > 0 || boxes[0].accepted.Load() < streams/6 {
+		t.Errorf("%d at the first, %d at the one that is dead", boxes[0].accepted.Load(), boxes[3].accepted.Load())
 	}
 }
 
@@ -253,7 +255,8 @@
 	return k
 }
 
-// exchange sends n bytes that follow from a seed, and checks the answer. With an error other than a reset something is missing or wrong.
+// exchange sends n bytes that are derived from a seed, and checks the reply. An error other than a
+// reset means that data is missing or wrong.
 func exchange(addr string, n, want, seed uint64) error {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -261,7 +264,7 @@
 	}
 	c := nc.(*net.TCPConn)
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	head := make([]byte, 24)
 	binary.LittleEndian.PutUint64(head, n)
 	binary.LittleEndian.PutUint64(head[8:], want)
@@ -281,7 +284,7 @@
 		err = serr
 	}
 	if errors.Is(err, syscall.EPIPE) {
-		err = syscall.ECONNRESET // it came while this side wrote
+		err = syscall.ECONNRESET // the reset arrived during a write
 	}
 	if err != nil {
 		return err
@@ -294,12 +297,13 @@
 	return nil
 }
 
-// TestHalfClose: a client that shuts its sending side gets a long reply that comes late; a server that shuts first gets all that
-// the client still sends.
+// TestHalfClose checks that a half-close ends one direction only: a client that closes its write
+// side gets a long reply that comes late, and a server that closes first gets all that the client
+// still sends.
 func TestHalfClose(t *testing.T) {
 	got := make(chan int64, 1)
 	reply := bytes.Repeat([]byte("reply "), 100_000)
-	b := newBox(t, func(c *net.TCPConn) {
+	b := newBackend(t, func(c *net.TCPConn) {
 		first := make([]byte, 1)
 		io.ReadFull(c, first)
 		if first[0] == 's' { // the server shuts first
@@ -334,13 +338,14 @@
 	if n := <-got; n != 300_005 {
 		t.Errorf("%d bytes came after the server had shut", n)
 	}
-	until(t, "both have ended", func() bool { return w.Stats().Ended["shut"] == 2 })
+	waitFor(t, "both have ended", func() bool { return w.Stats().Ended["shut"] == 2 })
 }
 
-// TestReset: a reset of either side, with data in flight, is a reset of the other, and harms no other stream.
+// TestReset checks that a reset of either side, with data in flight, resets the other side and
+// affects no other stream.
 func TestReset(t *testing.T) {
 	end := make(chan error, 1)
-	b := newBox(t, func(c *net.TCPConn) {
+	b := newBackend(t, func(c *net.TCPConn) {
 		first := make([]byte, 1)
 		io.ReadFull(c, first)
 		switch first[0] {
@@ -376,13 +381,14 @@
 	if text, err := io.ReadAll(other); string(text) != "echo" || err != nil {
 		t.Errorf("the other stream: %q, %v", text, err)
 	}
-	until(t, "all have ended", func() bool { s := w.Stats(); return s.Ended["reset"] == 2 && s.Ended["shut"] == 1 })
+	waitFor(t, "all have ended", func() bool { s := w.Stats(); return s.Ended["reset"] == 2 && s.Ended["shut"] == 1 })
 }
 
-// TestIdleAndTrickle: a stream of a byte now and then stays; one without is ended in order, so that both sides read an end.
+// TestIdleAndTrickle checks the idle timeout: a stream with an occasional byte stays open, and an
+// idle one is closed in order, so that both sides read EOF.
 func TestIdleAndTrickle(t *testing.T) {
 	end := make(chan error, 1)
-	b := newBox(t, func(c *net.TCPConn) {
+	b := newBackend(t, func(c *net.TCPConn) {
 		first := make([]byte, 1)
 		io.ReadFull(c, first)
 		if first[0] == 't' {
@@ -410,13 +416,14 @@
 	if text, err := io.ReadAll(trickle); len(text) != 15 || err != nil {
 		t.Errorf("the trickle: %d bytes, %v", len(text), err)
 	}
-	until(t, "it counts as idle", func() bool { return w.Stats().Ended["idle"] == 1 })
+	waitFor(t, "it counts as idle", func() bool { return w.Stats().Ended["idle"] == 1 })
 }
 
-// TestPeerThatStopsReading: what is sent to it is not taken from the sender beyond a bound, and it is cut off.
-func TestPeerThatStopsReading(t *testing.T) {
+// TestStalledPeer checks that a peer that stops reading is cut off, and that the data read from the
+// sender meanwhile is bounded.
+func TestStalledPeer(t *testing.T) {
 	end := make(chan int64, 1)
-	b := newBox(t, func(c *net.TCPConn) {
+	b := newBackend(t, func(c *net.TCPConn) {
 		sent := int64(0)
 		for {
 			n, err := c.Write(make([]byte, 64<<10))
@@ -429,19 +436,19 @@
 	w := open(t, Config{StallTimeout: 500 * time.Millisecond}, 0, b)
 	c := w.dial()
 	c.SetReadBuffer(16 << 10)
-	until(t, "it is cut off", func() bool { return w.Stats().Ended["stalled"] == 1 })
+	waitFor(t, "it is cut off", func() bool { return w.Stats().Ended["stalled"] == 1 })
 	if n := <-end; n > 64<<20 {
 		t.Errorf("%d bytes were taken for a peer that reads nothing", n)
 	}
 }
 
-// TestDrain: 2 s after the list has told that a server takes nothing more no new stream goes there; those that it has are let finish
-// for the time that is stated, and then ended in order.
+// TestDrain checks that a draining server gets no new stream from 2 s after the list update on. Its
+// open streams may continue for the drain timeout and are then closed in order.
 func TestDrain(t *testing.T) {
-	first, second := newBox(t, echo), newBox(t, echo)
+	first, second := newBackend(t, echo), newBackend(t, echo)
 	w := open(t, Config{DrainTimeout: 700 * time.Millisecond}, 0, first, second)
 	var at []*net.TCPConn
-	for first.took.Load() == 0 || second.took.Load() == 0 {
+	for first.accepted.Load() == 0 || second.accepted.Load() == 0 {
 		c := w.dial()
 		io.WriteString(c, "x")
 		io.ReadFull(c, make([]byte, 1))
@@ -452,11 +459,11 @@
 		t.Fatal(err)
 	}
 	told := time.Now()
-	until(t, "the list is known", func() bool { return !w.pool.ServerUsable("box0") })
+	waitFor(t, "the list is known", func() bool { return !w.pool.ServerUsable("box0") })
 	if time.Since(told) > 2*time.Second {
 		t.Fatal("the list came late")
 	}
-	before := first.took.Load()
+	before := first.accepted.Load()
 	for range 40 {
 		c := w.dial()
 		io.WriteString(c, "new")
@@ -465,14 +472,14 @@
 			t.Fatalf("%q, %v", text, err)
 		}
 	}
-	if n := first.took.Load() - before; n > 0 {
+	if n := first.accepted.Load() - before; n > 0 {
 		t.Errorf("%d new streams went to the server that drains", n)
 	}
-	for _, c := range at { // they still work
+	for _, c := range at { // the open streams still work
 		io.WriteString(c, "y")
 		io.ReadFull(c, make([]byte, 1))
 	}
-	until(t, "those at it have ended", func() bool { return w.Stats().Ended["drained"] == uint64(before) })
+	waitFor(t, "those at it have ended", func() bool { return w.Stats().Ended["drained"] == uint64(before) })
 	ended := 0
 	for _, c := range at {
 		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
@@ -485,9 +492,10 @@
 	}
 }
 
-// TestShutdown: streams end by themselves within the patience; the others are ended in order after it, and nobody new is let in.
+// TestShutdown checks that streams may finish within the shutdown timeout, that the others are
+// closed in order after it, and that no new connection is accepted.
 func TestShutdown(t *testing.T) {
-	w := open(t, Config{ShutdownTimeout: 600 * time.Millisecond}, 0, newBox(t, echo))
+	w := open(t, Config{ShutdownTimeout: 600 * time.Millisecond}, 0, newBackend(t, echo))
 	soon, late := w.dial(), w.dial()
 	for _, c := range []*net.TCPConn{soon, late} {
 		io.WriteString(c, "x")
@@ -495,7 +503,7 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- w.Shutdown(context.Background()) }()
-	until(t, "nobody new", func() bool {
+	waitFor(t, "nobody new", func() bool {
 		c, err := net.Dial("tcp", w.addr)
 		if err == nil {
 			c.Close()
@@ -519,9 +527,10 @@
 	}
 }
 
-// TestBounds: one more than may be is reset before any byte, and a place that is left is free again.
-func TestBounds(t *testing.T) {
-	w := open(t, Config{ConnLimits: connlimit.Limits{PerAddress: 2}}, 0, newBox(t, echo))
+// TestConnectionLimits checks that a connection beyond the limit is reset before any byte, and that
+// a closed connection makes room for a new one.
+func TestConnectionLimits(t *testing.T) {
+	w := open(t, Config{ConnLimits: connlimit.Limits{PerAddress: 2}}, 0, newBackend(t, echo))
 	works := func(c *net.TCPConn) bool {
 		if c == nil {
 			return false
@@ -538,16 +547,17 @@
 		t.Error("one too many works")
 	}
 	first.Close()
-	until(t, "its place is free", func() bool { return w.Stats().Open == 1 })
-	until(t, "a new one works", func() bool { return works(w.dial()) })
+	waitFor(t, "its place is free", func() bool { return w.Stats().Open == 1 })
+	waitFor(t, "a new one works", func() bool { return works(w.dial()) })
 	if w.Stats().Connections.Rejected["too many connections from this address"] == 0 {
 		t.Errorf("%+v", w.Stats().Connections)
 	}
 }
 
-// TestNoServer: with none that can be reached the client is reset within the class's time, and not told of an empty stream.
+// TestNoServer checks that without a reachable server the client is reset within the deadline of the
+// class, and doesn't see an empty stream.
 func TestNoServer(t *testing.T) {
-	b := newBox(t, echo)
+	b := newBackend(t, echo)
 	b.ln.Close()
 	w := open(t, Config{}, 0, b)
 	if c := w.dial(); c != nil {
@@ -560,9 +570,10 @@
 	}
 }
 
-// TestDescriptors: streams beyond the budget wait for a place, and harm none of those that are open.
+// TestDescriptors checks that streams beyond the descriptor budget wait for descriptors and don't
+// affect the open ones.
 func TestDescriptors(t *testing.T) {
-	w := open(t, Config{}, sockets.Reserved+20, newBox(t, echo))
+	w := open(t, Config{}, sockets.Reserved+20, newBackend(t, echo))
 	var work sync.WaitGroup
 	for range 60 {
 		work.Go(func() {
@@ -572,7 +583,7 @@
 				return
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			time.Sleep(10 * time.Millisecond)
 			io.WriteString(c, "x")
 			c.(*net.TCPConn).CloseWrite()
@@ -602,10 +613,11 @@
 	}
 }
 
-// TestResetWhileWriting: a server resets while its client writes. The write to the server has the one error that the kernel tells, and what
-// is read of it then looks like an end: the client must see a reset all the same.
+// TestResetWhileWriting guards against a truncated stream that looks complete. A server resets while
+// its client writes: the write to the server consumes the one error that the kernel reports, and the
+// read then sees EOF. The client must see a reset all the same.
 func TestResetWhileWriting(t *testing.T) {
-	w := open(t, Config{}, 0, newBox(t, func(c *net.TCPConn) {
+	w := open(t, Config{}, 0, newBackend(t, func(c *net.TCPConn) {
 		io.ReadFull(c, make([]byte, 8))
 		c.Write(make([]byte, 100))
 		c.SetLinger(0)
@@ -619,7 +631,7 @@
 				_, err := c.Write(make([]byte, 8))
 				for began := time.Now(); time.Since(began) < time.Duration(i)*2*time.Microsecond; {
 				}
-				if err == nil { // this ends before the first read: the client's own write takes no error from its reads
+				if err == nil { // before the first read, so that no read loses its error to a write
 					_, err = c.Write(make([]byte, 50))
 				}
 				if _, rerr := io.ReadAll(c); err == nil && rerr == nil {
