--- a/internal/mysql/session/execute.go
+++ b/internal/mysql/session/execute.go
@@ -49,11 +49,11 @@
 	return e, nil
 }
 
-// Message returns the command for a server that has prepared the statement as id. told reports
+// Message returns the command for a server that has prepared the statement as id. typesSent reports
 // whether that server has already received these types.
-func (e *Execution) Message(id uint32, told bool) []byte {
+func (e *Execution) Message(id uint32, typesSent bool) []byte {
 	b := e.message
-	if e.paramsOffset > 0 && !e.hasTypes && !told {
+	if e.paramsOffset > 0 && !e.hasTypes && !typesSent {
 		b = append(append([]byte(nil), e.message[:e.paramsOffset]...), 1)
 		b = append(append(b, e.Types...), e.message[e.paramsOffset+1:]...)
 	} else {
--- a/internal/mysql/session/session_test.go
+++ b/internal/mysql/session/session_test.go
@@ -127,29 +127,29 @@
 	}
 	insert := ReplySummary{OK: wire.OK{Status: auto, LastInsertID: 7, AffectedRows: 1}}
 	for name, steps := range map[string][]step{
-		"reads are free": {{"select 1", AnyServer, 0, summaryOf(auto), false}, {"select 2", AnyServer, 0, summaryOf(auto), false}},
-		"a transaction stays": {{"begin", AnyServer, 0, summaryOf(inTx), true}, {"select 1", CurrentConnection, 0, summaryOf(inTx), true},
+		"a read runs on any server": {{"select 1", AnyServer, 0, summaryOf(auto), false}, {"select 2", AnyServer, 0, summaryOf(auto), false}},
+		"a transaction stays on its connection": {{"begin", AnyServer, 0, summaryOf(inTx), true}, {"select 1", CurrentConnection, 0, summaryOf(inTx), true},
 			{"commit", CurrentConnection, 0, summaryOf(auto), true}, {"select 1", AnyServer, 0, summaryOf(auto), false}},
-		"an implicit commit ends it": {{"begin", AnyServer, 0, summaryOf(inTx), true}, {"create table x (a int)", CurrentConnection, 0, summaryOf(auto), true},
+		"an implicit commit ends the transaction": {{"begin", AnyServer, 0, summaryOf(inTx), true}, {"create table x (a int)", CurrentConnection, 0, summaryOf(auto), true},
 			{"select 1", AnyServer, 0, summaryOf(auto), false}},
-		"without autocommit it begins by itself": {{"set autocommit=0", AnyServer, 0, summaryOf(0), true},
+		"without autocommit a transaction begins implicitly": {{"set autocommit=0", AnyServer, 0, summaryOf(0), true},
 			{"insert into t values (1)", AnyServer, 0, summaryOf(wire.InTransaction), true}, {"select 1", CurrentConnection, 0, summaryOf(wire.InTransaction), true},
 			{"commit", CurrentConnection, 0, summaryOf(0), true}, {"select 1", AnyServer, 0, summaryOf(wire.InTransaction), true}},
-		"an id is asked of where it was made": {{"insert into t values (1)", AnyServer, 0, insert, true},
+		"an insert ID is read on its connection": {{"insert into t values (1)", AnyServer, 0, insert, true},
 			{"select last_insert_id()", CurrentConnection, 0, summaryOf(auto), true}, {"select last_insert_id()", CurrentConnection, 0, summaryOf(auto), true}},
-		"it is not made up": {{"insert into t values (1)", AnyServer, 0, insert, true}, {"select 1", AnyServer, 0, summaryOf(auto), false},
+		"a lost insert ID is an error": {{"insert into t values (1)", AnyServer, 0, insert, true}, {"select 1", AnyServer, 0, summaryOf(auto), false},
 			{"select last_insert_id()", LocalReply, 9007, ReplySummary{}, false}},
-		"one that has none asks anywhere": {{"select 1", AnyServer, 0, summaryOf(auto), false}, {"select last_insert_id()", AnyServer, 0, summaryOf(auto), false}},
-		"warnings are asked of where they were": {{"select 1/0", AnyServer, 0, ReplySummary{OK: wire.OK{Status: auto}, Warnings: true}, true},
+		"without an insert ID any server can be asked": {{"select 1", AnyServer, 0, summaryOf(auto), false}, {"select last_insert_id()", AnyServer, 0, summaryOf(auto), false}},
+		"warnings are read on their connection": {{"select 1/0", AnyServer, 0, ReplySummary{OK: wire.OK{Status: auto}, Warnings: true}, true},
 			{"show warnings", CurrentConnection, 0, summaryOf(auto), true}},
-		"a variable binds for good": {{"set @a = 1", AnyServer, 0, summaryOf(auto), true}, {"select 1", CurrentConnection, 0, summaryOf(auto), true}},
-		"locks until they are let go": {{"lock tables t write", AnyServer, 0, summaryOf(auto), true}, {"select 1", CurrentConnection, 0, summaryOf(auto), true},
+		"a user variable binds the session": {{"set @a = 1", AnyServer, 0, summaryOf(auto), true}, {"select 1", CurrentConnection, 0, summaryOf(auto), true}},
+		"table locks bind until UNLOCK TABLES": {{"lock tables t write", AnyServer, 0, summaryOf(auto), true}, {"select 1", CurrentConnection, 0, summaryOf(auto), true},
 			{"unlock tables", CurrentConnection, 0, summaryOf(auto), true}, {"select 1", AnyServer, 0, summaryOf(auto), false}},
-		"PREPARE tells no status": {{"begin", AnyServer, 0, summaryOf(inTx), true}, {"select ?", CurrentConnection, 0, ReplySummary{NoStatus: true}, true}, {"commit", CurrentConnection, 0, summaryOf(auto), true},
+		"a reply to PREPARE has no status": {{"begin", AnyServer, 0, summaryOf(inTx), true}, {"select ?", CurrentConnection, 0, ReplySummary{NoStatus: true}, true}, {"commit", CurrentConnection, 0, summaryOf(auto), true},
 			{"select ?", AnyServer, 0, ReplySummary{NoStatus: true}, false}, {"insert into t values (1)", AnyServer, 0, summaryOf(auto), true}},
-		"settings go along":       {{"set time_zone = '+10:00'", AnyServer, 0, summaryOf(auto), false}, {"select now()", AnyServer, 0, summaryOf(auto), false}},
-		"no file of the client":   {{"load data local infile 'x' into table t", LocalReply, 1235, ReplySummary{}, false}},
-		"what nobody understands": {{"select 'x", AnyServer, 0, summaryOf(auto), true}, {"select 1", CurrentConnection, 0, summaryOf(auto), true}},
+		"settings don't bind":          {{"set time_zone = '+10:00'", AnyServer, 0, summaryOf(auto), false}, {"select now()", AnyServer, 0, summaryOf(auto), false}},
+		"LOAD DATA LOCAL is rejected":  {{"load data local infile 'x' into table t", LocalReply, 1235, ReplySummary{}, false}},
+		"an ambiguous statement binds": {{"select 'x", AnyServer, 0, summaryOf(auto), true}, {"select 1", CurrentConnection, 0, summaryOf(auto), true}},
 	} {
 		s, has := New("", 45), false
 		for i, step := range steps {
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestConnectionLost checks which error a client gets when its server is lost, by the statement that
-// was running, and how the session continues.
+// TestConnectionLost checks which error a client gets when its server is lost, by the statement
+// that was running, and how the session continues.
 func TestConnectionLost(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -201,7 +201,7 @@
 		{"a procedure", []string{"begin"}, []wire.Status{inTx}, "call p()", true, 9002, false, 0},
 		{"autocommit is set", []string{"begin"}, []wire.Status{inTx}, "set autocommit=1", true, 9002, false, 0},
 		{"without autocommit, the first", []string{"set autocommit=0"}, []wire.Status{0}, "insert into t values (1)", true, 9003, false, 9004},
-		{"a variable is gone", []string{"set @a=1"}, []wire.Status{auto}, "", false, 9007, true, 0},
+		{"at rest with a variable", []string{"set @a=1"}, []wire.Status{auto}, "", false, 9007, true, 0},
 		{"a read with a variable", []string{"set @a=1"}, []wire.Status{auto}, "select 1", true, 9007, true, 0},
 		{"a write with a variable", []string{"set @a=1"}, []wire.Status{auto}, "delete from t", true, 9002, true, 0},
 		{"a temporary table is being made", nil, nil, "create temporary table x (a int)", true, 9002, true, 0},
@@ -223,7 +223,7 @@
 		}
 		next := s.Scan("select 1")
 		if p := s.Plan(&next, false); code(p.Error) != tt.then {
-			t.Errorf("%s: a SELECT is then told %v", tt.name, p.Error)
+			t.Errorf("%s: a SELECT then gets %v", tt.name, p.Error)
 		}
 		if tt.then != 0 {
 			if back := s.Scan("rollback"); s.Plan(&back, false) != (Plan{Placement: LocalReply}) || s.Plan(&next, false).Placement != AnyServer {
@@ -255,7 +255,7 @@
 			st := s.Scan(sql)
 			changes := !strings.HasPrefix(sql, "select 1") && !strings.HasPrefix(sql, "select last") && !strings.HasPrefix(sql, "begin") && !strings.HasPrefix(sql, "set names")
 			if st.ReadOnly && changes {
-				t.Fatalf("%s counts as harmless", sql)
+				t.Fatalf("%s counts as read-only", sql)
 			}
 			p := s.Plan(&st, has)
 			if p.Placement == LocalReply {
@@ -265,10 +265,10 @@
 				continue
 			}
 			if lost {
-				t.Fatalf("%s runs in a transaction that has gone", sql)
+				t.Fatalf("%s runs in a lost transaction", sql)
 			}
 			if (tx || bound) && p.Placement != CurrentConnection {
-				t.Fatalf("%s leaves its server in the middle", sql)
+				t.Fatalf("%s leaves the server of its transaction or state", sql)
 			}
 			if p.Placement == AnyServer && has {
 				s.ConnectionReleased()
@@ -279,7 +279,7 @@
 				l := s.ConnectionLost(&st, sent, "gone")
 				harmless := st.ReadOnly || tx && !st.MayCommit && !st.Commit || !s.Autocommit() && !st.MayCommit || !sent
 				if sent && !harmless && code(l.Error) != 9002 {
-					t.Fatalf("%s may have run, and the client is told %v", sql, l.Error)
+					t.Fatalf("%s may have run, and the client gets %v", sql, l.Error)
 				}
 				if bound && !l.Close {
 					t.Fatalf("after %s the session goes on without its state", sql)
@@ -366,22 +366,22 @@
 		{"OK", wire.Query, 0, [][]byte{ok(0, auto)}, "W.", nil},
 		{"error", wire.Query, 0, [][]byte{failed}, "W.", nil},
 		{"rows", wire.Query, 0, [][]byte{{2}, column, column, eof(auto), row, row, eof(auto)}, "WPPWPPW.", nil},
-		{"rows, new", wire.Query, deprecated, [][]byte{{2}, column, column, row, ok(0xfe, auto)}, "WPPPW.", nil},
+		{"rows without EOF", wire.Query, deprecated, [][]byte{{2}, column, column, row, ok(0xfe, auto)}, "WPPPW.", nil},
 		{"no rows", wire.StmtExecute, deprecated, [][]byte{{1}, column, ok(0xfe, auto)}, "WPW.", nil},
 		{"two results", wire.Query, 0, [][]byte{ok(0, wire.MoreResults), {1}, column, eof(0), eof(auto)}, "WWPWW.", nil},
 		{"an error among rows", wire.Query, 0, [][]byte{{1}, column, eof(0), row, failed}, "WPWPW.", nil},
 		{"a long row", wire.Query, deprecated, [][]byte{{1}, column, long, {0xfe, 1}, row, ok(0xfe, auto)}, "WPPPPW.", nil},
 		{"prepared", wire.StmtPrepare, 0, [][]byte{prepared(1, 2), column, column, eof(0), column, eof(0)}, "WPPWPW.", nil},
-		{"prepared, new", wire.StmtPrepare, deprecated, [][]byte{prepared(1, 2), column, column, column}, "WPPP.", nil},
+		{"prepared without EOF", wire.StmtPrepare, deprecated, [][]byte{prepared(1, 2), column, column, column}, "WPPP.", nil},
 		{"prepared without columns", wire.StmtPrepare, 0, [][]byte{prepared(0, 1), column, eof(0)}, "WPW.", nil},
 		{"prepared without anything", wire.StmtPrepare, 0, [][]byte{prepared(0, 0)}, "W.", nil},
-		{"more than was asked for", wire.Query, 0, [][]byte{ok(0, auto), ok(0, auto)}, "W", ErrUnexpectedData},
-		{"a file of the client", wire.Query, 0, [][]byte{{0xfb, 'x'}}, "W", ErrUnexpectedData},
+		{"a packet after the reply", wire.Query, 0, [][]byte{ok(0, auto), ok(0, auto)}, "W", ErrUnexpectedData},
+		{"a request for a local file", wire.Query, 0, [][]byte{{0xfb, 'x'}}, "W", ErrUnexpectedData},
 		{"rows for a ping", wire.Ping, 0, [][]byte{{2}}, "W", wire.ErrMalformed},
-		{"nothing", wire.Query, 0, [][]byte{{}}, "W", wire.ErrMalformed},
+		{"an empty packet", wire.Query, 0, [][]byte{{}}, "W", wire.ErrMalformed},
 		{"no EOF", wire.Query, 0, [][]byte{{1}, column, row}, "WPW", wire.ErrMalformed},
 		{"no columns", wire.Query, 0, [][]byte{{0xfc, 0, 0}}, "W", wire.ErrMalformed},
-		{"an OK that is cut", wire.Query, 0, [][]byte{{0, 1}}, "W", wire.ErrMalformed},
+		{"a truncated OK", wire.Query, 0, [][]byte{{0, 1}}, "W", wire.ErrMalformed},
 	} {
 		got, err := feed(NewReplyTracker(tt.command, tt.caps), tt.packets...)
 		if got != tt.want || !errors.Is(err, tt.err) {
@@ -411,10 +411,10 @@
 		t.Fatal(err)
 	}
 	if b := e.Message(5, true); !reflect.DeepEqual(b, again) {
-		t.Errorf("to a server that was told the types: %x", b)
+		t.Errorf("to a server that has the types: %x", b)
 	}
 	if b := e.Message(5, false); !reflect.DeepEqual(b, whole) {
-		t.Errorf("to one that was not: %x, want %x", b, whole)
+		t.Errorf("to a server without the types: %x, want %x", b, whole)
 	}
 	whole[5] = 1
 	if _, err := ParseExecution(whole, 2, nil); err != ErrCursor {
@@ -422,7 +422,7 @@
 	}
 	for n := range 15 {
 		if _, err := ParseExecution(again[:min(n, 10)], 2, types); err == nil {
-			t.Errorf("%d bytes are taken", n)
+			t.Errorf("an execution of %d bytes is accepted", n)
 		}
 	}
 }
@@ -441,7 +441,7 @@
 			}
 		}
 		if s.Ambiguous && (s.ReadOnly || s.Pins == 0) {
-			t.Errorf("%q is not understood and held for harmless: %+v", sql, s)
+			t.Errorf("%q is ambiguous but counts as harmless: %+v", sql, s)
 		}
 		if two := Scan(sql+"\n;\ninsert into t values (1)", mode); two.ReadOnly {
 			t.Errorf("%q hides what follows it: %+v", sql, two)
--- a/internal/mysql/session/state.go
+++ b/internal/mysql/session/state.go
@@ -95,8 +95,9 @@
 	Error     *wire.Error // the reply, with LocalReply; nil: an OK
 }
 
-// Plan decides where a statement runs. has tells whether the session has a connection to a server.
-func (s *State) Plan(st *Statement, has bool) Plan {
+// Plan decides where a statement runs. hasConn tells whether the session has a connection to a
+// server.
+func (s *State) Plan(st *Statement, hasConn bool) Plan {
 	switch {
 	case st.LocalInfile:
 		return Plan{LocalReply, wire.NotSupported("LOAD DATA LOCAL")}
@@ -108,13 +109,13 @@
 		return Plan{LocalReply, wire.RolledBack("its server had gone before COMMIT")}
 	case s.aborted:
 		return Plan{LocalReply, wire.TransactionAborted()}
-	case has && s.Bound():
+	case hasConn && s.Bound():
 		return Plan{Placement: CurrentConnection}
-	case has && s.held && st.Needs != 0:
+	case hasConn && s.held && st.Needs != 0:
 		return Plan{Placement: CurrentConnection}
-	case !has && st.Needs&s.lost != 0:
+	case !hasConn && st.Needs&s.lost != 0:
 		return Plan{LocalReply, wire.SessionLost("what the last statement had left was given up")}
-	case !has && s.Bound(): // unreachable: ConnectionLost is called for each lost connection
+	case !hasConn && s.Bound(): // unreachable: ConnectionLost is called for each lost connection
 		return Plan{LocalReply, wire.SessionLost("no connection")}
 	}
 	return Plan{Placement: AnyServer}
--- a/internal/mysql/wire/auth.go
+++ b/internal/mysql/wire/auth.go
@@ -128,15 +128,15 @@
 
 // DecryptPassword is the inverse of EncryptPassword.
 func DecryptPassword(b, scramble []byte, key *rsa.PrivateKey) (string, error) {
-	text, err := rsa.DecryptOAEP(sha1.New(), nil, key, b, nil)
+	plaintext, err := rsa.DecryptOAEP(sha1.New(), nil, key, b, nil)
 	if err != nil {
 		return "", err
 	}
-	text = xor(text, scramble)
-	if n := len(text); n == 0 || text[n-1] != 0 {
+	plaintext = xor(plaintext, scramble)
+	if n := len(plaintext); n == 0 || plaintext[n-1] != 0 {
 		return "", malformed("a password that does not end")
 	}
-	return string(text[:len(text)-1]), nil
+	return string(plaintext[:len(plaintext)-1]), nil
 }
 
 // PublicKeyPEM returns the public key in PEM format, as a server sends it.
--- a/internal/mysql/wire/packet.go
+++ b/internal/mysql/wire/packet.go
@@ -63,65 +63,65 @@
 	return n, nil
 }
 
-// Read returns the next message, of at most most bytes. For a longer one it returns ErrTooLarge and
+// Read returns the next message of up to limit bytes. For a longer one it returns ErrTooLarge and
 // leaves the rest of the message unread.
-func (c *Conn) Read(most int) ([]byte, error) {
-	var text []byte
+func (c *Conn) Read(limit int) ([]byte, error) {
+	var message []byte
 	for {
 		n, err := c.readHeader()
 		if err != nil {
-			return nil, unexpectedEOF(err, text)
+			return nil, unexpectedEOF(err, message)
 		}
-		if len(text)+n > most {
-			return nil, fmt.Errorf("%w: over %d bytes", ErrTooLarge, most)
+		if len(message)+n > limit {
+			return nil, fmt.Errorf("%w: over %d bytes", ErrTooLarge, limit)
 		}
-		if text, err = c.readPayload(text, n); err != nil {
-			return nil, unexpectedEOF(err, text)
+		if message, err = c.readPayload(message, n); err != nil {
+			return nil, unexpectedEOF(err, message)
 		}
 		if n < MaxPayload {
-			return text, nil
+			return message, nil
 		}
 	}
 }
 
-// readPayload appends n more bytes to text. It allocates in steps as the bytes arrive, so that a
+// readPayload appends n more bytes to message. It allocates in steps as the bytes arrive, so that a
 // header alone, which anybody can send, reserves no memory for its claimed length.
-func (c *Conn) readPayload(text []byte, n int) ([]byte, error) {
+func (c *Conn) readPayload(message []byte, n int) ([]byte, error) {
 	const step = 64 << 10
-	if text == nil {
-		text = make([]byte, 0, min(n, step))
+	if message == nil {
+		message = make([]byte, 0, min(n, step))
 	}
 	for n > 0 {
 		part := min(n, step)
-		at := len(text)
-		text = append(text, make([]byte, part)...)
-		if _, err := io.ReadFull(c.R, text[at:]); err != nil {
-			return text, unexpectedEOF(err, text)
+		at := len(message)
+		message = append(message, make([]byte, part)...)
+		if _, err := io.ReadFull(c.R, message[at:]); err != nil {
+			return message, unexpectedEOF(err, message)
 		}
 		n -= part
 	}
-	return text, nil
+	return message, nil
 }
 
 // unexpectedEOF turns io.EOF in the middle of a message into io.ErrUnexpectedEOF.
-func unexpectedEOF(err error, text []byte) error {
-	if err == io.EOF && text != nil {
+func unexpectedEOF(err error, message []byte) error {
+	if err == io.EOF && message != nil {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
 // Write writes a message in as many packets as it needs. It doesn't flush W.
-func (c *Conn) Write(text []byte) error {
+func (c *Conn) Write(message []byte) error {
 	for {
-		n := min(len(text), MaxPayload)
+		n := min(len(message), MaxPayload)
 		if err := c.writeHeader(n); err != nil {
 			return err
 		}
-		if _, err := c.W.Write(text[:n]); err != nil {
+		if _, err := c.W.Write(message[:n]); err != nil {
 			return err
 		}
-		text = text[n:]
+		message = message[n:]
 		if n < MaxPayload {
 			return nil
 		}
--- a/internal/mysql/wire/wire_test.go
+++ b/internal/mysql/wire/wire_test.go
@@ -100,16 +100,16 @@
 			k := NewPasswordHashes(password)
 			p, err := AuthResponse(plugin, password, scramble)
 			if err != nil || !k.VerifyResponse(plugin, p, scramble) {
-				t.Fatalf("%q does not prove itself: %v", password, err)
+				t.Fatalf("the response of password %q is rejected: %v", password, err)
 			}
 			if q, _ := AuthResponse(plugin, other, scramble); other != password && k.VerifyResponse(plugin, q, scramble) {
-				t.Fatalf("%q proves %q", other, password)
+				t.Fatalf("the response of password %q is accepted for %q", other, password)
 			}
 			if k.VerifyResponse(plugin, p, NewScramble()) {
-				t.Fatal("a proof holds for another scramble")
+				t.Fatal("a response is accepted for another scramble")
 			}
 			if k.VerifyResponse(plugin, p[:len(p)-1], scramble) || k.VerifyResponse("none", p, scramble) {
-				t.Fatal("half a proof holds")
+				t.Fatal("a truncated response or an unknown plugin is accepted")
 			}
 		})
 	}
@@ -132,15 +132,15 @@
 		t.Errorf("%q, %v", got, err)
 	}
 	if _, err := DecryptPassword(b[1:], scramble, key); err == nil {
-		t.Error("what is cut is decrypted")
+		t.Error("a truncated ciphertext is decrypted")
 	}
 	if _, err := EncryptPassword("x", scramble, []byte("no key")); err == nil {
-		t.Error("no key is taken")
+		t.Error("an invalid key is accepted")
 	}
 }
 
-// TestMessages checks that each message is decoded as it was encoded, and that a truncated one gives
-// an error or fewer fields, never other data.
+// TestMessages checks that each message is decoded as it was encoded, and that a truncated one
+// gives an error or fewer fields, never other data.
 func TestMessages(t *testing.T) {
 	scramble := NewScramble()
 	g := Greeting{Version: "8.4.0", ThreadID: 7, Scramble: scramble, Capabilities: Protocol41 | SecureConnection | PluginAuth | SSL, Charset: 45, Status: Autocommit, Plugin: SHA2}
@@ -169,21 +169,21 @@
 	}
 	for n := range text {
 		if _, err := ParseGreeting(text[:n]); err == nil {
-			t.Errorf("a greeting of %d of %d bytes is taken", n, len(text))
+			t.Errorf("a greeting of %d of %d bytes is accepted", n, len(text))
 		}
 	}
 	for n := range 32 {
 		if _, err := ParseLogin(login[:n]); err == nil {
-			t.Errorf("a login of %d bytes is taken", n)
+			t.Errorf("a login of %d bytes is accepted", n)
 		}
 	}
 	for n := range len(ok) - len(o.StateChanges) - 1 {
 		if got, err := ParseOK(ok[:n], SessionTrack); err == nil && got.StateChanges != nil {
-			t.Errorf("an OK of %d bytes tells changes", n)
+			t.Errorf("an OK of %d bytes has state changes", n)
 		}
 	}
 	if _, err := ParseGreeting((&Error{1040, "08004", "Too many connections"}).Append(nil)); err == nil || err.(*Error).Code != 1040 {
-		t.Errorf("turned away: %v", err)
+		t.Errorf("rejected by the server: %v", err)
 	}
 	if row, err := ParseTextRow(append(AppendLenencString([]byte{0xfb}, "x"), 0)); err != nil || len(row) != 3 || row[0] != nil || string(row[1]) != "x" {
 		t.Errorf("%q, %v", row, err)
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -104,7 +104,7 @@
 		}
 		p.Close()
 		if all, clients := budget.InUse(); all+clients > 0 {
-			t.Errorf("%d descriptors are still taken, %d of them by clients", all, clients)
+			t.Errorf("%d descriptors are still in use, %d of them by clients", all, clients)
 		}
 	})
 	return w
@@ -151,18 +151,18 @@
 		why  Reason
 		end  bool
 	}{
-		{"at work", streamState{opened: ago(time.Minute), lastActivity: ago(0)}, 0, false},
+		{"active", streamState{opened: ago(time.Minute), lastActivity: ago(0)}, 0, false},
 		{"nearly idle", streamState{opened: ago(time.Minute), lastActivity: ago(9 * time.Second)}, 0, false},
 		{"idle", streamState{opened: ago(time.Minute), lastActivity: ago(10 * time.Second)}, Idle, true},
-		{"one side shut, the other sends", streamState{opened: ago(time.Minute), lastActivity: ago(time.Second), halfClosed: ago(30 * time.Second)}, 0, false},
-		{"one side shut, the other silent", streamState{opened: ago(time.Minute), lastActivity: ago(6 * time.Second), halfClosed: ago(6 * time.Second)}, Idle, true},
-		{"just shut", streamState{opened: ago(time.Minute), lastActivity: ago(6 * time.Second), halfClosed: ago(time.Second)}, 0, false},
-		{"stalled, though the other direction moves", streamState{opened: ago(time.Minute), lastActivity: ago(0), writeBlocked: ago(3 * time.Second)}, Stalled, true},
-		{"old", streamState{opened: ago(time.Hour), lastActivity: ago(0)}, MaxDurationReached, true},
-		{"its server drains", streamState{opened: ago(time.Minute), lastActivity: ago(0), drainingSince: ago(59 * time.Second)}, 0, false},
-		{"its server drained", streamState{opened: ago(time.Minute), lastActivity: ago(0), drainingSince: ago(time.Minute)}, Drained, true},
-		{"ending", streamState{opened: ago(time.Minute), lastActivity: ago(0), shutdownSince: ago(7 * time.Second)}, 0, false},
-		{"patience is over", streamState{opened: ago(time.Minute), lastActivity: ago(0), shutdownSince: ago(8 * time.Second)}, ShuttingDown, true},
+		{"half-closed, the other side sends", streamState{opened: ago(time.Minute), lastActivity: ago(time.Second), halfClosed: ago(30 * time.Second)}, 0, false},
+		{"half-closed, the other side silent", streamState{opened: ago(time.Minute), lastActivity: ago(6 * time.Second), halfClosed: ago(6 * time.Second)}, Idle, true},
+		{"just half-closed", streamState{opened: ago(time.Minute), lastActivity: ago(6 * time.Second), halfClosed: ago(time.Second)}, 0, false},
+		{"stalled, while the other direction is active", streamState{opened: ago(time.Minute), lastActivity: ago(0), writeBlocked: ago(3 * time.Second)}, Stalled, true},
+		{"maximum duration reached", streamState{opened: ago(time.Hour), lastActivity: ago(0)}, MaxDurationReached, true},
+		{"server is draining", streamState{opened: ago(time.Minute), lastActivity: ago(0), drainingSince: ago(59 * time.Second)}, 0, false},
+		{"drain timeout is over", streamState{opened: ago(time.Minute), lastActivity: ago(0), drainingSince: ago(time.Minute)}, Drained, true},
+		{"shutting down", streamState{opened: ago(time.Minute), lastActivity: ago(0), shutdownSince: ago(7 * time.Second)}, 0, false},
+		{"shutdown timeout is over", streamState{opened: ago(time.Minute), lastActivity: ago(0), shutdownSince: ago(8 * time.Second)}, ShuttingDown, true},
 	} {
 		if why, end := c.endReason(now, tt.f); end != tt.end || end && why != tt.why {
 			t.Errorf("%s: %v, %v", tt.name, why, end)
@@ -231,14 +231,14 @@
 				case j[2]%50 != 13 && err == nil:
 					whole.Add(1)
 				default:
-					t.Errorf("stream %d, %d bytes there and %d back: %v", j[2], j[0], j[1], err)
+					t.Errorf("stream %d, %d bytes to the server and %d back: %v", j[2], j[0], j[1], err)
 				}
 			}
 		})
 	}
 	work.Wait()
 	if whole.Load() != streams-streams/50 || broken.Load() != streams/50 {
-		t.Errorf("%d whole, %d broken off", whole.Load(), broken.Load())
+		t.Errorf("%d complete, %d reset", whole.Load(), broken.Load())
 	}
 	waitFor(t, "all have ended", func() bool { return w.Stats().Open == 0 })
 	s := w.Stats()
@@ -246,7 +246,7 @@
 		t.Errorf("ended %v", s.Ended)
 	}
 	if boxes[3].accepted.Load() > 0 || boxes[0].accepted.Load() < streams/6 {
-		t.Errorf("%d at the first, %d at the one that is dead", boxes[0].accepted.Load(), boxes[3].accepted.Load())
+		t.Errorf("%d streams at the first server, %d at the closed one", boxes[0].accepted.Load(), boxes[3].accepted.Load())
 	}
 }
 
@@ -292,7 +292,7 @@
 	wanted := make([]byte, want)
 	io.ReadFull(rand.NewChaCha8(key(seed+1)), wanted)
 	if wanted = append(wanted, sum.Sum(nil)...); !bytes.Equal(got, wanted) {
-		return fmt.Errorf("%d bytes came, not the %d that were to", len(got), len(wanted))
+		return fmt.Errorf("received %d bytes, want %d, or the content differs", len(got), len(wanted))
 	}
 	return nil
 }
@@ -336,7 +336,7 @@
 	}
 	c.CloseWrite()
 	if n := <-got; n != 300_005 {
-		t.Errorf("%d bytes came after the server had shut", n)
+		t.Errorf("%d bytes arrived after the server had closed", n)
 	}
 	waitFor(t, "both have ended", func() bool { return w.Stats().Ended["shut"] == 2 })
 }
@@ -438,7 +438,7 @@
 	c.SetReadBuffer(16 << 10)
 	waitFor(t, "it is cut off", func() bool { return w.Stats().Ended["stalled"] == 1 })
 	if n := <-end; n > 64<<20 {
-		t.Errorf("%d bytes were taken for a peer that reads nothing", n)
+		t.Errorf("%d bytes were accepted for a peer that reads nothing", n)
 	}
 }
 
@@ -458,9 +458,9 @@
 	if err := w.pool.Reload(w.cfg); err != nil {
 		t.Fatal(err)
 	}
-	told := time.Now()
+	reloaded := time.Now()
 	waitFor(t, "the list is known", func() bool { return !w.pool.ServerUsable("box0") })
-	if time.Since(told) > 2*time.Second {
+	if time.Since(reloaded) > 2*time.Second {
 		t.Fatal("the list came late")
 	}
 	before := first.accepted.Load()
@@ -503,7 +503,7 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- w.Shutdown(context.Background()) }()
-	waitFor(t, "nobody new", func() bool {
+	waitFor(t, "no new connection is accepted", func() bool {
 		c, err := net.Dial("tcp", w.addr)
 		if err == nil {
 			c.Close()
@@ -541,10 +541,10 @@
 	}
 	first, second, third := w.dial(), w.dial(), w.dial()
 	if !works(first) || !works(second) {
-		t.Error("those within the bound do not work")
+		t.Error("connections within the limit do not work")
 	}
 	if works(third) {
-		t.Error("one too many works")
+		t.Error("a connection beyond the limit works")
 	}
 	first.Close()
 	waitFor(t, "its place is free", func() bool { return w.Stats().Open == 1 })
@@ -554,8 +554,8 @@
 	}
 }
 
-// TestNoServer checks that without a reachable server the client is reset within the deadline of the
-// class, and doesn't see an empty stream.
+// TestNoServer checks that without a reachable server the client is reset within the deadline of
+// the class, and doesn't see an empty stream.
 func TestNoServer(t *testing.T) {
 	b := newBackend(t, echo)
 	b.ln.Close()
@@ -613,9 +613,9 @@
 	}
 }
 
-// TestResetWhileWriting guards against a truncated stream that looks complete. A server resets while
-// its client writes: the write to the server consumes the one error that the kernel reports, and the
-// read then sees EOF. The client must see a reset all the same.
+// TestResetWhileWriting guards against a truncated stream that looks complete. A server resets
+// while its client writes: the write to the server consumes the one error that the kernel reports,
+// and the read then sees EOF. The client must see a reset all the same.
 func TestResetWhileWriting(t *testing.T) {
 	w := open(t, Config{}, 0, newBackend(t, func(c *net.TCPConn) {
 		io.ReadFull(c, make([]byte, 8))
@@ -643,6 +643,6 @@
 	}
 	work.Wait()
 	if n := ends.Load(); n > 0 {
-		t.Errorf("%d of 4000 streams that broke off ended as whole ones", n)
+		t.Errorf("%d of 4000 reset streams ended like complete ones", n)
 	}
 }
