--- a/internal/mysql/session/scan.go
+++ b/internal/mysql/session/scan.go
@@ -141,7 +141,7 @@
 	return s
 }
 
-// implicitCommits lists the statements that commit a transaction implicitly.
+// implicitCommits lists the statements that commit a transaction implicitly, or may do so.
 var implicitCommits = map[string]bool{
 	"alter": true, "create": true, "drop": true, "rename": true, "truncate": true, "analyze": true, "cache": true, "check": true,
 	"flush": true, "load": true, "optimize": true, "repair": true, "reset": true, "grant": true, "revoke": true, "install": true,
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -240,7 +240,7 @@
 	if whole.Load() != streams-streams/50 || broken.Load() != streams/50 {
 		t.Errorf("%d complete, %d reset", whole.Load(), broken.Load())
 	}
-	waitFor(t, "all have ended", func() bool { return w.Stats().Open == 0 })
+	waitFor(t, "all streams have ended", func() bool { return w.Stats().Open == 0 })
 	s := w.Stats()
 	if s.Ended["shut"]+s.Ended["reset"] != streams || s.Ended["reset"] < streams/50 {
 		t.Errorf("ended %v", s.Ended)
@@ -338,7 +338,7 @@
 	if n := <-got; n != 300_005 {
 		t.Errorf("%d bytes arrived after the server had closed", n)
 	}
-	waitFor(t, "both have ended", func() bool { return w.Stats().Ended["shut"] == 2 })
+	waitFor(t, "both streams have ended", func() bool { return w.Stats().Ended["shut"] == 2 })
 }
 
 // TestReset checks that a reset of either side, with data in flight, resets the other side and
@@ -381,7 +381,7 @@
 	if text, err := io.ReadAll(other); string(text) != "echo" || err != nil {
 		t.Errorf("the other stream: %q, %v", text, err)
 	}
-	waitFor(t, "all have ended", func() bool { s := w.Stats(); return s.Ended["reset"] == 2 && s.Ended["shut"] == 1 })
+	waitFor(t, "all streams have ended", func() bool { s := w.Stats(); return s.Ended["reset"] == 2 && s.Ended["shut"] == 1 })
 }
 
 // TestIdleAndTrickle checks the idle timeout: a stream with an occasional byte stays open, and an
@@ -416,7 +416,7 @@
 	if text, err := io.ReadAll(trickle); len(text) != 15 || err != nil {
 		t.Errorf("the trickle: %d bytes, %v", len(text), err)
 	}
-	waitFor(t, "it counts as idle", func() bool { return w.Stats().Ended["idle"] == 1 })
+	waitFor(t, "the stream counts as idle", func() bool { return w.Stats().Ended["idle"] == 1 })
 }
 
 // TestStalledPeer checks that a peer that stops reading is cut off, and that the data read from the
@@ -436,7 +436,7 @@
 	w := open(t, Config{StallTimeout: 500 * time.Millisecond}, 0, b)
 	c := w.dial()
 	c.SetReadBuffer(16 << 10)
-	waitFor(t, "it is cut off", func() bool { return w.Stats().Ended["stalled"] == 1 })
+	waitFor(t, "the stalled stream is reset", func() bool { return w.Stats().Ended["stalled"] == 1 })
 	if n := <-end; n > 64<<20 {
 		t.Errorf("%d bytes were accepted for a peer that reads nothing", n)
 	}
@@ -459,7 +459,7 @@
 		t.Fatal(err)
 	}
 	reloaded := time.Now()
-	waitFor(t, "the list is known", func() bool { return !w.pool.ServerUsable("box0") })
+	waitFor(t, "the list update is applied", func() bool { return !w.pool.ServerUsable("box0") })
 	if time.Since(reloaded) > 2*time.Second {
 		t.Fatal("the list came late")
 	}
@@ -479,7 +479,7 @@
 		io.WriteString(c, "y")
 		io.ReadFull(c, make([]byte, 1))
 	}
-	waitFor(t, "those at it have ended", func() bool { return w.Stats().Ended["drained"] == uint64(before) })
+	waitFor(t, "the streams of the draining server have ended", func() bool { return w.Stats().Ended["drained"] == uint64(before) })
 	ended := 0
 	for _, c := range at {
 		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
@@ -547,8 +547,8 @@
 		t.Error("a connection beyond the limit works")
 	}
 	first.Close()
-	waitFor(t, "its place is free", func() bool { return w.Stats().Open == 1 })
-	waitFor(t, "a new one works", func() bool { return works(w.dial()) })
+	waitFor(t, "the closed stream is gone", func() bool { return w.Stats().Open == 1 })
+	waitFor(t, "a new connection works", func() bool { return works(w.dial()) })
 	if w.Stats().Connections.Rejected["too many connections from this address"] == 0 {
 		t.Errorf("%+v", w.Stats().Connections)
 	}
