--- a/internal/mysql/session/session_test.go
+++ b/internal/mysql/session/session_test.go
@@ -88,7 +88,8 @@
 			t.Errorf("%s\n got %+v\nwant %+v", tt.sql, got, tt.want)
 		}
 	}
-	// The same text by the server's other mode: the backslash ends nothing, and what follows is a statement of its own.
+	// Under NO_BACKSLASH_ESCAPES the same text ends the literal at the backslash, and what follows is
+	// a second statement.
 	const sql = `select 'a\'; delete from t; -- '`
 	if s := Scan(sql, false); !s.ReadOnly || s.Multi {
 		t.Errorf("with backslashes: %+v", s)
@@ -107,16 +108,16 @@
 	return s
 }
 
-// reported is the end of a reply.
-func reported(status wire.Status) ReplySummary { return ReplySummary{OK: wire.OK{Status: status}} }
+// summaryOf returns the summary of a reply that ended with status.
+func summaryOf(status wire.Status) ReplySummary { return ReplySummary{OK: wire.OK{Status: status}} }
 
 const (
 	auto = wire.Autocommit
 	inTx = wire.Autocommit | wire.InTransaction
 )
 
-// TestPlaces: where statements run, one after the other, in a session.
-func TestPlaces(t *testing.T) {
+// TestPlan checks where the successive statements of a session run.
+func TestPlan(t *testing.T) {
 	type step struct {
 		sql   string
 		place Placement
@@ -126,29 +127,29 @@
 	}
 	insert := ReplySummary{OK: wire.OK{Status: auto, LastInsertID: 7, AffectedRows: 1}}
 	for name, steps := range map[string][]step{
-		"reads are free": {{"select 1", AnyServer, 0, reported(auto), false}, {"select 2", AnyServer, 0, reported(auto), false}},
-		"a transaction stays": {{"begin", AnyServer, 0, reported(inTx), true}, {"select 1", CurrentConnection, 0, reported(inTx), true},
-			{"commit", CurrentConnection, 0, reported(auto), true}, {"select 1", AnyServer, 0, reported(auto), false}},
-		"an implicit commit ends it": {{"begin", AnyServer, 0, reported(inTx), true}, {"create table x (a int)", CurrentConnection, 0, reported(auto), true},
-			{"select 1", AnyServer, 0, reported(auto), false}},
-		"without autocommit it begins by itself": {{"set autocommit=0", AnyServer, 0, reported(0), true},
-			{"insert into t values (1)", AnyServer, 0, reported(wire.InTransaction), true}, {"select 1", CurrentConnection, 0, reported(wire.InTransaction), true},
-			{"commit", CurrentConnection, 0, reported(0), true}, {"select 1", AnyServer, 0, reported(wire.InTransaction), true}},
-		"an id is asked of where it was made": {{"insert into t values (1)", AnyServer, 0, insert, true},
-			{"select last_insert_id()", CurrentConnection, 0, reported(auto), true}, {"select last_insert_id()", CurrentConnection, 0, reported(auto), true}},
-		"it is not made up": {{"insert into t values (1)", AnyServer, 0, insert, true}, {"select 1", AnyServer, 0, reported(auto), false},
+		"a read runs on any server": {{"select 1", AnyServer, 0, summaryOf(auto), false}, {"select 2", AnyServer, 0, summaryOf(auto), false}},
+		"a transaction stays on its connection": {{"begin", AnyServer, 0, summaryOf(inTx), true}, {"select 1", CurrentConnection, 0, summaryOf(inTx), true},
+			{"commit", CurrentConnection, 0, summaryOf(auto), true}, {"select 1", AnyServer, 0, summaryOf(auto), false}},
+		"an implicit commit ends the transaction": {{"begin", AnyServer, 0, summaryOf(inTx), true}, {"create table x (a int)", CurrentConnection, 0, summaryOf(auto), true},
+			{"select 1", AnyServer, 0, summaryOf(auto), false}},
+		"without autocommit a transaction begins implicitly": {{"set autocommit=0", AnyServer, 0, summaryOf(0), true},
+			{"insert into t values (1)", AnyServer, 0, summaryOf(wire.InTransaction), true}, {"select 1", CurrentConnection, 0, summaryOf(wire.InTransaction), true},
+			{"commit", CurrentConnection, 0, summaryOf(0), true}, {"select 1", AnyServer, 0, summaryOf(wire.InTransaction), true}},
+		"an insert ID is read on its connection": {{"insert into t values (1)", AnyServer, 0, insert, true},
+			{"select last_insert_id()", CurrentConnection, 0, summaryOf(auto), true}, {"select last_insert_id()", CurrentConnection, 0, summaryOf(auto), true}},
+		"a lost insert ID is an error": {{"insert into t values (1)", AnyServer, 0, insert, true}, {"select 1", AnyServer, 0, summaryOf(auto), false},
 			{"select last_insert_id()", LocalReply, 9007, ReplySummary{}, false}},
-		"one that has none asks anywhere": {{"select 1", AnyServer, 0, reported(auto), false}, {"select last_insert_id()", AnyServer, 0, reported(auto), false}},
-		"warnings are asked of where they were": {{"select 1/0", AnyServer, 0, ReplySummary{OK: wire.OK{Status: auto}, Warnings: true}, true},
-			{"show warnings", CurrentConnection, 0, reported(auto), true}},
-		"a variable binds for good": {{"set @a = 1", AnyServer, 0, reported(auto), true}, {"select 1", CurrentConnection, 0, reported(auto), true}},
-		"locks until they are let go": {{"lock tables t write", AnyServer, 0, reported(auto), true}, {"select 1", CurrentConnection, 0, reported(auto), true},
-			{"unlock tables", CurrentConnection, 0, reported(auto), true}, {"select 1", AnyServer, 0, reported(auto), false}},
-		"PREPARE tells no status": {{"begin", AnyServer, 0, reported(inTx), true}, {"select ?", CurrentConnection, 0, ReplySummary{NoStatus: true}, true}, {"commit", CurrentConnection, 0, reported(auto), true},
-			{"select ?", AnyServer, 0, ReplySummary{NoStatus: true}, false}, {"insert into t values (1)", AnyServer, 0, reported(auto), true}},
-		"settings go along":       {{"set time_zone = '+10:00'", AnyServer, 0, reported(auto), false}, {"select now()", AnyServer, 0, reported(auto), false}},
-		"no file of the client":   {{"load data local infile 'x' into table t", LocalReply, 1235, ReplySummary{}, false}},
-		"what nobody understands": {{"select 'x", AnyServer, 0, reported(auto), true}, {"select 1", CurrentConnection, 0, reported(auto), true}},
+		"without an insert ID any server can be asked": {{"select 1", AnyServer, 0, summaryOf(auto), false}, {"select last_insert_id()", AnyServer, 0, summaryOf(auto), false}},
+		"warnings are read on their connection": {{"select 1/0", AnyServer, 0, ReplySummary{OK: wire.OK{Status: auto}, Warnings: true}, true},
+			{"show warnings", CurrentConnection, 0, summaryOf(auto), true}},
+		"a user variable binds the session": {{"set @a = 1", AnyServer, 0, summaryOf(auto), true}, {"select 1", CurrentConnection, 0, summaryOf(auto), true}},
+		"table locks bind until UNLOCK TABLES": {{"lock tables t write", AnyServer, 0, summaryOf(auto), true}, {"select 1", CurrentConnection, 0, summaryOf(auto), true},
+			{"unlock tables", CurrentConnection, 0, summaryOf(auto), true}, {"select 1", AnyServer, 0, summaryOf(auto), false}},
+		"a reply to PREPARE has no status": {{"begin", AnyServer, 0, summaryOf(inTx), true}, {"select ?", CurrentConnection, 0, ReplySummary{NoStatus: true}, true}, {"commit", CurrentConnection, 0, summaryOf(auto), true},
+			{"select ?", AnyServer, 0, ReplySummary{NoStatus: true}, false}, {"insert into t values (1)", AnyServer, 0, summaryOf(auto), true}},
+		"settings don't bind":          {{"set time_zone = '+10:00'", AnyServer, 0, summaryOf(auto), false}, {"select now()", AnyServer, 0, summaryOf(auto), false}},
+		"LOAD DATA LOCAL is rejected":  {{"load data local infile 'x' into table t", LocalReply, 1235, ReplySummary{}, false}},
+		"an ambiguous statement binds": {{"select 'x", AnyServer, 0, summaryOf(auto), true}, {"select 1", CurrentConnection, 0, summaryOf(auto), true}},
 	} {
 		s, has := New("", 45), false
 		for i, step := range steps {
@@ -173,17 +174,18 @@
 	}
 }
 
-// TestLost: what a client is told when the server goes, by what was under way, and what it may do then.
-func TestLost(t *testing.T) {
+// TestConnectionLost checks which error a client gets when its server is lost, by the statement
+// that was running, and how the session continues.
+func TestConnectionLost(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
-		before []string // each ends with the status behind it
+		before []string // earlier statements, each of which ends with its status
 		status []wire.Status
-		sql    string // "": at rest
+		sql    string // "": the session is idle
 		sent   bool
 		code   uint16 // 0: an OK
 		close  bool
-		then   uint16 // what a SELECT is told next; 0: it runs
+		then   uint16 // the error of a SELECT that follows; 0: it runs
 	}{
 		{"a read", nil, nil, "select 1", true, 9005, false, 0},
 		{"a write", nil, nil, "insert into t values (1)", true, 9002, false, 0},
@@ -199,7 +201,7 @@
 		{"a procedure", []string{"begin"}, []wire.Status{inTx}, "call p()", true, 9002, false, 0},
 		{"autocommit is set", []string{"begin"}, []wire.Status{inTx}, "set autocommit=1", true, 9002, false, 0},
 		{"without autocommit, the first", []string{"set autocommit=0"}, []wire.Status{0}, "insert into t values (1)", true, 9003, false, 9004},
-		{"a variable is gone", []string{"set @a=1"}, []wire.Status{auto}, "", false, 9007, true, 0},
+		{"at rest with a variable", []string{"set @a=1"}, []wire.Status{auto}, "", false, 9007, true, 0},
 		{"a read with a variable", []string{"set @a=1"}, []wire.Status{auto}, "select 1", true, 9007, true, 0},
 		{"a write with a variable", []string{"set @a=1"}, []wire.Status{auto}, "delete from t", true, 9002, true, 0},
 		{"a temporary table is being made", nil, nil, "create temporary table x (a int)", true, 9002, true, 0},
@@ -208,7 +210,7 @@
 		s := New("", 45)
 		for i, sql := range tt.before {
 			st := s.Scan(sql)
-			s.StatementEnded(&st, reported(tt.status[i]))
+			s.StatementEnded(&st, summaryOf(tt.status[i]))
 		}
 		var st *Statement
 		if tt.sql != "" {
@@ -221,7 +223,7 @@
 		}
 		next := s.Scan("select 1")
 		if p := s.Plan(&next, false); code(p.Error) != tt.then {
-			t.Errorf("%s: a SELECT is then told %v", tt.name, p.Error)
+			t.Errorf("%s: a SELECT then gets %v", tt.name, p.Error)
 		}
 		if tt.then != 0 {
 			if back := s.Scan("rollback"); s.Plan(&back, false) != (Plan{Placement: LocalReply}) || s.Plan(&next, false).Placement != AnyServer {
@@ -238,21 +240,22 @@
 	return e.Code
 }
 
-// TestNothingRunsTwice: over whatever sessions, nothing that may have changed something is held for harmless to repeat, and a session
-// whose transaction or state has gone never runs on as if it had not.
+// TestNothingRunsTwice checks random sessions: a statement that may have changed something never
+// counts as safe to repeat, and a session whose transaction or state was lost never continues as if
+// it were intact.
 func TestNothingRunsTwice(t *testing.T) {
 	statements := []string{"select 1", "insert into t values (1)", "begin", "commit", "rollback", "set autocommit=0", "set autocommit=1", "set @a=1",
 		"create table x (a int)", "create temporary table x (a int)", "call p()", "select f()", "select last_insert_id()", "set names utf8", "lock tables t write",
 		"unlock tables", "insert into t values (2); commit", "delete from t where a = 'x", "set transaction read only"}
 	rapid.Check(t, func(t *rapid.T) {
 		s, has := New("", 45), false
-		tx, lost, bound := false, false, false // as the client must see it
+		tx, lost, bound := false, false, false // the client's expected view
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			sql := rapid.SampledFrom(statements).Draw(t, "sql")
 			st := s.Scan(sql)
 			changes := !strings.HasPrefix(sql, "select 1") && !strings.HasPrefix(sql, "select last") && !strings.HasPrefix(sql, "begin") && !strings.HasPrefix(sql, "set names")
 			if st.ReadOnly && changes {
-				t.Fatalf("%s counts as harmless", sql)
+				t.Fatalf("%s counts as read-only", sql)
 			}
 			p := s.Plan(&st, has)
 			if p.Placement == LocalReply {
@@ -262,10 +265,10 @@
 				continue
 			}
 			if lost {
-				t.Fatalf("%s runs in a transaction that has gone", sql)
+				t.Fatalf("%s runs in a lost transaction", sql)
 			}
 			if (tx || bound) && p.Placement != CurrentConnection {
-				t.Fatalf("%s leaves its server in the middle", sql)
+				t.Fatalf("%s leaves the server of its transaction or state", sql)
 			}
 			if p.Placement == AnyServer && has {
 				s.ConnectionReleased()
@@ -276,7 +279,7 @@
 				l := s.ConnectionLost(&st, sent, "gone")
 				harmless := st.ReadOnly || tx && !st.MayCommit && !st.Commit || !s.Autocommit() && !st.MayCommit || !sent
 				if sent && !harmless && code(l.Error) != 9002 {
-					t.Fatalf("%s may have run, and the client is told %v", sql, l.Error)
+					t.Fatalf("%s may have run, and the client gets %v", sql, l.Error)
 				}
 				if bound && !l.Close {
 					t.Fatalf("after %s the session goes on without its state", sql)
@@ -299,7 +302,7 @@
 				has = s.StatementEnded(&st, ReplySummary{OK: wire.OK{Status: status}})
 				tx = status&wire.InTransaction != 0
 				bound = bound && !st.UnlockTables || st.Pins != 0
-				if bound != (s.Pins() != 0) { // UNLOCK lets go of locks only
+				if bound != (s.Pins() != 0) { // UNLOCK TABLES releases only locks
 					bound = s.Pins() != 0
 				}
 				if (tx || bound) && !has {
@@ -313,8 +316,9 @@
 	})
 }
 
-// reply feeds packets to a Reply and returns how they were dealt with: W for whole, P for passed on.
-func reply(r *ReplyTracker, packets ...[]byte) (string, error) {
+// feed feeds packets to r and returns how each was handled: W for read whole, P for forwarded
+// unread, and a final dot if the reply has ended.
+func feed(r *ReplyTracker, packets ...[]byte) (string, error) {
 	var how strings.Builder
 	for _, p := range packets {
 		piece := wire.PacketPrefix{Len: len(p)}
@@ -362,24 +366,24 @@
 		{"OK", wire.Query, 0, [][]byte{ok(0, auto)}, "W.", nil},
 		{"error", wire.Query, 0, [][]byte{failed}, "W.", nil},
 		{"rows", wire.Query, 0, [][]byte{{2}, column, column, eof(auto), row, row, eof(auto)}, "WPPWPPW.", nil},
-		{"rows, new", wire.Query, deprecated, [][]byte{{2}, column, column, row, ok(0xfe, auto)}, "WPPPW.", nil},
+		{"rows without EOF", wire.Query, deprecated, [][]byte{{2}, column, column, row, ok(0xfe, auto)}, "WPPPW.", nil},
 		{"no rows", wire.StmtExecute, deprecated, [][]byte{{1}, column, ok(0xfe, auto)}, "WPW.", nil},
 		{"two results", wire.Query, 0, [][]byte{ok(0, wire.MoreResults), {1}, column, eof(0), eof(auto)}, "WWPWW.", nil},
 		{"an error among rows", wire.Query, 0, [][]byte{{1}, column, eof(0), row, failed}, "WPWPW.", nil},
 		{"a long row", wire.Query, deprecated, [][]byte{{1}, column, long, {0xfe, 1}, row, ok(0xfe, auto)}, "WPPPPW.", nil},
 		{"prepared", wire.StmtPrepare, 0, [][]byte{prepared(1, 2), column, column, eof(0), column, eof(0)}, "WPPWPW.", nil},
-		{"prepared, new", wire.StmtPrepare, deprecated, [][]byte{prepared(1, 2), column, column, column}, "WPPP.", nil},
+		{"prepared without EOF", wire.StmtPrepare, deprecated, [][]byte{prepared(1, 2), column, column, column}, "WPPP.", nil},
 		{"prepared without columns", wire.StmtPrepare, 0, [][]byte{prepared(0, 1), column, eof(0)}, "WPW.", nil},
 		{"prepared without anything", wire.StmtPrepare, 0, [][]byte{prepared(0, 0)}, "W.", nil},
-		{"more than was asked for", wire.Query, 0, [][]byte{ok(0, auto), ok(0, auto)}, "W", ErrUnexpectedData},
-		{"a file of the client", wire.Query, 0, [][]byte{{0xfb, 'x'}}, "W", ErrUnexpectedData},
+		{"a packet after the reply", wire.Query, 0, [][]byte{ok(0, auto), ok(0, auto)}, "W", ErrUnexpectedData},
+		{"a request for a local file", wire.Query, 0, [][]byte{{0xfb, 'x'}}, "W", ErrUnexpectedData},
 		{"rows for a ping", wire.Ping, 0, [][]byte{{2}}, "W", wire.ErrMalformed},
-		{"nothing", wire.Query, 0, [][]byte{{}}, "W", wire.ErrMalformed},
+		{"an empty packet", wire.Query, 0, [][]byte{{}}, "W", wire.ErrMalformed},
 		{"no EOF", wire.Query, 0, [][]byte{{1}, column, row}, "WPW", wire.ErrMalformed},
 		{"no columns", wire.Query, 0, [][]byte{{0xfc, 0, 0}}, "W", wire.ErrMalformed},
-		{"an OK that is cut", wire.Query, 0, [][]byte{{0, 1}}, "W", wire.ErrMalformed},
+		{"a truncated OK", wire.Query, 0, [][]byte{{0, 1}}, "W", wire.ErrMalformed},
 	} {
-		got, err := reply(NewReplyTracker(tt.command, tt.caps), tt.packets...)
+		got, err := feed(NewReplyTracker(tt.command, tt.caps), tt.packets...)
 		if got != tt.want || !errors.Is(err, tt.err) {
 			t.Errorf("%s: %s and %v, want %s and %v", tt.name, got, err, tt.want, tt.err)
 		}
@@ -407,10 +411,10 @@
 		t.Fatal(err)
 	}
 	if b := e.Message(5, true); !reflect.DeepEqual(b, again) {
-		t.Errorf("to a server that was told the types: %x", b)
+		t.Errorf("to a server that has the types: %x", b)
 	}
 	if b := e.Message(5, false); !reflect.DeepEqual(b, whole) {
-		t.Errorf("to one that was not: %x, want %x", b, whole)
+		t.Errorf("to a server without the types: %x, want %x", b, whole)
 	}
 	whole[5] = 1
 	if _, err := ParseExecution(whole, 2, nil); err != ErrCursor {
@@ -418,12 +422,13 @@
 	}
 	for n := range 15 {
 		if _, err := ParseExecution(again[:min(n, 10)], 2, types); err == nil {
-			t.Errorf("%d bytes are taken", n)
+			t.Errorf("an execution of %d bytes is accepted", n)
 		}
 	}
 }
 
-// FuzzScan: whatever is scanned ends, names no setting that is not part of it, and the same text twice means what it means once, twice.
+// FuzzScan checks that any text can be scanned, that settings stay bounded, and that an ambiguous
+// text never counts as read-only or hides a statement that follows it.
 func FuzzScan(f *testing.F) {
 	for _, s := range []string{"select 1", "set a='x\\'', b=2", "/*!1 x */ y", "select \"\\\" ; @`a` := 0x1 -- x", "/* class=a timeout=1s */ begin", "'", "@@", "/*", "kill query 1"} {
 		f.Add(s, true)
@@ -436,7 +441,7 @@
 			}
 		}
 		if s.Ambiguous && (s.ReadOnly || s.Pins == 0) {
-			t.Errorf("%q is not understood and held for harmless: %+v", sql, s)
+			t.Errorf("%q is ambiguous but counts as harmless: %+v", sql, s)
 		}
 		if two := Scan(sql+"\n;\ninsert into t values (1)", mode); two.ReadOnly {
 			t.Errorf("%q hides what follows it: %+v", sql, two)
@@ -444,7 +449,8 @@
 	})
 }
 
-// FuzzReply: whatever a server sends, the reply ends, or fails, and never counts more results than packets.
+// FuzzReply checks that a reply of any packets ends or fails, and never counts more results or rows
+// than packets.
 func FuzzReply(f *testing.F) {
 	f.Add([]byte{1, 1, 3, 'd', 'e', 'f', 1, 0xfe, 5, 0, 0, 2, 0, 0}, true)
 	f.Fuzz(func(t *testing.T, b []byte, deprecated bool) {
@@ -456,7 +462,7 @@
 		packets := 0
 		for len(b) > 0 && !r.Done() {
 			n := min(int(b[0])%32, len(b)-1)
-			if _, err := reply(r, b[1:1+n]); err != nil {
+			if _, err := feed(r, b[1:1+n]); err != nil {
 				return
 			}
 			b = b[1+n:]
