--- a/cmd/quillfront/shutdown_test.go
+++ b/cmd/quillfront/shutdown_test.go
@@ -42,7 +42,7 @@
 	newDeadline time.Duration    // deadline after SIGHUP; zero for no reload
 	reloadAt    time.Duration    // when the reload happens, after SIGTERM
 	signals     []syscall.Signal // sent right after SIGTERM
-	pauseAt     time.Duration    // when each process is paused for pauseLength, after SIGTERM; negative for never
+	pauseAt     time.Duration    // when pauseLength begins, after SIGTERM; negative for no pause
 }
 
 // pauseLength is how long a process may be paused at any time.
@@ -146,11 +146,11 @@
 	defer fleet.Close()
 	var hosts []string
 	for i := range 4 {
-		box := standin.ServerConfig{ID: fmt.Sprintf("s%d", i), Cores: 1000, ServiceTime: 5 * time.Millisecond}
+		server := standin.ServerConfig{ID: fmt.Sprintf("s%d", i), Cores: 1000, ServiceTime: 5 * time.Millisecond}
 		if i < trial.hanging {
-			box.Script = func(int, *http.Request) standin.Fault { return standin.NoReply }
+			server.Script = func(int, *http.Request) standin.Fault { return standin.NoReply }
 		}
-		b, err := fleet.Start(box)
+		b, err := fleet.Start(server)
 		if err != nil {
 			t.Fatal(err)
 		}
