--- a/examples/origin/main.go
+++ b/examples/origin/main.go
@@ -1,4 +1,5 @@
-// Command origin is a server to put behind quillfront in the examples: it says who it is and what it was asked.
+// Command origin is an HTTP server to run behind quillfront in the examples: it responds with its
+// address and a summary of the request.
 package main
 
 import (
--- a/internal/conformance/conformance.go
+++ b/internal/conformance/conformance.go
@@ -1,5 +1,6 @@
-// Package conformance holds the one suite that every form of the balancer must pass: the daemon over sockets, the
-// library's handler and its RoundTripper. It knows a form only by the interface Form, and runs the same against all.
+// Package conformance is the test suite that every form of the balancer must pass: the daemon over
+// sockets, the library's handler and its RoundTripper. It accesses a form only through the interface
+// Form and runs the same tests against all of them.
 package conformance
 
 import (
@@ -21,46 +22,46 @@
 	"quillfront/policy"
 )
 
-// Form is one running form of the balancer. Its methods may be called from many goroutines at once.
+// Form is a running form of the balancer. Its methods are safe for concurrent use.
 type Form interface {
-	// Do sends one request and returns what became of it. The request is withdrawn when ctx ends.
+	// Do sends one request and returns its result. The request is canceled when ctx ends.
 	Do(ctx context.Context, q Request) Result
 }
 
-// Start starts a form by the platform's configuration, until the test ends.
+// Start starts a form with the platform's configuration and stops it when the test ends.
 type Start func(t testing.TB, config []byte) Form
 
-// Request is one request.
+// Request is a request to a form.
 type Request struct {
 	Method, Path string
 	Header       map[string]string
-	Body         io.Reader // nil: none. Its length is told if it is a *strings.Reader
+	Body         io.Reader // nil: none. The length is announced if it is a *strings.Reader
 }
 
-// Outcome says what became of a request.
+// Outcome classifies the result of a request.
 type Outcome string
 
-// The kinds.
+// The outcomes.
 const (
 	Served     Outcome = "served"
 	Refused    Outcome = "refused"
 	Failed     Outcome = "failed"
-	Rejected   Outcome = "rejected" // not usable as it is: nothing was sent for it
-	Canceled   Outcome = "gone"     // the asker's own time was up, or it left
-	NoResponse Outcome = "broken"   // no answer at all, which no form may give
+	Rejected   Outcome = "rejected" // invalid request: nothing was sent to a server
+	Canceled   Outcome = "gone"     // the client's own time was up, or it disconnected
+	NoResponse Outcome = "broken"   // no answer at all, which is always an error
 )
 
-// Result is what became of a request.
+// Result is the result of a request. A comment names the outcome for which a field is set.
 type Result struct {
 	Outcome    Outcome
-	Status     int // Rejected: as HTTP has it
+	Status     int // Rejected: the HTTP status code
 	Body       string
 	Header     http.Header   // Served
 	RetryAfter time.Duration // Refused
-	Err        error         // Broken
+	Err        error         // NoResponse
 }
 
-// String is what must be the same of all forms.
+// String returns the part of the result that must be equal for all forms.
 func (a Result) String() string {
 	switch a.Outcome {
 	case Served:
@@ -73,7 +74,7 @@
 	return string(a.Outcome)
 }
 
-// HTTPForm asks whoever serves HTTP at a URL: the daemon, or a server with the library's handler.
+// HTTPForm is a form that serves HTTP at a URL: the daemon, or a server with the library's handler.
 type HTTPForm struct {
 	URL    string
 	Client *http.Client
@@ -112,7 +113,7 @@
 	return Result{Outcome: Failed}
 }
 
-// HTTPRequest is q as net/http has it, to the server at base.
+// HTTPRequest converts q to an http.Request to the server at base.
 func (q Request) HTTPRequest(ctx context.Context, base string) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, q.Method, base+q.Path, q.Body)
 	if err != nil {
@@ -124,7 +125,7 @@
 	return req, nil
 }
 
-// Classes are the classes of the suite.
+// Classes returns the request classes of the suite.
 func Classes() []policy.Class {
 	long := func(c policy.Class) policy.Class {
 		c.Aim, c.Deadline, c.Worth = 9*time.Second, 10*time.Second, 1
@@ -139,7 +140,7 @@
 	}
 }
 
-// testTimeout bounds a failure; no verdict hangs on it.
+// testTimeout bounds how long a failing test waits; no assertion depends on its value.
 const testTimeout = 20 * time.Second
 
 // Run runs the suite against the form that start makes.
@@ -156,8 +157,8 @@
 	t.Run("Crowd", func(t *testing.T) { concurrentClients(t, start) })
 }
 
-// RunRoutes runs what of the suite is meant for ordinary HTTP too, against a form that serves by routes: what a request says of itself, and
-// repeats within a cell, are the platform's alone.
+// RunRoutes runs the part of the suite that applies to ordinary HTTP against a form that serves by
+// routes. Request headers of the platform and repeats within a cell are not part of it.
 func RunRoutes(t *testing.T, start Start) {
 	t.Run("Outcomes", func(t *testing.T) { outcomesOf(t, start, func(class string) bool { return class != "cell" }) })
 	t.Run("Refusal", func(t *testing.T) { refusal(t, start) })
@@ -167,14 +168,15 @@
 	t.Run("Crowd", func(t *testing.T) { concurrentClients(t, start) })
 }
 
-// testbed is a fleet with a form before it.
+// testbed is a fleet of stand-in servers with a form in front of it.
 type testbed struct {
 	Form
 	fleet   *standin.Fleet
 	servers []*standin.Server
 }
 
-// newTestbed starts a fleet of boxes and a form whose list is pushed, so that nothing but requests moves its module.
+// newTestbed starts a fleet and a form whose list is pushed, so that only requests change the state
+// of its balancer.
 func newTestbed(t testing.TB, start Start, change func(*standin.PlatformConfig), boxes ...standin.ServerConfig) *testbed {
 	t.Helper()
 	f, err := standin.NewFleet(Classes(), 1, 0)
@@ -202,7 +204,8 @@
 
 var lastID atomic.Int64
 
-// newRequest makes a request of a class, with an id and a key of its own.
+// newRequest returns a request of a class with a new ID and key. Each pair in header sets a header,
+// or removes it if the value is empty.
 func newRequest(class string, header ...string) Request {
 	n := lastID.Add(1)
 	q := Request{Method: http.MethodGet, Path: fmt.Sprintf("/%s/k", class), Header: map[string]string{
@@ -240,7 +243,7 @@
 	}
 }
 
-// rejections: what cannot be served as it is comes to no box.
+// rejections checks that an invalid request is rejected and reaches no server.
 func rejections(t *testing.T, start Start) {
 	w := newTestbed(t, start, nil, standin.ServerConfig{})
 	wrongMethod, bodied := newRequest("pay"), newRequest("read")
@@ -268,7 +271,8 @@
 	}
 }
 
-// outcomes: what all three boxes do, and what becomes of the request, how often it was sent and executed.
+// outcomes checks, for a fault that all three servers have, the outcome of a request and how often
+// it was sent and executed.
 func outcomes(t *testing.T, start Start) {
 	outcomesOf(t, start, func(string) bool { return true })
 }
@@ -284,10 +288,10 @@
 		{"read", standin.NoFault, Served, 1, 1},
 		{"order", standin.NoFault, Served, 1, 1},
 		{"pay", standin.NoFault, Served, 1, 1},
-		{"read", standin.ResetConnection, Refused, 3, 3}, // sent again as often as it may be
+		{"read", standin.ResetConnection, Refused, 3, 3}, // retried up to the limit
 		{"order", standin.ResetConnection, Refused, 3, 1},
-		{"cell", standin.ResetConnection, Failed, 3, 1}, // a refusal would promise what holds in one cell only
-		{"pay", standin.ResetConnection, Failed, 1, 1},  // it may have run: never again
+		{"cell", standin.ResetConnection, Failed, 3, 1}, // a refusal would promise that it did not run, which holds in one cell only
+		{"pay", standin.ResetConnection, Failed, 1, 1},  // it may have run, so it is never retried
 		{"pay", standin.MalformedReply, Failed, 1, 1},
 		{"pay", standin.ServerError, Failed, 1, 0},
 		{"pay", standin.Reject, Refused, 3, 0}, // proven not to have run
@@ -316,7 +320,7 @@
 	}
 }
 
-// refusal: what is turned away everywhere is refused at once, with a time to come back.
+// refusal checks that a request that every server rejects is refused early, with a Retry-After.
 func refusal(t *testing.T, start Start) {
 	w := newTestbed(t, start, nil, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.Reject }})
 	began := time.Now()
@@ -324,12 +328,12 @@
 	if a.Outcome != Refused || a.RetryAfter <= 0 || a.RetryAfter > time.Second {
 		t.Errorf("%v, come back after %v", a, a.RetryAfter)
 	}
-	if d := time.Since(began); d > 5*time.Second { // it had 9 s
+	if d := time.Since(began); d > 5*time.Second { // its timeout is 9 s
 		t.Errorf("refused after %v", d)
 	}
 }
 
-// duplicateID: while a request is open another under its id is turned away.
+// duplicateID checks that a request is rejected while another with the same ID is open.
 func duplicateID(t *testing.T, start Start) {
 	w := newTestbed(t, start, nil, standin.ServerConfig{ServiceTime: 500 * time.Millisecond})
 	first := make(chan Result, 1)
@@ -347,7 +351,8 @@
 	}
 }
 
-// clientLeaves: a client that leaves while an attempt is out has its attempt called off, and nothing more is sent.
+// clientLeaves checks that a client's disconnect cancels the attempt in flight and that nothing more
+// is sent.
 func clientLeaves(t *testing.T, start Start) {
 	for _, class := range []string{"read", "order", "pay"} {
 		w := newTestbed(t, start, nil, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.NoReply }}, standin.ServerConfig{
@@ -362,7 +367,7 @@
 		if got := <-over; got.Outcome != Canceled {
 			t.Errorf("%s: %v", class, got)
 		}
-		// Its id is free once the form has noticed, and a later request is no worse for it.
+		// The ID is usable again once the form has noticed the disconnect.
 		eventually(t, "its id is free", func() bool {
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
@@ -372,14 +377,14 @@
 			}
 			return w.Do(ctx, again).String() != "rejected 409"
 		})
-		if n := len(w.fleet.ServersReached(q.Header["X-Request-ID"])); n > 2 { // the first one, and the one above that came through
+		if n := len(w.fleet.ServersReached(q.Header["X-Request-ID"])); n > 2 { // the first one, and the accepted one above
 			t.Errorf("%s: sent %d times for a client that had left", class, n)
 		}
 	}
 }
 
-// clientTimeout: X-Timeout-Ms and the asker's own deadline cut across the class's. There is one end, in time, and an unsafe
-// request was sent once.
+// clientTimeout checks that X-Timeout-Ms and the client's own deadline shorten the deadline of the
+// class: the request ends once, in time, and an unsafe request is sent once.
 func clientTimeout(t *testing.T, start Start) {
 	w := newTestbed(t, start, nil, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.NoReply }})
 	began := time.Now()
@@ -405,10 +410,11 @@
 // unknownLength hides the length of a reader from net/http.
 type unknownLength struct{ io.Reader }
 
-// errBodyRead is what a body fails with.
+// errBodyRead is the read error of failingReader.
 var errBodyRead = errors.New("the body broke")
 
-// bodies: one of unknown length comes whole to the box, and one that is too long or breaks comes not at all.
+// bodies checks that a body of unknown length reaches the server complete, and that a request whose
+// body is too long or fails to read is not sent.
 func bodies(t *testing.T, start Start) {
 	w := newTestbed(t, start, nil, standin.ServerConfig{})
 	post := func(body io.Reader) Result {
@@ -428,7 +434,7 @@
 	}
 	before := totalRequests(w.servers)
 	long := bytes.Repeat([]byte("x"), 32<<20+1)
-	// Over sockets the end of the connection may overtake the answer: not served is what counts.
+	// Over sockets the close may arrive before the answer; the request must not be served.
 	if got := post(bytes.NewReader(long)); got.Outcome != Rejected && got.Outcome != NoResponse {
 		t.Errorf("over the limit: %v", got)
 	}
@@ -443,11 +449,12 @@
 	}
 }
 
+// failingReader fails on the first read.
 type failingReader struct{}
 
 func (failingReader) Read([]byte) (int, error) { return 0, errBodyRead }
 
-// drain: what is told to drain gets nothing new, while requests go on at the others.
+// drain checks that a draining server gets no new requests while the others continue to serve.
 func drain(t *testing.T, start Start) {
 	w := newTestbed(t, start, nil, standin.ServerConfig{}, standin.ServerConfig{})
 	live := newTestbed(t, start, func(p *standin.PlatformConfig) {
@@ -477,7 +484,8 @@
 	}
 }
 
-// emptyList: while the list is empty requests wait for their time, end as the form has it, and are served once a box is listed.
+// emptyList checks that requests wait while the list is empty, end with the outcome unserved when
+// their time is up, and are served once a server is listed.
 func emptyList(t *testing.T, start Start, unserved Outcome) {
 	w := newTestbed(t, start, nil, standin.ServerConfig{})
 	live := newTestbed(t, start, func(p *standin.PlatformConfig) {
@@ -503,7 +511,8 @@
 	}
 }
 
-// concurrentClients: many at once, some of whom leave: each gets one answer, and no effect takes place twice.
+// concurrentClients checks with many clients, some of which disconnect, that each request gets one
+// answer and no effect is applied twice.
 func concurrentClients(t *testing.T, start Start) {
 	var cfgs []standin.ServerConfig
 	for range 4 {
@@ -548,15 +557,17 @@
 	}
 }
 
-// Transcript is what one form did on the scripted run: the answers, and for each request the boxes it went to.
+// Transcript records a scripted run of one form: the results, and the servers that each request was
+// sent to.
 type Transcript struct {
 	Results []string
 	Servers []string
 }
 
-// RunScripted plays one run that is the same for every form: one seed, one request at a time, boxes whose reports and
-// faults follow a script. Nothing in it depends on how long anything takes: reports come with the answers, the list is
-// pushed, and after a fault the run waits until every ejection is over.
+// RunScripted runs a sequence that is the same for every form: one seed, one request at a time, and
+// servers whose load reports and faults follow a script. The result does not depend on timing: load
+// reports come with the answers, the list is pushed, and after a fault the run waits until all
+// ejections are over.
 func RunScripted(t testing.TB, start Start, seed uint64) Transcript {
 	t.Helper()
 	const boxes, rounds = 5, 60
@@ -591,7 +602,7 @@
 	return r
 }
 
-// Diff tells where two records differ; empty: nowhere.
+// Diff describes the first difference between two transcripts, or returns "".
 func (r Transcript) Diff(other Transcript) string {
 	for i := range r.Results {
 		if i >= len(other.Results) || r.Results[i] != other.Results[i] || r.Servers[i] != other.Servers[i] {
@@ -601,7 +612,8 @@
 	return ""
 }
 
-// Varied reports whether the run went to several boxes and met faults, as a run that does not shows nothing.
+// Varied reports whether the run used several servers and met faults; otherwise a comparison proves
+// nothing.
 func (r Transcript) Varied() bool {
 	kinds, picks := map[string]bool{}, map[string]bool{}
 	for i := range r.Results {
@@ -611,17 +623,19 @@
 	return len(picks) >= 5 && len(kinds) >= 2 && slices.ContainsFunc(r.Servers, func(p string) bool { return strings.Contains(p, "+") })
 }
 
-// LoadResults is what a form gave under load, by class: the share served, and the median time of those.
+// LoadResults holds the results of RunLoad by class.
 type LoadResults map[string]ClassLoadResult
 
-// ClassLoadResult is that of one class.
+// ClassLoadResult holds the number of requests of a class, the share served, and the median latency
+// of the served ones.
 type ClassLoadResult struct {
 	Requests    int
 	ServedShare float64
 	Median      time.Duration
 }
 
-// RunLoad plays some seconds of a schedule that does not wait for answers, on boxes of which two err.
+// RunLoad sends requests at a fixed rate, without waiting for answers, to servers of which two
+// return errors or reset connections.
 func RunLoad(t testing.TB, start Start, length time.Duration, rate int) LoadResults {
 	t.Helper()
 	var cfgs []standin.ServerConfig
--- a/internal/conformance/services.go
+++ b/internal/conformance/services.go
@@ -21,28 +21,28 @@
 	sqlstandin "quillfront/internal/mysql/standin"
 )
 
-// Services are services that run by an operator's file.
+// Services are running services configured by an operator's file.
 type Services struct {
-	Addr   func(name string) string // where a service listens
-	Reload func()                   // has the file read again
+	Addr   func(name string) string // returns the address of a service's listener
+	Reload func()                   // reloads the file
 }
 
-// StartServices starts services by an operator's file, until the test ends.
+// StartServices starts services with an operator's file and stops them when the test ends.
 type StartServices func(t testing.TB, path string) Services
 
-// RunServices runs the rules as they apply to statements and streams.
+// RunServices tests the rules for MySQL statements and TCP streams.
 func RunServices(t *testing.T, start StartServices) {
 	t.Run("StatementsOnce", func(t *testing.T) { statementsExactlyOnce(t, start) })
 	t.Run("StatementsDrain", func(t *testing.T) { statementsDrain(t, start) })
 	t.Run("Streams", func(t *testing.T) { streams(t, start) })
 }
 
-// mysqlFixture are stand-in servers of MySQL with a front before them.
+// mysqlFixture holds stand-in MySQL servers with a MySQL service in front of them.
 type mysqlFixture struct {
 	Services
 	db      *sqlstandin.Database
 	servers []*sqlstandin.Server
-	faults  sync.Map // by what a statement holds
+	faults  sync.Map // one-time faults, keyed by a substring of the statement
 	dir     string
 	drain   [3]bool
 }
@@ -126,8 +126,9 @@
 	return v
 }
 
-// statementsExactlyOnce: each statement has one answer; what may have run is never sent again and called unknown, what provably changes nothing
-// is answered by another server, and what no server got is called so.
+// statementsExactlyOnce checks that each statement gets one answer: a write that may have run is not
+// retried and reports an unknown outcome, a read is retried on another server, and a statement that
+// reached no server reports a refusal.
 func statementsExactlyOnce(t *testing.T, start StartServices) {
 	l := newMySQLFixture(t, start)
 	c := l.session(t)
@@ -157,7 +158,8 @@
 	}
 }
 
-// statementsDrain: from 2 s after it was told on, no statement goes to a server that drains but those of the transactions that it has.
+// statementsDrain checks that, from 2 s after the drain was announced, a draining server gets only
+// statements of its open transactions.
 func statementsDrain(t *testing.T, start StartServices) {
 	l := newMySQLFixture(t, start)
 	in, out := l.session(t), l.session(t)
@@ -193,8 +195,8 @@
 	}
 }
 
-// streams: a connect that fails is tried elsewhere, a stream that breaks is reset and never ends as a whole one, and a server that drains
-// gets no new one.
+// streams checks that a failed connect is retried on another server, that a broken stream is reset
+// and not closed cleanly, and that a draining server gets no new streams.
 func streams(t *testing.T, start StartServices) {
 	type box struct {
 		net.Listener
--- a/internal/conformance/wire.go
+++ b/internal/conformance/wire.go
@@ -22,70 +22,73 @@
 	"quillfront/policy"
 )
 
-// The forms as the edge's corpus names them.
+// Names of the forms in the wire corpus.
 const (
 	Daemon       = "daemon"
 	Handler      = "handler"
 	RoundTripper = "round tripper"
 )
 
-// RequestCase is one request of the corpus as a client writes it, and what must hold of the answer and of the bytes that
-// reach the server.
+// RequestCase is a request of the corpus in the bytes that a client writes, with the expected answer
+// and the expected bytes at the server.
 type RequestCase struct {
 	Name string
-	// Raw has CRLF for each newline, unless Exact; the mark ~ID~ stands for an id that was never used.
+	// Raw is sent with CRLF for each newline, unless Exact is set; ~ID~ is replaced by a unique ID.
 	Raw       string
 	Exact     bool
-	HalfClose bool // the client ends its sending behind it
-	Head      bool // its answer has no body
-	// Want is the status codes of all final answers, and then "open" if the connection carries a further request, or "close".
+	HalfClose bool // the client closes its sending side after the request
+	Head      bool // the request is a HEAD request, so its answer has no body
+	// Want lists the status codes of all final answers, followed by "open" if the connection accepts
+	// another request, or "close".
 	Want string
-	// Sent are lines that the server gets, Forbidden parts of lines that it does not. It gets as many requests as there are 200s.
+	// Sent are lines that the server must get, Forbidden are parts of its head that must not occur.
+	// It gets as many requests as Want has 200s.
 	Sent, Forbidden []string
-	// Overrides has other forms' Want, each with a reason.
+	// Overrides holds a different Want by form, each with a reason.
 	Overrides map[string]Override
-	// SocketsOnly tells why the round tripper is not asked, where it could be.
+	// SocketsOnly is the reason why the round tripper skips a case that it could express.
 	SocketsOnly string
 }
 
-// Override is what another form does, and why it may.
+// Override is a different expected result of one form, with the reason.
 type Override struct{ Want, Reason string }
 
-// ResponseCase is one answer of a server's as it writes it, and what must hold of the client's answer.
+// ResponseCase is a response of the corpus in the bytes that a server writes, with the expected
+// answer to the client.
 type ResponseCase struct {
 	Name  string
-	Class string // "pay" if empty: it may not be tried again once it may have run
-	// Raw has CRLF for each newline, unless Exact. An empty one is silence.
+	Class string // "pay" if empty, which is not retried once it may have run
+	// Raw is sent with CRLF for each newline, unless Exact is set. If empty, nothing is sent.
 	Raw        string
 	Exact      bool
-	CloseAfter bool // the server ends the connection behind it
-	// Want is what becomes of the request.
+	CloseAfter bool // the server closes the connection after the response
+	// Want is the expected outcome of the request.
 	Want Outcome
-	Body string // of a served one
-	// Headers are in the client's answer, Forbidden are lines, or names of lines, that are not.
+	Body string // expected body if served
+	// Headers must be in the client's answer; Forbidden are header lines or names that must not.
 	Headers, Forbidden []string
-	TimeoutMs          string // the client's, in ms
-	Sent               int    // how often the request reaches a server; 0 is once
-	Reused             bool   // the server's connection carries the next request
+	TimeoutMs          string // X-Timeout-Ms of the request
+	Sent               int    // how often the request reaches a server; 0 means once
+	Reused             bool   // the next request uses the same server connection
 }
 
-// WireForm is a form with its bytes. A round tripper has no address.
+// WireForm is a form that can be tested at the byte level. Addr is empty for a round tripper.
 type WireForm struct {
 	Name string
 	Addr string
 	Form
 }
 
-// StartWireForm starts a form by the platform's configuration, until the test ends.
+// StartWireForm starts a form with the platform's configuration and stops it when the test ends.
 type StartWireForm func(t testing.TB, config []byte) WireForm
 
-// receivedRequest is one request as the server got it.
+// receivedRequest is a request in the bytes that the server received.
 type receivedRequest struct {
 	conn int
 	raw  string
 }
 
-// rawServer is a server that reads no more of HTTP than where a request ends, and keeps what it got.
+// rawServer is a server that parses only the framing of requests and records their bytes.
 type rawServer struct {
 	ln       net.Listener
 	done     sync.WaitGroup
@@ -127,7 +130,8 @@
 	return s
 }
 
-// serve reads requests of one connection. Whatever does not belong to one shows as the beginning of another.
+// serve reads the requests of one connection. Surplus bytes are recorded as the start of another
+// request.
 func (s *rawServer) serve(n int, c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
@@ -173,7 +177,7 @@
 	}
 }
 
-// copyChunked copies a body in copyChunked, and reports whether its end has come.
+// copyChunked copies a chunked body and reports whether it was complete.
 func copyChunked(to *bytes.Buffer, r *bufio.Reader) bool {
 	for {
 		line, err := r.ReadString('\n')
@@ -197,7 +201,7 @@
 	s.arrivals = append(s.arrivals, receivedRequest{n, raw})
 }
 
-// since returns what came after the first n.
+// since returns the requests received after the first n.
 func (s *rawServer) since(n int) []receivedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -206,7 +210,7 @@
 
 func (s *rawServer) count() int { return len(s.since(0)) }
 
-// newWireTestbed starts a raw server and a form before it.
+// newWireTestbed starts a raw server and a form in front of it.
 func newWireTestbed(t testing.TB, start StartWireForm) (WireForm, *rawServer) {
 	s := startRawServer(t)
 	known := engine.List{Seq: 1, Full: true, Servers: []engine.Server{{ID: "raw", Addr: s.ln.Addr().String(), State: policy.Ready, Weight: 1}}}
@@ -284,7 +288,8 @@
 	}
 }
 
-// exchange writes raw on a connection of its own, and tells the statuses that came and how the connection went on.
+// exchange writes raw on a new connection and returns the statuses received and the final state of
+// the connection, in the format of RequestCase.Want.
 func exchange(t *testing.T, addr, raw string, half, head bool, answers int) string {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -295,7 +300,7 @@
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		io.WriteString(c, raw) // it may break off: the answer counts
+		io.WriteString(c, raw) // a write error is ignored: only the answer matters
 		if half {
 			c.(*net.TCPConn).CloseWrite()
 		}
@@ -328,10 +333,10 @@
 			return strings.Join(append(got, "with", string(body)), " ")
 		}
 		if resp.Close {
-			c.(*net.TCPConn).CloseWrite() // whoever still waits for a body sees that there is none
+			c.(*net.TCPConn).CloseWrite() // tells a peer that still waits for a body that none follows
 		}
 		if resp.Close || len(got) < answers {
-			continue // the end must come, or a further answer
+			continue // expect the close, or another answer
 		}
 		if half {
 			return strings.Join(append(got, "open"), " ")
@@ -347,8 +352,8 @@
 	}
 }
 
-// parseForClient is raw as a client of net/http would say it, if it can: one whole request, whose head can be read and has one
-// length.
+// parseForClient parses raw into a request that a net/http client can send. It reports false unless
+// raw is one complete request with a valid head and a single length.
 func parseForClient(raw string) (*http.Request, bool) {
 	var head httpmsg.Head
 	if err := head.Read(bufio.NewReaderSize(strings.NewReader(raw), 32<<10)); err != nil && !errors.Is(err, httpmsg.ErrConnectionOption) {
@@ -374,7 +379,7 @@
 	return q, true
 }
 
-// roundTrip asks a round tripper, and tells the status that the handler would have given.
+// roundTrip sends q through a round tripper and returns the status that the handler would return.
 func (e WireForm) roundTrip(q *http.Request) string {
 	rt, ok := e.Form.(interface {
 		Trip(*http.Request) Result
@@ -385,7 +390,7 @@
 	return rt.Trip(q).status()
 }
 
-// status is what becomes of a request as HTTP has it.
+// status returns the HTTP status code for the result.
 func (a Result) status() string {
 	switch a.Outcome {
 	case Served:
@@ -400,10 +405,12 @@
 	return fmt.Sprint(a)
 }
 
-// idleWait is more than a connection has to idleWait after an answer, also where some server has said more than it was asked for.
+// idleWait exceeds the time that a connection must be idle after a response before it is reused,
+// also after a server has sent surplus bytes.
 const idleWait = 100 * time.Millisecond
 
-// RunResponses has the server give the corpus of answers to requests through the form that start makes.
+// RunResponses sends requests through the form that start makes while the server replies with the
+// corpus of responses.
 func RunResponses(t *testing.T, start StartWireForm) {
 	form, server := newWireTestbed(t, start)
 	for _, tt := range Responses() {
@@ -449,7 +456,7 @@
 			if tt.Reused {
 				time.Sleep(idleWait)
 			}
-			// The next request must be served whatever this answer has left behind.
+			// The next request must be served whatever state this response left the connection in.
 			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 			defer cancel()
 			if next := form.Do(ctx, behind); next.Outcome != Served || next.Body != "ok" {
@@ -463,7 +470,7 @@
 	}
 }
 
-// CheckCorpus tells what is wrong with the corpus itself.
+// CheckCorpus returns the errors of the corpus itself.
 func CheckCorpus() error {
 	var errs []error
 	names := map[string]bool{}
--- a/internal/conformance/wire_requests.go
+++ b/internal/conformance/wire_requests.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// Reasons for which forms differ.
+// Reasons why the expected result differs between forms.
 const (
-	parsedByNetHTTP   = "net/http's server reads the head; it takes this, and what it has read is sent on anew and framed once"
-	netHTTPStatus     = "net/http's server turns this away by a status of its own"
-	applicationLimit  = "the bound of a head is the application's, by http.Server.MaxHeaderBytes or its own code"
-	netHTTPPipelining = "net/http's server holds what comes behind a request and serves it afterwards"
+	parsedByNetHTTP   = "net/http's server parses the head and accepts this; the request is then written anew with one framing"
+	netHTTPStatus     = "net/http's server rejects this with a status of its own"
+	applicationLimit  = "the application limits the size of a head, by http.Server.MaxHeaderBytes or its own code"
+	netHTTPPipelining = "net/http's server buffers a pipelined request and serves it afterwards"
 )
 
-// handlerOnly is a difference of the handler's.
+// handlerOnly returns an override for the handler.
 func handlerOnly(want, reason string) map[string]Override {
 	return map[string]Override{Handler: {want, reason}}
 }
 
-// libraryForms is a difference of both forms that live in an application.
+// libraryForms returns an override for the two forms that run inside an application.
 func libraryForms(want, reason string) map[string]Override {
 	return map[string]Override{Handler: {want, reason}, RoundTripper: {want, reason}}
 }
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\nHost: s\nX-Request-ID: ~ID~\nIdempotency-Key: key-~ID~\n%sContent-Length: %d\n\n%s", target, joinLines(lines), len(body), body)
 }
 
-// rawFramed is a request that says itself how long its body is.
+// rawFramed returns a POST request whose framing headers are given in lines.
 func rawFramed(body string, lines ...string) string {
 	return "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: ~ID~\n" + joinLines(lines) + "\n" + body
 }
@@ -44,13 +44,13 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// Requests returns the corpus of requests.
+// Requests returns the corpus of client requests.
 func Requests() []RequestCase {
 	const bad = "400 close"
 	chunked := "Transfer-Encoding: chunked"
 	kib64 := strings.Repeat("0123456789abcdef", 4<<10)
 	cases := []RequestCase{
-		// What is served, and how it comes to the server.
+		// Served requests, and the bytes that reach the server.
 		{Name: "a plain one", Raw: rawGet("/read/k"), Want: "200 open", Sent: []string{"GET /read/k HTTP/1.1", "Host: s", "X-Request-ID: ~ID~"}, Forbidden: []string{"content-length", "connection"}},
 		{Name: "a query", Raw: rawGet("/read/k?a=/../b&&c=%20;d"), Want: "200 open", Sent: []string{"GET /read/k?a=/../b&&c=%20;d HTTP/1.1"}},
 		{Name: "escapes stay", Raw: rawGet("/read/a%2Fb//c/%41"), Want: "200 open", Sent: []string{"GET /read/a%2Fb//c/%41 HTTP/1.1"}},
@@ -113,8 +113,8 @@
 		{Name: "cookies and authority", Raw: rawGet("/read/k", "Cookie: a=b; c=d", "Authorization: Bearer x.y"), Want: "200 open", Sent: []string{"Cookie: a=b; c=d", "Authorization: Bearer x.y"}},
 		{Name: "health", Raw: "GET /healthz HTTP/1.1\nHost: s\n\n", Want: "200 open", SocketsOnly: "a round tripper has no listener to ask"},
 
-		// Where a request ends.
-		{Name: "a length and chunks", Raw: rawFramed("0\n\nGET /read/smuggled HTTP/1.1\nHost: s\nX-Request-ID: ~ID~x\n\n", "Content-Length: 60", chunked), Want: bad, Overrides: handlerOnly("200 200 open", parsedByNetHTTP+"; what stands behind the chunks is the next request to it")},
+		// Message framing.
+		{Name: "a length and chunks", Raw: rawFramed("0\n\nGET /read/smuggled HTTP/1.1\nHost: s\nX-Request-ID: ~ID~x\n\n", "Content-Length: 60", chunked), Want: bad, Overrides: handlerOnly("200 200 open", parsedByNetHTTP+"; the bytes after the chunks are the next request to it")},
 		{Name: "chunks and a length", Raw: rawFramed("0\n\n", chunked, "Content-Length: 5"), Want: bad, Overrides: handlerOnly("200 open", parsedByNetHTTP)},
 		{Name: "one length twice", Raw: rawFramed("hello", "Content-Length: 5", "Content-Length: 5"), Want: bad, Overrides: handlerOnly("200 open", parsedByNetHTTP)},
 		{Name: "two lengths", Raw: rawFramed("hello", "Content-Length: 5", "Content-Length: 6"), Want: bad},
@@ -223,7 +223,7 @@
 		RequestCase{Name: "a control in the target", Raw: rawGet("/read/\x01"), Want: bad},
 		RequestCase{Name: "a space in the target", Raw: rawGet("/read/a b"), Want: bad},
 
-		// What the protocol asks for.
+		// Headers, classes and methods that the protocol requires.
 		RequestCase{Name: "no id", Raw: "GET /read/k HTTP/1.1\nHost: s\n\n", Want: bad, SocketsOnly: "a round tripper makes one up"},
 		RequestCase{Name: "an empty id", Raw: "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID:\n\n", Want: bad, SocketsOnly: "a round tripper makes one up"},
 		RequestCase{Name: "two ids", Raw: rawGet("/read/k", "X-Request-ID: ~ID~-2"), Want: bad},
--- a/internal/conformance/wire_responses.go
+++ b/internal/conformance/wire_responses.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Responses returns the corpus of servers' answers.
+// Responses returns the corpus of server responses.
 func Responses() []ResponseCase {
 	kib64 := strings.Repeat("0123456789abcdef", 4<<10)
 	ok := "HTTP/1.1 200 OK\nContent-Length: 2\n\nok"
@@ -11,10 +11,10 @@
 	served := func(name, raw, body string) ResponseCase {
 		return ResponseCase{Name: name, Raw: raw, Want: Served, Body: body, Reused: true}
 	}
-	// malformed may have run, and nothing of it reaches the client.
+	// The request may have run, and nothing of the malformed response reaches the client.
 	malformed := func(name, raw string) ResponseCase { return ResponseCase{Name: name, Raw: raw, Want: Failed} }
 	cases := []ResponseCase{
-		// What is served.
+		// Valid responses.
 		served("a length", ok, "ok"),
 		served("no body", "HTTP/1.1 200 OK\nContent-Length: 0\n\n", ""),
 		served("no reason", "HTTP/1.1 200 \nContent-Length: 2\n\nok", "ok"),
@@ -48,14 +48,14 @@
 		{Name: "a proof that nothing ran, of a served one", Raw: head("X-Not-Processed: 1", "Content-Length: 2") + "ok", Want: Served, Body: "ok", Reused: true},
 		{Name: "cookies", Raw: head("Set-Cookie: a=b", "Set-Cookie: c=d", "Content-Length: 2") + "ok", Want: Served, Body: "ok", Reused: true, Headers: []string{"Set-Cookie: a=b", "Set-Cookie: c=d"}},
 
-		// Good, and more behind it: the connection is of no further use.
+		// Valid responses followed by surplus bytes: the connection is not reused.
 		{Name: "a second copy behind", Raw: ok + ok, Want: Served, Body: "ok"},
 		{Name: "noise behind", Raw: ok + "\x00\x01\x02", Want: Served, Body: "ok"},
 		{Name: "an interim answer behind", Raw: ok + "HTTP/1.1 100 Continue\n\n", Want: Served, Body: "ok"},
 		{Name: "a line behind", Raw: ok + "\n", Want: Served, Body: "ok"},
 		{Name: "more chunks behind", Raw: head(chunked) + "2\nok\n0\n\n2\nok\n0\n\n", Want: Served, Body: "ok"},
 
-		// What cannot be the answer.
+		// Malformed and incomplete responses.
 		malformed("noise", "\x00\x01\x02\x03\n\n"),
 		malformed("words", "HELLO\n\n"),
 		malformed("another protocol", "SSH-2.0-x\n\n"),
@@ -109,7 +109,7 @@
 		{Name: "silence in the head", Raw: "HTTP/1.1 200 OK\nContent-", Want: Failed},
 		{Name: "silence in the body", Raw: head("Content-Length: 9") + "half", Want: Failed},
 
-		// Answers of other codes.
+		// Other status codes.
 		{Name: "500", Raw: "HTTP/1.1 500 Oh\nContent-Length: 2\n\nno", Want: Failed, Reused: true},
 		{Name: "500 with a proof", Raw: "HTTP/1.1 500 Oh\nX-Not-Processed: 1\nContent-Length: 0\n\n", Want: Failed, Reused: true},
 		{Name: "503 without a proof", Raw: "HTTP/1.1 503 No\nRetry-After: 1\nContent-Length: 0\n\n", Want: Failed, Reused: true},
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,6 @@
-// Package demo shows a sidecar at work: stand-in boxes, a discovery and a sidecar in one process, some seconds of real
-// HTTP requests through troubles, and an account of what became of them with the four rules checked.
+// Package demo demonstrates a sidecar: it runs stand-in servers, a discovery service and a sidecar in
+// one process, sends real HTTP requests for some seconds while faults are injected, and reports the
+// outcomes together with a check of the four rules.
 package demo
 
 import (
@@ -24,62 +25,62 @@
 	"quillfront/policy"
 )
 
-// Options says how a demo runs. Zero values take the defaults.
+// Options configures a demo. A zero value selects the default that the field's comment states.
 type Options struct {
-	Duration time.Duration         // how long requests come; 6 s
+	Duration time.Duration         // how long requests are sent; 6 s
 	Rate     float64               // requests a second; 300
 	Seed     uint64                // 1
-	Progress func(Progress)        // called some times a second; may be nil
-	OnDrain  func(*standin.Server) // what else is done to the box that drains, for tests of the account
+	Progress func(Progress)        // called every 200 ms; may be nil
+	OnDrain  func(*standin.Server) // called with the draining server, so that tests can break a rule
 }
 
-// Progress is how far a demo is.
+// Progress is the state of a running demo.
 type Progress struct {
 	At                  time.Duration
 	Asked, Served, Open int
 	Refused, Failed     int
-	Event               string // what has just happened; empty: nothing
+	Event               string // the event since the last call, or empty
 	P50, P99            time.Duration
 }
 
-// ClassReport is what became of one class.
+// ClassReport holds the results of one class.
 type ClassReport struct {
 	Asked   int     `json:"asked"`
 	Served  int     `json:"served"`
-	Late    int     `json:"late"` // of the served: after the aim
+	Late    int     `json:"late"` // served, but after the aim
 	Refused int     `json:"refused"`
 	Failed  int     `json:"failed"`
 	P50     float64 `json:"p50_ms"`
 	P99     float64 `json:"p99_ms"`
 }
 
-// ServerReport is what one box got.
+// ServerReport holds the results of one server.
 type ServerReport struct {
-	Share      float64 `json:"share"` // of all sends
+	Share      float64 `json:"share"` // of all requests that servers received
 	Requests   int     `json:"requests"`
 	Late       int     `json:"late"`
 	Overloaded bool    `json:"fallen"`
 	Note       string  `json:"note,omitempty"`
 }
 
-// Report is the account of a demo.
+// Report holds the results of a demo.
 type Report struct {
 	Asked   int                      `json:"asked"`
 	Served  int                      `json:"served"`
 	Refused int                      `json:"refused"`
 	Failed  int                      `json:"failed"`
-	Lost    int                      `json:"lost"` // without one final answer in time
+	Lost    int                      `json:"lost"` // requests without a final answer in time
 	Classes map[string]*ClassReport  `json:"classes"`
 	Servers map[string]*ServerReport `json:"boxes"`
 
-	Duplicates          int `json:"duplicates"`             // effects that took place more than once
-	LateSendsToDraining int `json:"late_sends_to_draining"` // sends later than 2 s after discovery told of a drain
-	Overloaded          int `json:"fallen"`                 // cold boxes that were pushed over
+	Duplicates          int `json:"duplicates"`             // effects that were applied more than once
+	LateSendsToDraining int `json:"late_sends_to_draining"` // requests sent later than 2 s after discovery listed the server as draining
+	Overloaded          int `json:"fallen"`                 // cold servers that crashed from overload
 
-	Violations []string `json:"broken"` // the rules that broke, in words
+	Violations []string `json:"broken"` // descriptions of the violated rules
 }
 
-// class is a class of the demo's requests and the work that one is.
+// class is a request class with its share of the requests and its mean work.
 type class struct {
 	policy.Class
 	share float64
@@ -92,13 +93,14 @@
 	{policy.Class{Name: "meter-booking", Effect: policy.Keyed, Group: policy.GroupCell, KeyTTL: 12 * time.Second, Aim: 300 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 3, LateShare: 0.2}, 0.19, 20 * time.Millisecond},
 }
 
-// answerSlack is how much later than its time a client still takes an answer for in time, on a machine that is busy.
+// answerSlack is how long after its deadline a client still accepts an answer as in time, to allow
+// for a busy machine.
 const answerSlack = 250 * time.Millisecond
 
-// maxOpenRequests bounds the requests that are open at once; one that finds no place counts as lost.
+// maxOpenRequests bounds the requests that are open at once; a request beyond it counts as lost.
 const maxOpenRequests = 2000
 
-// runner is a demo under way.
+// runner is a running demo.
 type runner struct {
 	Options
 	fleet  *standin.Fleet
@@ -107,16 +109,16 @@
 
 	mu           sync.Mutex
 	report       Report
-	latencies    map[string]*hdrhistogram.Histogram // of the served, in microseconds, by class
+	latencies    map[string]*hdrhistogram.Histogram // of served requests, in microseconds, by class
 	allLatencies *hdrhistogram.Histogram
 	open         int
 	event        string
-	notes        map[string]string // by box
+	notes        map[string]string // by server ID
 	started      time.Time
 	clients      sync.WaitGroup
 }
 
-// Run plays a demo and returns its account.
+// Run runs a demo and returns its report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	o.Duration, o.Rate, o.Seed = cmp.Or(o.Duration, 6*time.Second), cmp.Or(o.Rate, 300), cmp.Or(o.Seed, 1)
 	if o.Duration < time.Second || o.Duration > time.Hour {
@@ -170,7 +172,8 @@
 	return hdrhistogram.New(1, (10 * time.Second).Microseconds(), 3)
 }
 
-// runEvents plays the day: a box that errs, one that drains, a cold one, at fixed shares of its length.
+// runEvents injects the faults at fixed shares of the demo's duration: a server that returns errors,
+// one that drains, one that starts cold and one that loses or corrupts responses.
 func (r *runner) runEvents(ctx context.Context, boxes map[string]*standin.Server) {
 	steps := []struct {
 		at   float64
@@ -221,7 +224,7 @@
 	}
 }
 
-// progress tells how far the demo is.
+// progress reports the state of the demo to Options.Progress.
 func (r *runner) progress(ctx context.Context) {
 	if r.Progress == nil {
 		return
@@ -249,7 +252,7 @@
 	return time.Duration(h.ValueAtPercentile(q)) * time.Microsecond
 }
 
-// load sends requests on a schedule that does not wait for answers.
+// load sends requests at scheduled times, whether or not earlier ones have been answered.
 func (r *runner) load(ctx context.Context) error {
 	rng := rand.New(rand.NewPCG(r.Seed, 7))
 	n := 0
@@ -285,7 +288,7 @@
 	return nil
 }
 
-// sendRequest is one request of a client, which asks once.
+// sendRequest sends one request without retries and records its outcome.
 func (r *runner) sendRequest(c class, n int, due time.Time, work time.Duration) {
 	status, err := r.exchange(c, n, work)
 	took := time.Since(due)
@@ -340,12 +343,12 @@
 		return 0, err
 	}
 	if resp.StatusCode == http.StatusOK && !strings.HasPrefix(string(got), method+" /"+c.Name+"/") {
-		return 0, errors.New("an answer that no box made for this request")
+		return 0, errors.New("the response body does not match the request")
 	}
 	return resp.StatusCode, nil
 }
 
-// summarize sums up, and checks the four rules.
+// summarize completes the report and checks the four rules.
 func (r *runner) summarize() {
 	total := 0
 	for _, b := range r.fleet.Servers() {
@@ -381,7 +384,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// Write writes the account as tables.
+// Write writes the report as tables.
 func (r *Report) Write(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-18s %7s %7s %6s %8s %7s %9s %9s\n", "class", "asked", "served", "late", "refused", "failed", "p50 ms", "p99 ms")
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -16,7 +16,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestRun: the account adds up, shows the troubles, and no rule breaks.
+// TestRun checks that the report adds up, that the injected faults appear and that no rule is
+// violated.
 func TestRun(t *testing.T) {
 	events := map[string]bool{}
 	r, err := Run(t.Context(), Options{Duration: 5 * time.Second, Rate: 60, Progress: func(p Progress) {
@@ -54,8 +55,8 @@
 	}
 }
 
-// TestViolationIsReported: the account can fail. A box that is told to drain and at once asked by somebody who was never told
-// counts late sends once the grace is over.
+// TestViolationIsReported checks that a violation reaches the report: requests are sent to a draining
+// server directly, past the sidecar, until after the grace of 2 s.
 func TestViolationIsReported(t *testing.T) {
 	var pokes sync.WaitGroup
 	r, err := Run(t.Context(), Options{Duration: 5 * time.Second, Rate: 20, OnDrain: func(b *standin.Server) {
--- a/internal/demo/environment.go
+++ b/internal/demo/environment.go
@@ -12,7 +12,7 @@
 	"quillfront/policy"
 )
 
-// Environment is a sidecar on a stand-in fleet, in this process.
+// Environment is a sidecar with a fleet of stand-in servers in this process.
 type Environment struct {
 	URL     string // of the sidecar
 	Fleet   *standin.Fleet
@@ -22,7 +22,8 @@
 	served chan error
 }
 
-// StartEnvironment starts boxes and a sidecar that may hold so many descriptors. Changes of the list are told after 300 ms.
+// StartEnvironment starts servers and a sidecar with a limit on open descriptors. Discovery publishes
+// changes of the list after 300 ms.
 func StartEnvironment(rules []policy.Class, boxes []standin.ServerConfig, seed uint64, descriptors int) (*Environment, error) {
 	const lag = 300 * time.Millisecond
 	fleet, err := standin.NewFleet(rules, seed, lag)
@@ -30,7 +31,7 @@
 		return nil, err
 	}
 	s := &Environment{Fleet: fleet, Servers: map[string]*standin.Server{}, served: make(chan error, 1)}
-	fleet.Discovery.SetLag(0) // the list before the start is known to all
+	fleet.Discovery.SetLag(0) // the initial list is published without a lag
 	for _, c := range boxes {
 		b, err := fleet.Start(c)
 		if err != nil {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// Close drains the sidecar and ends the fleet.
+// Close drains the sidecar and stops the fleet.
 func (s *Environment) Close() error {
 	s.stop()
 	err := <-s.served
