--- a/internal/conformance/conformance.go
+++ b/internal/conformance/conformance.go
@@ -1,6 +1,6 @@
 // Package conformance is the test suite that every form of the balancer must pass: the daemon over
-// sockets, the library's handler and its RoundTripper. It accesses a form only through the interface
-// Form and runs the same tests against all of them.
+// sockets, the library's handler and its RoundTripper. It accesses a form only through the
+// interface Form and runs the same tests against all of them.
 package conformance
 
 import (
@@ -148,9 +148,9 @@
 	t.Run("Rejections", func(t *testing.T) { rejections(t, start) })
 	t.Run("Outcomes", func(t *testing.T) { outcomes(t, start) })
 	t.Run("Refusal", func(t *testing.T) { refusal(t, start) })
-	t.Run("NameOpen", func(t *testing.T) { duplicateID(t, start) })
+	t.Run("DuplicateID", func(t *testing.T) { duplicateID(t, start) })
 	t.Run("ClientLeaves", func(t *testing.T) { clientLeaves(t, start) })
-	t.Run("OwnTimeIsShorter", func(t *testing.T) { clientTimeout(t, start) })
+	t.Run("ClientTimeout", func(t *testing.T) { clientTimeout(t, start) })
 	t.Run("Bodies", func(t *testing.T) { bodies(t, start) })
 	t.Run("Drain", func(t *testing.T) { drain(t, start) })
 	t.Run("EmptyAndFullAgain", func(t *testing.T) { emptyList(t, start, Failed) })
@@ -238,7 +238,7 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not reached: %s", what)
 		}
 	}
 }
@@ -267,7 +267,7 @@
 		}
 	}
 	if n := totalRequests(w.servers); n > 0 {
-		t.Errorf("%d requests came to a box", n)
+		t.Errorf("%d requests reached a server", n)
 	}
 }
 
@@ -326,7 +326,7 @@
 	began := time.Now()
 	a := w.Do(t.Context(), newRequest("read"))
 	if a.Outcome != Refused || a.RetryAfter <= 0 || a.RetryAfter > time.Second {
-		t.Errorf("%v, come back after %v", a, a.RetryAfter)
+		t.Errorf("%v with Retry-After %v", a, a.RetryAfter)
 	}
 	if d := time.Since(began); d > 5*time.Second { // its timeout is 9 s
 		t.Errorf("refused after %v", d)
@@ -339,20 +339,20 @@
 	first := make(chan Result, 1)
 	q := newRequest("read")
 	go func() { first <- w.Do(context.Background(), q) }()
-	eventually(t, "the first one is there", func() bool { return totalRequests(w.servers) == 1 })
+	eventually(t, "the first request has arrived", func() bool { return totalRequests(w.servers) == 1 })
 	if got := w.Do(t.Context(), q); got.String() != "rejected 409" {
-		t.Errorf("the second: %v", got)
+		t.Errorf("second request with the same ID: %v", got)
 	}
 	if got := <-first; got.Outcome != Served {
-		t.Errorf("the first: %v", got)
+		t.Errorf("first request: %v", got)
 	}
 	if got := w.Do(t.Context(), q); got.Outcome != Served {
-		t.Errorf("the id, used again: %v", got)
+		t.Errorf("the ID used again after the first request: %v", got)
 	}
 }
 
-// clientLeaves checks that a client's disconnect cancels the attempt in flight and that nothing more
-// is sent.
+// clientLeaves checks that a client's disconnect cancels the attempt in flight and that nothing
+// more is sent.
 func clientLeaves(t *testing.T, start Start) {
 	for _, class := range []string{"read", "order", "pay"} {
 		w := newTestbed(t, start, nil, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.NoReply }}, standin.ServerConfig{
@@ -362,13 +362,13 @@
 		over := make(chan Result, 1)
 		q := newRequest(class)
 		go func() { over <- w.Do(ctx, q) }()
-		eventually(t, "the attempt is out", func() bool { return totalRequests(w.servers) == 1 })
+		eventually(t, "the attempt has arrived", func() bool { return totalRequests(w.servers) == 1 })
 		leave()
 		if got := <-over; got.Outcome != Canceled {
 			t.Errorf("%s: %v", class, got)
 		}
 		// The ID is usable again once the form has noticed the disconnect.
-		eventually(t, "its id is free", func() bool {
+		eventually(t, "its ID is usable again", func() bool {
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
 			again := q
@@ -378,7 +378,7 @@
 			return w.Do(ctx, again).String() != "rejected 409"
 		})
 		if n := len(w.fleet.ServersReached(q.Header["X-Request-ID"])); n > 2 { // the first one, and the accepted one above
-			t.Errorf("%s: sent %d times for a client that had left", class, n)
+			t.Errorf("%s: sent to %d servers for a client that had disconnected", class, n)
 		}
 	}
 }
@@ -389,7 +389,7 @@
 	w := newTestbed(t, start, nil, standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return standin.NoReply }})
 	began := time.Now()
 	if got := w.Do(t.Context(), newRequest("pay", "X-Timeout-Ms", "200")); got.Outcome != Failed {
-		t.Errorf("200 ms by the header: %v", got)
+		t.Errorf("X-Timeout-Ms of 200: %v", got)
 	}
 	if d := time.Since(began); d < 150*time.Millisecond || d > 8*time.Second {
 		t.Errorf("it ended after %v", d)
@@ -400,7 +400,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	if got := w.Do(ctx, newRequest("pay")); got.Outcome != Canceled {
-		t.Errorf("200 ms of its own: %v", got)
+		t.Errorf("client deadline of 200 ms: %v", got)
 	}
 	if n := totalRequests(w.servers); n != 2 {
 		t.Errorf("sent %d times", n-1)
@@ -411,7 +411,7 @@
 type unknownLength struct{ io.Reader }
 
 // errBodyRead is the read error of failingReader.
-var errBodyRead = errors.New("the body broke")
+var errBodyRead = errors.New("body read failed")
 
 // bodies checks that a body of unknown length reaches the server complete, and that a request whose
 // body is too long or fails to read is not sent.
@@ -442,10 +442,10 @@
 		t.Errorf("over the limit, of unknown length: %v", got)
 	}
 	if got := post(io.MultiReader(strings.NewReader("half"), failingReader{})); got.Outcome == Served || got.Outcome == Refused {
-		t.Errorf("a body that breaks: %v", got)
+		t.Errorf("a body that fails to read: %v", got)
 	}
 	if n := totalRequests(w.servers) - before; n > 0 {
-		t.Errorf("%d of them came to a box", n)
+		t.Errorf("%d of them reached a server", n)
 	}
 }
 
@@ -463,7 +463,7 @@
 	}, standin.ServerConfig{})
 	eventually(t, "the list is watched", func() bool { return w.fleet.Discovery.RequestCount() > 0 })
 	w.fleet.ListDraining(w.servers[0])
-	eventually(t, "nothing goes to the one that drains", func() bool {
+	eventually(t, "the draining server gets no requests", func() bool {
 		before := w.servers[0].Counts().Requests
 		for range 20 {
 			if got := live.Do(t.Context(), newRequest("read")); got.Outcome != Served {
@@ -480,7 +480,7 @@
 		t.Errorf("%d more sends after that, %d of them late", n.Requests-before, n.Late)
 	}
 	if n := w.servers[1].Counts().Requests; n < 50 {
-		t.Errorf("the other one got %d", n)
+		t.Errorf("the other server got %d requests", n)
 	}
 }
 
@@ -494,7 +494,7 @@
 	}, standin.ServerConfig{})
 	eventually(t, "the list is watched", func() bool { return w.fleet.Discovery.RequestCount() > 0 })
 	w.fleet.Kill(w.servers[0])
-	eventually(t, "an empty list leaves nobody to ask", func() bool {
+	eventually(t, "requests end unserved with an empty list", func() bool {
 		return live.Do(t.Context(), newRequest("quick", "X-Timeout-Ms", "100")).Outcome == unserved
 	})
 	over := make(chan Result, 1)
@@ -504,10 +504,10 @@
 		t.Fatal(err)
 	}
 	if got := <-over; got.Outcome != Served {
-		t.Errorf("%v once a box is there", got)
+		t.Errorf("%v after a server was listed", got)
 	}
 	if b.Counts().Requests == 0 {
-		t.Error("it was not asked")
+		t.Error("the new server got no request")
 	}
 }
 
@@ -675,7 +675,7 @@
 		f[class] = c
 	}
 	if e := w.fleet.Effects(); e.Duplicates > 0 {
-		t.Errorf("%d effects took place twice", e.Duplicates)
+		t.Errorf("%d effects were applied twice", e.Duplicates)
 	}
 	return f
 }
--- a/internal/conformance/services.go
+++ b/internal/conformance/services.go
@@ -126,9 +126,9 @@
 	return v
 }
 
-// statementsExactlyOnce checks that each statement gets one answer: a write that may have run is not
-// retried and reports an unknown outcome, a read is retried on another server, and a statement that
-// reached no server reports a refusal.
+// statementsExactlyOnce checks that each statement gets one answer: a write that may have run is
+// not retried and reports an unknown outcome, a read is retried on another server, and a statement
+// that reached no server reports a refusal.
 func statementsExactlyOnce(t *testing.T, start StartServices) {
 	l := newMySQLFixture(t, start)
 	c := l.session(t)
@@ -136,7 +136,7 @@
 		l.faults.Store(name, &trouble)
 		_, err := c.ExecContext(context.Background(), fmt.Sprintf("INSERT INTO orders (id, item, qty) VALUES ('%s', 'x', 1)", name))
 		if sqlCode(err) != 9002 {
-			t.Errorf("%s: %v, want that the outcome is unknown", name, err)
+			t.Errorf("%s: %v, want error 9002: outcome unknown", name, err)
 		}
 		l.faults.Store("read "+name, &trouble)
 		var v string
@@ -151,7 +151,7 @@
 		s.Close()
 	}
 	if _, err := c.ExecContext(context.Background(), "INSERT INTO orders (id, item, qty) VALUES ('none', 'x', 1)"); sqlCode(err) != 9001 {
-		t.Errorf("with no server: %v, want that it was refused", err)
+		t.Errorf("with no server: %v, want error 9001: refused", err)
 	}
 	if l.db.Executed()["none"] > 0 {
 		t.Error("it was executed")
@@ -177,13 +177,13 @@
 		if currentServer(t, out) == at {
 			quiet = 0
 			if time.Since(told) > 2*time.Second {
-				t.Fatalf("a statement goes to the server %v after it was told", time.Since(told))
+				t.Fatalf("a statement was sent to the server %v after the drain was announced", time.Since(told))
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	if currentServer(t, in) != at {
-		t.Error("the transaction has moved")
+		t.Error("the transaction moved to another server")
 	}
 	for _, sql := range []string{"INSERT INTO orders (id, item, qty) VALUES ('in', 'x', 1)", "COMMIT"} {
 		if _, err := in.ExecContext(context.Background(), sql); err != nil {
@@ -191,7 +191,7 @@
 		}
 	}
 	if currentServer(t, in) == at {
-		t.Error("the session stays behind COMMIT")
+		t.Error("the session is still on the draining server after COMMIT")
 	}
 }
 
@@ -261,7 +261,7 @@
 		}
 	}
 	if got, err := say("break"); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("one that breaks: %q, %v", got, err)
+		t.Errorf("a stream that breaks: %q, %v", got, err)
 	}
 	write(true)
 	r.Reload()
@@ -269,7 +269,7 @@
 	for quiet := 0; quiet < 30; quiet++ {
 		if n := boxes[0].took.Load(); n != before {
 			if before >= 0 && time.Since(told) > 2*time.Second {
-				t.Fatalf("a stream goes to the server %v after it was told", time.Since(told))
+				t.Fatalf("a stream was sent to the server %v after the drain was announced", time.Since(told))
 			}
 			before, quiet = n, 0
 		}
--- a/internal/conformance/wire.go
+++ b/internal/conformance/wire.go
@@ -29,8 +29,8 @@
 	RoundTripper = "round tripper"
 )
 
-// RequestCase is a request of the corpus in the bytes that a client writes, with the expected answer
-// and the expected bytes at the server.
+// RequestCase is a request of the corpus in the bytes that a client writes, with the expected
+// answer and the expected bytes at the server.
 type RequestCase struct {
 	Name string
 	// Raw is sent with CRLF for each newline, unless Exact is set; ~ID~ is replaced by a unique ID.
@@ -279,12 +279,12 @@
 				t.Errorf("the id is in %d lines of %q", n, head)
 			}
 			if n := strings.Count(strings.ToLower(head), "content-length:") + strings.Count(strings.ToLower(head), "transfer-encoding:"); n > 1 {
-				t.Errorf("%d lengths in %q", n, head)
+				t.Errorf("%d framing headers in %q", n, head)
 			}
 		})
 	}
 	if form.Addr == "" {
-		t.Logf("%d of %d cannot be said by a round tripper", left, len(Requests()))
+		t.Logf("%d of %d cases do not apply to a round tripper", left, len(Requests()))
 	}
 }
 
@@ -451,7 +451,7 @@
 			}
 			came := server.since(before)
 			if len(came) != max(tt.Sent, 1) {
-				t.Fatalf("the server got it %d times, want %d", len(came), max(tt.Sent, 1))
+				t.Fatalf("the server got the request %d times, want %d", len(came), max(tt.Sent, 1))
 			}
 			if tt.Reused {
 				time.Sleep(idleWait)
@@ -464,7 +464,7 @@
 			}
 			all := server.since(before)
 			if kept := all[len(all)-1].conn == came[len(came)-1].conn; kept != tt.Reused {
-				t.Errorf("its connection is used again: %v, want %v", kept, tt.Reused)
+				t.Errorf("connection reused: %v, want %v", kept, tt.Reused)
 			}
 		})
 	}
@@ -476,26 +476,26 @@
 	names := map[string]bool{}
 	for _, c := range Requests() {
 		if names[c.Name] {
-			errs = append(errs, fmt.Errorf("two requests are named %s", c.Name))
+			errs = append(errs, fmt.Errorf("duplicate request case name %s", c.Name))
 		}
 		names[c.Name] = true
 		for form, d := range c.Overrides {
 			if d.Reason == "" || d.Want == c.Want {
-				errs = append(errs, fmt.Errorf("%s: %s differs without a reason", c.Name, form))
+				errs = append(errs, fmt.Errorf("%s: override for %s has no reason or equals Want", c.Name, form))
 			}
 		}
 		if !strings.HasSuffix(c.Want, "open") && !strings.HasSuffix(c.Want, "close") {
-			errs = append(errs, fmt.Errorf("%s: nothing is said of the connection", c.Name))
+			errs = append(errs, fmt.Errorf("%s: Want does not end with open or close", c.Name))
 		}
 	}
 	for _, c := range Responses() {
 		if names["answer "+c.Name] {
-			errs = append(errs, fmt.Errorf("two answers are named %s", c.Name))
+			errs = append(errs, fmt.Errorf("duplicate response case name %s", c.Name))
 		}
 		names["answer "+c.Name] = true
 	}
 	if len(Requests()) < 150 || len(Responses()) < 60 {
-		errs = append(errs, fmt.Errorf("%d requests and %d answers: 150 and 60 are wanted", len(Requests()), len(Responses())))
+		errs = append(errs, fmt.Errorf("corpus has %d requests and %d responses, want at least 150 and 60", len(Requests()), len(Responses())))
 	}
 	return errors.Join(errs...)
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo demonstrates a sidecar: it runs stand-in servers, a discovery service and a sidecar in
-// one process, sends real HTTP requests for some seconds while faults are injected, and reports the
-// outcomes together with a check of the four rules.
+// Package demo demonstrates a sidecar: it runs stand-in servers, a discovery service and a sidecar
+// in one process, sends real HTTP requests for some seconds while faults are injected, and reports
+// the outcomes together with a check of the four rules.
 package demo
 
 import (
@@ -172,8 +172,8 @@
 	return hdrhistogram.New(1, (10 * time.Second).Microseconds(), 3)
 }
 
-// runEvents injects the faults at fixed shares of the demo's duration: a server that returns errors,
-// one that drains, one that starts cold and one that loses or corrupts responses.
+// runEvents injects the faults at fixed shares of the demo's duration: a server that returns
+// errors, one that drains, one that starts cold and one that loses or corrupts responses.
 func (r *runner) runEvents(ctx context.Context, boxes map[string]*standin.Server) {
 	steps := []struct {
 		at   float64
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -32,7 +32,7 @@
 		t.Errorf("%d asked, %d served, %d refused, %d failed, %d lost", r.Asked, r.Served, r.Refused, r.Failed, r.Lost)
 	}
 	if len(r.Violations) > 0 {
-		t.Errorf("rules broke: %v", r.Violations)
+		t.Errorf("violated rules: %v", r.Violations)
 	}
 	if r.Served < r.Asked*8/10 {
 		t.Errorf("%d of %d served", r.Served, r.Asked)
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestViolationIsReported checks that a violation reaches the report: requests are sent to a draining
-// server directly, past the sidecar, until after the grace of 2 s.
+// TestViolationIsReported checks that a violation reaches the report: requests are sent to a
+// draining server directly, past the sidecar, until after the grace of 2 s.
 func TestViolationIsReported(t *testing.T) {
 	var pokes sync.WaitGroup
 	r, err := Run(t.Context(), Options{Duration: 5 * time.Second, Rate: 20, OnDrain: func(b *standin.Server) {
@@ -76,15 +76,16 @@
 	}
 }
 
+// TestOptions checks that options out of range are rejected and that a run can be canceled.
 func TestOptions(t *testing.T) {
 	for _, o := range []Options{{Duration: time.Millisecond}, {Duration: 48 * time.Hour}, {Rate: -1}, {Rate: 1e9}} {
 		if _, err := Run(t.Context(), o); err == nil {
-			t.Errorf("%+v is taken", o)
+			t.Errorf("%+v is accepted", o)
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := Run(ctx, Options{Duration: time.Second}); !errors.Is(err, context.Canceled) {
-		t.Errorf("called off: %v", err)
+		t.Errorf("canceled run: %v", err)
 	}
 }
--- a/internal/demo/environment.go
+++ b/internal/demo/environment.go
@@ -22,8 +22,8 @@
 	served chan error
 }
 
-// StartEnvironment starts servers and a sidecar with a limit on open descriptors. Discovery publishes
-// changes of the list after 300 ms.
+// StartEnvironment starts servers and a sidecar with a limit on open descriptors. Discovery
+// publishes changes of the list after 300 ms.
 func StartEnvironment(rules []policy.Class, boxes []standin.ServerConfig, seed uint64, descriptors int) (*Environment, error) {
 	const lag = 300 * time.Millisecond
 	fleet, err := standin.NewFleet(rules, seed, lag)
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -9,39 +9,42 @@
 	"quillfront/policy"
 )
 
-// seeds are few, as each is played under the race detector; more have been by hand.
+// seeds are few because each one also runs under the race detector, which is slow.
 var seeds = []uint64{1, 2}
 
-// requireNoViolations fails t where a rule was broken.
+// requireNoViolations fails t if a rule was violated.
 func requireNoViolations(t *testing.T, w *Simulation) {
 	t.Helper()
 	if a := w.Stats; a.ViolationCount > 0 {
-		t.Errorf("%d breaches of the rules, such as %q", a.ViolationCount, a.Violations)
+		t.Errorf("%d rule violations, including %q", a.ViolationCount, a.Violations)
 	}
 }
 
-// maxInvertedShare is the share of the orders' tries that may be turned away while the same sidecar sends a check: a draw may fall on a
-// server that stands too long a queue for the one and not for the other, which waits longer.
+// maxInvertedShare is the share of tries of orders that may be refused while the same sidecar sends
+// a check: a random pick may hit a server whose queue is too long for the order but not for the
+// check, which has the longer deadline.
 const maxInvertedShare = 0.1
 
-// requireFewInversions fails t where orders give way to checks at the same place.
+// requireFewInversions fails t if a sidecar often refuses orders while it sends checks, which are
+// worth less.
 func requireFewInversions(t *testing.T, w *Simulation) {
 	t.Helper()
 	tries := w.Stats.ClassTotal(classOrder, 0, len(w.Stats.Seconds)).Tries
 	share := float64(w.Stats.InvertedRefusals) / float64(max(tries, 1))
-	t.Logf("%.4f of %d tries of orders are turned away beside a check", share, tries)
+	t.Logf("%.4f of %d tries of orders are refused within checkWindow of a check", share, tries)
 	if share > maxInvertedShare {
-		t.Errorf("%.3f of %d tries of orders are turned away while the same sidecar sends a check", share, tries)
+		t.Errorf("%.3f of %d tries of orders are refused while the same sidecar sends checks", share, tries)
 	}
 }
 
-// inTimeShare is the inTimeShare of a class that was answered in time, of what came in the seconds from from up to to.
+// inTimeShare returns the share of a class's requests of the seconds [from, to) that was answered
+// in time.
 func (w *Simulation) inTimeShare(class, from, to int) float64 {
 	s := w.Stats.ClassTotal(class, from, to)
 	return float64(s.InTime) / float64(max(s.Requests, 1))
 }
 
-// injectErrors has n of the servers that are up in a zone, or anywhere, injectErrors from now on.
+// injectErrors sets the error rate of n available servers in a zone, or in any zone if it is empty.
 func (w *Simulation) injectErrors(n int, zone string, share float64) {
 	for _, v := range w.Up() {
 		if n > 0 && (zone == "" || v.Zone == zone) {
@@ -51,7 +54,7 @@
 	}
 }
 
-// TestDeterminism: one seed gives one account, another another.
+// TestDeterminism checks that equal seeds give equal statistics and different seeds do not.
 func TestDeterminism(t *testing.T) {
 	t.Parallel()
 	play := func(seed uint64) uint64 {
@@ -64,14 +67,15 @@
 	}
 	first := play(1)
 	if again := play(1); again != first {
-		t.Errorf("the same seed gives %x and %x", first, again)
+		t.Errorf("equal seeds give different statistics: %x and %x", first, again)
 	}
 	if other := play(2); other == first {
-		t.Error("another seed gives the same")
+		t.Error("different seeds give equal statistics")
 	}
 }
 
-// TestNormalLoad: calm days are served nearly whole, few sends leave the zone, and few are refused for good.
+// TestNormalLoad checks that nearly all requests are served without faults and that few are sent to
+// another zone.
 func TestNormalLoad(t *testing.T) {
 	t.Parallel()
 	for _, seed := range seeds {
@@ -84,7 +88,7 @@
 		for class := range classMix {
 			sends += a.ClassTotal(class, 0, 10).Sends
 		}
-		t.Logf("seed %d: %.3f served, %.2f of sends abroad, %.2f probes and %.2f handshakes a request", seed, a.ServedShare(1, 10),
+		t.Logf("seed %d: %.3f served, %.2f of sends cross-zone, %.2f probes and %.2f handshakes per send", seed, a.ServedShare(1, 10),
 			float64(a.CrossZoneSends)/float64(sends), float64(a.Probes)/float64(sends), float64(a.Handshakes)/float64(sends))
 		if a.ServedShare(1, 10) < 0.97 {
 			t.Errorf("seed %d: %.3f served", seed, a.ServedShare(1, 10))
@@ -95,7 +99,8 @@
 	}
 }
 
-// runRollout plays a release: six in ten servers are runRollout within 7 s by new ones, some of which err at once.
+// runRollout simulates a release: six in ten servers are replaced within 7 s by new ones, some of
+// which return errors at once.
 func runRollout(seed uint64, change func(*policy.Config)) *Simulation {
 	w := New(Config{Seed: seed, Policy: change})
 	for i, v := range w.Up()[:36] {
@@ -110,8 +115,9 @@
 	return w
 }
 
-// TestRollingReplacement: new servers are used as they warm up, none is pushed over, and nothing is sent to those that drain. Held
-// for cold through the whole ramp they would stand idle while requests are refused.
+// TestRollingReplacement checks that new servers are used while they warm up, that none is
+// overloaded and that nothing is sent to draining ones. Servers treated as cold for the whole ramp
+// would be idle while requests are refused.
 func TestRollingReplacement(t *testing.T) {
 	t.Parallel()
 	var with, without float64
@@ -131,11 +137,12 @@
 		}
 	}
 	if with <= without {
-		t.Errorf("%.3f served, %.3f where new servers are held for cold for longer", with, without)
+		t.Errorf("%.3f served, but %.3f where new servers are treated as cold for longer", with, without)
 	}
 }
 
-// TestNearTotalReplacement: the same at once for all but four, under new ids; what can be done is, and nobody falls over.
+// TestNearTotalReplacement replaces all but four servers within a few seconds, under new IDs. The
+// remaining capacity must be used and no server overloaded.
 func TestNearTotalReplacement(t *testing.T) {
 	t.Parallel()
 	for _, seed := range seeds {
@@ -159,8 +166,9 @@
 	}
 }
 
-// TestNewIDsAtOldAddresses: the same release, in which each new server has the address of the old one, while discovery says nothing
-// and half of the sidecars have just been killed and know the old list. They reach cold servers under the names of warm ones.
+// TestNewIDsAtOldAddresses runs the same release with each new server at the address of the old
+// one, while discovery is silent and half of the sidecars have restarted with the old list. They
+// reach cold servers under the IDs of warm ones.
 func TestNewIDsAtOldAddresses(t *testing.T) {
 	t.Parallel()
 	for _, seed := range seeds {
@@ -192,8 +200,9 @@
 	}
 }
 
-// TestZoneOutage: half of the servers say nothing from one moment on and come back cold, some of the others err. Orders come
-// before what is worth less, and all is well soon after.
+// TestZoneOutage makes half of the servers unresponsive at once and brings them back cold, while
+// some of the others return errors. Orders must be served before classes of lower worth, and
+// service must recover soon after.
 func TestZoneOutage(t *testing.T) {
 	t.Parallel()
 	for _, seed := range seeds {
@@ -232,9 +241,9 @@
 	}
 }
 
-// TestMassSidecarRestart: nine in ten sidecars are killed at once and know an old list only, while servers are replaced and discovery
-// turns all calls away, says nothing, or has too many. The list gets through in the time that the drain rule gives, and calls do
-// not grow with failures.
+// TestMassSidecarRestart restarts nine in ten sidecars at once with an old list, while servers are
+// replaced and discovery refuses calls, is silent, or is overloaded. The list must arrive in the
+// time that the drain rule allows, and failures must not increase the number of calls.
 func TestMassSidecarRestart(t *testing.T) {
 	t.Parallel()
 	for name, mode := range map[string]DiscoveryMode{"overbooked": Answering, "refusing": Refusing, "silent": Silent} {
@@ -276,7 +285,8 @@
 	}
 }
 
-// TestSidecarLinkOutage: a sidecar whose own link is down for 5 s serves as before 2 s after, and no other is the worse for it.
+// TestSidecarLinkOutage checks that a sidecar whose own link was down for 5 s serves as before 2 s
+// after it is back, and that the others are not affected.
 func TestSidecarLinkOutage(t *testing.T) {
 	t.Parallel()
 	for _, seed := range seeds {
@@ -302,7 +312,8 @@
 	}
 }
 
-// TestUnequalShares: one sidecar sends half of all, one a request in ten seconds. Both are served.
+// TestUnequalShares checks that a sidecar with half of all requests and one with a request every
+// ten seconds are both served.
 func TestUnequalShares(t *testing.T) {
 	t.Parallel()
 	shares := slices.Repeat([]float64{1}, 80)
@@ -326,8 +337,8 @@
 	}
 }
 
-// TestRecoveryAfterOverload: twice what servers can do for 6 s, then calm: nothing stays refused, as beliefs find evidence again. While it
-// lasts orders come first.
+// TestRecoveryAfterOverload applies twice the capacity for 6 s and then normal load. Orders must
+// come first during the overload, and refusals must end after it, as estimates get new evidence.
 func TestRecoveryAfterOverload(t *testing.T) {
 	t.Parallel()
 	for _, seed := range seeds {
@@ -348,7 +359,8 @@
 	}
 }
 
-// TestLoadNearCapacity: load that swings about the edge of what servers can do: orders are kept at each swing, and what is served does not lurch.
+// TestLoadNearCapacity alternates the load around the capacity: orders must be served in each
+// period, and the share served must not vary widely.
 func TestLoadNearCapacity(t *testing.T) {
 	t.Parallel()
 	for _, seed := range seeds {
