--- a/internal/conformance/services.go
+++ b/internal/conformance/services.go
@@ -53,10 +53,10 @@
 	for i := range l.drain {
 		s, err := sqlstandin.Start(sqlstandin.Config{
 			Name: fmt.Sprint("l", i), Database: l.db, Users: map[string]string{"sidecar": "inner"},
-			Trouble: func(sql string) (trouble sqlstandin.Trouble) {
+			Fault: func(sql string) (trouble sqlstandin.Fault) {
 				l.faults.Range(func(k, v any) bool {
 					if strings.Contains(sql, k.(string)) && l.faults.CompareAndDelete(k, v) {
-						trouble = *v.(*sqlstandin.Trouble)
+						trouble = *v.(*sqlstandin.Fault)
 					}
 					return true
 				})
@@ -132,7 +132,7 @@
 func statementsExactlyOnce(t *testing.T, start StartServices) {
 	l := newMySQLFixture(t, start)
 	c := l.session(t)
-	for name, trouble := range map[string]sqlstandin.Trouble{"before": {Before: true}, "during": {During: true}, "after": {After: true}, "cut": {Cut: 5}} {
+	for name, trouble := range map[string]sqlstandin.Fault{"before": {CloseBefore: true}, "during": {CloseDuring: true}, "after": {CloseAfter: true}, "cut": {CutAfterBytes: 5}} {
 		l.faults.Store(name, &trouble)
 		_, err := c.ExecContext(context.Background(), fmt.Sprintf("INSERT INTO orders (id, item, qty) VALUES ('%s', 'x', 1)", name))
 		if sqlCode(err) != 9002 {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -256,7 +256,7 @@
 func (r *runner) load(ctx context.Context) error {
 	rng := rand.New(rand.NewPCG(r.Seed, 7))
 	n := 0
-	for at := range load.Arrivals(load.Chain{{Shape: "constant", Last: r.Duration, From: r.Rate}}, rng) {
+	for at := range load.Arrivals(load.Chain{{Shape: "constant", Duration: r.Duration, From: r.Rate}}, rng) {
 		due := r.started.Add(at)
 		n++
 		if !sleepUntil(ctx, due) {
--- a/internal/mysql/session/reply.go
+++ b/internal/mysql/session/reply.go
@@ -8,68 +8,68 @@
 )
 
 const (
-	// MostControl bounds a message of a reply that is read whole: all but definitions and rows.
-	MostControl = 1 << 20
-	// mostColumns bounds the columns of a result; MySQL has 4,096 at most.
-	mostColumns = 1 << 16
+	// MaxControlPacket bounds a message of a reply that is read whole: all but definitions and rows.
+	MaxControlPacket = 1 << 20
+	// maxColumns bounds the columns of a result; MySQL has 4,096 at most.
+	maxColumns = 1 << 16
 )
 
-// ErrUnasked tells that a server has sent what nobody asked for.
-var ErrUnasked = errors.New("the server sends what was not asked for")
+// ErrUnexpectedData tells that a server has sent what nobody asked for.
+var ErrUnexpectedData = errors.New("the server sends what was not asked for")
 
 // phase is what comes next in a reply.
 type phase int
 
 const (
-	first    phase = iota // of a result
-	params                // definitions of parameters
-	paramEnd              // the EOF behind them
-	columns               // definitions of columns
-	columnEnd
-	rows
-	done
+	phaseFirst     phase = iota // of a result
+	phaseParams                 // definitions of parameters
+	phaseParamsEOF              // the EOF behind them
+	phaseColumns                // definitions of columns
+	phaseColumnsEOF
+	phaseRows
+	phaseDone
 )
 
-// Reply follows the packets of a server's reply to one command, so that whoever passes them on knows where it ends and what it says.
-type Reply struct {
-	Reported
+// ReplyTracker follows the packets of a server's reply to one command, so that whoever passes them on knows where it ends and what it says.
+type ReplyTracker struct {
+	ReplySummary
 	Results  int // that have begun
 	Rows     int // packets of rows so far
-	Prepared wire.Prepared
-
-	caps    wire.Capability
-	command wire.Command
-	phase   phase
-	left    int // definitions to come
-	then    int // columns behind parameters
-	more    bool
+	Prepared wire.PrepareOK
+
+	caps         wire.Capability
+	command      wire.Command
+	phase        phase
+	remaining    int // definitions to come
+	columnsAfter int // columns behind parameters
+	rowContinues bool
 }
 
-// NewReply returns a Reply to a command, as those of caps are sent it.
-func NewReply(command wire.Command, caps wire.Capability) *Reply {
-	return &Reply{command: command, caps: caps}
+// NewReplyTracker returns a Reply to a command, as those of caps are sent it.
+func NewReplyTracker(command wire.Command, caps wire.Capability) *ReplyTracker {
+	return &ReplyTracker{command: command, caps: caps}
 }
 
 // Done reports whether the reply has ended.
-func (r *Reply) Done() bool { return r.phase == done }
+func (r *ReplyTracker) Done() bool { return r.phase == phaseDone }
 
 // InRows reports whether rows come next.
-func (r *Reply) InRows() bool { return r.phase == rows }
+func (r *ReplyTracker) InRows() bool { return r.phase == phaseRows }
 
-// Whole decides whether the next packet is to be read whole and given to Take, or is passed on unread and told by Passed.
-func (r *Reply) Whole(p wire.Piece) (bool, error) {
-	if r.more { // it goes on with a row
+// MustReadWhole decides whether the next packet is to be read whole and given to Take, or is passed on unread and told by Passed.
+func (r *ReplyTracker) MustReadWhole(p wire.PacketPrefix) (bool, error) {
+	if r.rowContinues { // it goes on with a row
 		return false, nil
 	}
 	switch r.phase {
-	case done:
-		return false, ErrUnasked
-	case params, columns:
+	case phaseDone:
+		return false, ErrUnexpectedData
+	case phaseParams, phaseColumns:
 		if p.Len == wire.MaxPayload || p.First == 0xff {
 			return true, nil
 		}
 		return false, nil
-	case rows:
+	case phaseRows:
 		switch {
 		case p.First == 0xff:
 			return true, nil
@@ -83,128 +83,128 @@
 	return true, nil
 }
 
-// Passed notes a packet that was passed on unread.
-func (r *Reply) Passed(n int) {
+// Forwarded notes a packet that was passed on unread.
+func (r *ReplyTracker) Forwarded(n int) {
 	switch r.phase {
-	case rows:
-		r.more = n == wire.MaxPayload
+	case phaseRows:
+		r.rowContinues = n == wire.MaxPayload
 		r.Rows++
-	case params, columns:
-		r.defined()
+	case phaseParams, phaseColumns:
+		r.definitionSeen()
 	}
 }
 
-func (r *Reply) defined() {
-	if r.left--; r.left > 0 {
+func (r *ReplyTracker) definitionSeen() {
+	if r.remaining--; r.remaining > 0 {
 		return
 	}
 	if !r.caps.Has(wire.DeprecateEOF) {
 		r.phase++ // to the EOF
 		return
 	}
-	r.behind()
+	r.definitionsDone()
 }
 
-// behind goes on behind definitions.
-func (r *Reply) behind() {
+// definitionsDone goes on definitionsDone definitions.
+func (r *ReplyTracker) definitionsDone() {
 	switch {
-	case r.phase <= paramEnd && r.then > 0:
-		r.phase, r.left, r.then = columns, r.then, 0
+	case r.phase <= phaseParamsEOF && r.columnsAfter > 0:
+		r.phase, r.remaining, r.columnsAfter = phaseColumns, r.columnsAfter, 0
 	case r.command == wire.StmtPrepare:
-		r.phase = done
+		r.phase = phaseDone
 	default:
-		r.phase = rows
+		r.phase = phaseRows
 	}
 }
 
-// Take notes a packet that was read whole.
-func (r *Reply) Take(b []byte) error {
+// Consume notes a packet that was read whole.
+func (r *ReplyTracker) Consume(b []byte) error {
 	if len(b) == 0 {
 		return fmt.Errorf("%w: an empty packet in a reply", wire.ErrMalformed)
 	}
 	if b[0] == 0xff {
 		r.Error = wire.ParseError(b, r.caps)
-		r.phase = done
+		r.phase = phaseDone
 		return nil
 	}
 	switch r.phase {
-	case first:
-		return r.begin(b)
-	case paramEnd, columnEnd:
+	case phaseFirst:
+		return r.beginResult(b)
+	case phaseParamsEOF, phaseColumnsEOF:
 		if b[0] != 0xfe {
 			return fmt.Errorf("%w: no EOF behind definitions", wire.ErrMalformed)
 		}
-		r.behind()
+		r.definitionsDone()
 		return nil
-	case rows:
+	case phaseRows:
 		if r.caps.Has(wire.DeprecateEOF) {
-			return r.finish(b)
+			return r.finishResult(b)
 		}
 		e, err := wire.ParseEOF(b)
 		if err != nil {
 			return err
 		}
-		r.end(wire.OK{Status: e.Status, Warnings: e.Warnings})
+		r.recordEnd(wire.OK{Status: e.Status, Warnings: e.Warnings})
 		return nil
 	}
 	return fmt.Errorf("%w: a definition of a column of %d bytes", wire.ErrMalformed, len(b))
 }
 
-// begin notes the first packet of a result.
-func (r *Reply) begin(b []byte) error {
+// beginResult notes the first packet of a result.
+func (r *ReplyTracker) beginResult(b []byte) error {
 	switch {
 	case r.command == wire.StmtPrepare:
-		p, err := wire.ParsePrepared(b)
+		p, err := wire.ParsePrepareOK(b)
 		if err != nil || b[0] != 0 {
 			return fmt.Errorf("%w: no answer to PREPARE", wire.ErrMalformed)
 		}
-		r.Prepared, r.Silent = p, true
-		r.Warnings = p.Warned > 0
-		r.then = int(p.Columns)
-		if r.left = int(p.Params); r.left > 0 {
-			r.phase = params
+		r.Prepared, r.NoStatus = p, true
+		r.Warnings = p.Warnings > 0
+		r.columnsAfter = int(p.Columns)
+		if r.remaining = int(p.Params); r.remaining > 0 {
+			r.phase = phaseParams
 			return nil
 		}
-		r.behind()
+		r.definitionsDone()
 		return nil
 	case b[0] == 0:
-		return r.finish(b)
+		return r.finishResult(b)
 	case r.command != wire.Query && r.command != wire.StmtExecute:
 		return fmt.Errorf("%w: neither OK nor an error", wire.ErrMalformed)
 	case b[0] == 0xfb:
-		return fmt.Errorf("%w: a file of the client", ErrUnasked)
+		return fmt.Errorf("%w: a file of the client", ErrUnexpectedData)
 	}
-	n, err := wire.Count(b)
+	n, err := wire.ParseColumnCount(b)
 	if err != nil {
 		return err
 	}
-	if n == 0 || n > mostColumns {
+	if n == 0 || n > maxColumns {
 		return fmt.Errorf("%w: a result of %d columns", wire.ErrMalformed, n)
 	}
 	r.Results++
-	r.phase, r.left = columns, int(n)
+	r.phase, r.remaining = phaseColumns, int(n)
 	return nil
 }
 
-func (r *Reply) finish(b []byte) error {
+func (r *ReplyTracker) finishResult(b []byte) error {
 	o, err := wire.ParseOK(b, r.caps)
 	if err != nil {
 		return err
 	}
-	r.end(o)
+	r.recordEnd(o)
 	return nil
 }
 
-// end notes the end of a result.
-func (r *Reply) end(o wire.OK) {
-	if o.InsertID == 0 {
-		o.InsertID = r.OK.InsertID
+// recordEnd notes the recordEnd of a result.
+func (r *ReplyTracker) recordEnd(o wire.OK) {
+	if o.LastInsertID == 0 {
+		o.LastInsertID = r.OK.LastInsertID
 	}
-	o.Affected += r.OK.Affected
+	o.AffectedRows += r.OK.AffectedRows
 	r.OK = o
 	r.Warnings = r.Warnings || o.Warnings > 0
-	r.phase = done
+	r.phase = phaseDone
 	if o.Status&wire.MoreResults != 0 {
-		r.phase = first
+		r.phase = phaseFirst
 	}
 }
--- a/internal/mysql/session/scan.go
+++ b/internal/mysql/session/scan.go
@@ -16,19 +16,19 @@
 	TemporaryTables
 	TableLocks // until UNLOCK TABLES
 	NamedLocks
-	SQLPrepared // PREPARE, as a statement
-	Handlers
+	PreparedInSQL // PREPARE, as a statement
+	OpenHandlers
 	OtherState // of which it is not known how to make it anew
 )
 
-// Ask is what a statement asks for of those before it, which only their connection knows. Bits are joined.
-type Ask uint8
+// ResultInfo is what a statement asks for of those before it, which only their connection knows. Bits are joined.
+type ResultInfo uint8
 
 // The asks.
 const (
-	ForID       Ask = 1 << iota // LAST_INSERT_ID()
-	ForRows                     // FOUND_ROWS(), ROW_COUNT()
-	ForWarnings                 // SHOW WARNINGS
+	InsertIDInfo ResultInfo = 1 << iota // LAST_INSERT_ID()
+	RowCountInfo                        // FOUND_ROWS(), ROW_COUNT()
+	WarningInfo                         // SHOW WARNINGS
 )
 
 // Setting is a SET of a literal, which can be said again to another server.
@@ -42,71 +42,71 @@
 	Class   string
 	Key     string
 	Timeout time.Duration // 0: none
-	Wrong   string        // what cannot be read of it; empty: nothing
+	Invalid string        // what cannot be read of it; empty: nothing
 }
 
 // Kill is a statement that is to end another session or its statement.
 type Kill struct {
-	Query bool // its statement only
-	ID    uint32
+	QueryOnly bool // its statement only
+	ID        uint32
 }
 
 // Statement is what a statement means for a session, as far as its text tells.
 type Statement struct {
-	Verb string // its first word, in lower case; of several statements that of the first
-	Many bool   // there are several
-	// Read tells that it changes nothing, on any server, whatever functions it calls, so that it may be run again.
-	Read     bool
-	Begin    bool // it is BEGIN or START TRANSACTION alone
-	Commit   bool // it is COMMIT alone
-	Rollback bool // it is ROLLBACK alone, of all
-	Commits  bool // it may commit what was done before it in the transaction
-	Unlock   bool // UNLOCK TABLES
-	Pins     Pin
-	Asks     Ask  // for what statements before it have left
-	Counts   bool // SQL_CALC_FOUND_ROWS: the next one may ask
-	Settings []Setting
-	Schema   string // USE
-	Kill     *Kill
-	Local    bool // LOAD DATA LOCAL
-	Opaque   bool // its text may mean something else to the server: it is held for the worst
-	Hint     Hint
+	Verb  string // its first word, in lower case; of several statements that of the first
+	Multi bool   // there are several
+	// ReadOnly tells that it changes nothing, on any server, whatever functions it calls, so that it may be run again.
+	ReadOnly      bool
+	Begin         bool // it is BEGIN or START TRANSACTION alone
+	Commit        bool // it is COMMIT alone
+	Rollback      bool // it is ROLLBACK alone, of all
+	MayCommit     bool // it may commit what was done before it in the transaction
+	UnlockTables  bool // UNLOCK TABLES
+	Pins          Pin
+	Needs         ResultInfo // for what statements before it have left
+	CalcFoundRows bool       // SQL_CALC_FOUND_ROWS: the next one may ask
+	Settings      []Setting
+	Schema        string // USE
+	Kill          *Kill
+	LocalInfile   bool // LOAD DATA LOCAL
+	Ambiguous     bool // its text may mean something else to the server: it is held for the worst
+	Hint          Hint
 }
 
 const (
-	// mostHint bounds a comment that is read as a hint.
-	mostHint = 512
-	// MostSetting bounds a SET that is remembered.
-	MostSetting = 1024
+	// maxHintLength bounds a comment that is read as a hint.
+	maxHintLength = 512
+	// MaxSettingLength bounds a SET that is remembered.
+	MaxSettingLength = 1024
 )
 
 // Scan reads a statement, or several with semicolons between. noBackslash is the server's mode of that name.
 func Scan(sql string, noBackslash bool) Statement {
-	l := &lexer{s: sql, noBackslash: noBackslash}
+	l := &lexer{input: sql, noBackslash: noBackslash}
 	var all []Statement
 	var tokens []token
 	for {
 		t := l.next()
-		if t.kind == end || t.kind == mark && t.text == ";" {
+		if t.kind == tokenEnd || t.kind == tokenPunct && t.text == ";" {
 			if len(tokens) > 0 {
-				all = append(all, one(sql, tokens))
+				all = append(all, scanOne(sql, tokens))
 				tokens = tokens[:0]
 			}
-			if t.kind == end {
+			if t.kind == tokenEnd {
 				break
 			}
 			continue
 		}
 		tokens = append(tokens, t)
 	}
-	s := join(all)
-	s.Opaque = l.opaque || l.code
-	if s.Opaque {
-		s.Read, s.Commits, s.Begin, s.Commit, s.Rollback, s.Settings = false, true, false, false, false, nil
+	s := combine(all)
+	s.Ambiguous = l.ambiguous || l.inVersionComment
+	if s.Ambiguous {
+		s.ReadOnly, s.MayCommit, s.Begin, s.Commit, s.Rollback, s.Settings = false, true, false, false, false, nil
 		s.Pins |= OtherState
 	}
 	for _, c := range l.comments {
-		if h, ok := hint(c); ok {
+		if h, ok := parseHint(c); ok {
 			s.Hint = h
 			break
 		}
@@ -114,131 +114,131 @@
 	return s
 }
 
-// join is what several statements mean that are sent as one.
-func join(all []Statement) Statement {
+// combine is what several statements mean that are sent as one.
+func combine(all []Statement) Statement {
 	switch len(all) {
 	case 0:
-		return Statement{Read: true}
+		return Statement{ReadOnly: true}
 	case 1:
 		return all[0]
 	}
-	s := Statement{Verb: all[0].Verb, Many: true, Read: true}
+	s := Statement{Verb: all[0].Verb, Multi: true, ReadOnly: true}
 	for _, o := range all {
-		s.Read = s.Read && o.Read && !o.Begin
-		s.Commits = s.Commits || o.Commits || o.Commit || o.Begin
+		s.ReadOnly = s.ReadOnly && o.ReadOnly && !o.Begin
+		s.MayCommit = s.MayCommit || o.MayCommit || o.Commit || o.Begin
 		s.Pins |= o.Pins
-		s.Asks |= o.Asks
-		s.Counts = s.Counts || o.Counts
-		s.Local = s.Local || o.Local
-		if len(o.Settings) > 0 || o.Schema != "" || o.Kill != nil || o.Unlock {
+		s.Needs |= o.Needs
+		s.CalcFoundRows = s.CalcFoundRows || o.CalcFoundRows
+		s.LocalInfile = s.LocalInfile || o.LocalInfile
+		if len(o.Settings) > 0 || o.Schema != "" || o.Kill != nil || o.UnlockTables {
 			s.Pins |= OtherState
-			s.Read = false
+			s.ReadOnly = false
 		}
 	}
 	return s
 }
 
-// commits are the statements that end a transaction on their own account.
-var commits = map[string]bool{
+// implicitCommits are the statements that end a transaction on their own account.
+var implicitCommits = map[string]bool{
 	"alter": true, "create": true, "drop": true, "rename": true, "truncate": true, "analyze": true, "cache": true, "check": true,
 	"flush": true, "load": true, "optimize": true, "repair": true, "reset": true, "grant": true, "revoke": true, "install": true,
 	"uninstall": true, "lock": true, "start": true, "begin": true, "change": true, "stop": true, "call": true, "import": true, "xa": true,
 	"clone": true, "restart": true, "shutdown": true, "do": false, "purge": true,
 }
 
-// one reads one statement.
-func one(sql string, t []token) Statement {
+// scanOne reads scanOne statement.
+func scanOne(sql string, t []token) Statement {
 	s := Statement{}
-	if t[0].kind != word {
-		if t[0].kind == mark && t[0].text == "(" {
+	if t[0].kind != tokenWord {
+		if t[0].kind == tokenPunct && t[0].text == "(" {
 			s.Verb = "("
-			s.selects(t)
+			s.scanQuery(t)
 			return s
 		}
-		s.Commits, s.Pins = true, OtherState
+		s.MayCommit, s.Pins = true, OtherState
 		return s
 	}
 	at := func(i int) string {
-		if i < len(t) && t[i].kind == word {
+		if i < len(t) && t[i].kind == tokenWord {
 			return t[i].text
 		}
 		return ""
 	}
 	s.Verb = t[0].text
-	s.Commits = commits[s.Verb]
-	s.functions(t)
+	s.MayCommit = implicitCommits[s.Verb]
+	s.scanReferences(t)
 	switch s.Verb {
 	case "select", "with", "table", "values":
-		s.selects(t)
+		s.scanQuery(t)
 	case "show", "explain", "describe", "desc", "help":
-		s.Read = !s.calls(t)
+		s.ReadOnly = !s.callsUnknownFunction(t)
 		if s.Verb == "show" && (at(1) == "warnings" || at(1) == "errors" || at(1) == "count") {
-			s.Asks |= ForWarnings
+			s.Needs |= WarningInfo
 		}
 		if at(1) == "analyze" { // it runs what it explains
-			s.selects(t[2:])
+			s.scanQuery(t[2:])
 		}
 	case "begin":
-		s.Begin, s.Read = true, len(t) == 1 || at(1) == "work"
+		s.Begin, s.ReadOnly = true, len(t) == 1 || at(1) == "work"
 	case "start":
 		s.Begin = at(1) == "transaction"
-		s.Read = s.Begin
+		s.ReadOnly = s.Begin
 	case "commit":
-		s.Commit, s.Commits = true, true
-		s.chains(t)
+		s.Commit, s.MayCommit = true, true
+		s.scanCompletion(t)
 	case "rollback":
-		s.Rollback = !words(t, "to")
-		s.chains(t)
+		s.Rollback = !containsWord(t, "to")
+		s.scanCompletion(t)
 	case "set":
-		s.set(sql, t)
+		s.scanSet(sql, t)
 	case "use":
 		if len(t) == 2 {
-			s.Schema = strings.Trim(sql[t[1].from:t[1].to], "`")
-			s.Read = true
+			s.Schema = strings.Trim(sql[t[1].start:t[1].end], "`")
+			s.ReadOnly = true
 		}
 	case "unlock":
-		s.Unlock = at(1) == "tables" || at(1) == "table"
-		s.Commits = s.Unlock
+		s.UnlockTables = at(1) == "tables" || at(1) == "table"
+		s.MayCommit = s.UnlockTables
 	case "lock":
 		s.Pins |= TableLocks
 	case "create", "drop":
 		if at(1) == "temporary" || at(1) == "or" && at(3) == "temporary" {
-			s.Commits = false
+			s.MayCommit = false
 			s.Pins |= TemporaryTables
 		}
 	case "prepare", "execute", "deallocate":
-		s.Pins |= SQLPrepared
-		s.Commits = true // who knows what it runs
+		s.Pins |= PreparedInSQL
+		s.MayCommit = true // who knows what it runs
 	case "handler":
-		s.Pins |= Handlers
+		s.Pins |= OpenHandlers
 	case "flush":
-		if words(t, "lock") || words(t, "export") {
+		if containsWord(t, "lock") || containsWord(t, "export") {
 			s.Pins |= TableLocks
 		}
 	case "xa":
 		s.Pins |= OtherState
 	case "load":
-		s.Local = words(t, "local")
+		s.LocalInfile = containsWord(t, "local")
 	case "kill":
-		s.kill(sql, t)
+		s.scanKill(sql, t)
 	case "insert", "replace", "update", "delete", "savepoint", "release", "call", "do", "truncate", "alter", "rename", "analyze", "optimize",
 		"check", "checksum", "repair", "grant", "revoke", "import", "binlog", "reset", "purge", "cache", "install", "uninstall":
 	default:
-		s.Commits = true
+		s.MayCommit = true
 		s.Pins |= OtherState
 	}
 	return s
 }
 
-// words reports whether a word stands somewhere in t.
-func words(t []token, w string) bool {
-	return slices.ContainsFunc(t, func(t token) bool { return t.kind == word && t.text == w })
+// containsWord reports whether a word stands somewhere in t.
+func containsWord(t []token, w string) bool {
+	return slices.ContainsFunc(t, func(t token) bool { return t.kind == tokenWord && t.text == w })
 }
 
-// chains notes an end of a transaction that begins the next, or ends the session.
-func (s *Statement) chains(t []token) {
+// scanCompletion notes an end of a transaction that begins the next, or ends the session.
+func (s *Statement) scanCompletion(t []token) {
 	for i := range t {
-		if t[i].kind == word && (t[i].text == "chain" || t[i].text == "release") && (i == 0 || t[i-1].text != "no") && !words(t, "to") {
+		if t[i].kind == tokenWord && (t[i].text == "chain" || t[i].text == "release") && (i == 0 || t[i-1].text != "no") && !containsWord(t, "to") {
 			s.Commit, s.Rollback = false, false
 			if t[i].text == "release" {
 				s.Pins |= OtherState
@@ -247,9 +247,9 @@
 	}
 }
 
-// pure are the functions that change nothing, and the words that may stand before a parenthesis. A function that is not among them
+// pureWords are the functions that change nothing, and the words that may stand before a parenthesis. A function that is not among them
 // may be one that somebody has stored, and may do anything.
-var pure = func() map[string]bool {
+var pureWords = func() map[string]bool {
 	m := map[string]bool{}
 	for _, w := range strings.Fields(`
 		abs acos adddate addtime any any_value ascii asin atan atan2 avg benchmark bin bin_to_uuid bit_and bit_count bit_length bit_or bit_xor
@@ -277,88 +277,88 @@
 	return m
 }()
 
-// asks are the functions and variables that tell of the statement before.
-var asks = map[string]Ask{"last_insert_id": ForID, "found_rows": ForRows, "row_count": ForRows}
+// infoFunctions are the functions and variables that tell of the statement before.
+var infoFunctions = map[string]ResultInfo{"last_insert_id": InsertIDInfo, "found_rows": RowCountInfo, "row_count": RowCountInfo}
 
-var asksSystem = map[string]Ask{
-	"last_insert_id": ForID, "identity": ForID, "insert_id": ForID, "warning_count": ForWarnings, "error_count": ForWarnings,
+var infoVariables = map[string]ResultInfo{
+	"last_insert_id": InsertIDInfo, "identity": InsertIDInfo, "insert_id": InsertIDInfo, "warning_count": WarningInfo, "error_count": WarningInfo,
 }
 
-// locks are the functions of named locks, which are the session's.
-var locks = map[string]bool{"get_lock": true, "release_lock": true, "release_all_locks": true, "is_free_lock": false, "is_used_lock": false}
+// lockFunctions are the functions of named lockFunctions, which are the session's.
+var lockFunctions = map[string]bool{"get_lock": true, "release_lock": true, "release_all_locks": true, "is_free_lock": false, "is_used_lock": false}
 
-// functions notes what functions and variables in a statement leave in the session, or ask of it.
-func (s *Statement) functions(t []token) {
+// scanReferences notes what scanReferences and variables in a statement leave in the session, or ask of it.
+func (s *Statement) scanReferences(t []token) {
 	for i, k := range t {
 		variable := k.text
 		if n := strings.LastIndexByte(variable, '.'); n >= 0 {
 			variable = variable[n+1:]
 		}
-		called := i+1 < len(t) && t[i+1].kind == mark && t[i+1].text == "("
+		called := i+1 < len(t) && t[i+1].kind == tokenPunct && t[i+1].text == "("
 		switch {
-		case k.kind == word && called && asks[k.text] != 0:
-			s.Asks |= asks[k.text]
-			if k.text == "last_insert_id" && i+2 < len(t) && !(t[i+2].kind == mark && t[i+2].text == ")") {
+		case k.kind == tokenWord && called && infoFunctions[k.text] != 0:
+			s.Needs |= infoFunctions[k.text]
+			if k.text == "last_insert_id" && i+2 < len(t) && !(t[i+2].kind == tokenPunct && t[i+2].text == ")") {
 				s.Pins |= OtherState // it sets it
 			}
-		case k.kind == word && called && locks[k.text]:
+		case k.kind == tokenWord && called && lockFunctions[k.text]:
 			s.Pins |= NamedLocks
-		case k.kind == word && k.text == "sql_calc_found_rows":
-			s.Counts = true
-		case k.kind == system && asksSystem[variable] != 0:
-			s.Asks |= asksSystem[variable]
-		case k.kind == user && i+1 < len(t) && t[i+1].kind == mark && t[i+1].text == ":=":
+		case k.kind == tokenWord && k.text == "sql_calc_found_rows":
+			s.CalcFoundRows = true
+		case k.kind == tokenSystemVar && infoVariables[variable] != 0:
+			s.Needs |= infoVariables[variable]
+		case k.kind == tokenUserVar && i+1 < len(t) && t[i+1].kind == tokenPunct && t[i+1].text == ":=":
 			s.Pins |= UserVariables
-		case k.kind == user && i > 0 && (t[i-1].kind == word && t[i-1].text == "into" || t[i-1].kind == mark && t[i-1].text == "," && words(t[:i], "into")):
+		case k.kind == tokenUserVar && i > 0 && (t[i-1].kind == tokenWord && t[i-1].text == "into" || t[i-1].kind == tokenPunct && t[i-1].text == "," && containsWord(t[:i], "into")):
 			s.Pins |= UserVariables
 		}
 	}
 }
 
-// calls reports whether a statement calls a function that may do anything.
-func (s *Statement) calls(t []token) bool {
+// callsUnknownFunction reports whether a statement callsUnknownFunction a function that may do anything.
+func (s *Statement) callsUnknownFunction(t []token) bool {
 	for i, k := range t {
-		if i+1 >= len(t) || t[i+1].kind != mark || t[i+1].text != "(" {
+		if i+1 >= len(t) || t[i+1].kind != tokenPunct || t[i+1].text != "(" {
 			continue
 		}
-		if k.kind == name || k.kind == word && !pure[k.text] && asks[k.text] == 0 && k.text != "is_free_lock" && k.text != "is_used_lock" {
+		if k.kind == tokenQuotedName || k.kind == tokenWord && !pureWords[k.text] && infoFunctions[k.text] == 0 && k.text != "is_free_lock" && k.text != "is_used_lock" {
 			return true
 		}
 	}
 	return false
 }
 
-// selects judges a query.
-func (s *Statement) selects(t []token) {
-	s.functions(t)
-	s.Read = !s.calls(t) && s.Pins == 0
+// scanQuery judges a query.
+func (s *Statement) scanQuery(t []token) {
+	s.scanReferences(t)
+	s.ReadOnly = !s.callsUnknownFunction(t) && s.Pins == 0
 	for i, k := range t {
-		if k.kind != word {
+		if k.kind != tokenWord {
 			continue
 		}
 		switch k.text {
 		case "into", "update", "delete", "insert", "replace":
 			// A function's name is not what changes something; "for update" and a WITH before UPDATE are.
-			if k.text != "into" && i+1 < len(t) && t[i+1].kind == mark && t[i+1].text == "(" {
+			if k.text != "into" && i+1 < len(t) && t[i+1].kind == tokenPunct && t[i+1].text == "(" {
 				continue
 			}
-			s.Read = false
+			s.ReadOnly = false
 		case "share":
-			s.Read = false // it locks
+			s.ReadOnly = false // it locks
 		}
 	}
 }
 
-// kill reads KILL [CONNECTION | QUERY] id.
-func (s *Statement) kill(sql string, t []token) {
+// scanKill reads KILL [CONNECTION | QUERY] id.
+func (s *Statement) scanKill(sql string, t []token) {
 	k := &Kill{}
 	i := 1
-	if i < len(t) && t[i].kind == word && (t[i].text == "query" || t[i].text == "connection") {
-		k.Query = t[i].text == "query"
+	if i < len(t) && t[i].kind == tokenWord && (t[i].text == "query" || t[i].text == "connection") {
+		k.QueryOnly = t[i].text == "query"
 		i++
 	}
-	if i == len(t)-1 && t[i].kind == number {
-		if n, err := strconv.ParseUint(sql[t[i].from:t[i].to], 10, 32); err == nil {
+	if i == len(t)-1 && t[i].kind == tokenNumber {
+		if n, err := strconv.ParseUint(sql[t[i].start:t[i].end], 10, 32); err == nil {
 			k.ID = uint32(n)
 			s.Kill = k
 			return
@@ -367,24 +367,24 @@
 	s.Pins |= OtherState
 }
 
-// set reads a SET. Only literals can be said again elsewhere.
-func (s *Statement) set(sql string, t []token) {
-	if len(t) < 2 || t[len(t)-1].to-t[0].from > MostSetting {
+// scanSet reads a SET. Only literals can be said again elsewhere.
+func (s *Statement) scanSet(sql string, t []token) {
+	if len(t) < 2 || t[len(t)-1].end-t[0].start > MaxSettingLength {
 		s.Pins |= OtherState
-		s.Commits = true
+		s.MayCommit = true
 		return
 	}
-	whole := sql[t[0].from:t[len(t)-1].to]
+	whole := sql[t[0].start:t[len(t)-1].end]
 	first := ""
-	if t[1].kind == word {
+	if t[1].kind == tokenWord {
 		first = t[1].text
 	}
 	switch first {
 	case "names", "charset":
-		s.settle("names", whole)
+		s.addSetting("names", whole)
 		return
 	case "character":
-		s.settle("names", whole)
+		s.addSetting("names", whole)
 		return
 	case "transaction", "role", "resource":
 		s.Pins |= OtherState
@@ -392,50 +392,50 @@
 	case "password", "default", "global", "persist", "persist_only":
 		return // it changes the server
 	}
-	if (first == "session" || first == "local") && len(t) > 2 && t[2].kind == word && t[2].text == "transaction" {
-		s.settle("transaction", whole)
+	if (first == "session" || first == "local") && len(t) > 2 && t[2].kind == tokenWord && t[2].text == "transaction" {
+		s.addSetting("transaction", whole)
 		return
 	}
 	// name = literal, and so on
 	rest := t[1:]
 	for len(rest) > 0 {
-		n := slices.IndexFunc(rest, func(k token) bool { return k.kind == mark && k.text == "," })
+		n := slices.IndexFunc(rest, func(k token) bool { return k.kind == tokenPunct && k.text == "," })
 		part := rest
 		if n >= 0 {
 			part, rest = rest[:n], rest[n+1:]
 		} else {
 			rest = nil
 		}
-		if !s.assignment(sql, part) {
-			s.Settings, s.Read = nil, false
+		if !s.scanAssignment(sql, part) {
+			s.Settings, s.ReadOnly = nil, false
 			s.Pins |= OtherState
-			s.Commits = true
+			s.MayCommit = true
 			return
 		}
 	}
-	s.Read = s.Pins == 0 && !s.Commits
+	s.ReadOnly = s.Pins == 0 && !s.MayCommit
 }
 
-func (s *Statement) settle(name, sql string) {
+func (s *Statement) addSetting(name, sql string) {
 	s.Settings = append(s.Settings, Setting{name, sql})
-	s.Read = true
+	s.ReadOnly = true
 }
 
-// assignment reads a part of a SET, and reports whether it can be said again.
-func (s *Statement) assignment(sql string, t []token) bool {
+// scanAssignment reads a part of a SET, and reports whether it can be said again.
+func (s *Statement) scanAssignment(sql string, t []token) bool {
 	scope := "session "
-	if len(t) > 0 && t[0].kind == word && (t[0].text == "session" || t[0].text == "local") {
+	if len(t) > 0 && t[0].kind == tokenWord && (t[0].text == "session" || t[0].text == "local") {
 		t = t[1:]
 	}
-	if len(t) < 3 || t[1].kind != mark || t[1].text != "=" && t[1].text != ":=" {
+	if len(t) < 3 || t[1].kind != tokenPunct || t[1].text != "=" && t[1].text != ":=" {
 		return false
 	}
 	variable := t[0].text
 	switch t[0].kind {
-	case user:
+	case tokenUserVar:
 		s.Pins |= UserVariables
 		return true
-	case system:
+	case tokenSystemVar:
 		v, ok := strings.CutPrefix(variable, "session.")
 		if !ok {
 			v, ok = strings.CutPrefix(variable, "local.")
@@ -444,31 +444,31 @@
 			return false
 		}
 		variable = v
-	case word:
+	case tokenWord:
 	default:
 		return false
 	}
 	value := t[2:]
-	if value[0].kind == mark && (value[0].text == "-" || value[0].text == "+") {
+	if value[0].kind == tokenPunct && (value[0].text == "-" || value[0].text == "+") {
 		value = value[1:]
 	}
-	if len(value) != 1 || value[0].kind != text && value[0].kind != number && value[0].kind != word {
+	if len(value) != 1 || value[0].kind != tokenString && value[0].kind != tokenNumber && value[0].kind != tokenWord {
 		return false
 	}
 	if variable == "autocommit" {
-		s.Commits = true
+		s.MayCommit = true
 	}
-	if asksSystem[variable] != 0 || variable == "timestamp" || variable == "rand_seed1" || variable == "rand_seed2" || variable == "pseudo_thread_id" {
+	if infoVariables[variable] != 0 || variable == "timestamp" || variable == "rand_seed1" || variable == "rand_seed2" || variable == "pseudo_thread_id" {
 		return false
 	}
-	s.Settings = append(s.Settings, Setting{variable, "set " + scope + variable + " = " + sql[t[2].from:t[len(t)-1].to]})
+	s.Settings = append(s.Settings, Setting{variable, "set " + scope + variable + " = " + sql[t[2].start:t[len(t)-1].end]})
 	return true
 }
 
-// hint reads a comment as a Hint, and reports whether it is one.
-func hint(comment string) (Hint, bool) {
+// parseHint reads a comment as a Hint, and reports whether it is one.
+func parseHint(comment string) (Hint, bool) {
 	var h Hint
-	if len(comment) > mostHint {
+	if len(comment) > maxHintLength {
 		return h, false
 	}
 	found := false
@@ -485,7 +485,7 @@
 		case "timeout":
 			d, err := time.ParseDuration(value)
 			if err != nil || d <= 0 || d > time.Hour {
-				h.Wrong = "timeout=" + value
+				h.Invalid = "timeout=" + value
 			}
 			h.Timeout = d
 		default:
--- a/internal/mysql/session/state.go
+++ b/internal/mysql/session/state.go
@@ -12,37 +12,37 @@
 // noBackslash is the status that says so.
 const noBackslash wire.Status = 1 << 9
 
-// mostSettings bounds the settings that are remembered; one more binds the session to its server.
-const mostSettings = 32
+// maxSettings bounds the settings that are remembered; one more binds the session to its server.
+const maxSettings = 32
 
 // State is where a session stands. The zero value is not usable; see New.
 type State struct {
-	status   wire.Status
-	pins     Pin
-	settings []Setting
-	schema   string
-	held     bool // its connection is kept for what the latest statement has left there
-	left     Ask  // what can be asked of that connection
-	gone     Ask  // what could be asked of one that was given back, or of a server that has gone
-	aborted  bool // its transaction has gone with a server
-	doubtful bool // its charset has backslashes within letters
+	status           wire.Status
+	pins             Pin
+	settings         []Setting
+	schema           string
+	held             bool       // its connection is kept for what the latest statement has left there
+	available        ResultInfo // what can be asked of that connection
+	lost             ResultInfo // what could be asked of one that was given back, or of a server that has gone
+	aborted          bool       // its transaction has gone with a server
+	backslashCharset bool       // its charset has backslashes within letters
 }
 
 // New returns a session that has just begun.
 func New(schema string, charset byte) *State {
-	return &State{status: wire.Autocommit, schema: schema, doubtful: slices.Contains(wideCharsets, charset)}
+	return &State{status: wire.Autocommit, schema: schema, backslashCharset: slices.Contains(backslashCharsetIDs, charset)}
 }
 
-// wideCharsets are those of big5, sjis, gbk, cp932 and gb18030, by their numbers.
-var wideCharsets = []byte{1, 84, 13, 88, 28, 87, 95, 96, 248, 249, 250}
+// backslashCharsetIDs are those of big5, sjis, gbk, cp932 and gb18030, by their numbers.
+var backslashCharsetIDs = []byte{1, 84, 13, 88, 28, 87, 95, 96, 248, 249, 250}
 
-var wideNames = []string{"big5", "sjis", "gbk", "cp932", "gb18030"}
+var backslashCharsetNames = []string{"big5", "sjis", "gbk", "cp932", "gb18030"}
 
 // Scan reads a statement by the session's modes.
 func (s *State) Scan(sql string) Statement {
 	st := Scan(sql, s.status&noBackslash != 0)
-	if s.doubtful && !st.Opaque && !ascii(sql) {
-		st.Opaque, st.Read, st.Commits = true, false, true
+	if s.backslashCharset && !st.Ambiguous && !ascii(sql) {
+		st.Ambiguous, st.ReadOnly, st.MayCommit = true, false, true
 		st.Begin, st.Commit, st.Rollback, st.Settings = false, false, false, nil
 		st.Pins |= OtherState
 	}
@@ -58,8 +58,8 @@
 	return true
 }
 
-// Schema returns the default schema.
-func (s *State) Schema() string { return s.schema }
+// DefaultSchema returns the default schema.
+func (s *State) DefaultSchema() string { return s.schema }
 
 // Settings returns what has to be said to another server, in its order. It must not be changed.
 func (s *State) Settings() []Setting { return s.settings }
@@ -76,104 +76,104 @@
 // Bound reports whether the session must stay at its server, if it has one.
 func (s *State) Bound() bool { return s.InTransaction() || s.pins != 0 }
 
-// Place says where a statement is run.
-type Place int
+// Placement says where a statement is run.
+type Placement int
 
 // The places.
 const (
-	Anywhere Place = iota // at the server that is picked for it
-	Here                  // on the connection that the session has
-	Nowhere               // it is answered at once
+	AnyServer         Placement = iota // at the server that is picked for it
+	CurrentConnection                  // on the connection that the session has
+	LocalReply                         // it is answered at once
 )
 
 // Plan says what is done with a statement.
 type Plan struct {
-	Place Place
-	Error *wire.Error // with Nowhere: the answer; nil: an OK
+	Placement Placement
+	Error     *wire.Error // with LocalReply: the answer; nil: an OK
 }
 
 // Plan decides where a statement is run. has tells whether the session has a connection to a server.
 func (s *State) Plan(st *Statement, has bool) Plan {
 	switch {
-	case st.Local:
-		return Plan{Nowhere, wire.NotCarried("LOAD DATA LOCAL")}
+	case st.LocalInfile:
+		return Plan{LocalReply, wire.NotSupported("LOAD DATA LOCAL")}
 	case s.aborted && st.Rollback:
 		s.aborted = false
-		return Plan{Place: Nowhere}
+		return Plan{Placement: LocalReply}
 	case s.aborted && st.Commit:
 		s.aborted = false
-		return Plan{Nowhere, wire.RolledBack("its server had gone before COMMIT")}
+		return Plan{LocalReply, wire.RolledBack("its server had gone before COMMIT")}
 	case s.aborted:
-		return Plan{Nowhere, wire.Aborted()}
+		return Plan{LocalReply, wire.TransactionAborted()}
 	case has && s.Bound():
-		return Plan{Place: Here}
-	case has && s.held && st.Asks != 0:
-		return Plan{Place: Here}
-	case !has && st.Asks&s.gone != 0:
-		return Plan{Nowhere, wire.SessionLost("what the last statement had left was given up")}
+		return Plan{Placement: CurrentConnection}
+	case has && s.held && st.Needs != 0:
+		return Plan{Placement: CurrentConnection}
+	case !has && st.Needs&s.lost != 0:
+		return Plan{LocalReply, wire.SessionLost("what the last statement had left was given up")}
 	case !has && s.Bound(): // it cannot be: whoever loses the connection says so by Lost
-		return Plan{Nowhere, wire.SessionLost("no connection")}
+		return Plan{LocalReply, wire.SessionLost("no connection")}
 	}
-	return Plan{Place: Anywhere}
+	return Plan{Placement: AnyServer}
 }
 
-// Reported is what a server has told at the end of a reply.
-type Reported struct {
+// ReplySummary is what a server has told at the end of a reply.
+type ReplySummary struct {
 	OK       wire.OK     // the last one
 	Error    *wire.Error // in place of it
 	Warnings bool
-	Silent   bool // the reply tells no status, as that to PREPARE does not
+	NoStatus bool // the reply tells no status, as that to PREPARE does not
 }
 
-// Ended notes the end of a statement, and decides whether the session keeps its connection: bound to it, or held until its next
+// StatementEnded notes the end of a statement, and decides whether the session keeps its connection: bound to it, or held until its next
 // statement.
-func (s *State) Ended(st *Statement, r Reported) (keep bool) {
+func (s *State) StatementEnded(st *Statement, r ReplySummary) (keep bool) {
 	s.pins |= st.Pins
 	if r.Error == nil {
-		if !r.Silent {
+		if !r.NoStatus {
 			s.status = r.OK.Status
 		}
-		if st.Unlock {
+		if st.UnlockTables {
 			s.pins &^= TableLocks
 		}
 		if st.Schema != "" {
 			s.schema = st.Schema
 		}
 		for _, set := range st.Settings {
-			s.remember(set)
+			s.rememberSetting(set)
 		}
 	}
-	if st.Asks == 0 || !s.held {
-		s.leave(st, r)
+	if st.Needs == 0 || !s.held {
+		s.recordInfo(st, r)
 	}
-	if len(s.settings) > mostSettings {
+	if len(s.settings) > maxSettings {
 		s.pins |= OtherState
 	}
 	return s.Bound() || s.held
 }
 
-// leave notes what st has left on its connection. What changes nothing and has no warnings has left nothing that an answer has not told.
-func (s *State) leave(st *Statement, r Reported) {
-	s.left &^= ForRows | ForWarnings
-	s.gone &^= ForRows | ForWarnings
-	if r.OK.InsertID != 0 {
-		s.left |= ForID
-		s.gone &^= ForID
+// recordInfo notes what st has left on its connection. What changes nothing and has no warnings has left nothing that an answer has not told.
+func (s *State) recordInfo(st *Statement, r ReplySummary) {
+	s.available &^= RowCountInfo | WarningInfo
+	s.lost &^= RowCountInfo | WarningInfo
+	if r.OK.LastInsertID != 0 {
+		s.available |= InsertIDInfo
+		s.lost &^= InsertIDInfo
 	}
-	if st.Counts || !st.Read {
-		s.left |= ForRows
+	if st.CalcFoundRows || !st.ReadOnly {
+		s.available |= RowCountInfo
 	}
 	if r.Warnings || r.Error != nil {
-		s.left |= ForWarnings
+		s.available |= WarningInfo
 	}
-	s.held = s.left&(ForRows|ForWarnings) != 0
+	s.held = s.available&(RowCountInfo|WarningInfo) != 0
 }
 
-func (s *State) remember(set Setting) {
+func (s *State) rememberSetting(set Setting) {
 	s.settings = slices.DeleteFunc(s.settings, func(o Setting) bool { return o.Name == set.Name })
 	s.settings = append(s.settings, set)
 	if set.Name == "names" || set.Name == "character_set_client" {
-		s.doubtful = slices.ContainsFunc(wideNames, func(n string) bool { return containsFold(set.SQL, n) })
+		s.backslashCharset = slices.ContainsFunc(backslashCharsetNames, func(n string) bool { return containsFold(set.SQL, n) })
 	}
 }
 
@@ -193,10 +193,10 @@
 	return false
 }
 
-// Gave notes that the connection has been given back.
-func (s *State) Gave() {
-	s.gone |= s.left | ForRows
-	s.left, s.held = 0, false
+// ConnectionReleased notes that the connection has been given back.
+func (s *State) ConnectionReleased() {
+	s.lost |= s.available | RowCountInfo
+	s.available, s.held = 0, false
 }
 
 // Loss is what becomes of a session whose server has gone.
@@ -205,19 +205,19 @@
 	Close bool        // its connection is closed after that
 }
 
-// Lost decides what becomes of the session when the connection on which st ran has gone; sent tells whether any of it may have come to
+// ConnectionLost decides what becomes of the session when the connection on which st ran has gone; sent tells whether any of it may have come to
 // the server. st is nil where the session was at rest.
 //
 // A server whose connection breaks rolls back what was not committed. So the outcome is unknown only of what may have committed: a
 // COMMIT, a statement that commits on its own account, and, outside of a transaction, each that changes anything.
-func (s *State) Lost(st *Statement, sent bool, why string) Loss {
+func (s *State) ConnectionLost(st *Statement, sent bool, why string) Loss {
 	inTx, pinned := s.InTransaction(), s.pins != 0
 	if st != nil {
 		pinned = pinned || sent && st.Pins != 0
 	}
 	s.status &^= wire.InTransaction
 	s.pins = 0
-	s.Gave()
+	s.ConnectionReleased()
 	l := Loss{Close: pinned}
 	switch {
 	case st == nil:
@@ -228,32 +228,32 @@
 		if pinned {
 			l.Error = wire.SessionLost(why)
 		}
-	case inTx && sent && st.Commits:
-		l.Error = wire.Unknown(why)
+	case inTx && sent && st.MayCommit:
+		l.Error = wire.OutcomeUnknown(why)
 	case inTx:
 		l.Error = wire.RolledBack(why)
 		s.aborted = !st.Commit
-	case st.Read && !pinned:
+	case st.ReadOnly && !pinned:
 		l.Error = wire.Failed(why)
-	case st.Read:
+	case st.ReadOnly:
 		l.Error = wire.SessionLost(why)
 	case !sent:
 		l.Error = wire.Refused(0)
 		if pinned {
 			l.Error = wire.SessionLost(why)
 		}
-	case !s.Autocommit() && !st.Commits:
+	case !s.Autocommit() && !st.MayCommit:
 		l.Error = wire.RolledBack(why)
 		s.aborted = true
 	default:
-		l.Error = wire.Unknown(why)
+		l.Error = wire.OutcomeUnknown(why)
 	}
 	return l
 }
 
 // Reset begins the session anew, as COM_RESET_CONNECTION does, and as COM_CHANGE_USER does with another schema.
 func (s *State) Reset(schema string) {
-	*s = State{status: wire.Autocommit, schema: schema, doubtful: s.doubtful}
+	*s = State{status: wire.Autocommit, schema: schema, backslashCharset: s.backslashCharset}
 }
 
 // MayMove reports whether the session can go on at another server right now.
--- a/internal/mysql/wire/handshake.go
+++ b/internal/mysql/wire/handshake.go
@@ -6,10 +6,10 @@
 	"net"
 )
 
-// Capability is what a side can do.
+// Capability is a set of capability flags.
 type Capability uint32
 
-// The capabilities that are looked at. Their names are the protocol's.
+// The capability flags that this package knows, named as in the protocol.
 const (
 	LongPassword     Capability = 1 << 0
 	FoundRows        Capability = 1 << 1
@@ -36,13 +36,13 @@
 	QueryAttributes  Capability = 1 << 27
 )
 
-// Has reports whether all of o is in c.
+// Has reports whether c contains all flags of o.
 func (c Capability) Has(o Capability) bool { return c&o == o }
 
-// Status is what a server tells of a session at the end of a reply.
+// Status holds the status flags of a session that a server sends at the end of a reply.
 type Status uint16
 
-// The statuses that are looked at.
+// The status flags that this package knows.
 const (
 	InTransaction Status = 1 << 0
 	Autocommit    Status = 1 << 1
@@ -52,7 +52,7 @@
 	StateChanged  Status = 1 << 14
 )
 
-// Command is the first byte of a client's message.
+// Command is the first byte of a client's command packet.
 type Command byte
 
 // The commands.
@@ -79,16 +79,16 @@
 	ResetConnection Command = 0x1f
 )
 
-// The names of the two common ways to prove a password.
+// The names of the supported authentication plugins.
 const (
 	Native = "mysql_native_password"
 	SHA2   = "caching_sha2_password"
 )
 
-// ScrambleSize is how many random bytes a server sends.
+// ScrambleSize is the length of a scramble in bytes.
 const ScrambleSize = 20
 
-// Greeting is a server's first message.
+// Greeting is a server's initial handshake packet.
 type Greeting struct {
 	Version      string
 	ThreadID     uint32
@@ -99,10 +99,11 @@
 	Plugin       string
 }
 
-// ParseGreeting reads a Greeting. A server that turns the client away at once gives its *Error.
+// ParseGreeting decodes a Greeting. If the server rejects the client at once, the error is its
+// *Error.
 func ParseGreeting(b []byte) (Greeting, error) {
 	var g Greeting
-	t := text{b: b}
+	t := payloadReader{b: b}
 	switch v := t.byte(); v {
 	case 10:
 	case 0xff:
@@ -110,7 +111,7 @@
 	default:
 		return g, malformed("a greeting of another protocol")
 	}
-	g.Version, g.ThreadID = t.zero(), t.uint32()
+	g.Version, g.ThreadID = t.nulString(), t.uint32()
 	first := t.take(8)
 	t.byte()
 	low := t.uint16()
@@ -118,27 +119,27 @@
 	g.Capabilities = Capability(low) | Capability(t.uint16())<<16
 	n := int(t.byte())
 	t.take(10)
-	if t.bad {
+	if t.malformed {
 		return g, malformed("a greeting that is cut")
 	}
 	if !g.Capabilities.Has(Protocol41 | SecureConnection) {
 		return g, malformed("a greeting of a server before 4.1")
 	}
 	second := t.take(max(13, n-8))
-	if t.bad || len(second) < ScrambleSize-8 {
+	if t.malformed || len(second) < ScrambleSize-8 {
 		return g, malformed("a greeting without a whole scramble")
 	}
 	g.Scramble = append(append([]byte(nil), first...), second[:ScrambleSize-8]...)
 	g.Plugin = Native
 	if g.Capabilities.Has(PluginAuth) {
-		if g.Plugin = t.zero(); t.bad {
+		if g.Plugin = t.nulString(); t.malformed {
 			return g, malformed("a greeting whose plugin does not end")
 		}
 	}
 	return g, nil
 }
 
-// Append appends g as it is sent.
+// Append appends the encoding of g.
 func (g *Greeting) Append(b []byte) []byte {
 	b = append(append(append(b, 10), g.Version...), 0)
 	b = binary.LittleEndian.AppendUint32(b, g.ThreadID)
@@ -153,39 +154,40 @@
 	return append(append(b, g.Plugin...), 0)
 }
 
-// Login is a client's answer to a Greeting.
+// Login is a client's handshake response to a Greeting.
 type Login struct {
 	Capabilities Capability
 	MaxPacket    uint32
 	Charset      byte
 	User         string
-	Proof        []byte // of the password, by Plugin
+	AuthResponse []byte // to the scramble, by Plugin
 	Schema       string
 	Plugin       string
-	Attributes   []byte // as they stand, without their length
+	Attributes   []byte // connection attributes in encoded form, without their length
 }
 
-// IsSSLRequest reports whether b asks for TLS instead of being a Login.
+// IsSSLRequest reports whether b is a request for TLS rather than a Login.
 func IsSSLRequest(b []byte) bool {
 	return len(b) == 32 && Capability(binary.LittleEndian.Uint32(b)).Has(SSL|Protocol41)
 }
 
-// Behind returns c, of which early has been read already: a client need not wait between its request for TLS and the begin of it.
-// What is early is TLS's, and never taken for a message.
-func Behind(early []byte, c net.Conn) net.Conn {
+// PrefixConn returns a connection that reads early before the rest of c. A client need not wait
+// between its SSL request and the TLS handshake, so a buffered reader may hold bytes of the
+// handshake already. These bytes belong to TLS and are never taken for a message.
+func PrefixConn(early []byte, c net.Conn) net.Conn {
 	if len(early) == 0 {
 		return c
 	}
-	return &behind{Conn: c, early: append([]byte(nil), early...)}
+	return &prefixedConn{Conn: c, early: append([]byte(nil), early...)}
 }
 
-type behind struct {
+type prefixedConn struct {
 	net.Conn
 	early []byte
 }
 
-// Read is the method of net.Conn.
-func (b *behind) Read(p []byte) (int, error) {
+// Read implements net.Conn.
+func (b *prefixedConn) Read(p []byte) (int, error) {
 	if len(b.early) > 0 {
 		n := copy(p, b.early)
 		b.early = b.early[n:]
@@ -194,59 +196,59 @@
 	return b.Conn.Read(p)
 }
 
-// SSLRequest returns the begin of l, which asks for TLS.
-func (l *Login) SSLRequest(b []byte) []byte {
+// AppendSSLRequest appends the first part of l, which by itself is a request for TLS.
+func (l *Login) AppendSSLRequest(b []byte) []byte {
 	b = binary.LittleEndian.AppendUint32(b, uint32(l.Capabilities))
 	b = binary.LittleEndian.AppendUint32(b, l.MaxPacket)
 	return append(append(b, l.Charset), make([]byte, 23)...)
 }
 
-// ErrOldClient tells that a client speaks the protocol of before 4.1.
+// ErrOldClient is returned for a client that speaks a protocol older than 4.1.
 var ErrOldClient = errors.New("clients before 4.1 are not served")
 
-// ParseLogin reads a Login.
+// ParseLogin decodes a Login.
 func ParseLogin(b []byte) (Login, error) {
 	var l Login
-	t := text{b: b}
+	t := payloadReader{b: b}
 	l.Capabilities = Capability(t.uint32())
-	if !t.bad && !l.Capabilities.Has(Protocol41) {
+	if !t.malformed && !l.Capabilities.Has(Protocol41) {
 		return l, ErrOldClient
 	}
 	l.MaxPacket, l.Charset = t.uint32(), t.byte()
 	t.take(23)
-	l.User = t.zero()
+	l.User = t.nulString()
 	switch {
 	case l.Capabilities.Has(PluginAuthLenenc):
-		l.Proof = t.bytes()
+		l.AuthResponse = t.lenencBytes()
 	case l.Capabilities.Has(SecureConnection):
-		l.Proof = t.take(int(t.byte()))
+		l.AuthResponse = t.take(int(t.byte()))
 	default:
-		l.Proof = []byte(t.zero())
+		l.AuthResponse = []byte(t.nulString())
 	}
 	if l.Capabilities.Has(ConnectWithDB) && len(t.b) > 0 {
-		l.Schema = t.zero()
+		l.Schema = t.nulString()
 	}
 	l.Plugin = Native
 	if l.Capabilities.Has(PluginAuth) && len(t.b) > 0 {
-		l.Plugin = t.zero()
+		l.Plugin = t.nulString()
 	}
 	if l.Capabilities.Has(ConnectAttrs) && len(t.b) > 0 {
-		l.Attributes = t.bytes()
+		l.Attributes = t.lenencBytes()
 	}
-	if t.bad {
+	if t.malformed {
 		return l, malformed("a login that is cut")
 	}
 	return l, nil
 }
 
-// Append appends l as it is sent.
+// Append appends the encoding of l.
 func (l *Login) Append(b []byte) []byte {
-	b = l.SSLRequest(b)
+	b = l.AppendSSLRequest(b)
 	b = append(append(b, l.User...), 0)
 	if l.Capabilities.Has(PluginAuthLenenc) {
-		b = AppendText(b, l.Proof)
+		b = AppendLenencString(b, l.AuthResponse)
 	} else {
-		b = append(append(b, byte(len(l.Proof))), l.Proof...)
+		b = append(append(b, byte(len(l.AuthResponse))), l.AuthResponse...)
 	}
 	if l.Capabilities.Has(ConnectWithDB) {
 		b = append(append(b, l.Schema...), 0)
@@ -255,52 +257,52 @@
 		b = append(append(b, l.Plugin...), 0)
 	}
 	if l.Capabilities.Has(ConnectAttrs) {
-		b = AppendText(b, l.Attributes)
+		b = AppendLenencString(b, l.Attributes)
 	}
 	return b
 }
 
 // UserChange is a client's COM_CHANGE_USER.
 type UserChange struct {
-	User    string
-	Proof   []byte
-	Schema  string
-	Charset byte // 0: not told
-	Plugin  string
+	User         string
+	AuthResponse []byte
+	Schema       string
+	Charset      byte // 0: not sent
+	Plugin       string
 }
 
-// ParseUserChange reads a UserChange, with the command's byte.
+// ParseUserChange decodes a UserChange that includes the command byte.
 func ParseUserChange(b []byte, c Capability) (UserChange, error) {
-	t := text{b: b}
+	t := payloadReader{b: b}
 	t.byte()
-	u := UserChange{User: t.zero()}
-	u.Proof = t.take(int(t.byte()))
-	u.Schema = t.zero()
+	u := UserChange{User: t.nulString()}
+	u.AuthResponse = t.take(int(t.byte()))
+	u.Schema = t.nulString()
 	if len(t.b) >= 2 {
 		u.Charset = byte(t.uint16())
 	}
 	u.Plugin = Native
 	if c.Has(PluginAuth) && len(t.b) > 0 {
-		u.Plugin = t.zero()
+		u.Plugin = t.nulString()
 	}
-	if t.bad {
+	if t.malformed {
 		return u, malformed("a change of user that is cut")
 	}
 	return u, nil
 }
 
-// AppendSwitch appends a server's request to prove the password in another way.
-func AppendSwitch(b []byte, plugin string, scramble []byte) []byte {
+// AppendAuthSwitch appends a server's request to authenticate with another plugin.
+func AppendAuthSwitch(b []byte, plugin string, scramble []byte) []byte {
 	b = append(append(append(b, 0xfe), plugin...), 0)
 	return append(append(b, scramble...), 0)
 }
 
-// ParseSwitch reads such a request.
-func ParseSwitch(b []byte) (plugin string, scramble []byte, err error) {
-	t := text{b: b}
+// ParseAuthSwitch decodes an auth switch request.
+func ParseAuthSwitch(b []byte) (plugin string, scramble []byte, err error) {
+	t := payloadReader{b: b}
 	t.byte()
-	plugin = t.zero()
-	if t.bad || len(t.b) < ScrambleSize {
+	plugin = t.nulString()
+	if t.malformed || len(t.b) < ScrambleSize {
 		return "", nil, malformed("a request for another proof that is cut")
 	}
 	return plugin, append([]byte(nil), t.b[:ScrambleSize]...), nil
