--- a/internal/conformance/conformance.go
+++ b/internal/conformance/conformance.go
@@ -177,7 +177,7 @@
 
 // newTestbed starts a fleet and a form whose list is pushed, so that only requests change the state
 // of its balancer.
-func newTestbed(t testing.TB, start Start, change func(*standin.PlatformConfig), boxes ...standin.ServerConfig) *testbed {
+func newTestbed(t testing.TB, start Start, change func(*standin.PlatformConfig), servers ...standin.ServerConfig) *testbed {
 	t.Helper()
 	f, err := standin.NewFleet(Classes(), 1, 0)
 	if err != nil {
@@ -185,7 +185,7 @@
 	}
 	t.Cleanup(f.Close)
 	w := &testbed{fleet: f}
-	for i, cfg := range boxes {
+	for i, cfg := range servers {
 		cfg.ID = fmt.Sprintf("box-%d", i)
 		b, err := f.Start(cfg)
 		if err != nil {
@@ -227,8 +227,8 @@
 	return q
 }
 
-func totalRequests(boxes []*standin.Server) (n int64) {
-	for _, b := range boxes {
+func totalRequests(servers []*standin.Server) (n int64) {
+	for _, b := range servers {
 		n += b.Counts().Requests
 	}
 	return n
@@ -300,8 +300,8 @@
 			continue
 		}
 		t.Run(fmt.Sprintf("%s fault %d", tt.class, tt.fault), func(t *testing.T) {
-			box := standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return tt.fault }}
-			w := newTestbed(t, start, nil, box, box, box)
+			faulty := standin.ServerConfig{Script: func(int, *http.Request) standin.Fault { return tt.fault }}
+			w := newTestbed(t, start, nil, faulty, faulty, faulty)
 			q := newRequest(tt.class)
 			if got := w.Do(t.Context(), q); got.Outcome != tt.want {
 				t.Errorf("%v, want %s", got, tt.want)
@@ -570,9 +570,9 @@
 // ejections are over.
 func RunScripted(t testing.TB, start Start, seed uint64) Transcript {
 	t.Helper()
-	const boxes, rounds = 5, 60
+	const serverCount, rounds = 5, 60
 	var cfgs []standin.ServerConfig
-	for i := range boxes {
+	for i := range serverCount {
 		cfgs = append(cfgs, standin.ServerConfig{
 			Report: func(n int) string { return fmt.Sprintf("TEXT queue=%d", (n*7+i*3)%5) },
 			Script: func(_ int, q *http.Request) standin.Fault {
--- a/internal/conformance/services.go
+++ b/internal/conformance/services.go
@@ -172,12 +172,12 @@
 	l.drain[n] = true
 	l.writeConfig(t)
 	l.Reload()
-	told := time.Now()
+	drainAnnounced := time.Now()
 	for quiet := 0; quiet < 30; quiet++ {
 		if currentServer(t, out) == at {
 			quiet = 0
-			if time.Since(told) > 2*time.Second {
-				t.Fatalf("a statement was sent to the server %v after the drain was announced", time.Since(told))
+			if time.Since(drainAnnounced) > 2*time.Second {
+				t.Fatalf("a statement was sent to the server %v after the drain was announced", time.Since(drainAnnounced))
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -198,17 +198,17 @@
 // streams checks that a failed connect is retried on another server, that a broken stream is reset
 // and not closed cleanly, and that a draining server gets no new streams.
 func streams(t *testing.T, start StartServices) {
-	type box struct {
+	type streamServer struct {
 		net.Listener
-		took atomic.Int64
+		accepted atomic.Int64
 	}
-	var boxes []*box
+	var servers []*streamServer
 	for range 3 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := &box{Listener: ln}
+		b := &streamServer{Listener: ln}
 		t.Cleanup(func() { ln.Close() })
 		go func() {
 			for {
@@ -216,7 +216,7 @@
 				if err != nil {
 					return
 				}
-				b.took.Add(1)
+				b.accepted.Add(1)
 				go func() {
 					defer c.Close()
 					text, _ := io.ReadAll(io.LimitReader(c, 5))
@@ -229,15 +229,15 @@
 				}()
 			}
 		}()
-		boxes = append(boxes, b)
+		servers = append(servers, b)
 	}
-	boxes[2].Close()
+	servers[2].Close()
 	path := filepath.Join(t.TempDir(), "quillfront.toml")
 	write := func(drain bool) {
 		text := fmt.Sprintf("[[pools]]\nname = \"meters\"\nservers = [{id = \"m0\", addr = %q, drain = %v}, {id = \"m1\", addr = %q}, {id = \"m2\", addr = %q}]\n"+
 			"[[pools.classes]]\nname = \"open\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"3s\"\n"+
 			"[[streams]]\nname = \"meters\"\nlisten = \"127.0.0.1:0\"\npool = \"meters\"\nclass = \"open\"\n",
-			boxes[0].Addr(), drain, boxes[1].Addr(), boxes[2].Addr())
+			servers[0].Addr(), drain, servers[1].Addr(), servers[2].Addr())
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -265,11 +265,11 @@
 	}
 	write(true)
 	r.Reload()
-	told, before := time.Now(), int64(-1)
+	drainAnnounced, before := time.Now(), int64(-1)
 	for quiet := 0; quiet < 30; quiet++ {
-		if n := boxes[0].took.Load(); n != before {
-			if before >= 0 && time.Since(told) > 2*time.Second {
-				t.Fatalf("a stream was sent to the server %v after the drain was announced", time.Since(told))
+		if n := servers[0].accepted.Load(); n != before {
+			if before >= 0 && time.Since(drainAnnounced) > 2*time.Second {
+				t.Fatalf("a stream was sent to the server %v after the drain was announced", time.Since(drainAnnounced))
 			}
 			before, quiet = n, 0
 		}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -136,29 +136,29 @@
 		rules = append(rules, c.Class)
 		r.report.Classes[c.Name], r.latencies[c.Name] = &ClassReport{}, newHistogram()
 	}
-	var boxes []standin.ServerConfig
+	var servers []standin.ServerConfig
 	for i, id := range []string{"clare-1", "clare-2", "clare-3", "giru-1", "giru-2", "giru-3"} {
-		boxes = append(boxes, standin.ServerConfig{ID: id, Zone: strings.Split(id, "-")[0], Cell: i % 3, Cores: 2, ServiceTimeFromCost: true, QueueSize: 64})
+		servers = append(servers, standin.ServerConfig{ID: id, Zone: strings.Split(id, "-")[0], Cell: i % 3, Cores: 2, ServiceTimeFromCost: true, QueueSize: 64})
 	}
-	stage, err := StartEnvironment(rules, boxes, o.Seed, 4096)
+	env, err := StartEnvironment(rules, servers, o.Seed, 4096)
 	if err != nil {
 		return nil, err
 	}
-	r.fleet = stage.Fleet
+	r.fleet = env.Fleet
 	transport := &http.Transport{MaxIdleConnsPerHost: maxOpenRequests, MaxConnsPerHost: maxOpenRequests, DisableCompression: true}
-	r.url, r.client = stage.URL, &http.Client{Transport: transport}
+	r.url, r.client = env.URL, &http.Client{Transport: transport}
 
 	r.started = time.Now()
-	var acts sync.WaitGroup
-	playing, played := context.WithCancel(ctx)
-	acts.Go(func() { r.runEvents(playing, stage.Servers) })
-	acts.Go(func() { r.progress(playing) })
+	var background sync.WaitGroup
+	eventsCtx, stopEvents := context.WithCancel(ctx)
+	background.Go(func() { r.runEvents(eventsCtx, env.Servers) })
+	background.Go(func() { r.progress(eventsCtx) })
 	err = r.load(ctx)
 	r.clients.Wait()
-	played()
-	acts.Wait()
+	stopEvents()
+	background.Wait()
 	transport.CloseIdleConnections()
-	if serr := stage.Close(); err == nil {
+	if serr := env.Close(); err == nil {
 		err = serr
 	}
 	if err != nil {
@@ -174,17 +174,17 @@
 
 // runEvents injects the faults at fixed shares of the demo's duration: a server that returns
 // errors, one that drains, one that starts cold and one that loses or corrupts responses.
-func (r *runner) runEvents(ctx context.Context, boxes map[string]*standin.Server) {
+func (r *runner) runEvents(ctx context.Context, servers map[string]*standin.Server) {
 	steps := []struct {
 		at   float64
 		text string
 		do   func() error
 	}{
-		{0.15, "clare-2 errs on 60% of its requests", func() error { boxes["clare-2"].SetFaultRates(standin.FaultRates{ServerError: 0.6}); return nil }},
-		{0.30, "giru-3 is to drain", func() error {
-			r.fleet.ListDraining(boxes["giru-3"])
+		{0.15, "clare-2 returns errors for 60% of its requests", func() error { servers["clare-2"].SetFaultRates(standin.FaultRates{ServerError: 0.6}); return nil }},
+		{0.30, "giru-3 drains", func() error {
+			r.fleet.ListDraining(servers["giru-3"])
 			if r.OnDrain != nil {
-				r.OnDrain(boxes["giru-3"])
+				r.OnDrain(servers["giru-3"])
 			}
 			return nil
 		}},
@@ -192,9 +192,9 @@
 			_, err := r.fleet.Start(standin.ServerConfig{ID: "giru-4", Zone: "giru", Cell: 2, Cores: 2, ServiceTimeFromCost: true, Cold: true})
 			return err
 		}},
-		{0.60, "clare-2 is well again", func() error { boxes["clare-2"].SetFaultRates(standin.FaultRates{}); return nil }},
-		{0.70, "clare-1 loses or spoils 5% of its answers", func() error {
-			boxes["clare-1"].SetFaultRates(standin.FaultRates{NoReply: 0.02, Malformed: 0.02, Reset: 0.01})
+		{0.60, "clare-2 has recovered", func() error { servers["clare-2"].SetFaultRates(standin.FaultRates{}); return nil }},
+		{0.70, "clare-1 drops or corrupts 5% of its responses", func() error {
+			servers["clare-1"].SetFaultRates(standin.FaultRates{NoReply: 0.02, Malformed: 0.02, Reset: 0.01})
 			return nil
 		}},
 	}
@@ -371,10 +371,10 @@
 		n    int
 		text string
 	}{
-		{r.report.Lost, "requests without one final answer in time"},
-		{r.report.Duplicates, "effects that took place twice"},
-		{r.report.LateSendsToDraining, "sends to a draining box later than 2 s after it was told"},
-		{r.report.Overloaded, "cold boxes pushed over"},
+		{r.report.Lost, "requests without a final answer in time"},
+		{r.report.Duplicates, "effects applied twice"},
+		{r.report.LateSendsToDraining, "requests sent to a draining server later than 2 s after the announcement"},
+		{r.report.Overloaded, "cold servers overloaded"},
 	} {
 		if rule.n > 0 {
 			r.report.Violations = append(r.report.Violations, fmt.Sprintf("%d %s", rule.n, rule.text))
@@ -403,7 +403,7 @@
 		text string
 	}{
 		{r.Lost, "each request has one final answer in time"}, {r.Duplicates, "no effect happens twice"},
-		{r.LateSendsToDraining, "nothing new to a draining box after 2 s"}, {r.Overloaded, "no cold box is pushed over"},
+		{r.LateSendsToDraining, "no new request to a draining server after 2 s"}, {r.Overloaded, "no cold server is overloaded"},
 	} {
 		verdict := "kept"
 		if rule.n > 0 {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -38,7 +38,7 @@
 		t.Errorf("%d of %d served", r.Served, r.Asked)
 	}
 	if len(events) < 4 || len(r.Servers) != 7 || r.Servers["giru-3"].Requests == 0 {
-		t.Errorf("events %v, boxes %v", events, r.Servers)
+		t.Errorf("events %v, servers %v", events, r.Servers)
 	}
 	text, err := json.Marshal(r)
 	if err != nil {
--- a/internal/demo/environment.go
+++ b/internal/demo/environment.go
@@ -24,7 +24,7 @@
 
 // StartEnvironment starts servers and a sidecar with a limit on open descriptors. Discovery
 // publishes changes of the list after 300 ms.
-func StartEnvironment(rules []policy.Class, boxes []standin.ServerConfig, seed uint64, descriptors int) (*Environment, error) {
+func StartEnvironment(rules []policy.Class, servers []standin.ServerConfig, seed uint64, descriptors int) (*Environment, error) {
 	const lag = 300 * time.Millisecond
 	fleet, err := standin.NewFleet(rules, seed, lag)
 	if err != nil {
@@ -32,7 +32,7 @@
 	}
 	s := &Environment{Fleet: fleet, Servers: map[string]*standin.Server{}, served: make(chan error, 1)}
 	fleet.Discovery.SetLag(0) // the initial list is published without a lag
-	for _, c := range boxes {
+	for _, c := range servers {
 		b, err := fleet.Start(c)
 		if err != nil {
 			fleet.Close()
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -230,13 +230,13 @@
 		w.Finish()
 		requireNoViolations(t, w)
 		requireFewInversions(t, w)
-		t.Logf("seed %d: in the dark orders %.3f, checks %.3f, bookings %.3f; %.3f on return, %.3f after; most pressure %.2f", seed, w.inTimeShare(classOrder, 8, 13),
+		t.Logf("seed %d: during the outage orders %.3f, checks %.3f, bookings %.3f; %.3f on return, %.3f after; most pressure %.2f", seed, w.inTimeShare(classOrder, 8, 13),
 			w.inTimeShare(classCheck, 8, 13), w.inTimeShare(classBooking, 8, 13), w.Stats.ServedShare(15, 20), w.Stats.ServedShare(21, 26), w.Stats.MaxColdLoad)
 		if w.inTimeShare(classOrder, 8, 13) < w.inTimeShare(classCheck, 8, 13)+0.1 {
 			t.Errorf("seed %d: orders %.3f beside checks %.3f", seed, w.inTimeShare(classOrder, 8, 13), w.inTimeShare(classCheck, 8, 13))
 		}
 		if w.inTimeShare(classOrder, 8, 13) < 0.5 || w.Stats.ServedShare(21, 26) < 0.95 {
-			t.Errorf("seed %d: orders %.3f in the dark, all %.3f after", seed, w.inTimeShare(classOrder, 8, 13), w.Stats.ServedShare(21, 26))
+			t.Errorf("seed %d: orders %.3f during the outage, all %.3f after", seed, w.inTimeShare(classOrder, 8, 13), w.Stats.ServedShare(21, 26))
 		}
 	}
 }
@@ -327,13 +327,13 @@
 		requireFewInversions(t, w)
 		large, small := w.Sidecar(0).Counts(), w.Sidecar(1).Counts()
 		asked, served = asked+small.Requests, served+small.InTime
-		t.Logf("seed %d: %d of %d at the large one, %d of %d at the small one, all %.3f", seed, large.InTime, large.Requests, small.InTime, small.Requests, w.Stats.ServedShare(1, 60))
+		t.Logf("seed %d: %d of %d at the large sidecar, %d of %d at the small one, all %.3f", seed, large.InTime, large.Requests, small.InTime, small.Requests, w.Stats.ServedShare(1, 60))
 		if float64(large.InTime) < 0.95*float64(large.Requests) {
-			t.Errorf("seed %d: the large one serves %d of %d in time", seed, large.InTime, large.Requests)
+			t.Errorf("seed %d: the large sidecar serves %d of %d in time", seed, large.InTime, large.Requests)
 		}
 	}
 	if asked == 0 || float64(served) < 0.7*float64(asked) {
-		t.Errorf("small ones serve %d of %d in time", served, asked)
+		t.Errorf("small sidecars serve %d of %d in time", served, asked)
 	}
 }
 
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -106,7 +106,7 @@
 	if v.recentWork-0.3 > coldOverloadFactor*can {
 		v.overloaded = true
 		v.crash()
-		v.world.Stats.violation("cold server pushed over", fmt.Sprintf("%s of age %v, errs %.1f, %.2f s of work in a second where it can do %.2f", v.ID, v.world.now-v.started, v.ErrorRate, v.recentWork, can))
+		v.world.Stats.violation("cold server overloaded", fmt.Sprintf("%s of age %v, error rate %.1f, %.2f s of work in a second with a capacity of %.2f", v.ID, v.world.now-v.started, v.ErrorRate, v.recentWork, can))
 	}
 }
 
@@ -116,9 +116,9 @@
 		v.queue = v.queue[1:]
 		v.busy++
 		life := v.incarnation
-		crowd := float64(v.busy+len(v.queue))/float64(v.cores) - slowdownThreshold
-		slow := 1 + slowdownPerRequest*max(0, crowd)
-		v.world.after(time.Duration(float64(j.work)/v.speed/v.capacityShare()*slow), func() {
+		excess := float64(v.busy+len(v.queue))/float64(v.cores) - slowdownThreshold
+		slowdown := 1 + slowdownPerRequest*max(0, excess)
+		v.world.after(time.Duration(float64(j.work)/v.speed/v.capacityShare()*slowdown), func() {
 			if v.incarnation != life {
 				return
 			}
--- a/internal/fleetsim/sidecar.go
+++ b/internal/fleetsim/sidecar.go
@@ -278,25 +278,25 @@
 	w := s.world
 	c := w.classes[t.class]
 	if t.ended {
-		w.Stats.violation("sent after its end", c.Name)
+		w.Stats.violation("attempt sent after the try ended", c.Name)
 	}
-	told, known := s.notified[v.ID]
+	since, known := s.notified[v.ID]
 	if out, listed := w.discovery.withdrawn[v.ID]; !known && !s.watching && listed {
-		may := refreshInterval // longest interval between calls; four times as long after a failed call
+		maxInterval := refreshInterval // longest interval between calls; four times as long after a failed call
 		if s.lastCallFailed {
-			may *= 4
+			maxInterval *= 4
 		}
-		told, known = max(out, s.lastCall)+may, true
+		since, known = max(out, s.lastCall)+maxInterval, true
 	}
-	if known && w.now > told+drainGrace+ruleSlack {
-		w.Stats.violation("sent to a server that drains", fmt.Sprintf("%s %v after it was told", v.ID, w.now-told))
+	if known && w.now > since+drainGrace+ruleSlack {
+		w.Stats.violation("attempt sent to a draining or removed server", fmt.Sprintf("%s %v after the notification", v.ID, w.now-since))
 	}
 	for _, a := range t.attempts {
 		if !a.inFlight && a.status.NotRun() || c.Effect != policy.Keyed {
 			continue
 		}
 		if w.now > a.sent+c.KeyTTL+ruleSlack || c.Group == policy.GroupCell && a.server.cell != v.cell {
-			w.Stats.violation("an effect may happen twice", fmt.Sprintf("%s sent again after %v", c.Name, w.now-a.sent))
+			w.Stats.violation("effect may be applied twice", fmt.Sprintf("%s sent again after %v", c.Name, w.now-a.sent))
 		}
 	}
 }
@@ -308,13 +308,13 @@
 		w.Stats.InvertedRefusals++
 	}
 	if t == nil || t.ended {
-		w.Stats.violation("answered twice", "refused")
+		w.Stats.violation("try answered twice", "refused")
 		return
 	}
 	c := w.classes[t.class]
 	if c.Effect == policy.Keyed && c.Group != policy.GroupAll &&
 		slices.ContainsFunc(t.attempts, func(a *attempt) bool { return a.inFlight || !a.status.NotRun() }) {
-		w.Stats.violation("refused what may have run", c.Name)
+		w.Stats.violation("refused a request that may have run", c.Name)
 	}
 	t.ended = true
 	w.Stats.at(w.second(), t.class).Refused++
@@ -325,7 +325,7 @@
 func (s *Sidecar) Fail(id policy.RequestID) {
 	w, t := s.world, s.openTries[id]
 	if t == nil || t.ended {
-		w.Stats.violation("answered twice", "failed")
+		w.Stats.violation("try answered twice", "failed")
 		return
 	}
 	t.ended = true
--- a/internal/fleetsim/stats.go
+++ b/internal/fleetsim/stats.go
@@ -36,10 +36,10 @@
 	return &a.Seconds[second][class]
 }
 
-func (a *Stats) violation(rule, what string) {
+func (a *Stats) violation(rule, detail string) {
 	a.ViolationCount++
 	if len(a.Violations) < maxViolations {
-		a.Violations = append(a.Violations, rule+": "+what)
+		a.Violations = append(a.Violations, rule+": "+detail)
 	}
 }
 
