--- a/internal/conformance/conformance.go
+++ b/internal/conformance/conformance.go
@@ -153,8 +153,8 @@
 	t.Run("ClientTimeout", func(t *testing.T) { clientTimeout(t, start) })
 	t.Run("Bodies", func(t *testing.T) { bodies(t, start) })
 	t.Run("Drain", func(t *testing.T) { drain(t, start) })
-	t.Run("EmptyAndFullAgain", func(t *testing.T) { emptyList(t, start, Failed) })
-	t.Run("Crowd", func(t *testing.T) { concurrentClients(t, start) })
+	t.Run("EmptyList", func(t *testing.T) { emptyList(t, start, Failed) })
+	t.Run("ConcurrentClients", func(t *testing.T) { concurrentClients(t, start) })
 }
 
 // RunRoutes runs the part of the suite that applies to ordinary HTTP against a form that serves by
@@ -164,8 +164,8 @@
 	t.Run("Refusal", func(t *testing.T) { refusal(t, start) })
 	t.Run("ClientLeaves", func(t *testing.T) { clientLeaves(t, start) })
 	t.Run("Drain", func(t *testing.T) { drain(t, start) })
-	t.Run("EmptyAndFullAgain", func(t *testing.T) { emptyList(t, start, Refused) })
-	t.Run("Crowd", func(t *testing.T) { concurrentClients(t, start) })
+	t.Run("EmptyList", func(t *testing.T) { emptyList(t, start, Refused) })
+	t.Run("ConcurrentClients", func(t *testing.T) { concurrentClients(t, start) })
 }
 
 // testbed is a fleet of stand-in servers with a form in front of it.
@@ -255,12 +255,12 @@
 		want string
 	}{
 		{"unknown class", newRequest("novel"), "rejected 404"},
-		{"no time at all", newRequest("read", "X-Timeout-Ms", "soon"), "rejected 400"},
-		{"a negative time", newRequest("read", "X-Timeout-Ms", "-4"), "rejected 400"},
+		{"a timeout that is no number", newRequest("read", "X-Timeout-Ms", "soon"), "rejected 400"},
+		{"a negative timeout", newRequest("read", "X-Timeout-Ms", "-4"), "rejected 400"},
 		{"no key", newRequest("order", "Idempotency-Key", ""), "rejected 400"},
-		{"the method of another effect", wrongMethod, "rejected 405"},
-		{"a body that the class has not", bodied, "rejected 405"},
-		{"an id without end", newRequest("read", "X-Request-ID", strings.Repeat("x", 300)), "rejected 400"},
+		{"GET for an unsafe class", wrongMethod, "rejected 405"},
+		{"POST with a body for a safe class", bodied, "rejected 405"},
+		{"an ID over the limit", newRequest("read", "X-Request-ID", strings.Repeat("x", 300)), "rejected 400"},
 	} {
 		if got := w.Do(t.Context(), tt.ask); got.String() != tt.want {
 			t.Errorf("%s: %v, want %s", tt.name, got, tt.want)
--- a/internal/conformance/services.go
+++ b/internal/conformance/services.go
@@ -32,8 +32,8 @@
 
 // RunServices tests the rules for MySQL statements and TCP streams.
 func RunServices(t *testing.T, start StartServices) {
-	t.Run("StatementsOnce", func(t *testing.T) { statementsExactlyOnce(t, start) })
-	t.Run("StatementsDrain", func(t *testing.T) { statementsDrain(t, start) })
+	t.Run("StatementsExactlyOnce", func(t *testing.T) { statementsExactlyOnce(t, start) })
+	t.Run("StatementsDuringDrain", func(t *testing.T) { statementsDuringDrain(t, start) })
 	t.Run("Streams", func(t *testing.T) { streams(t, start) })
 }
 
@@ -158,9 +158,9 @@
 	}
 }
 
-// statementsDrain checks that, from 2 s after the drain was announced, a draining server gets only
-// statements of its open transactions.
-func statementsDrain(t *testing.T, start StartServices) {
+// statementsDuringDrain checks that, from 2 s after the drain was announced, a draining server gets
+// only statements of its open transactions.
+func statementsDuringDrain(t *testing.T, start StartServices) {
 	l := newMySQLFixture(t, start)
 	in, out := l.session(t), l.session(t)
 	if _, err := in.ExecContext(context.Background(), "BEGIN"); err != nil {
--- a/internal/conformance/wire.go
+++ b/internal/conformance/wire.go
@@ -95,7 +95,7 @@
 	mu       sync.Mutex
 	conns    []net.Conn
 	arrivals []receivedRequest
-	answer   func(id string) (text string, ends bool)
+	answer   func(id string) (text string, closeAfter bool)
 }
 
 const plainOK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -169,9 +169,9 @@
 		s.mu.Lock()
 		answer := s.answer
 		s.mu.Unlock()
-		text, ends := answer(id)
+		text, closeAfter := answer(id)
 		io.WriteString(c, text)
-		if ends {
+		if closeAfter {
 			return
 		}
 	}
@@ -227,7 +227,7 @@
 // RunRequests sends the corpus of requests to the form that start makes.
 func RunRequests(t *testing.T, start StartWireForm) {
 	form, server := newWireTestbed(t, start)
-	left := 0
+	skipped := 0
 	for _, tt := range Requests() {
 		want := tt.Want
 		if d, ok := tt.Overrides[form.Name]; ok {
@@ -243,7 +243,7 @@
 			} else {
 				q, ok := parseForClient(raw)
 				if !ok || tt.SocketsOnly != "" {
-					left++
+					skipped++
 					return
 				}
 				got = form.roundTrip(q)
@@ -252,22 +252,22 @@
 			if got != want {
 				t.Errorf("%q: got %s, want %s", tt.Raw[:min(len(tt.Raw), 200)], got, want)
 			}
-			came := server.since(before)
+			received := server.since(before)
 			served := strings.Count(want, "200")
 			if strings.Contains(tt.Raw, " /healthz HTTP") {
 				served = 0
 			}
-			if len(came) != served {
-				t.Fatalf("the server got %d requests, want %d: %.800s", len(came), served, fmt.Sprintf("%+v", came))
+			if len(received) != served {
+				t.Fatalf("the server got %d requests, want %d: %.800s", len(received), served, fmt.Sprintf("%+v", received))
 			}
 			if served == 0 {
 				return
 			}
-			head, _, _ := strings.Cut(came[0].raw, "\r\n\r\n")
-			lines := strings.Split(came[0].raw, "\r\n")
+			head, _, _ := strings.Cut(received[0].raw, "\r\n\r\n")
+			lines := strings.Split(received[0].raw, "\r\n")
 			for _, line := range tt.Sent {
 				if line = strings.ReplaceAll(line, "~ID~", id); !slices.Contains(lines, line) {
-					t.Errorf("the server did not get %q but %q", line, came[0].raw[:min(len(came[0].raw), 400)])
+					t.Errorf("the server did not get %q but %q", line, received[0].raw[:min(len(received[0].raw), 400)])
 				}
 			}
 			for _, part := range tt.Forbidden {
@@ -284,13 +284,13 @@
 		})
 	}
 	if form.Addr == "" {
-		t.Logf("%d of %d cases do not apply to a round tripper", left, len(Requests()))
+		t.Logf("%d of %d cases do not apply to a round tripper", skipped, len(Requests()))
 	}
 }
 
 // exchange writes raw on a new connection and returns the statuses received and the final state of
 // the connection, in the format of RequestCase.Want.
-func exchange(t *testing.T, addr, raw string, half, head bool, answers int) string {
+func exchange(t *testing.T, addr, raw string, halfClose, headRequest bool, answers int) string {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -301,25 +301,25 @@
 	go func() {
 		defer close(written)
 		io.WriteString(c, raw) // a write error is ignored: only the answer matters
-		if half {
+		if halfClose {
 			c.(*net.TCPConn).CloseWrite()
 		}
 	}()
 	defer func() { c.Close(); <-written }()
 	r := bufio.NewReader(c)
 	var got []string
-	var asked *http.Request // nil is a GET
-	if head {
-		asked = &http.Request{Method: http.MethodHead}
+	var request *http.Request // nil is a GET
+	if headRequest {
+		request = &http.Request{Method: http.MethodHead}
 	}
 	for {
-		resp, err := http.ReadResponse(r, asked)
-		var broken net.Error
+		resp, err := http.ReadResponse(r, request)
+		var netErr net.Error
 		switch {
-		case errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &broken):
+		case errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &netErr):
 			return strings.Join(append(got, "close"), " ")
 		case err != nil:
-			return strings.Join(append(got, "nonsense"), " ")
+			return strings.Join(append(got, "malformed"), " ")
 		}
 		if resp.StatusCode == http.StatusContinue {
 			continue
@@ -338,7 +338,7 @@
 		if resp.Close || len(got) < answers {
 			continue // expect the close, or another answer
 		}
-		if half {
+		if halfClose {
 			return strings.Join(append(got, "open"), " ")
 		}
 		if _, err := io.WriteString(c, "GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n"); err != nil {
@@ -419,7 +419,7 @@
 			if class == "" {
 				class = "pay"
 			}
-			q, behind := newRequest(class), newRequest("read")
+			q, following := newRequest(class), newRequest("read")
 			id := q.Header["X-Request-ID"]
 			if tt.TimeoutMs != "" {
 				q.Header["X-Timeout-Ms"] = tt.TimeoutMs
@@ -449,9 +449,9 @@
 					t.Errorf("%s is %q", name, v)
 				}
 			}
-			came := server.since(before)
-			if len(came) != max(tt.Sent, 1) {
-				t.Fatalf("the server got the request %d times, want %d", len(came), max(tt.Sent, 1))
+			received := server.since(before)
+			if len(received) != max(tt.Sent, 1) {
+				t.Fatalf("the server got the request %d times, want %d", len(received), max(tt.Sent, 1))
 			}
 			if tt.Reused {
 				time.Sleep(idleWait)
@@ -459,11 +459,11 @@
 			// The next request must be served whatever state this response left the connection in.
 			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 			defer cancel()
-			if next := form.Do(ctx, behind); next.Outcome != Served || next.Body != "ok" {
+			if next := form.Do(ctx, following); next.Outcome != Served || next.Body != "ok" {
 				t.Errorf("the next request: %v", next)
 			}
 			all := server.since(before)
-			if kept := all[len(all)-1].conn == came[len(came)-1].conn; kept != tt.Reused {
+			if kept := all[len(all)-1].conn == received[len(received)-1].conn; kept != tt.Reused {
 				t.Errorf("connection reused: %v, want %v", kept, tt.Reused)
 			}
 		})
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -14,7 +14,7 @@
 	// ErrorRate is the share of attempts that are answered with an error at once, 0 to 1.
 	ErrorRate float64
 
-	world        *Simulation
+	sim          *Simulation
 	slot         int
 	cell         int
 	cores        int
@@ -50,7 +50,7 @@
 	if v.started == 0 {
 		return 1
 	}
-	byTime := float64(v.world.now-v.started) / float64(ramp)
+	byTime := float64(v.sim.now-v.started) / float64(ramp)
 	byWork := float64(v.completed) / float64(warmRequests*v.cores)
 	return coldCapacity + (1-coldCapacity)*min(1, max(byTime, byWork))
 }
@@ -76,8 +76,8 @@
 	v.recordWork(work)
 	switch {
 	case v.overloaded:
-	case v.ErrorRate > 0 && v.world.rng.Float64() < v.ErrorRate:
-		v.world.after(2*ms, func() { done(policy.AppError) })
+	case v.ErrorRate > 0 && v.sim.rng.Float64() < v.ErrorRate:
+		v.sim.after(2*ms, func() { done(policy.AppError) })
 	case len(v.queue) >= queuePerCore*v.cores:
 		done(policy.Overloaded)
 	default:
@@ -94,7 +94,7 @@
 		v.recent, v.recentWork = nil, 0
 		return
 	}
-	now := v.world.now
+	now := v.sim.now
 	for len(v.recent) > 0 && now-v.recent[0].at > sec {
 		v.recentWork -= v.recent[0].work
 		v.recent = v.recent[1:]
@@ -102,11 +102,11 @@
 	v.recent = append(v.recent, arrival{now, work.Seconds()})
 	v.recentWork += work.Seconds()
 	can := float64(v.cores) * v.speed * w
-	v.world.Stats.MaxColdLoad = max(v.world.Stats.MaxColdLoad, (v.recentWork-0.3)/can)
+	v.sim.Stats.MaxColdLoad = max(v.sim.Stats.MaxColdLoad, (v.recentWork-0.3)/can)
 	if v.recentWork-0.3 > coldOverloadFactor*can {
 		v.overloaded = true
 		v.crash()
-		v.world.Stats.violation("cold server overloaded", fmt.Sprintf("%s of age %v, error rate %.1f, %.2f s of work in a second with a capacity of %.2f", v.ID, v.world.now-v.started, v.ErrorRate, v.recentWork, can))
+		v.sim.Stats.violation("cold server overloaded", fmt.Sprintf("%s of age %v, error rate %.1f, %.2f s of work in a second with a capacity of %.2f", v.ID, v.sim.now-v.started, v.ErrorRate, v.recentWork, can))
 	}
 }
 
@@ -115,11 +115,11 @@
 		j := v.queue[0]
 		v.queue = v.queue[1:]
 		v.busy++
-		life := v.incarnation
+		incarnation := v.incarnation
 		excess := float64(v.busy+len(v.queue))/float64(v.cores) - slowdownThreshold
 		slowdown := 1 + slowdownPerRequest*max(0, excess)
-		v.world.after(time.Duration(float64(j.work)/v.speed/v.capacityShare()*slowdown), func() {
-			if v.incarnation != life {
+		v.sim.after(time.Duration(float64(j.work)/v.speed/v.capacityShare()*slowdown), func() {
+			if v.incarnation != incarnation {
 				return
 			}
 			v.busy--
@@ -132,7 +132,7 @@
 
 // report returns the queue length in the load report, which is renewed every reportInterval.
 func (v *Server) report() float64 {
-	if at := (v.world.now - reportLag).Truncate(reportInterval); at != v.reportedAt {
+	if at := (v.sim.now - reportLag).Truncate(reportInterval); at != v.reportedAt {
 		v.reportedAt, v.reported = at, float64(len(v.queue))
 	}
 	return v.reported
@@ -152,7 +152,7 @@
 
 // RestartCold brings an unresponsive server back, cold and under the same id.
 func (v *Server) RestartCold() {
-	v.unresponsive, v.removed, v.draining, v.overloaded, v.started, v.completed, v.recent, v.recentWork = false, false, false, false, v.world.now, 0, nil, 0
+	v.unresponsive, v.removed, v.draining, v.overloaded, v.started, v.completed, v.recent, v.recentWork = false, false, false, false, v.sim.now, 0, nil, 0
 }
 
 // entry returns the server's entry in the discovery list.
@@ -166,7 +166,7 @@
 
 // discovery publishes the server list with a lag and handles list calls one after another.
 type discovery struct {
-	world     *Simulation
+	sim       *Simulation
 	list      []policy.Server
 	withdrawn map[policy.ServerID]policy.Time // when it first published each as draining or removed
 	freeAt    policy.Time                     // when the calls in the queue are finished
@@ -194,14 +194,14 @@
 	for _, s := range w.sidecars {
 		if s.watching {
 			s.watching, s.lastCallFailed = false, true
-			s.module.UpdateServers(w.now, policy.ListFailed, nil, s)
+			s.balancer.UpdateServers(w.now, policy.ListFailed, nil, s)
 		}
 	}
 }
 
 // publish sends the current list to all sidecars that watch it.
 func (d *discovery) publish() {
-	w := d.world
+	w := d.sim
 	if d.withdrawn == nil {
 		d.withdrawn = map[policy.ServerID]policy.Time{}
 	}
@@ -230,14 +230,14 @@
 
 // call handles a sidecar's call to watch the list.
 func (d *discovery) call(s *Sidecar) {
-	w, life := d.world, s.incarnation
+	w, incarnation := d.sim, s.incarnation
 	d.Calls++
 	w.Stats.ListCalls = d.Calls
 	fail := func(after time.Duration) {
 		w.after(after, func() {
-			if s.incarnation == life {
+			if s.incarnation == incarnation {
 				s.lastCallFailed = true
-				s.module.UpdateServers(w.now, policy.ListFailed, nil, s)
+				s.balancer.UpdateServers(w.now, policy.ListFailed, nil, s)
 			}
 		})
 	}
@@ -256,10 +256,10 @@
 	}
 	d.freeAt = w.now + wait + time.Duration(float64(len(d.list))/w.cfg.ListRate*float64(sec))
 	w.after(d.freeAt-w.now, func() {
-		if s.incarnation == life && d.mode == Answering {
+		if s.incarnation == incarnation && d.mode == Answering {
 			s.watching = true
 			s.deliverList(0, d.list)
-		} else if s.incarnation == life {
+		} else if s.incarnation == incarnation {
 			fail(0)
 		}
 	})
--- a/internal/fleetsim/sidecar.go
+++ b/internal/fleetsim/sidecar.go
@@ -14,11 +14,11 @@
 	// Disconnected simulates a failure of the sidecar's own link: nothing that it sends arrives.
 	Disconnected bool
 
-	world          *Simulation
+	sim            *Simulation
 	ordinal        int
 	share          float64
 	incarnation    int // number of starts
-	module         *policy.Balancer
+	balancer       *policy.Balancer
 	watching       bool
 	lastCall       policy.Time                     // time of the last call for the list, or of the start
 	lastCallFailed bool                            // whether that call failed
@@ -63,7 +63,7 @@
 
 // start creates a balancer that knows a cached, possibly outdated list.
 func (s *Sidecar) start(known []policy.Server) {
-	w := s.world
+	w := s.sim
 	s.incarnation++
 	s.openTries, s.idleConns, s.notified = map[policy.RequestID]*try{}, map[policy.ServerID][]policy.Time{}, map[policy.ServerID]policy.Time{}
 	s.watching, s.lastCall, s.lastCallFailed = false, w.now, false
@@ -79,23 +79,23 @@
 	if err != nil {
 		panic(err) // only an invalid configuration from the test gets here
 	}
-	s.module = m
+	s.balancer = m
 	m.UpdateServers(w.now, policy.ListCached, slices.Clone(known), s)
 }
 
 // Restart replaces the balancer by a new one that knows a cached list. Open tries are lost, and
 // their clients may retry.
 func (s *Sidecar) Restart(known []policy.Server) {
-	held := s.openTries
+	open := s.openTries
 	s.start(known)
-	ids := make([]policy.RequestID, 0, len(held))
-	for id := range held {
+	ids := make([]policy.RequestID, 0, len(open))
+	for id := range open {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		if t := held[id]; !t.ended && !t.done {
-			s.world.after(ms, func() { s.retry(t) })
+		if t := open[id]; !t.ended && !t.done {
+			s.sim.after(ms, func() { s.retry(t) })
 		}
 	}
 }
@@ -105,9 +105,9 @@
 
 // deliverList passes a full list to the balancer after a delay.
 func (s *Sidecar) deliverList(after time.Duration, list []policy.Server) {
-	w, life := s.world, s.incarnation
+	w, incarnation := s.sim, s.incarnation
 	w.after(after, func() {
-		if s.incarnation != life {
+		if s.incarnation != incarnation {
 			return
 		}
 		ready := map[policy.ServerID]bool{}
@@ -121,13 +121,13 @@
 				s.notified[v.ID] = w.now
 			}
 		}
-		s.module.UpdateServers(w.now, policy.ListFull, slices.Clone(list), s)
+		s.balancer.UpdateServers(w.now, policy.ListFull, slices.Clone(list), s)
 	})
 }
 
 // scheduleArrival schedules the arrival of the next request.
 func (s *Sidecar) scheduleArrival() {
-	w := s.world
+	w := s.sim
 	rate := w.rate * s.share
 	if rate <= 0 {
 		w.after(100*ms, s.scheduleArrival)
@@ -142,7 +142,7 @@
 }
 
 func (s *Sidecar) arrive() {
-	w := s.world
+	w := s.sim
 	class, u := 0, w.rng.Float64()
 	for u >= classMix[class].share && class < len(classMix)-1 {
 		u -= classMix[class].share
@@ -160,17 +160,17 @@
 }
 
 func (s *Sidecar) startTry(r *request) {
-	w := s.world
+	w := s.sim
 	c := w.classes[r.class]
 	r.tries++
 	left := r.arrived + c.Deadline - w.now
 	t := &try{request: r, expires: w.now + min(left, time.Duration(tryShare*float64(c.Deadline)))}
 	s.lastID++
-	id, life := s.lastID, s.incarnation
+	id, incarnation := s.lastID, s.incarnation
 	s.openTries[id] = t
 	w.Stats.at(w.second(), r.class).Tries++
 	w.after(t.expires-w.now+answerGrace+ruleSlack, func() {
-		if s.incarnation != life {
+		if s.incarnation != incarnation {
 			return
 		}
 		if !t.ended {
@@ -180,12 +180,12 @@
 			delete(s.openTries, id)
 		}
 	})
-	s.module.Request(w.now, policy.Request{ID: id, Class: c.Name, Key: r.key, Cost: r.hint, Expires: t.expires}, s)
+	s.balancer.Request(w.now, policy.Request{ID: id, Class: c.Name, Key: r.key, Cost: r.hint, Expires: t.expires}, s)
 }
 
 // retry starts the client's next try after a failed one, if retries and time remain.
 func (s *Sidecar) retry(t *try) {
-	w := s.world
+	w := s.sim
 	c := w.classes[t.class]
 	if t.done || t.tries > w.cfg.Retries || w.now+w.cfg.Backoff+10*ms >= t.arrived+c.Deadline {
 		return
@@ -194,9 +194,9 @@
 }
 
 // finishAttempt records the outcome of an attempt, once, and reports it to the balancer.
-func (s *Sidecar) finishAttempt(id policy.RequestID, number int, life int, status policy.Status) {
-	w, t := s.world, s.openTries[id]
-	if s.incarnation != life || t == nil || !t.attempts[number].inFlight {
+func (s *Sidecar) finishAttempt(id policy.RequestID, number int, incarnation int, status policy.Status) {
+	w, t := s.sim, s.openTries[id]
+	if s.incarnation != incarnation || t == nil || !t.attempts[number].inFlight {
 		return
 	}
 	a := t.attempts[number]
@@ -208,11 +208,11 @@
 		t.ended = true
 		s.recordServed(t)
 	}
-	s.module.Outcome(w.now, policy.Outcome{ID: id, Attempt: number, Server: a.server.ID, Status: status, Delay: w.now - a.sent, Final: t.ended}, s)
+	s.balancer.Outcome(w.now, policy.Outcome{ID: id, Attempt: number, Server: a.server.ID, Status: status, Delay: w.now - a.sent, Final: t.ended}, s)
 }
 
 func (s *Sidecar) recordServed(t *try) {
-	w := s.world
+	w := s.sim
 	if t.done {
 		return
 	}
@@ -230,7 +230,7 @@
 
 // Send implements policy.Actions: it sends an attempt to a server.
 func (s *Sidecar) Send(id policy.RequestID, to policy.ServerID, timeout time.Duration) {
-	w, t, v, life := s.world, s.openTries[id], s.world.byID[to], s.incarnation
+	w, t, v, incarnation := s.sim, s.openTries[id], s.sim.byID[to], s.incarnation
 	if t == nil || v == nil {
 		return
 	}
@@ -246,7 +246,7 @@
 		s.lastCheck = w.now
 	}
 	t.attempts = append(t.attempts, a)
-	w.after(timeout, func() { s.finishAttempt(id, number, life, policy.Timeout) })
+	w.after(timeout, func() { s.finishAttempt(id, number, incarnation, policy.Timeout) })
 	travel, work := w.travel(s, v), t.work
 	idle := slices.DeleteFunc(s.idleConns[to], func(at policy.Time) bool { return w.now-at > connIdleTimeout })
 	if v.successor != nil && v.removed {
@@ -257,7 +257,7 @@
 	} else {
 		w.Stats.Handshakes++
 		if s.Disconnected || v.unresponsive || v.removed || v.overloaded {
-			w.after(dialTimeout, func() { s.finishAttempt(id, number, life, policy.ConnectFailed) })
+			w.after(dialTimeout, func() { s.finishAttempt(id, number, incarnation, policy.ConnectFailed) })
 			return
 		}
 		travel += 2*w.travel(s, v) + handshakeTime
@@ -268,14 +268,14 @@
 	}
 	w.after(travel, func() {
 		v.accept(work, func(st policy.Status) {
-			w.after(w.travel(s, v), func() { s.finishAttempt(id, number, life, st) })
+			w.after(w.travel(s, v), func() { s.finishAttempt(id, number, incarnation, st) })
 		})
 	})
 }
 
 // checkSend records the rules that sending an attempt of t to v violates.
 func (s *Sidecar) checkSend(t *try, v *Server) {
-	w := s.world
+	w := s.sim
 	c := w.classes[t.class]
 	if t.ended {
 		w.Stats.violation("attempt sent after the try ended", c.Name)
@@ -303,7 +303,7 @@
 
 // Refuse ends a try with a refusal; its client usually retries.
 func (s *Sidecar) Refuse(id policy.RequestID, _ time.Duration) {
-	w, t := s.world, s.openTries[id]
+	w, t := s.sim, s.openTries[id]
 	if t != nil && t.class == classOrder && w.now-s.lastCheck <= checkWindow {
 		w.Stats.InvertedRefusals++
 	}
@@ -323,7 +323,7 @@
 
 // Fail ends a try with a failure; the client retries if a repeated run is safe.
 func (s *Sidecar) Fail(id policy.RequestID) {
-	w, t := s.world, s.openTries[id]
+	w, t := s.sim, s.openTries[id]
 	if t == nil || t.ended {
 		w.Stats.violation("try answered twice", "failed")
 		return
@@ -337,23 +337,23 @@
 
 // Cancel cancels an attempt; its server continues to work on it.
 func (s *Sidecar) Cancel(id policy.RequestID, attempt int) {
-	life := s.incarnation
-	s.world.after(0, func() { s.finishAttempt(id, attempt, life, policy.Canceled) })
+	incarnation := s.incarnation
+	s.sim.after(0, func() { s.finishAttempt(id, attempt, incarnation, policy.Canceled) })
 }
 
 // SetTimer schedules a Timer event.
 func (s *Sidecar) SetTimer(after time.Duration, token string) {
-	w, life := s.world, s.incarnation
+	w, incarnation := s.sim, s.incarnation
 	w.after(after, func() {
-		if s.incarnation == life {
-			s.module.Timer(w.now, token, s)
+		if s.incarnation == incarnation {
+			s.balancer.Timer(w.now, token, s)
 		}
 	})
 }
 
 // Probe requests a server's load report.
 func (s *Sidecar) Probe(to policy.ServerID) {
-	w, v, life := s.world, s.world.byID[to], s.incarnation
+	w, v, incarnation := s.sim, s.sim.byID[to], s.incarnation
 	if v != nil {
 		v = v.listener()
 	}
@@ -371,8 +371,8 @@
 	}
 	result.Delay = took
 	w.after(took, func() {
-		if s.incarnation == life {
-			s.module.Probed(w.now, result, s)
+		if s.incarnation == incarnation {
+			s.balancer.Probed(w.now, result, s)
 		}
 	})
 }
@@ -382,18 +382,18 @@
 	if !on {
 		return
 	}
-	s.lastCall, s.lastCallFailed = s.world.now, false
+	s.lastCall, s.lastCallFailed = s.sim.now, false
 	if s.Disconnected {
-		life := s.incarnation
-		s.world.after(s.world.cfg.CallTimeout, func() {
-			if s.incarnation == life {
+		incarnation := s.incarnation
+		s.sim.after(s.sim.cfg.CallTimeout, func() {
+			if s.incarnation == incarnation {
 				s.lastCallFailed = true
-				s.module.UpdateServers(s.world.now, policy.ListFailed, nil, s)
+				s.balancer.UpdateServers(s.sim.now, policy.ListFailed, nil, s)
 			}
 		})
 		return
 	}
-	s.world.discovery.call(s)
+	s.sim.discovery.call(s)
 }
 
 // CloseIdle closes the idle connections to a server.
--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -116,7 +116,7 @@
 	w := &Simulation{
 		cfg: cfg, now: origin, rng: rand.New(rand.NewPCG(cfg.Seed, 26)), classes: Classes(), byID: map[policy.ServerID]*Server{}, rate: cfg.Rate,
 	}
-	w.discovery.world = w
+	w.discovery.sim = w
 	for i := range cfg.Servers {
 		w.Add(i, 0)
 	}
@@ -130,7 +130,7 @@
 		sum += shares[i]
 	}
 	for i := range cfg.Sidecars {
-		s := &Sidecar{world: w, ordinal: i, share: shares[i] / sum}
+		s := &Sidecar{sim: w, ordinal: i, share: shares[i] / sum}
 		w.sidecars = append(w.sidecars, s)
 		s.start(w.discovery.list)
 		s.scheduleArrival()
@@ -185,7 +185,7 @@
 // means long ago, so that it is warm.
 func (w *Simulation) Add(place int, age time.Duration) *Server {
 	w.serverCount++
-	v := &Server{world: w, ID: policy.ServerID(fmt.Sprintf("s%03d", w.serverCount)), slot: place, Zone: string(rune('a' + place%2)), cell: place / 6}
+	v := &Server{sim: w, ID: policy.ServerID(fmt.Sprintf("s%03d", w.serverCount)), slot: place, Zone: string(rune('a' + place%2)), cell: place / 6}
 	switch (place / 2) % 3 {
 	case 0:
 		v.cores, v.speed = 3, 2
