--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -392,7 +392,7 @@
 		c := r.Classes[name]
 		fmt.Fprintf(&b, "%-18s %7d %7d %6d %8d %7d %9.1f %9.1f\n", name, c.Asked, c.Served, c.Late, c.Refused, c.Failed, c.P50, c.P99)
 	}
-	fmt.Fprintf(&b, "\n%-18s %7s %7s  %s\n", "box", "sends", "share", "")
+	fmt.Fprintf(&b, "\n%-18s %7s %7s  %s\n", "server", "sends", "share", "")
 	for _, name := range slices.Sorted(maps.Keys(r.Servers)) {
 		x := r.Servers[name]
 		fmt.Fprintf(&b, "%-18s %7d %6.1f%%  %s\n", name, x.Requests, 100*x.Share, x.Note)
