--- a/internal/conformance/services.go
+++ b/internal/conformance/services.go
@@ -21,28 +21,28 @@
 	sqlstandin "quillfront/internal/mysql/standin"
 )
 
-// Services are services that run by an operator's file.
+// Services are running services configured by an operator's file.
 type Services struct {
-	Addr   func(name string) string // where a service listens
-	Reload func()                   // has the file read again
+	Addr   func(name string) string // returns the address of a service's listener
+	Reload func()                   // reloads the file
 }
 
-// StartServices starts services by an operator's file, until the test ends.
+// StartServices starts services with an operator's file and stops them when the test ends.
 type StartServices func(t testing.TB, path string) Services
 
-// RunServices runs the rules as they apply to statements and streams.
+// RunServices tests the rules for MySQL statements and TCP streams.
 func RunServices(t *testing.T, start StartServices) {
-	t.Run("StatementsOnce", func(t *testing.T) { statementsExactlyOnce(t, start) })
-	t.Run("StatementsDrain", func(t *testing.T) { statementsDrain(t, start) })
+	t.Run("StatementsExactlyOnce", func(t *testing.T) { statementsExactlyOnce(t, start) })
+	t.Run("StatementsDuringDrain", func(t *testing.T) { statementsDuringDrain(t, start) })
 	t.Run("Streams", func(t *testing.T) { streams(t, start) })
 }
 
-// mysqlFixture are stand-in servers of MySQL with a front before them.
+// mysqlFixture holds stand-in MySQL servers with a MySQL service in front of them.
 type mysqlFixture struct {
 	Services
 	db      *sqlstandin.Database
 	servers []*sqlstandin.Server
-	faults  sync.Map // by what a statement holds
+	faults  sync.Map // one-time faults, keyed by a substring of the statement
 	dir     string
 	drain   [3]bool
 }
@@ -126,8 +126,9 @@
 	return v
 }
 
-// statementsExactlyOnce: each statement has one answer; what may have run is never sent again and called unknown, what provably changes nothing
-// is answered by another server, and what no server got is called so.
+// statementsExactlyOnce checks that each statement gets one answer: a write that may have run is
+// not retried and reports an unknown outcome, a read is retried on another server, and a statement
+// that reached no server reports a refusal.
 func statementsExactlyOnce(t *testing.T, start StartServices) {
 	l := newMySQLFixture(t, start)
 	c := l.session(t)
@@ -135,7 +136,7 @@
 		l.faults.Store(name, &trouble)
 		_, err := c.ExecContext(context.Background(), fmt.Sprintf("INSERT INTO orders (id, item, qty) VALUES ('%s', 'x', 1)", name))
 		if sqlCode(err) != 9002 {
-			t.Errorf("%s: %v, want that the outcome is unknown", name, err)
+			t.Errorf("%s: %v, want error 9002: outcome unknown", name, err)
 		}
 		l.faults.Store("read "+name, &trouble)
 		var v string
@@ -150,15 +151,16 @@
 		s.Close()
 	}
 	if _, err := c.ExecContext(context.Background(), "INSERT INTO orders (id, item, qty) VALUES ('none', 'x', 1)"); sqlCode(err) != 9001 {
-		t.Errorf("with no server: %v, want that it was refused", err)
+		t.Errorf("with no server: %v, want error 9001: refused", err)
 	}
 	if l.db.Executed()["none"] > 0 {
 		t.Error("it was executed")
 	}
 }
 
-// statementsDrain: from 2 s after it was told on, no statement goes to a server that drains but those of the transactions that it has.
-func statementsDrain(t *testing.T, start StartServices) {
+// statementsDuringDrain checks that, from 2 s after the drain was announced, a draining server gets
+// only statements of its open transactions.
+func statementsDuringDrain(t *testing.T, start StartServices) {
 	l := newMySQLFixture(t, start)
 	in, out := l.session(t), l.session(t)
 	if _, err := in.ExecContext(context.Background(), "BEGIN"); err != nil {
@@ -170,18 +172,18 @@
 	l.drain[n] = true
 	l.writeConfig(t)
 	l.Reload()
-	told := time.Now()
+	drainAnnounced := time.Now()
 	for quiet := 0; quiet < 30; quiet++ {
 		if currentServer(t, out) == at {
 			quiet = 0
-			if time.Since(told) > 2*time.Second {
-				t.Fatalf("a statement goes to the server %v after it was told", time.Since(told))
+			if time.Since(drainAnnounced) > 2*time.Second {
+				t.Fatalf("a statement was sent to the server %v after the drain was announced", time.Since(drainAnnounced))
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	if currentServer(t, in) != at {
-		t.Error("the transaction has moved")
+		t.Error("the transaction moved to another server")
 	}
 	for _, sql := range []string{"INSERT INTO orders (id, item, qty) VALUES ('in', 'x', 1)", "COMMIT"} {
 		if _, err := in.ExecContext(context.Background(), sql); err != nil {
@@ -189,24 +191,24 @@
 		}
 	}
 	if currentServer(t, in) == at {
-		t.Error("the session stays behind COMMIT")
+		t.Error("the session is still on the draining server after COMMIT")
 	}
 }
 
-// streams: a connect that fails is tried elsewhere, a stream that breaks is reset and never ends as a whole one, and a server that drains
-// gets no new one.
+// streams checks that a failed connect is retried on another server, that a broken stream is reset
+// and not closed cleanly, and that a draining server gets no new streams.
 func streams(t *testing.T, start StartServices) {
-	type box struct {
+	type streamServer struct {
 		net.Listener
-		took atomic.Int64
+		accepted atomic.Int64
 	}
-	var boxes []*box
+	var servers []*streamServer
 	for range 3 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := &box{Listener: ln}
+		b := &streamServer{Listener: ln}
 		t.Cleanup(func() { ln.Close() })
 		go func() {
 			for {
@@ -214,7 +216,7 @@
 				if err != nil {
 					return
 				}
-				b.took.Add(1)
+				b.accepted.Add(1)
 				go func() {
 					defer c.Close()
 					text, _ := io.ReadAll(io.LimitReader(c, 5))
@@ -227,15 +229,15 @@
 				}()
 			}
 		}()
-		boxes = append(boxes, b)
+		servers = append(servers, b)
 	}
-	boxes[2].Close()
+	servers[2].Close()
 	path := filepath.Join(t.TempDir(), "quillfront.toml")
 	write := func(drain bool) {
 		text := fmt.Sprintf("[[pools]]\nname = \"meters\"\nservers = [{id = \"m0\", addr = %q, drain = %v}, {id = \"m1\", addr = %q}, {id = \"m2\", addr = %q}]\n"+
 			"[[pools.classes]]\nname = \"open\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"3s\"\n"+
 			"[[streams]]\nname = \"meters\"\nlisten = \"127.0.0.1:0\"\npool = \"meters\"\nclass = \"open\"\n",
-			boxes[0].Addr(), drain, boxes[1].Addr(), boxes[2].Addr())
+			servers[0].Addr(), drain, servers[1].Addr(), servers[2].Addr())
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -259,15 +261,15 @@
 		}
 	}
 	if got, err := say("break"); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("one that breaks: %q, %v", got, err)
+		t.Errorf("a stream that breaks: %q, %v", got, err)
 	}
 	write(true)
 	r.Reload()
-	told, before := time.Now(), int64(-1)
+	drainAnnounced, before := time.Now(), int64(-1)
 	for quiet := 0; quiet < 30; quiet++ {
-		if n := boxes[0].took.Load(); n != before {
-			if before >= 0 && time.Since(told) > 2*time.Second {
-				t.Fatalf("a stream goes to the server %v after it was told", time.Since(told))
+		if n := servers[0].accepted.Load(); n != before {
+			if before >= 0 && time.Since(drainAnnounced) > 2*time.Second {
+				t.Fatalf("a stream was sent to the server %v after the drain was announced", time.Since(drainAnnounced))
 			}
 			before, quiet = n, 0
 		}
--- a/internal/conformance/wire_requests.go
+++ b/internal/conformance/wire_requests.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// Reasons for which forms differ.
+// Reasons why the expected result differs between forms.
 const (
-	parsedByNetHTTP   = "net/http's server reads the head; it takes this, and what it has read is sent on anew and framed once"
-	netHTTPStatus     = "net/http's server turns this away by a status of its own"
-	applicationLimit  = "the bound of a head is the application's, by http.Server.MaxHeaderBytes or its own code"
-	netHTTPPipelining = "net/http's server holds what comes behind a request and serves it afterwards"
+	parsedByNetHTTP   = "net/http's server parses the head and accepts this; the request is then written anew with one framing"
+	netHTTPStatus     = "net/http's server rejects this with a status of its own"
+	applicationLimit  = "the application limits the size of a head, by http.Server.MaxHeaderBytes or its own code"
+	netHTTPPipelining = "net/http's server buffers a pipelined request and serves it afterwards"
 )
 
-// handlerOnly is a difference of the handler's.
+// handlerOnly returns an override for the handler.
 func handlerOnly(want, reason string) map[string]Override {
 	return map[string]Override{Handler: {want, reason}}
 }
 
-// libraryForms is a difference of both forms that live in an application.
+// libraryForms returns an override for the two forms that run inside an application.
 func libraryForms(want, reason string) map[string]Override {
 	return map[string]Override{Handler: {want, reason}, RoundTripper: {want, reason}}
 }
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\nHost: s\nX-Request-ID: ~ID~\nIdempotency-Key: key-~ID~\n%sContent-Length: %d\n\n%s", target, joinLines(lines), len(body), body)
 }
 
-// rawFramed is a request that says itself how long its body is.
+// rawFramed returns a POST request whose framing headers are given in lines.
 func rawFramed(body string, lines ...string) string {
 	return "POST /pay/k HTTP/1.1\nHost: s\nX-Request-ID: ~ID~\n" + joinLines(lines) + "\n" + body
 }
@@ -44,14 +44,14 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// Requests returns the corpus of requests.
+// Requests returns the corpus of client requests.
 func Requests() []RequestCase {
 	const bad = "400 close"
 	chunked := "Transfer-Encoding: chunked"
 	kib64 := strings.Repeat("0123456789abcdef", 4<<10)
 	cases := []RequestCase{
-		// What is served, and how it comes to the server.
-		{Name: "a plain one", Raw: rawGet("/read/k"), Want: "200 open", Sent: []string{"GET /read/k HTTP/1.1", "Host: s", "X-Request-ID: ~ID~"}, Forbidden: []string{"content-length", "connection"}},
+		// Served requests, and the bytes that reach the server.
+		{Name: "a plain request", Raw: rawGet("/read/k"), Want: "200 open", Sent: []string{"GET /read/k HTTP/1.1", "Host: s", "X-Request-ID: ~ID~"}, Forbidden: []string{"content-length", "connection"}},
 		{Name: "a query", Raw: rawGet("/read/k?a=/../b&&c=%20;d"), Want: "200 open", Sent: []string{"GET /read/k?a=/../b&&c=%20;d HTTP/1.1"}},
 		{Name: "escapes stay", Raw: rawGet("/read/a%2Fb//c/%41"), Want: "200 open", Sent: []string{"GET /read/a%2Fb//c/%41 HTTP/1.1"}},
 		{Name: "an escape in the class", Raw: rawGet("/re%61d/k"), Want: "200 open", Sent: []string{"GET /re%61d/k HTTP/1.1"}},
@@ -65,12 +65,12 @@
 		{Name: "empty segments in the key", Raw: rawGet("/read//k/"), Want: "200 open", Sent: []string{"GET /read//k/ HTTP/1.1"}},
 		{Name: "a long target", Raw: rawGet("/read/" + strings.Repeat("k", 6000)), Want: "200 open"},
 		{Name: "an empty query", Raw: rawGet("/read/k?"), Want: "200 open", Sent: []string{"GET /read/k? HTTP/1.1"}},
-		{Name: "a keyed one", Raw: rawPost("/order/k", "body"), Want: "200 open", Sent: []string{"POST /order/k HTTP/1.1", "Idempotency-Key: key-~ID~", "Content-Length: 4", "body"}},
-		{Name: "an unsafe one", Raw: rawPost("/pay/k", "body"), Want: "200 open", Sent: []string{"Content-Length: 4", "body"}},
-		{Name: "no body where one may be", Raw: rawPost("/pay/k", ""), Want: "200 open", Sent: []string{"Content-Length: 0"}},
+		{Name: "a keyed request", Raw: rawPost("/order/k", "body"), Want: "200 open", Sent: []string{"POST /order/k HTTP/1.1", "Idempotency-Key: key-~ID~", "Content-Length: 4", "body"}},
+		{Name: "an unsafe request", Raw: rawPost("/pay/k", "body"), Want: "200 open", Sent: []string{"Content-Length: 4", "body"}},
+		{Name: "an optional body is absent", Raw: rawPost("/pay/k", ""), Want: "200 open", Sent: []string{"Content-Length: 0"}},
 		{Name: "no length", Raw: rawFramed(""), Want: "200 open", Sent: []string{"Content-Length: 0"}},
 		{Name: "a length of leading zeros", Raw: rawFramed("hello", "Content-Length: 0005"), Want: "200 open", Sent: []string{"Content-Length: 5", "hello"}},
-		{Name: "no length for a safe one, said", Raw: rawGet("/read/k", "Content-Length: 0"), Want: "200 open"},
+		{Name: "an explicit length of 0 for a safe request", Raw: rawGet("/read/k", "Content-Length: 0"), Want: "200 open"},
 		{Name: "64 KiB", Raw: rawPost("/pay/k", kib64), Want: "200 open", Sent: []string{"Content-Length: 65536", kib64}},
 		{Name: "chunks", Raw: rawFramed("2\nhe\n3\nllo\n0\n\n", chunked), Want: "200 open", Sent: []string{"Content-Length: 5", "hello"}, Forbidden: []string{"transfer-encoding"}},
 		{Name: "chunks, in another case", Raw: rawFramed("2\nhe\n3\nllo\n0\n\n", "TRANSFER-encoding:\tChunked "), Want: "200 open", Sent: []string{"Content-Length: 5", "hello"}},
@@ -101,20 +101,20 @@
 		{Name: "Connection: close among others", Raw: rawGet("/read/k", "Connection: x-a,, CLOSE ,", "X-A: 1"), Want: "200 close", Forbidden: []string{"x-a", "connection"}},
 		{Name: "Connection: keep-alive", Raw: rawGet("/read/k", "Connection: keep-alive", "Keep-Alive: timeout=9999"), Want: "200 open", Forbidden: []string{"keep-alive"}},
 		{Name: "close and keep-alive", Raw: rawGet("/read/k", "Connection: keep-alive, close"), Want: "200 close"},
-		{Name: "a nominated line", Raw: rawGet("/read/k", "Connection: X-Mine, x-other", "x-mine: 1", "X-OTHER: 2", "X-Third: 3"), Want: "200 open", Sent: []string{"X-Third: 3"}, Forbidden: []string{"x-mine", "x-other"}},
-		{Name: "lines of one connection", Raw: rawGet("/read/k", "TE: trailers", "Proxy-Connection: keep-alive", "Proxy-Authorization: Basic x", "Upgrade: h2c", "Connection: TE, Upgrade"), Want: "200 open", Forbidden: []string{"te:", "proxy-", "upgrade"}},
-		{Name: "an upgrade is not made", Raw: rawGet("/read/k", "Connection: Upgrade", "Upgrade: websocket", "Sec-Websocket-Key: x"), Want: "200 open", Sent: []string{"Sec-Websocket-Key: x"}, Forbidden: []string{"upgrade"}},
+		{Name: "a header nominated by Connection", Raw: rawGet("/read/k", "Connection: X-Mine, x-other", "x-mine: 1", "X-OTHER: 2", "X-Third: 3"), Want: "200 open", Sent: []string{"X-Third: 3"}, Forbidden: []string{"x-mine", "x-other"}},
+		{Name: "hop-by-hop headers", Raw: rawGet("/read/k", "TE: trailers", "Proxy-Connection: keep-alive", "Proxy-Authorization: Basic x", "Upgrade: h2c", "Connection: TE, Upgrade"), Want: "200 open", Forbidden: []string{"te:", "proxy-", "upgrade"}},
+		{Name: "an upgrade is ignored", Raw: rawGet("/read/k", "Connection: Upgrade", "Upgrade: websocket", "Sec-Websocket-Key: x"), Want: "200 open", Sent: []string{"Sec-Websocket-Key: x"}, Forbidden: []string{"upgrade"}},
 		{Name: "a trailer that is announced", Raw: rawFramed("0\nX-Late: 1\n\n", chunked, "Trailer: X-Late"), Want: "200 open", Forbidden: []string{"trailer:", "x-late"}},
-		{Name: "what a server would say", Raw: rawGet("/read/k", "X-Not-Processed: 1", "Retry-After: 9", "X-Server-Load: TEXT queue=1"), Want: "200 open", Sent: []string{"X-Not-Processed: 1"}},
-		{Name: "hints that cannot be read", Raw: rawGet("/read/k", "X-Cost: many", "X-Cost: 7", "X-Retried: yes", "X-Retried: 1", "X-Attrs: ,,=,"), Want: "200 open", Sent: []string{"X-Cost: many", "X-Attrs: ,,=,"}},
-		{Name: "a wait without end", Raw: rawGet("/read/k", "X-Timeout-Ms: 18446744073709551615"), Want: "200 open"},
-		{Name: "an empty wait", Raw: rawGet("/read/k", "X-Timeout-Ms:"), Want: "200 open"},
+		{Name: "response headers in a request", Raw: rawGet("/read/k", "X-Not-Processed: 1", "Retry-After: 9", "X-Server-Load: TEXT queue=1"), Want: "200 open", Sent: []string{"X-Not-Processed: 1"}},
+		{Name: "malformed hints", Raw: rawGet("/read/k", "X-Cost: many", "X-Cost: 7", "X-Retried: yes", "X-Retried: 1", "X-Attrs: ,,=,"), Want: "200 open", Sent: []string{"X-Cost: many", "X-Attrs: ,,=,"}},
+		{Name: "the longest timeout", Raw: rawGet("/read/k", "X-Timeout-Ms: 18446744073709551615"), Want: "200 open"},
+		{Name: "an empty timeout", Raw: rawGet("/read/k", "X-Timeout-Ms:"), Want: "200 open"},
 		{Name: "the longest key", Raw: rawFramed("", "Idempotency-Key: "+strings.Repeat("k", httpcall.MaxIdentifierLength)), Want: "200 open"},
-		{Name: "cookies and authority", Raw: rawGet("/read/k", "Cookie: a=b; c=d", "Authorization: Bearer x.y"), Want: "200 open", Sent: []string{"Cookie: a=b; c=d", "Authorization: Bearer x.y"}},
+		{Name: "cookies and authorization", Raw: rawGet("/read/k", "Cookie: a=b; c=d", "Authorization: Bearer x.y"), Want: "200 open", Sent: []string{"Cookie: a=b; c=d", "Authorization: Bearer x.y"}},
 		{Name: "health", Raw: "GET /healthz HTTP/1.1\nHost: s\n\n", Want: "200 open", SocketsOnly: "a round tripper has no listener to ask"},
 
-		// Where a request ends.
-		{Name: "a length and chunks", Raw: rawFramed("0\n\nGET /read/smuggled HTTP/1.1\nHost: s\nX-Request-ID: ~ID~x\n\n", "Content-Length: 60", chunked), Want: bad, Overrides: handlerOnly("200 200 open", parsedByNetHTTP+"; what stands behind the chunks is the next request to it")},
+		// Message framing.
+		{Name: "a length and chunks", Raw: rawFramed("0\n\nGET /read/smuggled HTTP/1.1\nHost: s\nX-Request-ID: ~ID~x\n\n", "Content-Length: 60", chunked), Want: bad, Overrides: handlerOnly("200 200 open", parsedByNetHTTP+"; the bytes after the chunks are the next request to it")},
 		{Name: "chunks and a length", Raw: rawFramed("0\n\n", chunked, "Content-Length: 5"), Want: bad, Overrides: handlerOnly("200 open", parsedByNetHTTP)},
 		{Name: "one length twice", Raw: rawFramed("hello", "Content-Length: 5", "Content-Length: 5"), Want: bad, Overrides: handlerOnly("200 open", parsedByNetHTTP)},
 		{Name: "two lengths", Raw: rawFramed("hello", "Content-Length: 5", "Content-Length: 6"), Want: bad},
@@ -127,9 +127,9 @@
 		{Name: "a length of a word", Raw: rawFramed("hello", "Content-Length: five"), Want: bad},
 		{Name: "an empty length", Raw: rawFramed("", "Content-Length:"), Want: bad},
 		{Name: "a length beyond 64 bits", Raw: rawFramed("", "Content-Length: 18446744073709551621"), Want: bad},
-		{Name: "a length beyond what may be", Raw: rawFramed("", "Content-Length: 33554433"), Want: "413 close"},
+		{Name: "a length over the limit", Raw: rawFramed("", "Content-Length: 33554433"), Want: "413 close"},
 		{Name: "a length of 60 MB", Raw: rawFramed("hello", "Content-Length: 60000000"), Want: "413 close"},
-		{Name: "too long, and asked first", Raw: rawFramed("", "Content-Length: 33554433", "Expect: 100-continue"), Want: "413 close"},
+		{Name: "too long, with 100-continue", Raw: rawFramed("", "Content-Length: 33554433", "Expect: 100-continue"), Want: "413 close"},
 		{Name: "white space before the colon of a length", Raw: rawFramed("hello", "Content-Length : 5"), Want: bad},
 		{Name: "another coding", Raw: rawFramed("0\n\n", "Transfer-Encoding: xchunked"), Want: bad, Overrides: handlerOnly("501 close", netHTTPStatus)},
 		{Name: "two codings", Raw: rawFramed("0\n\n", "Transfer-Encoding: gzip, chunked"), Want: bad, Overrides: handlerOnly("501 close", netHTTPStatus)},
@@ -144,7 +144,7 @@
 		{Name: "a coding on a folded line", Raw: rawFramed("0\n\n", "Transfer-Encoding:", " chunked"), Want: bad, Overrides: handlerOnly("200 open", parsedByNetHTTP)},
 		{Name: "a coding hidden behind a bare CR", Raw: rawFramed("0\n\n", "X-A: b\rTransfer-Encoding: chunked"), Want: bad},
 		{Name: "chunks from HTTP/1.0", Raw: "POST /pay/k HTTP/1.0\nHost: s\nX-Request-ID: ~ID~\nTransfer-Encoding: chunked\n\n0\n\n", Want: bad, Overrides: handlerOnly("200 close", parsedByNetHTTP+", without the body that HTTP/1.0 cannot have")},
-		{Name: "a chunk of no number", Raw: rawFramed("zz\nhello\n0\n\n", chunked), Want: bad},
+		{Name: "a chunk size that is no number", Raw: rawFramed("zz\nhello\n0\n\n", chunked), Want: bad},
 		{Name: "a negative chunk", Raw: rawFramed("-5\nhello\n0\n\n", chunked), Want: bad},
 		{Name: "a chunk with 0x", Raw: rawFramed("0x5\nhello\n0\n\n", chunked), Want: bad},
 		{Name: "a chunk without a size", Raw: rawFramed("\nhello\n0\n\n", chunked), Want: bad},
@@ -153,16 +153,16 @@
 		{Name: "a chunk that is shorter than it says", Raw: rawFramed("9\nhello\n0\n\n", chunked), HalfClose: true, Want: bad},
 		{Name: "chunks without an end", Raw: rawFramed("5\nhello\n", chunked), HalfClose: true, Want: bad},
 		{Name: "chunks without their last line", Raw: rawFramed("5\nhello\n0\n", chunked), HalfClose: true, Want: bad},
-		{Name: "chunks beyond what is held", Raw: rawFramed("10001\n"+kib64+"x\n0\n\n", chunked), Want: "200 open"},
-		{Name: "chunks of one byte beyond it", Raw: rawFramed("10000\n"+kib64+"\n1\nx\n0\n\n", chunked), Want: "200 open"},
-		{Name: "a trailer without end", Raw: rawFramed("0\n"+strings.Repeat("X-Late: 1\n", 2000)+"\n", chunked), Want: bad},
-		{Name: "a trailer that cannot be read", Raw: rawFramed("0\nnonsense\n\n", chunked), Want: bad},
+		{Name: "chunks beyond the buffer", Raw: rawFramed("10001\n"+kib64+"x\n0\n\n", chunked), Want: "200 open"},
+		{Name: "chunks one byte beyond the buffer", Raw: rawFramed("10000\n"+kib64+"\n1\nx\n0\n\n", chunked), Want: "200 open"},
+		{Name: "a trailer over the limit", Raw: rawFramed("0\n"+strings.Repeat("X-Late: 1\n", 2000)+"\n", chunked), Want: bad},
+		{Name: "a malformed trailer", Raw: rawFramed("0\nnonsense\n\n", chunked), Want: bad},
 		{Name: "a trailer with white space in a name", Raw: rawFramed("0\nX A: b\n\n", chunked), Want: bad, Overrides: libraryForms("200 open", parsedByNetHTTP+", without the trailer")},
 		{Name: "half a body", Raw: rawFramed("hel", "Content-Length: 5"), HalfClose: true, Want: bad},
-		{Name: "a body of a safe one", Raw: rawGet("/read/k", "Content-Length: 5") + "hello", Want: bad},
-		{Name: "chunks of a safe one", Raw: rawGet("/read/k", chunked) + "0\n\n", Want: bad},
-		{Name: "a second request at once", Raw: rawGet("/read/k") + strings.ReplaceAll(rawGet("/read/l"), "~ID~", "~ID~-2"), Want: bad, Overrides: handlerOnly("200 200 open", netHTTPPipelining)},
-		{Name: "a second request behind a body", Raw: rawPost("/pay/k", "body") + strings.ReplaceAll(rawGet("/read/l"), "~ID~", "~ID~-2"), Want: bad, Overrides: handlerOnly("200 200 open", netHTTPPipelining)},
+		{Name: "a body of a safe request", Raw: rawGet("/read/k", "Content-Length: 5") + "hello", Want: bad},
+		{Name: "chunks of a safe request", Raw: rawGet("/read/k", chunked) + "0\n\n", Want: bad},
+		{Name: "a pipelined request", Raw: rawGet("/read/k") + strings.ReplaceAll(rawGet("/read/l"), "~ID~", "~ID~-2"), Want: bad, Overrides: handlerOnly("200 200 open", netHTTPPipelining)},
+		{Name: "a pipelined request after a body", Raw: rawPost("/pay/k", "body") + strings.ReplaceAll(rawGet("/read/l"), "~ID~", "~ID~-2"), Want: bad, Overrides: handlerOnly("200 200 open", netHTTPPipelining)},
 		{Name: "more than the length", Raw: rawFramed("hello and more", "Content-Length: 5"), Want: bad, Overrides: handlerOnly("200 close", netHTTPPipelining+"; here it is no request")},
 
 		// Heads that cannot be read.
@@ -195,9 +195,9 @@
 		{Name: "a DEL in a value", Raw: rawGet("/read/k", "X-A: \x7f"), Want: bad},
 		{Name: "a folded line", Raw: rawGet("/read/k", "X-A: b", " c"), Want: bad, Overrides: handlerOnly("200 open", parsedByNetHTTP)},
 		{Name: "a line folded with a tab", Raw: rawGet("/read/k", "X-A: b", "\tX-Request-ID: other"), Want: bad, Overrides: handlerOnly("200 open", parsedByNetHTTP)},
-		{Name: "a head without end", Raw: rawGet("/read/k", "X-A: "+strings.Repeat("x", 20_000)), Want: "431 close", Overrides: libraryForms("200 open", applicationLimit)},
-		{Name: "lines without end", Raw: rawGet("/read/k", strings.TrimSuffix(strings.Repeat("A: 1\n", 4000), "\n")), Want: "431 close", Overrides: libraryForms("200 open", applicationLimit)},
-		{Name: "a target without end", Raw: rawGet("/read/" + strings.Repeat("k", 20_000)), Want: "431 close", Overrides: libraryForms("200 open", applicationLimit)},
+		{Name: "a head over the limit", Raw: rawGet("/read/k", "X-A: "+strings.Repeat("x", 20_000)), Want: "431 close", Overrides: libraryForms("200 open", applicationLimit)},
+		{Name: "headers over the limit", Raw: rawGet("/read/k", strings.TrimSuffix(strings.Repeat("A: 1\n", 4000), "\n")), Want: "431 close", Overrides: libraryForms("200 open", applicationLimit)},
+		{Name: "a target over the limit", Raw: rawGet("/read/" + strings.Repeat("k", 20_000)), Want: "431 close", Overrides: libraryForms("200 open", applicationLimit)},
 		{Name: "half a head", Raw: "GET /read/k HTTP/1.1\nHost", HalfClose: true, Want: "close", Overrides: handlerOnly("400 close", netHTTPStatus)},
 		{Name: "nothing", Raw: "", HalfClose: true, Want: "close"},
 
@@ -223,18 +223,18 @@
 		RequestCase{Name: "a control in the target", Raw: rawGet("/read/\x01"), Want: bad},
 		RequestCase{Name: "a space in the target", Raw: rawGet("/read/a b"), Want: bad},
 
-		// What the protocol asks for.
+		// Headers, classes and methods that the protocol requires.
 		RequestCase{Name: "no id", Raw: "GET /read/k HTTP/1.1\nHost: s\n\n", Want: bad, SocketsOnly: "a round tripper makes one up"},
 		RequestCase{Name: "an empty id", Raw: "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID:\n\n", Want: bad, SocketsOnly: "a round tripper makes one up"},
 		RequestCase{Name: "two ids", Raw: rawGet("/read/k", "X-Request-ID: ~ID~-2"), Want: bad},
 		RequestCase{Name: "one id twice", Raw: rawGet("/read/k", "x-request-id: ~ID~"), Want: bad},
-		RequestCase{Name: "an id without end", Raw: "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: " + strings.Repeat("i", httpcall.MaxIdentifierLength+1) + "\n\n", Want: bad},
+		RequestCase{Name: "an ID over the limit", Raw: "GET /read/k HTTP/1.1\nHost: s\nX-Request-ID: " + strings.Repeat("i", httpcall.MaxIdentifierLength+1) + "\n\n", Want: bad},
 		RequestCase{Name: "no key", Raw: "POST /order/k HTTP/1.1\nHost: s\nX-Request-ID: ~ID~\nContent-Length: 0\n\n", Want: bad},
 		RequestCase{Name: "an empty key", Raw: "POST /order/k HTTP/1.1\nHost: s\nX-Request-ID: ~ID~\nIdempotency-Key:\nContent-Length: 0\n\n", Want: bad},
 		RequestCase{Name: "two keys", Raw: rawPost("/order/k", "", "Idempotency-Key: other"), Want: bad},
 		RequestCase{Name: "two keys, one empty", Raw: rawPost("/order/k", "", "idempotency-key:"), Want: bad},
-		RequestCase{Name: "a key without end", Raw: rawFramed("", "Idempotency-Key: "+strings.Repeat("k", httpcall.MaxIdentifierLength+1)), Want: bad},
-		RequestCase{Name: "two waits", Raw: rawGet("/read/k", "X-Timeout-Ms: 5", "X-Timeout-Ms: 500"), Want: bad},
+		RequestCase{Name: "a key over the limit", Raw: rawFramed("", "Idempotency-Key: "+strings.Repeat("k", httpcall.MaxIdentifierLength+1)), Want: bad},
+		RequestCase{Name: "two timeouts", Raw: rawGet("/read/k", "X-Timeout-Ms: 5", "X-Timeout-Ms: 500"), Want: bad},
 		RequestCase{Name: "two tenants", Raw: rawGet("/read/k", "X-Tenant-Id: a", "X-Tenant-Id: b"), Want: bad},
 		RequestCase{Name: "another class", Raw: rawGet("/novel/k"), Want: "404 close"},
 		RequestCase{Name: "a class in another case", Raw: rawGet("/READ/k"), Want: "404 close"},
@@ -253,7 +253,7 @@
 	}
 	cases = append(cases, RequestCase{Name: "the method HEAD", Head: true, Raw: strings.Replace(rawGet("/read/k"), "GET", "HEAD", 1), Want: "405 close"})
 	for _, wait := range []string{"0", "-4", "soon", "1e3", "1.5", "99999999999999999999", "5 5", "0x5"} {
-		cases = append(cases, RequestCase{Name: "the wait " + wait, Raw: rawGet("/read/k", "X-Timeout-Ms: "+wait), Want: bad})
+		cases = append(cases, RequestCase{Name: "the timeout " + wait, Raw: rawGet("/read/k", "X-Timeout-Ms: "+wait), Want: bad})
 	}
 	for _, option := range []string{
 		"Idempotency-Key", "close, idempotency-KEY", "keep-alive,\tIdempotency-Key ,", "X-Request-ID", "X-Timeout-Ms", "X-Tenant-Id", "X-Cost", "X-Retried",
