--- a/cmd/quillfront/config.go
+++ b/cmd/quillfront/config.go
@@ -44,13 +44,13 @@
 // printOperator prints what an operator's file enables, one line for each item.
 func printOperator(w io.Writer, o *config.Operator) {
 	if o.Store != nil {
-		fmt.Fprintf(w, "store: orders are kept in %q, durability %s\n", o.Store.Dir, o.Store.Durability)
+		fmt.Fprintf(w, "store: orders are remembered in %q, %s\n", o.Store.Dir, o.Store.Durability)
 	}
 	if o.Sites != nil {
 		fmt.Fprintf(w, "sites: watched, by %d rules\n", len(o.Sites.Rules))
 	}
 	if m := o.Members; m != nil {
-		fmt.Fprintf(w, "members: cluster %s at %s, tolerates a pause of up to %v\n", m.Peers.Node.Cluster, m.Peers.Listen, m.Peers.Node.MaxPause())
+		fmt.Fprintf(w, "members: of %s at %s, a pause of up to %v is borne\n", m.Peers.Node.Cluster, m.Peers.Listen, m.Peers.Node.MaxPause())
 	}
 	if n := len(o.Routes); n > 0 {
 		fmt.Fprintf(w, "routes: %d\n", n)
@@ -68,16 +68,16 @@
 		fmt.Fprintf(w, "pool %s: %s, %d classes\n", p.Name, source, len(p.Classes))
 	}
 	for _, h := range o.HTTP {
-		fmt.Fprintf(w, "http %s: at %s, requests go by the routes\n", h.Name, h.Listen)
+		fmt.Fprintf(w, "http %s: at %s, by the routes\n", h.Name, h.Listen)
 	}
 	for _, s := range o.Streams {
-		fmt.Fprintf(w, "stream %s: at %s, to pool %s, class %s\n", s.Name, s.Listen, s.Pool, s.Class)
+		fmt.Fprintf(w, "stream %s: at %s, to pool %s as %s\n", s.Name, s.Listen, s.Pool, s.Class)
 	}
 	for _, m := range o.MySQL {
 		users := fmt.Sprintf("%d users", len(m.Users))
 		if m.Auth == proxy.AuthPassThrough {
 			users = "users that the servers authenticate"
 		}
-		fmt.Fprintf(w, "mysql %s: at %s, for %s, to pool %s, class %s\n", m.Name, m.Listen, users, m.Pool, m.DefaultClass)
+		fmt.Fprintf(w, "mysql %s: at %s, for %s, to pool %s as %s\n", m.Name, m.Listen, users, m.Pool, m.DefaultClass)
 	}
 }
--- a/cmd/quillfront/load.go
+++ b/cmd/quillfront/load.go
@@ -219,7 +219,7 @@
 		printReport(w, out)
 	}
 	if !out.Trusted {
-		return exitError{exitUntrusted, "the measurements are not to be trusted"}
+		return exitError{exitUntrusted, "the run is not to be trusted"}
 	}
 	return nil
 }
--- a/cmd/quillfront/store.go
+++ b/cmd/quillfront/store.go
@@ -115,7 +115,7 @@
 		return err
 	}
 	st := s.Stats()
-	_, err = fmt.Fprintf(w, "whole: %d orders, %d served, %d that may have run; %d segments, %d bytes, %d of them live\n",
+	_, err = fmt.Fprintf(w, "whole: %d orders, %d served, %d that may have run; %d segments of %d bytes, %d of them live\n",
 		orders, served, open, st.Segments, st.Bytes, st.Live)
 	return err
 }
