--- a/cmd/quillfront/config.go
+++ b/cmd/quillfront/config.go
@@ -63,7 +63,7 @@
 		case p.File != "":
 			source = "the file " + p.File
 		case p.DNS != nil:
-			source = "DNS name " + p.DNS.Name
+			source = "DNS of " + p.DNS.Name
 		}
 		fmt.Fprintf(w, "pool %s: %s, %d classes\n", p.Name, source, len(p.Classes))
 	}
@@ -76,7 +76,7 @@
 	for _, m := range o.MySQL {
 		users := fmt.Sprintf("%d users", len(m.Users))
 		if m.Auth == proxy.AuthPassThrough {
-			users = "users that the servers authenticate"
+			users = "whom servers let in"
 		}
 		fmt.Fprintf(w, "mysql %s: at %s, for %s, to pool %s as %s\n", m.Name, m.Listen, users, m.Pool, m.DefaultClass)
 	}
