--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -403,7 +403,7 @@
 		text string
 	}{
 		{r.Lost, "each request has one final answer in time"}, {r.Duplicates, "no effect happens twice"},
-		{r.LateSendsToDraining, "no new request to a draining server after 2 s"}, {r.Overloaded, "no cold server is overloaded"},
+		{r.LateSendsToDraining, "no new request to draining servers after 2 s"}, {r.Overloaded, "no cold server is overloaded"},
 	} {
 		verdict := "kept"
 		if rule.n > 0 {
