--- a/http.go
+++ b/http.go
@@ -159,8 +159,8 @@
 	return strings.EqualFold(name, "Host") || strings.EqualFold(name, "X-Timeout-Ms") || strings.EqualFold(name, "X-Request-ID")
 }
 
-// readBody waits for free memory and reads the body into m. Of a body longer than httpmsg.MaxWhole
-// it reads only the start; more is then the rest. release frees the memory.
+// readBody waits for free memory and reads the body into m. Of a body longer than
+// httpmsg.MaxFullBody it reads only the start; more is then the rest. release frees the memory.
 func (b *Balancer) readBody(ctx context.Context, call *httpcall.Call, m *httpmsg.Message, body io.Reader) (release func(), more io.Reader, err error) {
 	if call.Length > httpmsg.MaxBody {
 		return nil, nil, errTooLong
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -45,7 +45,7 @@
 }
 
 // Parse reads a discovery message. It rejects a message that is truncated, not JSON, or without a
-// sequence number, as the changes are unknown then. An entry that is invalid is reported in Faults,
+// sequence number, as the changes are unknown then. An invalid entry is reported in EntryErrors,
 // and the others are still used, as one of them may be a drain.
 func Parse(text []byte) (engine.List, error) {
 	var m message
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -95,13 +95,13 @@
 // expose what is needed here: the head as received, the bytes after a request, and the state of a
 // connection that may have to be evicted.
 type Server struct {
-	engine     *engine.Engine
-	bodyBudget *semaphore.Weighted
-	proxy      *ProxyConfig // nil: the server uses the sidecar protocol
-	limits     connLimits
-	sockets    *sockets.Budget
-	log        *slog.Logger
-	desk       *orders.Coordinator // nil: requests go to the engine directly
+	engine           *engine.Engine
+	bodyBudget       *semaphore.Weighted
+	proxy            *ProxyConfig // nil: the server uses the sidecar protocol
+	limits           connLimits
+	sockets          *sockets.Budget
+	log              *slog.Logger
+	orderCoordinator *orders.Coordinator // nil: requests go to the engine directly
 
 	mu    sync.Mutex
 	conns map[*clientConn]struct{} // limited by sockets
@@ -121,10 +121,10 @@
 }
 
 // New returns a server for the sidecar protocol. It takes descriptors from b and reserves memory
-// for bodies in budget. Requests with an idempotency key pass through desk unless it is nil.
-func New(e *engine.Engine, desk *orders.Coordinator, budget *semaphore.Weighted, b *sockets.Budget, log *slog.Logger) *Server {
+// for bodies in budget. Requests with an idempotency key pass through coordinator unless it is nil.
+func New(e *engine.Engine, coordinator *orders.Coordinator, budget *semaphore.Weighted, b *sockets.Budget, log *slog.Logger) *Server {
 	s := newServer(b, log)
-	s.engine, s.desk, s.bodyBudget = e, desk, budget
+	s.engine, s.orderCoordinator, s.bodyBudget = e, coordinator, budget
 	s.limits = connLimits{maxHead: maxRequestHead, headTimeout: headTimeout, idleTimeout: idleTimeout, keepAliveLine: keepAliveLine, bodyStallTimeout: bodyStallTimeout, minBodyRate: minBodyRate, streamTimeout: streamTimeout}
 	return s
 }
@@ -511,14 +511,14 @@
 	return c.peek.PeerClosed()
 }
 
-// submit passes a request to the desk if it has an idempotency key and there is a desk, and
-// otherwise to the engine.
+// submit passes a request to the coordinator of orders, if there is one and the request has an
+// idempotency key, and otherwise to the engine.
 func (s *Server) submit(r *engine.Request, call *httpcall.Call, m *httpmsg.Message) error {
-	if s.desk == nil || call.IdempotencyKey == "" {
+	if s.orderCoordinator == nil || call.IdempotencyKey == "" {
 		return s.engine.Submit(r, s.engine.Now())
 	}
 	read := s.engine.Now()
-	return s.desk.Submit(r, orders.Identity{Key: call.IdempotencyKey, Fingerprint: call.Fingerprint(m.Body)}, read)
+	return s.orderCoordinator.Submit(r, orders.Identity{Key: call.IdempotencyKey, Fingerprint: call.Fingerprint(m.Body)}, read)
 }
 
 // methodName returns the method as a string, without an allocation for the methods of the
