--- a/internal/services/http_disconnect_test.go
+++ b/internal/services/http_disconnect_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// waitUntil waits waitUntil ok.
+// waitUntil waits until ok returns true.
 func waitUntil(t *testing.T, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
