--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -410,7 +410,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reloads.rejected++
-	s.log.Error("reload failed: the current configuration stays in effect", "err", err)
+	s.log.Error("reload: the old configuration stays", "err", err)
 }
 
 // setMemoryLimit sets the soft memory limit of the Go runtime to three quarters of the process's
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -122,7 +122,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rejected++
-	s.log.Error("reload failed: the current configuration stays in effect", "err", err)
+	s.log.Error("reload: the old configuration stays", "err", err)
 }
 
 // applyExclusions applies the operators' exclusions to all pools, and connects all pools to the
